--- a/benches/group.rs
+++ b/benches/replication.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use curlewdeck::group::config::GroupConfig;
-use curlewdeck::group::driver::{self, Ask, Role, Running};
-use curlewdeck_group::{Answer, Command, Outcome};
-use curlewdeck_lab::proxy::{Faults, Proxy};
+use curlewdeck::replication::config::GroupConfig;
+use curlewdeck::replication::driver::{self, Ask, Role, Running};
+use curlewdeck_replication::{Answer, Command, Outcome};
+use curlewdeck_testkit::proxy::{Faults, Proxy};
 
 const CLIENTS: usize = 16;
 const PROMISES: usize = 4000;
--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -4,8 +4,8 @@
 use curlewdeck::api::{Class, ClassId, Effect, Outcome, Phase, QueryId, ServerId};
 use curlewdeck::counters::Counters;
 use curlewdeck::mib;
-use curlewdeck_account::nodes::NodeBounds;
-use curlewdeck_account::{Account, Snapshot};
+use curlewdeck_accounting::nodes::NodeBounds;
+use curlewdeck_accounting::{Account, Snapshot};
 use curlewdeck_snmp::agent::{Agent, Bounds, Incoming};
 use curlewdeck_snmp::codec;
 use curlewdeck_snmp::manager::{Ask, Reply, Security, Session, Walk};
--- a/benches/news_to_gate.rs
+++ b/benches/update_to_gate.rs
@@ -2,10 +2,10 @@
 //!
 //! Prints the median, the 99th of a hundred and the worst of each run: `cargo bench --bench news_to_gate`. The worst is a
 //! matter of the machine's other load, so that nothing is asserted here; that no frame begins before news that waits is
-//! tested in `tests/held_up.rs`.
+//! tested in `tests/stalled_process.rs`.
 
-#[path = "../tests/bed/mod.rs"]
-mod bed;
+#[path = "../tests/harness/mod.rs"]
+mod harness;
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,11 +14,11 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use curlewdeck::serve::Coordinator;
+use curlewdeck::startup::Coordinator;
 
-use bed::scripted::{chunk, news, Scripted, WATCH};
-use bed::stand_in::{exchange, DataNode, NodeReply, Part};
-use bed::{query_bytes, ready, served, Bed};
+use harness::scripted::{chunk, news, Scripted, WATCH};
+use harness::stand_in::{exchange, DataNode, NodeReply, Part};
+use harness::{query_bytes, ready, served, Bed};
 
 /// News that is measured under each load.
 const ROUNDS: u32 = 200;
--- a/crates/group/tests/cluster.rs
+++ b/crates/replication/tests/cluster.rs
@@ -2,13 +2,13 @@
 //! way and partitions, members stopped with their disk kept or wiped. Every run is fixed by its seed.
 //!
 //! What is checked after each: every command a client was told was promised is in the state of every member that
-//! still belongs to the group, and the history of puts and reads is linearizable (`curlewdeck_lab::history`).
+//! still belongs to the group, and the history of puts and reads is linearizable (`curlewdeck_testkit::history`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewdeck_group::member::Rejected;
-use curlewdeck_group::{Answer, Bounds, Command, Letter, Member, Out, Outcome, Persist, Store, Ticket};
-use curlewdeck_lab::history::{self, Event, Op};
+use curlewdeck_replication::member::Rejected;
+use curlewdeck_replication::{Answer, Bounds, Command, Letter, Member, Out, Outcome, Persist, Store, Ticket};
+use curlewdeck_testkit::history::{self, Event, Op};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Message, MessageType, Snapshot};
 
--- a/src/notices.rs
+++ b/src/alerts.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use curlewdeck_account::{ClassRow, End, Snapshot};
+use curlewdeck_accounting::{ClassRow, End, Snapshot};
 use curlewdeck_snmp::notify::{Bounds, Notice, Notifier, Send, Target};
 use curlewdeck_snmp::registry::Module;
 use curlewdeck_snmp::tree::Value;
@@ -15,8 +15,8 @@
 use crate::api::{Nanos, Phase};
 use crate::limits::Limits;
 use crate::mib;
-use crate::net::core::Core;
-use crate::net::io::nanos;
+use crate::net::coordinator::Core;
+use crate::runtime::nanos;
 use crate::snmp::SnmpConfig;
 
 /// The figures that are compared.
@@ -288,8 +288,8 @@
 mod tests {
     use super::*;
     use crate::api::{ClassId, QueryId, ServerId};
-    use curlewdeck_account::nodes::NodeBounds;
-    use curlewdeck_account::Account;
+    use curlewdeck_accounting::nodes::NodeBounds;
+    use curlewdeck_accounting::Account;
 
     const S: Nanos = 1_000_000_000;
 
--- a/src/bin/curlewdeck-wirehost/main.rs
+++ b/src/bin/curlewdeck-simulator-adapter/main.rs
@@ -16,7 +16,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("curlewdeck-wirehost: {message}");
+            eprintln!("curlewdeck-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -10,13 +10,13 @@
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
 
-use crate::front::desk::DeskConfig;
-use crate::front::ogc::OgcConfig;
-use crate::group::config::GroupConfig;
-use crate::keep::StateConfig;
+use crate::frontend::aggregation::DeskConfig;
+use crate::frontend::features::OgcConfig;
 use crate::limits::{Limits, Platform};
-use crate::net::members::MembershipUpdate;
+use crate::net::endpoints::MembershipUpdate;
+use crate::replication::config::GroupConfig;
 use crate::settings::{self, Info};
+use crate::snapshot_store::StateConfig;
 use crate::snmp::SnmpConfig;
 
 /// Why a configuration cannot be used.
--- a/src/control.rs
+++ b/src/control.rs
@@ -10,11 +10,11 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-use crate::front::accept::AcceptErrors;
-use crate::front::server::Reply;
+use crate::frontend::accept::AcceptErrors;
+use crate::frontend::http_server::Reply;
 use crate::limits::Limits;
 use crate::net::http::{self, Request, RequestReader};
-use crate::net::io::{lock, nanos, thread, Clock, SMALL_STACK};
+use crate::runtime::{lock, nanos, thread, Clock, SMALL_STACK};
 
 /// What the calls come to.
 pub trait Operated: Send + Sync + 'static {
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use curlewdeck_account::{Account, End};
+use curlewdeck_accounting::{Account, End};
 
 use crate::api::Outcome;
 
--- a/src/front/desk.rs
+++ b/src/frontend/aggregation.rs
@@ -25,12 +25,12 @@
 use crate::config::cursor_keys;
 use crate::counters::Counters;
 use crate::engine::{Accept, Ask, Final, Rejected};
-use crate::front::problem::{problem, retry_after, unix_now, unserved, valid_until, PROBLEM};
-use crate::front::server::{Answer, Front, Reply, Served};
+use crate::frontend::http_server::{Answer, Front, Reply, Served};
+use crate::frontend::problem::{problem, retry_after, unix_now, unserved, valid_until, PROBLEM};
 use crate::limits::Limits;
-use crate::net::core::{Core, Started};
+use crate::net::coordinator::{Core, Started};
 use crate::net::http::{self, BadMessage, Request};
-use crate::net::io::lock;
+use crate::runtime::lock;
 use crate::settings::Info;
 
 /// What the edge's file says of this front.
@@ -136,7 +136,7 @@
         let bounds = Bounds {
             entries: limits.recall_entries,
             ranges: ranges as usize,
-            age: crate::net::io::nanos(limits.recall_age),
+            age: crate::runtime::nanos(limits.recall_age),
         };
         Self(Arc::new(Mutex::new(Recall::new(bounds))))
     }
--- a/src/front/ogc.rs
+++ b/src/frontend/features.rs
@@ -2,7 +2,7 @@
 //! each tag range; what the core answers is one page.
 //!
 //! A page follows the ranges in order, or the ids of the features where the data nodes give them so: see
-//! [`crate::front::pages`]. Where a class may be answered in part, a range that is not in is
+//! [`crate::frontend::feature_pages`]. Where a class may be answered in part, a range that is not in is
 //! named in `missingRanges`, and `complete` is false.
 
 use std::collections::BTreeSet;
@@ -21,11 +21,11 @@
 use crate::config::cursor_keys;
 use crate::counters::Counters;
 use crate::engine::{Accept, Ask, Client, Final, Rejected, Row};
-use crate::front::pages::{by_id, by_offset, check_ids, Range};
-use crate::front::problem::{problem, unix_now, unserved, valid_until};
-use crate::front::server::{Answer, Front, Reply, Served};
+use crate::frontend::feature_pages::{by_id, by_offset, check_ids, Range};
+use crate::frontend::http_server::{Answer, Front, Reply, Served};
+use crate::frontend::problem::{problem, unix_now, unserved, valid_until};
 use crate::limits::Limits;
-use crate::net::core::Core;
+use crate::net::coordinator::Core;
 use crate::net::features::{self, Cursor};
 use crate::net::http::{self, BadMessage, Request};
 use crate::settings::Info;
@@ -387,7 +387,7 @@
     }
 
     /// Hands a feature query to the core: a part for each of these ranges.
-    fn ask(&self, at: usize, parts: Parts, asker: Asker, reply: crate::net::mail::Reply) -> Served {
+    fn ask(&self, at: usize, parts: Parts, asker: Asker, reply: crate::net::messages::Reply) -> Served {
         let class = self.core.info().now(self.collections[at].1);
         let ranges: Vec<u32> = (parts.from.0..self.ranges).collect();
         let share = 1.0 / ranges.len() as f64;
--- a/src/front/server.rs
+++ b/src/frontend/http_server.rs
@@ -18,14 +18,14 @@
 use crate::api::{Nanos, QueryId};
 use crate::counters::Counters;
 use crate::engine;
-use crate::front::accept::AcceptErrors;
-use crate::front::arrivals::Arrivals;
+use crate::frontend::accept::AcceptErrors;
+use crate::frontend::request_reader::Arrivals;
 use crate::limits::Limits;
-use crate::net::core::Core;
+use crate::net::coordinator::Core;
 use crate::net::http::{self, BadMessage, Request, RequestReader};
-use crate::net::io::{lock, nanos, spawn, thread, Clock, Permit, Permits, Stream, SMALL_STACK};
 use crate::net::log_limit::LogLimit;
-use crate::net::mail::REQUEST;
+use crate::net::messages::REQUEST;
+use crate::runtime::{lock, nanos, spawn, thread, Clock, Permit, Permits, Stream, SMALL_STACK};
 
 /// A client's connection: its reader, its writer, and those that evict one or end the process, share it.
 struct ClientConnection {
--- a/src/front/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,10 +1,10 @@
 //! The fronts: each maps its requests to queries of the core, and the core's answers back.
 
 pub mod accept;
-pub mod arrivals;
-pub mod desk;
-pub mod ogc;
-pub mod pages;
+pub mod aggregation;
+pub mod feature_pages;
+pub mod features;
+pub mod http_server;
 pub mod platform;
 pub mod problem;
-pub mod server;
+pub mod request_reader;
--- a/src/front/platform.rs
+++ b/src/frontend/platform.rs
@@ -8,11 +8,11 @@
 use crate::api::{Nanos, ShardId};
 use crate::counters::Counters;
 use crate::engine::{Accept, Ask, Client, Final, Rejected};
-use crate::front::server::{Answer, Front, Reply, Served, Service};
+use crate::frontend::http_server::{Answer, Front, Reply, Served, Service};
 use crate::limits::Limits;
-use crate::net::core::Core;
+use crate::net::coordinator::Core;
 use crate::net::http::{BadMessage, Request};
-use crate::net::io::nanos;
+use crate::runtime::nanos;
 
 const HEALTH: &str = "/_health";
 const ID_BYTES: usize = 128;
--- a/src/front/problem.rs
+++ b/src/frontend/problem.rs
@@ -7,11 +7,11 @@
 
 use crate::api::{ClassId, Nanos};
 use crate::engine::{Final, Rejected};
-use crate::front::server::Reply;
+use crate::frontend::http_server::Reply;
 use crate::limits::Limits;
-use crate::net::core::Core;
+use crate::net::coordinator::Core;
 use crate::net::http;
-use crate::net::io::nanos;
+use crate::runtime::nanos;
 
 /// The media type of RFC 9457, section 3.
 pub const PROBLEM: &str = "application/problem+json";
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,12 +6,12 @@
 use std::thread;
 
 use curlewdeck::config::{Config, Edge};
-use curlewdeck::group::tool;
 use curlewdeck::limits::Limits;
 use curlewdeck::query::{self, Command};
 use curlewdeck::reload::Reloader;
-use curlewdeck::serve;
+use curlewdeck::replication::tool;
 use curlewdeck::snmp_tool;
+use curlewdeck::startup;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
 
@@ -166,8 +166,8 @@
     // Before anything else, so that no signal finds the process unprepared.
     let mut signals =
         Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
-    serve::set_up_workers(&Limits::within(config.platform(0))?);
-    let coordinator = Arc::new(serve::start(config, edge)?);
+    startup::set_up_workers(&Limits::within(config.platform(0))?);
+    let coordinator = Arc::new(startup::start(config, edge)?);
     let reloader = Reloader::start(coordinator.clone(), file.to_path_buf())
         .map_err(|e| format!("no thread to read the configuration: {e}"))?;
     let (coordinator, handle) = (&coordinator, signals.handle());
--- a/src/mib.rs
+++ b/src/mib.rs
@@ -3,14 +3,14 @@
 //! The MIB stands below 32473, the enterprise number that RFC 5612 sets aside for examples; an operator with a number of
 //! its own changes [`ROOT`] and writes the MIB anew with `curlewdeck mib`.
 
-use curlewdeck_account::{End, Snapshot, OUTCOMES, QUANTILES};
+use curlewdeck_accounting::{End, Snapshot, OUTCOMES, QUANTILES};
 use curlewdeck_snmp::registry::{Group, Module, Notification, Object, Syntax, Table};
 use curlewdeck_snmp::tree::Value;
 use curlewdeck_snmp::Oid;
 
 use crate::api::{Nanos, Phase};
 use crate::counters::Counters;
-use crate::group::driver::{Role, Standing};
+use crate::replication::driver::{Role, Standing};
 
 /// `curlewdeck` of the MIB.
 pub const ROOT: [u32; 8] = [1, 3, 6, 1, 4, 1, 32473, 1];
@@ -265,7 +265,7 @@
     for (n, (_, count)) in (1..).zip(counters.all()) {
         put(&ROOT, &[COUNTERS, n, 0], Value::Counter64(count));
     }
-    let open = books.sum(curlewdeck_account::ClassRow::open);
+    let open = books.sum(curlewdeck_accounting::ClassRow::open);
     let general = [
         Value::Ticks(0),
         gauge(open),
@@ -356,8 +356,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use curlewdeck_account::nodes::NodeBounds;
-    use curlewdeck_account::Account;
+    use curlewdeck_accounting::nodes::NodeBounds;
+    use curlewdeck_accounting::Account;
 
     fn books() -> Snapshot {
         let text = crate::config::Config::read(include_str!("../examples/config.json"), |_| None).unwrap();
--- a/src/net/core.rs
+++ b/src/net/coordinator.rs
@@ -6,19 +6,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use curlewdeck_account::figures::{self, Beside, Figures};
-use curlewdeck_account::nodes::NodeBounds;
-use curlewdeck_account::saved::Saved;
-use curlewdeck_account::{Account, End, Snapshot};
+use curlewdeck_accounting::figures::{self, Beside, Figures};
+use curlewdeck_accounting::nodes::NodeBounds;
+use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::{Account, End, Snapshot};
 use may::sync::mpsc::{Receiver, Sender};
 
 use crate::api::{ClassId, Discovery, ListKind, Nanos, Phase, QueryId, ServerId, ShardId};
 use crate::counters::Counters;
 use crate::engine::{Ask, Command, Engine, Final, Note, Rejected};
-use crate::net::io::{lock, spawn_vital, Alarm, Clock};
-use crate::net::list_lease::ListLease;
-use crate::net::mail::{CoreMail, DiscoveryMsg, Gate, Msg, NodeMsg, Reply, REQUEST};
-use crate::net::members::ListNews;
+use crate::net::endpoint_list_lease::ListLease;
+use crate::net::endpoints::ListNews;
+use crate::net::messages::{CoreMail, DiscoveryMsg, Gate, Msg, NodeMsg, Reply, REQUEST};
+use crate::runtime::{lock, spawn_vital, Alarm, Clock};
 use crate::settings::Info;
 
 /// What the fronts see of the core.
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -11,11 +11,11 @@
 
 use crate::limits::Limits;
 use crate::net::dial_error::is_own_lack;
-use crate::net::freshness::{Followed, Freshness};
+use crate::net::endpoints::{LineError, MembershipUpdate, Objects, WatchEvent};
 use crate::net::http::{self, Chunks};
-use crate::net::io::Stream;
-use crate::net::mail::{CallError, DiscoveryMsg};
-use crate::net::members::{LineError, MembershipUpdate, Objects, WatchEvent};
+use crate::net::messages::{CallError, DiscoveryMsg};
+use crate::net::pending_updates::{Followed, Freshness};
+use crate::runtime::Stream;
 
 const READ: usize = 4096;
 /// Longer than any call is silent: the actor has given it up by then.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -20,12 +20,12 @@
 use crate::api::{self, ListKind, Nanos};
 use crate::counters::Counters;
 use crate::limits::Limits;
-use crate::net::freshness::{Freshness, OnTheWay};
-use crate::net::io::{nanos, spawn_told, spawn_vital, Alarm, Clock, Stream};
-use crate::net::list_lease::ListLease;
+use crate::net::endpoint_list_lease::ListLease;
+use crate::net::endpoints::{ListNews, ListedMember, MembershipUpdate};
 use crate::net::log_limit::LogLimit;
-use crate::net::mail::{CallError, CoreMail, DiscoveryMsg, Msg};
-use crate::net::members::{ListNews, ListedMember, MembershipUpdate};
+use crate::net::messages::{CallError, CoreMail, DiscoveryMsg, Msg};
+use crate::net::pending_updates::{Freshness, OnTheWay};
+use crate::runtime::{nanos, spawn_told, spawn_vital, Alarm, Clock, Stream};
 
 use call::Call;
 use call_log::CallLog;
--- a/src/net/feature_node.rs
+++ b/src/net/feature_node.rs
@@ -18,9 +18,9 @@
 use crate::engine::{AttemptId, Dispatch, Value, Wanted};
 use crate::net::features::{self, Names, RangeQuery};
 use crate::net::http;
-use crate::net::io::{nanos, spawn, spawn_vital, Stream, Unwritten};
-use crate::net::mail::{Gate, Msg, NodeMsg};
+use crate::net::messages::{Gate, Msg, NodeMsg};
 use crate::net::node::NodeContext;
+use crate::runtime::{nanos, spawn, spawn_vital, Stream, Unwritten};
 
 /// How often connections at rest are looked at.
 const LOOK: Duration = Duration::from_millis(500);
--- a/src/net/mail.rs
+++ b/src/net/messages.rs
@@ -5,19 +5,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use curlewdeck_account::saved::Saved;
-use curlewdeck_account::Snapshot;
+use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::Snapshot;
 use curlewdeck_membership::{CallEnd, CallId};
 use may::sync::mpsc::{channel, Receiver, Sender};
 
 use crate::api::{Nanos, Outcome, QueryId, ServerId};
 use crate::engine::{Ask, AttemptId, Dispatch, Final, Rejected, Value};
+use crate::net::connection_pool::{Input, LinkId};
+use crate::net::endpoint_list_lease::ListLease;
+use crate::net::endpoints::{ListNews, MembershipUpdate};
 use crate::net::frame::{self, Frame};
-use crate::net::freshness::OnTheWay;
-use crate::net::io::{lock, Permit, Stream};
-use crate::net::link::{Input, LinkId};
-use crate::net::list_lease::ListLease;
-use crate::net::members::{ListNews, MembershipUpdate};
+use crate::net::pending_updates::OnTheWay;
+use crate::runtime::{lock, Permit, Stream};
 use crate::settings::Info;
 
 /// How a query ends, for its front: called once.
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -14,13 +14,13 @@
 use crate::api::{Nanos, ServerId};
 use crate::counters::Counters;
 use crate::limits::Limits;
+use crate::net::connection_pool::{Input, LinkId, LinkLimits, Links, Output};
 use crate::net::dial_error::is_own_lack;
 use crate::net::frame::{self, Current, Frame, FrameLimits};
-use crate::net::freshness::Freshness;
-use crate::net::io::{lock, nanos, spawn, spawn_vital, Clock, Permit, Permits, Stream, Unwritten};
-use crate::net::link::{Input, LinkId, LinkLimits, Links, Output};
 use crate::net::log_limit::LogLimit;
-use crate::net::mail::{Come, CoreMail, Gate, Msg, NodeMsg, Rest, REQUEST};
+use crate::net::messages::{Come, CoreMail, Gate, Msg, NodeMsg, Rest, REQUEST};
+use crate::net::pending_updates::Freshness;
+use crate::runtime::{lock, nanos, spawn, spawn_vital, Clock, Permit, Permits, Stream, Unwritten};
 use crate::settings::Connections;
 
 /// What every actor of a data node needs.
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Outcome, ShardId};
 use crate::engine::{AttemptId, Dispatch, PartText, Wanted};
-use crate::net::mail;
+use crate::net::messages;
 
 fn part(id: u64) -> Dispatch {
     let text = PartText { name: format!("q.{id}"), shard: ShardId(0), text: "t".into(), after: None };
@@ -16,7 +16,7 @@
 }
 
 fn context(permits: usize) -> (NodeContext, Receiver<Msg>) {
-    let (core, told) = mail::mailbox();
+    let (core, told) = messages::mailbox();
     let context = NodeContext {
         core,
         limits: Arc::new(Limits { no_socket_pause: Duration::from_secs(3600), ..Limits::default() }),
--- a/src/net/freshness.rs
+++ b/src/net/pending_updates.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use crate::api::Nanos;
-use crate::net::io::{lock, nanos, Clock, Stream};
+use crate::runtime::{lock, nanos, Clock, Stream};
 
 /// For so long after a look, nothing is looked at again. With the 0.15 s that a process may be held up right before a
 /// write, it stays under the grace of 0.25 s.
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -15,8 +15,8 @@
 
 use crate::config::{Config, ConfigError};
 use crate::counters::Counters;
-use crate::net::io::{nanos, thread};
-use crate::serve::{Coordinator, Taken};
+use crate::runtime::{nanos, thread};
+use crate::startup::{Coordinator, Taken};
 
 /// What discovery has to tell counts as told so long after SIGHUP: a read that failed is repeated within it.
 const RETRY_WINDOW: Duration = Duration::from_secs(4);
--- a/src/group/api.rs
+++ b/src/replication/api.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use curlewdeck_group::promised::Refusal as NotWritten;
-use curlewdeck_group::{Answer, Command, Outcome, Refusal};
+use curlewdeck_replication::promised::Refusal as NotWritten;
+use curlewdeck_replication::{Answer, Command, Outcome, Refusal};
 
 use super::driver::{Ask, Inbox, Standings};
 use crate::control::Calls;
-use crate::front::server::Reply;
+use crate::frontend::http_server::Reply;
 use crate::net::http::Request;
 
 /// The calls of one member.
--- a/src/group/config.rs
+++ b/src/replication/config.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use curlewdeck_group::Bounds;
+use curlewdeck_replication::Bounds;
 use serde::Deserialize;
 
 /// The section `[group]`.
--- a/src/group/disk.rs
+++ b/src/replication/disk.rs
@@ -7,9 +7,9 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-use curlewdeck_group::codec::Unsound;
-use curlewdeck_group::store::{from_disk, to_disk};
-use curlewdeck_group::{Persist, Store};
+use curlewdeck_replication::codec::Unsound;
+use curlewdeck_replication::store::{from_disk, to_disk};
+use curlewdeck_replication::{Persist, Store};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableError, WriteTransaction};
 
@@ -236,7 +236,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use curlewdeck_group::{Bounds, Member};
+    use curlewdeck_replication::{Bounds, Member};
 
     fn folder(name: &str) -> PathBuf {
         let dir = std::env::temp_dir().join(format!("curlewdeck-disk-{}-{name}", std::process::id()));
--- a/src/group/driver.rs
+++ b/src/replication/driver.rs
@@ -7,12 +7,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use curlewdeck_group::{Answer, Bounds, Command, Letter, Member, Out, Outcome, Persist, Refusal, Ticket};
+use curlewdeck_replication::{
+    Answer, Bounds, Command, Letter, Member, Out, Outcome, Persist, Refusal, Ticket,
+};
 
 use super::config::GroupConfig;
 use super::disk::{self, Disk, DiskError, Found};
 use super::peers::{self, Peers};
-use crate::net::io::{lock, thread};
+use crate::runtime::{lock, thread};
 
 /// Messages that wait for the member; past them clients are refused as busy.
 const INBOX: usize = 1024;
--- a/src/group/mod.rs
+++ b/src/replication/mod.rs
@@ -1,4 +1,4 @@
-//! A member of a group (`crates/group`), carried out: its disk, the frames between members, its thread and the calls of
+//! A member of a group (`crates/replication`), carried out: its disk, the frames between members, its thread and the calls of
 //! its clients. Off unless the operator's file names a group; never on the platform, which gives no lasting disk and no
 //! talk between instances. Queries never wait for it: it has threads of its own. `docs/replication.md` is for operators.
 
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use curlewdeck_group::{Answer, Bounds, Command, Outcome};
+use curlewdeck_replication::{Answer, Bounds, Command, Outcome};
 
 use crate::control;
-use crate::keep::Replica;
 use crate::limits::Limits;
+use crate::snapshot_store::Replica;
 use config::GroupConfig;
 use driver::{Ask, Inbox, Standings};
 
--- a/src/group/peers.rs
+++ b/src/replication/peers.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use curlewdeck_group::Letter;
+use curlewdeck_replication::Letter;
 
 use super::driver::{Inbox, Msg};
 use super::wire;
-use crate::net::io::thread;
+use crate::runtime::thread;
 
 /// Messages that wait for one member; past them new ones are dropped, as a network drops them.
 const WAITING: usize = 256;
--- a/src/keep.rs
+++ b/src/snapshot_store.rs
@@ -1,5 +1,5 @@
 //! The state folder: what outlives the process, written by a thread of its own since files block. When and how is decided
-//! in `curlewdeck-keep`; on the platform there is no such folder, and nothing is written.
+//! in `curlewdeck-snapshot`; on the platform there is no such folder, and nothing is written.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Write};
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use curlewdeck_account::saved::Saved;
-use curlewdeck_keep::plan::{aside, other, Pace, Step, STEPS};
-use curlewdeck_keep::record::{open, seal, Kind, MOST_BYTES};
+use curlewdeck_accounting::saved::Saved;
+use curlewdeck_snapshot::plan::{aside, other, Pace, Step, STEPS};
+use curlewdeck_snapshot::record::{open, seal, Kind, MOST_BYTES};
 use serde::{Deserialize, Serialize};
 
-use crate::net::core::Core;
-use crate::net::io::{lock, nanos};
+use crate::net::coordinator::Core;
+use crate::runtime::{lock, nanos};
 
 /// What the edge's file says of the state folder.
 #[derive(Debug, Clone, Deserialize)]
@@ -259,7 +259,8 @@
 
     impl Folder {
         fn new(name: &str) -> Self {
-            let path = std::env::temp_dir().join(format!("curlewdeck-keep-{name}-{}", std::process::id()));
+            let path =
+                std::env::temp_dir().join(format!("curlewdeck-snapshot-{name}-{}", std::process::id()));
             let _ = fs::remove_dir_all(&path);
             fs::create_dir_all(&path).unwrap();
             Self(path)
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -18,11 +18,11 @@
 use crate::api::Nanos;
 use crate::config::read_secret;
 use crate::counters::Counters;
-use crate::group::driver::Standings;
 use crate::limits::Limits;
 use crate::mib;
-use crate::net::core::Core;
-use crate::net::io::{nanos, spawn};
+use crate::net::coordinator::Core;
+use crate::replication::driver::Standings;
+use crate::runtime::{nanos, spawn};
 
 /// What the edge's file says of the agent.
 #[derive(Debug, Clone, Deserialize)]
--- a/src/serve.rs
+++ b/src/startup.rs
@@ -5,35 +5,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use curlewdeck_account::nodes::NodeBounds;
-use curlewdeck_account::{worth, End, Snapshot, OUTCOMES};
+use curlewdeck_accounting::nodes::NodeBounds;
+use curlewdeck_accounting::{worth, End, Snapshot, OUTCOMES};
 use curlewdeck_lifecycle::{Called, Closing, Finish, Lifecycle, Spans};
 use curlewdeck_listener::Inherited;
 use may::sync::mpsc::Sender;
 
+use crate::alerts::{self, Stopping};
 use crate::config::{Config, ConfigError, Edge, NodeProtocol};
 use crate::control::{self, Operated, Operations};
 use crate::counters::Counters;
 use crate::engine::Engine;
-use crate::front::desk::{Desk, Memory};
-use crate::front::ogc::Ogc;
-use crate::front::platform::Platform;
-use crate::front::server::{self, Front, Service, Shared};
-use crate::group;
-use crate::keep::Keep;
+use crate::frontend::aggregation::{Desk, Memory};
+use crate::frontend::features::Ogc;
+use crate::frontend::http_server::{self, Front, Service, Shared};
+use crate::frontend::platform::Platform;
 use crate::limits::Limits;
-use crate::net::core::{self, Core};
+use crate::net::coordinator::{self, Core};
 use crate::net::discovery::{self, DiscoveryContext, DiscoveryPlan};
+use crate::net::endpoint_list_lease::ListLease;
 use crate::net::feature_node;
 use crate::net::features::Names;
-use crate::net::freshness::Freshness;
-use crate::net::io::{lock, nanos, thread, Clock, Permits, SMALL_STACK};
-use crate::net::list_lease::ListLease;
 use crate::net::log_limit::LogLimit;
-use crate::net::mail::{self, DiscoveryMsg};
+use crate::net::messages::{self, DiscoveryMsg};
 use crate::net::node::{self, NodeContext};
-use crate::notices::{self, Stopping};
+use crate::net::pending_updates::Freshness;
+use crate::replication;
+use crate::runtime::{lock, nanos, thread, Clock, Permits, SMALL_STACK};
 use crate::settings::Info;
+use crate::snapshot_store::Keep;
 use crate::snmp::{self, SnmpConfig};
 
 /// A coordinator that serves.
@@ -96,7 +96,7 @@
     let engine =
         Engine::new(Info::clone(&info), config.seed, nanos(limits.backstop), nanos(limits.name_rest))
             .map_err(|e| e.to_string())?;
-    let (core_mail, inbox) = mail::mailbox();
+    let (core_mail, inbox) = messages::mailbox();
     let plan = DiscoveryPlan {
         address: config.discovery,
         discovery: info.settings.discovery,
@@ -128,14 +128,14 @@
     };
     let nodes = edge.nodes.clone();
     let names = Arc::new(Names { range: nodes.range_parameter, after: nodes.after_parameter });
-    let start_node: core::StartNode = match edge.nodes.protocol {
+    let start_node: coordinator::StartNode = match edge.nodes.protocol {
         NodeProtocol::Frames => Box::new(move |id, gate| node::start(id, gate, context.clone())),
         NodeProtocol::Features => {
             Box::new(move |id, gate| feature_node::start(id, gate, context.clone(), names.clone()))
         }
     };
     let memory = edge.desk.as_ref().map(|_| Memory::new(&limits, info.ranges));
-    let group = edge.group.as_ref().map(|group| group::start(group, &limits)).transpose()?;
+    let group = edge.group.as_ref().map(|group| replication::start(group, &limits)).transpose()?;
     let keep = match &edge.state {
         Some(state) => {
             let engine = edge.snmp.as_ref().map_or(Ok(Vec::new()), SnmpConfig::engine)?;
@@ -145,7 +145,7 @@
         None => None,
     };
     let kept = keep.as_ref().map(|k| k.kept());
-    let parts = core::Parts {
+    let parts = coordinator::Parts {
         restored: kept.as_ref().map(|k| k.books.clone()),
         nodes: NodeBounds { rows: limits.node_rows, keep: nanos(limits.node_row_keep) },
         figures_every: config.control.map(|_| nanos(limits.figures_every)),
@@ -158,7 +158,7 @@
         backlog: limits.core_backlog,
         stack_words: limits.core_stack_words,
     };
-    let core = core::start(parts, core_mail, inbox, known, discovery.clone(), start_node);
+    let core = coordinator::start(parts, core_mail, inbox, known, discovery.clone(), start_node);
     let core = core.map_err(|e| format!("cannot start the core: {e}"))?;
     let spans = Spans {
         drain_notice: nanos(limits.drain_notice),
@@ -172,7 +172,7 @@
         Shared { core: core.clone(), limits: limits.clone(), service: service.clone(), permits, turned_away };
     let open = |addr, front: Arc<dyn Front>| {
         let cannot = |e: io::Error| format!("cannot listen at {addr}: {e}");
-        server::listen(addr, front, shared.clone()).map_err(cannot)
+        http_server::listen(addr, front, shared.clone()).map_err(cannot)
     };
     let ogc = match &edge.ogc {
         Some(ogc) => {
@@ -191,7 +191,7 @@
     let mut stopping = None;
     let snmp = match &edge.snmp {
         Some(agent) => {
-            stopping = notices::start(agent, core.clone(), &limits, config.sockets)?;
+            stopping = alerts::start(agent, core.clone(), &limits, config.sockets)?;
             let engine = kept.filter(|k| !k.engine.is_empty()).map(|k| (k.engine, k.boots));
             let standings = group.as_ref().map(|g| g.standings.clone());
             Some(snmp::start(agent, core.clone(), counters, standings, limits.clone(), engine)?)
@@ -212,7 +212,7 @@
         None => None,
     };
     let listen = match inherited {
-        Some(inherited) => server::listen_inherited(inherited, Arc::new(platform), shared.clone())
+        Some(inherited) => http_server::listen_inherited(inherited, Arc::new(platform), shared.clone())
             .map_err(|e| format!("cannot listen at the inherited socket: {e}"))?,
         None => open(config.listen, Arc::new(platform))?,
     };
--- a/tests/strict_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -1,7 +1,7 @@
 //! The stricter terms, each forced on real sockets (docs/design/stricter-terms.md): what may begin for a client that has
 //! left, what time a data node is told, and that whatever is read gets its final answer.
 
-mod bed;
+mod harness;
 
 use std::io::{BufReader, ErrorKind, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use curlewdeck::serve::Coordinator;
+use curlewdeck::startup::Coordinator;
 
-use bed::scripted::{chunk, list, Scripted, WATCH};
-use bed::stand_in::{read_answer, Answer, DataNode, Discovery, NodeReply, Part};
-use bed::{held_back, member, query, query_bytes, ready, served, start, two, until, Bed};
+use harness::scripted::{chunk, list, Scripted, WATCH};
+use harness::stand_in::{read_answer, Answer, DataNode, Discovery, NodeReply, Part};
+use harness::{held_back, member, query, query_bytes, ready, served, start, two, until, Bed};
 
 /// Far longer than anything here takes, and an end all the same.
 const LONG: Duration = Duration::from_secs(60);
@@ -523,7 +523,7 @@
                     let class = ["tag-lookup", "plaza-ranking", "monthly-settle"][(n as usize + turn) % 3];
                     let (waited, start) = (waited_for_processors(), Instant::now());
                     let answer =
-                        bed::stand_in::exchange(addr, &query_bytes(class, &[n % 4, (n + 1) % 4], "800m"));
+                        harness::stand_in::exchange(addr, &query_bytes(class, &[n % 4, (n + 1) % 4], "800m"));
                     let took = start.elapsed();
                     let status =
                         answer.unwrap_or_else(|e| panic!("{class}: no answer after {took:?}: {e}")).status;
--- a/tests/desk.rs
+++ b/tests/aggregation.rs
@@ -1,9 +1,9 @@
 //! The desk front on loopback, against stand-in data nodes with known data that are killed, put behind and changed by
 //! script: answers against the exact ones, and every query counted once.
 
-mod bed;
 #[path = "../crates/merge/examples/merge_check/checker.rs"]
 mod checker;
+mod harness;
 #[path = "../crates/merge/examples/merge_check/stand_in.rs"]
 mod stand_in;
 
@@ -13,10 +13,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use bed::stand_in::{exchange, get, post_bytes, read_answer, Answer, DataNode, Discovery, NodeReply};
-use bed::{member, ready, until, Bed};
 use checker::{Asked, Walk};
-use curlewdeck::serve::Coordinator;
+use curlewdeck::startup::Coordinator;
+use harness::stand_in::{exchange, get, post_bytes, read_answer, Answer, DataNode, Discovery, NodeReply};
+use harness::{member, ready, until, Bed};
 use serde_json::{json, Value as Json};
 use stand_in::{answer, History, Manner, Row};
 
@@ -73,7 +73,7 @@
     desk: SocketAddr,
 }
 
-fn serve(world: &Shared, cell: u32, part: &bed::stand_in::Part) -> NodeReply {
+fn serve(world: &Shared, cell: u32, part: &harness::stand_in::Part) -> NodeReply {
     let mut world = world.lock().unwrap();
     if world.served >= world.fail_from {
         return NodeReply::Answer(500, 0, String::new());
--- a/tests/drain_check.rs
+++ b/tests/drain_check.rs
@@ -1,10 +1,10 @@
 //! The checker of the drain rule finds each kind of planted break, and passes logs that keep the rule.
 
-mod bed;
+mod harness;
 
 use std::time::{Duration, Instant};
 
-use bed::drain_check::{
+use harness::drain_check::{
     violations, Assignment, Change, CoordinatorLog, Delivery, Had, News, NodeState, PartBegun, Reach, Reason,
     Said, ServiceLog, Silence, Violation, WatchEnd, Write,
 };
--- a/tests/drain_faults.rs
+++ b/tests/drain_faults.rs
@@ -1,14 +1,14 @@
 //! The drain rule while calls of discovery fail or take long: nothing new goes to a data node that drains or is gone once
 //! its coordinator counts as notified and the grace is over, and queries are answered from the nodes that stay.
 
-mod bed;
+mod harness;
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-use bed::discovery_faults::{CallFault, Pieces};
-use bed::drain_check::{Delivery, NodeState};
-use bed::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
+use harness::discovery_faults::{CallFault, Pieces};
+use harness::drain_check::{Delivery, NodeState};
+use harness::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/tests/drain_lease.rs
+++ b/tests/drain_lease.rs
@@ -1,16 +1,16 @@
 //! The drain rule while no news of the list arrives, whatever the cause: the list is used no longer than an unheard
 //! change may be, and again from the next news on. A discovery that is out of reach ends nothing.
 
-mod bed;
+mod harness;
 
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use bed::discovery_faults::CallFault;
-use bed::drain_check::{Delivery, NodeState};
-use bed::drain_trial::{all_pass, Trial, Verdict, BOTH};
-use bed::faulty_discovery::FaultyDiscovery;
+use harness::discovery_faults::CallFault;
+use harness::drain_check::{Delivery, NodeState};
+use harness::drain_trial::{all_pass, Trial, Verdict, BOTH};
+use harness::faulty_discovery::FaultyDiscovery;
 
 const NODES: [&str; 4] = ["drains", "removed", "stays-1", "stays-2"];
 const SHUT: [(&str, NodeState); 2] = [("drains", NodeState::Draining), ("removed", NodeState::Removed)];
--- a/tests/drain_moves.rs
+++ b/tests/drain_moves.rs
@@ -1,13 +1,13 @@
 //! The drain rule while watches break, discovery is down, or a coordinator moves to another service of it.
 
-mod bed;
+mod harness;
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-use bed::discovery_faults::CallFault;
-use bed::drain_check::{Delivery, NodeState};
-use bed::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
+use harness::discovery_faults::CallFault;
+use harness::drain_check::{Delivery, NodeState};
+use harness::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
 
 const NODES: [&str; 3] = ["drains", "stays-1", "stays-2"];
 
--- a/tests/drain_ways.rs
+++ b/tests/drain_paths.rs
@@ -3,9 +3,9 @@
 //! socket, pages of features, a second process on an inherited listener, the desk. Each crossing is forced on real
 //! sockets.
 
-mod bed;
 #[path = "../crates/merge/examples/merge_check/stand_in.rs"]
 mod desk_stand_in;
+mod harness;
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,13 +14,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use bed::held_node::HeldNode;
-use bed::stand_in::{
+use curlewdeck::startup::Coordinator;
+use desk_stand_in::{History, Manner};
+use harness::held_node::HeldNode;
+use harness::stand_in::{
     exchange, post_bytes, read_answer, store, Answer, Discovery, FeatureServer, Member, NodeReply, Part,
 };
-use bed::{held_back, member, query, query_bytes, ready, served, until, Bed, Program};
-use curlewdeck::serve::Coordinator;
-use desk_stand_in::{History, Manner};
+use harness::{held_back, member, query, query_bytes, ready, served, until, Bed, Program};
 
 /// A data node that drains may be sent something new for this long after the word.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
@@ -70,7 +70,7 @@
 impl Fleet {
     fn start(config: impl Fn(SocketAddr) -> String, edge: &str, members: Vec<Member>) -> Self {
         let discovery = Discovery::start("127.0.0.1:0", members);
-        let coordinator = bed::start(&config(discovery.addr), edge);
+        let coordinator = harness::start(&config(discovery.addr), edge);
         ready(&coordinator);
         until("the watch", || discovery.watches() > 0);
         Self { coordinator, discovery }
--- a/tests/drain_soak.rs
+++ b/tests/drain_soak.rs
@@ -4,7 +4,7 @@
 //!
 //! `SOAK_SEEDS=100..150 cargo test --test drain_soak` plays other seeds. The seed is part of what a broken run prints.
 
-mod bed;
+mod harness;
 
 use std::net::TcpStream;
 use std::ops::Range;
@@ -12,11 +12,11 @@
 use std::thread;
 use std::time::Duration;
 
-use bed::discovery_faults::CallFault;
-use bed::drain_check::{Delivery, NodeState};
-use bed::drain_trial::{all_pass_beside, Trial, Verdict, BOTH};
-use bed::faulty_discovery::FaultyDiscovery;
 use fastrand::Rng;
+use harness::discovery_faults::CallFault;
+use harness::drain_check::{Delivery, NodeState};
+use harness::drain_trial::{all_pass_beside, Trial, Verdict, BOTH};
+use harness::faulty_discovery::FaultyDiscovery;
 
 /// What is played where nobody asks for other seeds.
 const SEEDS: Range<u64> = 1..9;
--- a/tests/drain_news.rs
+++ b/tests/drain_updates.rs
@@ -1,17 +1,17 @@
 //! The drain rule while discovery's news is odd: versions that go backwards or are not to be had, a lagging replica, a
 //! service that has restarted, lines that cannot be read.
 
-mod bed;
+mod harness;
 
 use std::thread;
 use std::time::Duration;
 
-use bed::catalog::{Spoilt, FIRST_VERSION};
-use bed::discovery_faults::{AheadAnswer, IndexAnswer};
-use bed::drain_check::{Delivery, News, NodeState};
-use bed::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
-use bed::faulty_discovery::FaultyDiscovery;
-use bed::until;
+use harness::catalog::{Spoilt, FIRST_VERSION};
+use harness::discovery_faults::{AheadAnswer, IndexAnswer};
+use harness::drain_check::{Delivery, News, NodeState};
+use harness::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
+use harness::faulty_discovery::FaultyDiscovery;
+use harness::until;
 
 const NODES: [&str; 3] = ["drains", "stays-1", "stays-2"];
 
--- a/tests/ogc.rs
+++ b/tests/features.rs
@@ -1,16 +1,16 @@
 //! Feature queries on loopback, against stand-in feature servers: conformance requests replayed, the hard
 //! cases, and exactly one final answer for every query.
 
-mod bed;
+mod harness;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{mpsc, Arc, Mutex};
 
-use bed::stand_in::{exchange, get, store, Answer, Discovery, FeatureQuery, FeatureReply, FeatureServer};
-use bed::{change, member, ready, until, Bed};
-use curlewdeck::serve::Coordinator;
+use curlewdeck::startup::Coordinator;
+use harness::stand_in::{exchange, get, store, Answer, Discovery, FeatureQuery, FeatureReply, FeatureServer};
+use harness::{change, member, ready, until, Bed};
 use serde_json::Value as Json;
 
 const EDGE: &str = r#"
@@ -271,7 +271,7 @@
 /// The front speaks to data nodes that speak frames, too: on the same core, with the query as their text.
 #[test]
 fn data_nodes_that_speak_frames_may_hold_features() {
-    use bed::stand_in::{feature, DataNode, NodeReply};
+    use harness::stand_in::{feature, DataNode, NodeReply};
     let node = || {
         DataNode::start(|part| NodeReply::Answer(200, 0, format!("[{}]", feature(part.shard as usize, 0))))
     };
@@ -296,7 +296,7 @@
     let config =
         curlewdeck::config::Config::read(&Bed::default().config("127.0.0.1:1".parse().unwrap()), |_| None);
     let edge = EDGE.replace("plaza-ranking", "monthly-settle");
-    let started = curlewdeck::serve::start(config.unwrap(), Edge::read(&edge).unwrap());
+    let started = curlewdeck::startup::start(config.unwrap(), Edge::read(&edge).unwrap());
     assert!(started.err().unwrap().contains("second step"));
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A large deployment: 1,024 data nodes in indented lists, within the least descriptors that the platform gives.
 
-mod bed;
+mod harness;
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -8,12 +8,12 @@
 
 use curlewdeck::api::Phase;
 use curlewdeck::config::{Config, Edge};
-use curlewdeck::serve::{self, Coordinator};
+use curlewdeck::startup::{self, Coordinator};
 use serde_json::{json, Value};
 
-use bed::scripted::{chunk, Scripted, WATCH};
-use bed::stand_in::DataNode;
-use bed::{query, ready, served, until, Bed};
+use harness::scripted::{chunk, Scripted, WATCH};
+use harness::stand_in::DataNode;
+use harness::{query, ready, served, until, Bed};
 
 const NODES: u32 = 1024;
 /// The least that the platform gives.
@@ -123,7 +123,7 @@
     config["known"] = list(41, true, node.addr);
     let config = Config::read(&indented(&config), |_| None).unwrap();
     assert_eq!(config.platform(0).nodes, NODES as usize);
-    let coordinator = serve::start(config, Edge::default()).unwrap();
+    let coordinator = startup::start(config, Edge::default()).unwrap();
     all_listed(&coordinator);
     assert!(node.parts().is_empty());
     let (mut watch, target) = discovery.call();
--- a/tests/fleet_days.rs
+++ b/tests/fleet_behavior.rs
@@ -1,7 +1,7 @@
 //! What a fleet goes through on its worst days, each forced on real sockets: moves of the list's service while data nodes
 //! drain, watches that fall silent late, lists that leave out who drained, and SIGKILL.
 
-mod bed;
+mod harness;
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,12 +10,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use bed::scripted::{asked, chunk, news, Line, Scripted, WATCH};
-use bed::stand_in::{exchange, Answer, DataNode, Part};
-use bed::{held_back, query, query_bytes, ready, served, two, until, Bed, Program};
 use curlewdeck::api::Phase;
 use curlewdeck::limits::Limits;
-use curlewdeck::serve::Coordinator;
+use curlewdeck::startup::Coordinator;
+use harness::scripted::{asked, chunk, news, Line, Scripted, WATCH};
+use harness::stand_in::{exchange, Answer, DataNode, Part};
+use harness::{held_back, query, query_bytes, ready, served, two, until, Bed, Program};
 
 /// Far longer than anything here takes, and an end all the same.
 const LONG: Duration = Duration::from_secs(60);
@@ -164,7 +164,7 @@
         if known {
             config.insert_str(1, &format!(r#""known":{},"#, news(1, true, &both("draining"))));
         }
-        let coordinator = bed::start(&config, "");
+        let coordinator = harness::start(&config, "");
         let (mut watch, target) = discovery.call();
         let changes = || coordinator.core.counters.list_changes.load(Ordering::SeqCst);
         let tell = |watch: &mut TcpStream, text: String| {
@@ -235,7 +235,7 @@
         let asks = |seconds: u32| format!(r#""must_ask_in_ns":{seconds}000000000"#);
         let config = bed.config(addr).replace(&asks(10), &asks(ask_in));
         assert!(config.contains(&asks(ask_in)));
-        let coordinator = bed::start(&config, "");
+        let coordinator = harness::start(&config, "");
         let (mut watch, _) = discovery.call();
         let text = news(1, true, &[("old", 0, old.addr, "up")]);
         watch.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
--- a/tests/bed/mod.rs
+++ b/tests/harness/mod.rs
@@ -25,7 +25,7 @@
 
 use curlewdeck::config::{Config, Edge};
 use curlewdeck::limits::Limits;
-use curlewdeck::serve::{self, Coordinator};
+use curlewdeck::startup::{self, Coordinator};
 use stand_in::{exchange, Answer, DataNode, Discovery, Member, NodeReply, Part};
 
 /// What a test bed may differ in. Deadlines are long: nothing here waits for one to pass.
@@ -86,9 +86,9 @@
 /// Starts a coordinator in this process from the text of its configuration.
 pub fn start(config: &str, edge: &str) -> Coordinator {
     static WORKERS: Once = Once::new();
-    WORKERS.call_once(|| serve::set_up_workers(&Limits::default()));
+    WORKERS.call_once(|| startup::set_up_workers(&Limits::default()));
     let config = Config::read(config, |_| None).unwrap();
-    serve::start(config, Edge::read(edge).unwrap()).unwrap()
+    startup::start(config, Edge::read(edge).unwrap()).unwrap()
 }
 
 pub fn member(uid: &str, cell: u32, endpoint: SocketAddr) -> Member {
--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -1,6 +1,6 @@
 //! Bad lines in the membership, on real sockets: what can be read of it is in force, and discovery is not worn out.
 
-mod bed;
+mod harness;
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 use curlewdeck::config::Config;
-use curlewdeck::serve::Coordinator;
+use curlewdeck::startup::Coordinator;
 
-use bed::scripted::{chunk, Scripted, WATCH};
-use bed::stand_in::{self, DataNode, Part};
-use bed::{query, served, Bed};
+use harness::scripted::{chunk, Scripted, WATCH};
+use harness::stand_in::{self, DataNode, Part};
+use harness::{query, served, Bed};
 
 /// Both ways of discovery.
 const WAYS: [&str; 2] = ["on_request", "pushed"];
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,7 +1,7 @@
 //! Running a coordinator day to day, on loopback: the second address, figures, draining, settings that change, and a
 //! new version under load. The program runs in processes of its own.
 
-mod bed;
+mod harness;
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,8 +13,8 @@
 
 use curlewdeck::limits::{Limits, Platform};
 
-use bed::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
-use bed::{held_back, member, operate, query, query_bytes, served, two, until, yes, Bed, Program};
+use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
+use harness::{held_back, member, operate, query, query_bytes, served, two, until, yes, Bed, Program};
 
 /// A configuration with a second address, changed as the test wants.
 fn config(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> String {
@@ -74,7 +74,7 @@
 #[test]
 fn figures_agree_with_clients_and_data_nodes() {
     let turn = Arc::new(AtomicU64::new(0));
-    let reply = move |part: &bed::stand_in::Part| match turn.fetch_add(1, Ordering::SeqCst) % 5 {
+    let reply = move |part: &harness::stand_in::Part| match turn.fetch_add(1, Ordering::SeqCst) % 5 {
         0 => NodeReply::Answer(500, 0, String::new()),
         1 => NodeReply::Answer(503, 0, String::new()),
         _ => served(part),
@@ -150,7 +150,8 @@
 fn open_queries_keep_the_rules_they_came_under() {
     let (release, slow) = held_back();
     let held = release.clone();
-    let fails = move |part: &bed::stand_in::Part| match (part.text.as_str(), held.load(Ordering::SeqCst)) {
+    let fails = move |part: &harness::stand_in::Part| match (part.text.as_str(), held.load(Ordering::SeqCst))
+    {
         // Fails once the settings have changed, so that its retries come under the new ones.
         ("c41e77d0", _) => match slow(part) {
             _ if part.id.ends_with(".3") => NodeReply::Answer(500, 0, String::new()),
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol on loopback, against stand-in data nodes and a stand-in list.
 
-mod bed;
+mod harness;
 
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,10 +11,10 @@
 use curlewdeck::api::ShardId;
 use curlewdeck::engine::{Accept, Ask, Client, Final};
 use curlewdeck::limits::{Limits, Platform};
-use curlewdeck::serve::Coordinator;
+use curlewdeck::startup::Coordinator;
 
-use bed::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply, Part};
-use bed::{change, held_back, member, query, query_bytes, ready, served, two, until, Bed, Program};
+use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply, Part};
+use harness::{change, held_back, member, query, query_bytes, ready, served, two, until, Bed, Program};
 
 #[test]
 fn a_query_is_answered_whole_with_the_data_nodes_values() {
--- a/tests/crossings.rs
+++ b/tests/race_conditions.rs
@@ -1,7 +1,7 @@
 //! What happens when a request, an answer, a signal or news of the list comes between two steps: each crossing is forced
 //! on real sockets, by a gate, a paused peer or a scripted one (docs/design/crossings.md).
 
-mod bed;
+mod harness;
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,9 +12,9 @@
 
 use curlewdeck::limits::{Limits, Platform};
 
-use bed::scripted::{chunk, list, Scripted, WATCH};
-use bed::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
-use bed::{held_back, member, query_bytes, ready, served, two, until, Bed, Program};
+use harness::scripted::{chunk, list, Scripted, WATCH};
+use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
+use harness::{held_back, member, query_bytes, ready, served, two, until, Bed, Program};
 
 /// Far longer than anything here takes, and an end all the same.
 const LONG: Duration = Duration::from_secs(60);
@@ -25,7 +25,7 @@
     stream
 }
 
-fn answer_on(stream: &TcpStream) -> std::io::Result<bed::stand_in::Answer> {
+fn answer_on(stream: &TcpStream) -> std::io::Result<harness::stand_in::Answer> {
     read_answer(&mut BufReader::new(stream.try_clone().unwrap()))
 }
 
@@ -266,7 +266,7 @@
         ("idempotent".to_string(), 0, 2),
     ] {
         let first = Arc::new(AtomicBool::new(true));
-        let breaks = move |part: &bed::stand_in::Part| {
+        let breaks = move |part: &harness::stand_in::Part| {
             if first.swap(false, Ordering::SeqCst) {
                 // Paced by the settings: the window of the class is over by then, or far from it.
                 thread::sleep(Duration::from_millis(breaks_after));
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -2,7 +2,7 @@
 //! something else for a moment, or that does not end. The program runs in processes of its own, and a move of discovery
 //! must reach it in time whatever became of the first read after SIGHUP.
 
-mod bed;
+mod harness;
 
 use std::fs::File;
 use std::io::Write;
@@ -14,8 +14,8 @@
 
 use serde_json::{json, Value};
 
-use bed::stand_in::{DataNode, Discovery};
-use bed::{member, query, served, until, Bed, Program};
+use harness::stand_in::{DataNode, Discovery};
+use harness::{member, query, served, until, Bed, Program};
 
 /// What discovery has to tell counts as told so long after SIGHUP.
 const TOLD_AFTER: Duration = Duration::from_secs(4);
--- a/tests/group.rs
+++ b/tests/replication.rs
@@ -1,7 +1,7 @@
 //! Groups of several processes of the program on loopback, with a fault proxy on the way from each member to each other
 //! one. Every run's history of puts and reads is judged for linearizability, and every promise is read again at its end.
 
-mod bed;
+mod harness;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -13,12 +13,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use curlewdeck::group::wire::HEAD;
-use curlewdeck_lab::history::{self, Event, Op};
-use curlewdeck_lab::proxy::{Cut, Faults, Proxy};
+use curlewdeck::replication::wire::HEAD;
+use curlewdeck_testkit::history::{self, Event, Op};
+use curlewdeck_testkit::proxy::{Cut, Faults, Proxy};
 
-use bed::stand_in::{read_answer, Answer};
-use bed::{call_bytes, until, Bed};
+use harness::stand_in::{read_answer, Answer};
+use harness::{call_bytes, until, Bed};
 
 /// Longer than any call may wait: only a process that stands still takes so long.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -72,7 +72,7 @@
     }
 
     fn signal(&self, name: &str) {
-        bed::signal(&self.child, name);
+        harness::signal(&self.child, name);
     }
 }
 
@@ -95,7 +95,7 @@
 
 impl Group {
     fn start(name: &str, size: usize) -> Self {
-        let dir = std::env::temp_dir().join(format!("curlewdeck-group-{name}-{}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!("curlewdeck-replication-{name}-{}", std::process::id()));
         let ways = (0..size).flat_map(|a| (0..size).map(move |b| (a, b))).filter(|(a, b)| a != b);
         let proxies: BTreeMap<_, _> = ways.map(|way| (way, Proxy::start(None).unwrap())).collect();
         let mut group = Self { dir, members: Vec::new(), proxies, controls: Arc::default() };
--- a/tests/books.rs
+++ b/tests/request_ledger.rs
@@ -1,15 +1,15 @@
 //! The books on loopback: every figure against what the stand-in clients and data nodes have counted themselves.
 
-mod bed;
+mod harness;
 
-use bed::stand_in::{DataNode, Discovery, NodeReply};
-use bed::{change, member, query, ready, until, Bed};
 use curlewdeck::api::{Outcome, Phase};
-use curlewdeck_account::{ClassRow, End, Snapshot};
+use curlewdeck_accounting::{ClassRow, End, Snapshot};
+use harness::stand_in::{DataNode, Discovery, NodeReply};
+use harness::{change, member, query, ready, until, Bed};
 
 const CLASSES: [&str; 3] = ["tag-lookup", "plaza-ranking", "monthly-settle"];
 
-fn books(coordinator: &curlewdeck::serve::Coordinator) -> Snapshot {
+fn books(coordinator: &curlewdeck::startup::Coordinator) -> Snapshot {
     let snapshot = coordinator.accounts().expect("the core answers");
     assert_eq!(snapshot.check(), Ok(()));
     snapshot
@@ -116,13 +116,13 @@
         };
         // Read on, or it would wait for somebody to.
         std::thread::spawn(move || lines.for_each(drop));
-        until("health", || bed::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200));
+        until("health", || harness::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200));
         (child, addr)
     };
     let kept = || {
         let bytes = std::fs::read(folder.join("books")).unwrap();
-        let kind = curlewdeck_keep::record::Kind { what: 1, form: 1 };
-        curlewdeck_keep::record::open::<curlewdeck::keep::Kept>(kind, &bytes).unwrap()
+        let kind = curlewdeck_snapshot::record::Kind { what: 1, form: 1 };
+        curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::Kept>(kind, &bytes).unwrap()
     };
     let total = || kept().books.classes.iter().flat_map(|c| c.ended).sum::<u64>();
     let mut served = 0;
@@ -163,8 +163,9 @@
     ready(&coordinator);
     let total = || {
         let bytes = std::fs::read(folder.join("books")).unwrap();
-        let kind = curlewdeck_keep::record::Kind { what: 1, form: 1 };
-        let kept = curlewdeck_keep::record::open::<curlewdeck::keep::Kept>(kind, &bytes).unwrap();
+        let kind = curlewdeck_snapshot::record::Kind { what: 1, form: 1 };
+        let kept =
+            curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::Kept>(kind, &bytes).unwrap();
         kept.books.classes.iter().flat_map(|c| c.ended).sum::<u64>()
     };
     // Every write goes to this name first, and a folder of it fails all of them.
--- a/tests/wire.rs
+++ b/tests/simulator_adapter.rs
@@ -6,7 +6,7 @@
 const INFO: &str = r#"{"balancers":2,"classes":[{"aim_ns":1500000000,"deadline_ns":4000000000,"effect":"idempotent","group":"all","importance":1.0,"late_worth":0.0,"name":"history","repeat_window_ns":5000000000,"streamed":false}],"new_key":[1],"discovery":"pushed","domain":{"batch":1,"class_floor":[1.0],"class_partial":[0.9],"complete_from":[1.0],"in_a_row":1,"overhead_ns":0,"positions":1,"ranges":1,"second_step":[0]},"limits":{"cancel":true,"max_attempts":3,"max_open":100,"max_retry_after_ns":1000000000,"may_duplicate":true,"probes":true,"retry_after":true},"realms":[],"rules":{"cold_ns":16000000000,"cold_share":0.2,"drain_grace_ns":250000000,"fall_ns":2000000000,"tip_multiple":2.0},"tick_ns":5000000}"#;
 
 fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_curlewdeck-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_curlewdeck-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -1,13 +1,13 @@
 //! The management agent on loopback.
 
-mod bed;
+mod harness;
 
 use std::net::UdpSocket;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use bed::stand_in::{DataNode, Discovery, NodeReply};
-use bed::{change, member, query, ready, Bed};
+use harness::stand_in::{DataNode, Discovery, NodeReply};
+use harness::{change, member, query, ready, Bed};
 use rasn::types::ObjectIdentifier;
 use rasn_snmp::v2::{GetRequest, Pdu, Pdus, VarBind, VarBindValue};
 use rasn_snmp::v2c::Message;
@@ -97,7 +97,9 @@
     for class in ["tag-lookup", "plaza-ranking", "plaza-ranking"] {
         query(coordinator.listen, class, &[0, 3]).unwrap();
     }
-    bed::until("all attempts have ended", || coordinator.accounts().is_some_and(|b| b.attempts.out() == 0));
+    harness::until("all attempts have ended", || {
+        coordinator.accounts().is_some_and(|b| b.attempts.out() == 0)
+    });
     let agent = coordinator.snmp.unwrap();
     let mut noc = Session::new(Security::User(User::read_all(&users).unwrap().remove(0)), 1, 7);
     let met = walk(agent, &mut noc);
--- a/tests/held_up.rs
+++ b/tests/stalled_process.rs
@@ -2,7 +2,7 @@
 //! on their way through it. Once it goes on, nothing new begins at the drained data node, whatever was ready before. And a
 //! worker that one peer would have to itself.
 
-mod bed;
+mod harness;
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,9 +11,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use bed::scripted::{chunk, list, news, Line, Scripted, WATCH};
-use bed::stand_in::{exchange, DataNode, Discovery};
-use bed::{change, member, query_bytes, ready, served, until, Bed, Program};
+use harness::scripted::{chunk, list, news, Line, Scripted, WATCH};
+use harness::stand_in::{exchange, DataNode, Discovery};
+use harness::{change, member, query_bytes, ready, served, until, Bed, Program};
 
 /// The grace of the drain rule on sockets: once this is over, nothing new may begin.
 const GRACE: Duration = Duration::from_millis(300);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,14 +1,14 @@
 //! System calls that fail for a moment: descriptors run out, and waits are interrupted. The program goes on, owes no answer,
 //! and is neither busy nor noisy meanwhile (docs/design/stricter-terms.md).
 
-mod bed;
+mod harness;
 
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use bed::stand_in::{exchange, read_answer, DataNode, Discovery};
-use bed::{call_bytes, held_back, member, query, query_bytes, served, two, until, Bed, Program};
+use harness::stand_in::{exchange, read_answer, DataNode, Discovery};
+use harness::{call_bytes, held_back, member, query, query_bytes, served, two, until, Bed, Program};
 
 const LONG: Duration = Duration::from_secs(60);
 /// What the program needs for itself, and room for a few clients.
