--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -1,7 +1,7 @@
 //! The management agent against its earlier way in the same run: all objects made anew for each request, and looked
 //! through from the first on.
 
-use curlewdeck::api::{Class, ClassId, Effect, Outcome, Phase, QueryId, ServerId};
+use curlewdeck::api::{Class, ClassId, EndpointState, Outcome, QueryId, RetrySafety, ServerId};
 use curlewdeck::counters::Counters;
 use curlewdeck::mib;
 use curlewdeck_accounting::nodes::NodeBounds;
@@ -20,17 +20,17 @@
 /// Ten classes and fifty nodes.
 fn books() -> Snapshot {
     let class = Class {
-        aim: 1_000_000_000,
+        latency_objective: 1_000_000_000,
         deadline: 2_000_000_000,
-        importance: 1.0,
-        late_worth: 0.3,
-        effect: Effect::Safe,
-        repeat_window: 0,
-        floor: 1.0,
-        need: 1.0,
-        partial: None,
-        second_step: 0,
-        attempts: 4,
+        priority_weight: 1.0,
+        late_value_ratio: 0.3,
+        retry_safety: RetrySafety::Idempotent,
+        retry_window: 0,
+        min_coverage: 1.0,
+        complete_coverage: 1.0,
+        partial_value_ratio: None,
+        second_phase_parts: 0,
+        max_attempts: 4,
         retired: false,
     };
     let names: Vec<String> = (0..10).map(|n| format!("class-{n}")).collect();
@@ -40,9 +40,9 @@
         account.answered(n * 1_000_000, QueryId(n), true, 1.0);
     }
     for n in 0..50 {
-        account.node(0, ServerId(n), &format!("s-{n}"), Phase::In);
+        account.node(0, ServerId(n), &format!("s-{n}"), EndpointState::Active);
         account.started(ServerId(n), 0, false);
-        account.attempt_ended(ServerId(n), Outcome::Pass);
+        account.attempt_ended(ServerId(n), Outcome::Success);
     }
     account.snapshot(0)
 }
--- a/crates/accounting/src/lib.rs
+++ b/crates/accounting/src/lib.rs
@@ -11,7 +11,7 @@
 
 use std::collections::HashMap;
 
-use curlewdeck_core::api::{Class, ClassId, Nanos, Outcome, Phase, QueryId, ServerId};
+use curlewdeck_core::api::{Class, ClassId, EndpointState, Nanos, Outcome, QueryId, ServerId};
 use hdrhistogram::Histogram;
 
 use nodes::{NodeBounds, NodeRow, Nodes};
@@ -55,15 +55,15 @@
 
 /// How an attempt ended, in the order of its tables.
 pub const OUTCOMES: [(Outcome, &str); 9] = [
-    (Outcome::Pass, "pass"),
-    (Outcome::Fault, "fault"),
-    (Outcome::NoRoom, "noRoom"),
-    (Outcome::TooSlow, "tooSlow"),
-    (Outcome::NoRoute, "noRoute"),
-    (Outcome::Cut, "cut"),
-    (Outcome::Spoilt, "spoilt"),
-    (Outcome::Undone, "undone"),
-    (Outcome::StaleSend, "staleSend"),
+    (Outcome::Success, "pass"),
+    (Outcome::ServerError, "fault"),
+    (Outcome::Rejected, "noRoom"),
+    (Outcome::TimedOut, "tooSlow"),
+    (Outcome::ConnectFailed, "noRoute"),
+    (Outcome::ConnectionReset, "cut"),
+    (Outcome::MalformedResponse, "spoilt"),
+    (Outcome::Cancelled, "undone"),
+    (Outcome::NotSent, "staleSend"),
 ];
 
 /// An outcome's place among [`OUTCOMES`].
@@ -294,7 +294,7 @@
         let (class, taken) = self.open.remove(&query)?;
         let account = self.classes.get_mut(class.0)?;
         let latency = now.saturating_sub(taken);
-        let in_time = latency <= account.class.aim;
+        let in_time = latency <= account.class.latency_objective;
         let end = match (whole, in_time) {
             (true, true) => End::WholeInTime,
             (true, false) => End::WholeLate,
@@ -333,7 +333,7 @@
     }
 
     /// The list says this of a node.
-    pub fn node(&mut self, now: Nanos, node: ServerId, name: &str, phase: Phase) {
+    pub fn node(&mut self, now: Nanos, node: ServerId, name: &str, phase: EndpointState) {
         self.nodes.told(now, node, name, phase);
     }
 
@@ -430,24 +430,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use curlewdeck_core::api::Effect;
+    use curlewdeck_core::api::RetrySafety;
     use proptest::prelude::*;
 
     const MS: Nanos = 1_000_000;
 
     pub(crate) fn class() -> Class {
         Class {
-            aim: 100 * MS,
+            latency_objective: 100 * MS,
             deadline: 1000 * MS,
-            importance: 3.0,
-            late_worth: 0.3,
-            effect: Effect::Safe,
-            repeat_window: 0,
-            floor: 0.8,
-            need: 1.0,
-            partial: Some(0.8),
-            second_step: 0,
-            attempts: 4,
+            priority_weight: 3.0,
+            late_value_ratio: 0.3,
+            retry_safety: RetrySafety::Idempotent,
+            retry_window: 0,
+            min_coverage: 0.8,
+            complete_coverage: 1.0,
+            partial_value_ratio: Some(0.8),
+            second_phase_parts: 0,
+            max_attempts: 4,
             retired: false,
         }
     }
@@ -508,7 +508,7 @@
                             a.attempt_ended(node, OUTCOMES[pick as usize % OUTCOMES.len()].0);
                         }
                     }
-                    6 => a.node(now, node, &format!("s{}", node.0), [Phase::In, Phase::Draining, Phase::Out][pick as usize % 3]),
+                    6 => a.node(now, node, &format!("s{}", node.0), [EndpointState::Active, EndpointState::Draining, EndpointState::Removed][pick as usize % 3]),
                     7 if out.iter().all(|o| o.0 != node) => {
                         a.retired(now, node);
                         ids[pick as usize % 7] += 7;
@@ -538,10 +538,10 @@
         }
         a.answered(50 * MS, QueryId(0), true, 1.0);
         a.full(ClassId(0), 4);
-        a.node(0, ServerId(0), "s", Phase::In);
+        a.node(0, ServerId(0), "s", EndpointState::Active);
         a.started(ServerId(0), 0, false);
         a.started(ServerId(0), 1, true);
-        a.attempt_ended(ServerId(0), Outcome::Pass);
+        a.attempt_ended(ServerId(0), Outcome::Success);
         let saved = a.save();
         let mut b = account();
         b.restore(&saved);
@@ -551,7 +551,7 @@
         assert_eq!((row.taken, row.open(), row.asked, row.earned, row.full), (1, 0, 3_000_000, 3_000_000, 4));
         assert_eq!((s.attempts.started, s.attempts.out()), (1, 0));
         b.full(ClassId(0), 1);
-        b.node(0, ServerId(0), "s", Phase::In);
+        b.node(0, ServerId(0), "s", EndpointState::Active);
         let s = b.snapshot(0);
         assert_eq!((s.classes[0].full, s.nodes[0].index), (5, 2));
         assert_eq!(b.save().next_node, 3);
@@ -566,7 +566,7 @@
     fn a_snapshot_that_does_not_hold_is_named() {
         let mut a = account();
         a.taken(0, QueryId(0), ClassId(0));
-        a.node(0, ServerId(0), "s", Phase::In);
+        a.node(0, ServerId(0), "s", EndpointState::Active);
         let good = a.snapshot(0);
         let spoil = |change: fn(&mut Snapshot)| {
             let mut s = good.clone();
--- a/crates/accounting/src/nodes.rs
+++ b/crates/accounting/src/nodes.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use curlewdeck_core::api::{Nanos, Phase, ServerId};
+use curlewdeck_core::api::{EndpointState, Nanos, ServerId};
 
 use crate::Attempts;
 
@@ -26,7 +26,7 @@
     /// Its name in the list.
     pub name: String,
     /// What the list says of it.
-    pub phase: Phase,
+    pub phase: EndpointState,
     /// Since when it has that phase.
     pub since: Nanos,
     /// When it got its row: its counts start there.
@@ -101,21 +101,21 @@
     }
 
     /// The list says this of a node. One that is met gone needs no row.
-    pub fn told(&mut self, now: Nanos, id: ServerId, name: &str, phase: Phase) {
+    pub fn told(&mut self, now: Nanos, id: ServerId, name: &str, phase: EndpointState) {
         if !self.by_id.contains_key(&id) {
-            if phase == Phase::Out || self.without.contains(&id) {
+            if phase == EndpointState::Removed || self.without.contains(&id) {
                 return;
             }
             self.add(now, id, name, phase);
         }
         let Some(row) = self.row(id) else { return };
         if row.phase != phase {
-            row.drains += u64::from(phase == Phase::Draining);
+            row.drains += u64::from(phase == EndpointState::Draining);
             (row.phase, row.since) = (phase, now);
         }
     }
 
-    fn add(&mut self, now: Nanos, id: ServerId, name: &str, phase: Phase) {
+    fn add(&mut self, now: Nanos, id: ServerId, name: &str, phase: EndpointState) {
         self.prune(now);
         if self.rows.len() >= self.bounds.rows {
             let gone = self.rows.values().filter_map(|r| r.gone.map(|at| (at, r.index)));
@@ -136,7 +136,7 @@
             phase,
             since: now,
             created: now,
-            drains: u64::from(phase == Phase::Draining),
+            drains: u64::from(phase == EndpointState::Draining),
             attempts: Attempts::default(),
             gone: None,
         };
@@ -150,8 +150,8 @@
         let Some(index) = self.by_id.remove(&id) else { return };
         if let Some(row) = self.rows.get_mut(&index) {
             row.gone = Some(now);
-            if row.phase != Phase::Out {
-                (row.phase, row.since) = (Phase::Out, now);
+            if row.phase != EndpointState::Removed {
+                (row.phase, row.since) = (EndpointState::Removed, now);
             }
         }
     }
@@ -183,9 +183,9 @@
         let mut nodes = Nodes::new(NodeBounds { rows: 8, keep: 5 });
         let mut seen = std::collections::BTreeSet::new();
         for n in 0..1000u32 {
-            nodes.told(n.into(), ServerId(n), &format!("s{n}"), Phase::In);
+            nodes.told(n.into(), ServerId(n), &format!("s{n}"), EndpointState::Active);
             if n >= 4 {
-                nodes.told(n.into(), ServerId(n - 4), "", Phase::Out);
+                nodes.told(n.into(), ServerId(n - 4), "", EndpointState::Removed);
                 nodes.retired(n.into(), ServerId(n - 4));
             }
             let rows = nodes.rows(n.into());
@@ -200,24 +200,24 @@
     #[test]
     fn a_node_that_is_gone_keeps_its_row_for_a_while() {
         let mut nodes = Nodes::new(NodeBounds { rows: 2, keep: 10 });
-        nodes.told(0, ServerId(1), "a", Phase::In);
-        nodes.told(1, ServerId(1), "a", Phase::Draining);
-        nodes.told(2, ServerId(1), "a", Phase::Draining);
+        nodes.told(0, ServerId(1), "a", EndpointState::Active);
+        nodes.told(1, ServerId(1), "a", EndpointState::Draining);
+        nodes.told(2, ServerId(1), "a", EndpointState::Draining);
         nodes.retired(3, ServerId(1));
         let row = nodes.rows(13).remove(0);
-        assert_eq!((row.drains, row.phase, row.gone), (1, Phase::Out, Some(3)));
+        assert_eq!((row.drains, row.phase, row.gone), (1, EndpointState::Removed, Some(3)));
         assert!(names(&mut nodes, 14).is_empty());
         // The same name under another id is another row.
-        nodes.told(20, ServerId(2), "a", Phase::In);
+        nodes.told(20, ServerId(2), "a", EndpointState::Active);
         assert_eq!(names(&mut nodes, 20), [(2, "a".to_string())]);
         // Where all are there, one more finds no room; one that is gone makes some.
-        nodes.told(21, ServerId(3), "b", Phase::In);
-        nodes.told(21, ServerId(4), "c", Phase::In);
+        nodes.told(21, ServerId(3), "b", EndpointState::Active);
+        nodes.told(21, ServerId(4), "c", EndpointState::Active);
         assert_eq!((names(&mut nodes, 21).len(), nodes.unlisted()), (2, 1));
         nodes.retired(22, ServerId(2));
         // The one without a row stays so: it may have attempts out that no row saw start.
-        nodes.told(22, ServerId(4), "c", Phase::In);
-        nodes.told(22, ServerId(5), "d", Phase::In);
+        nodes.told(22, ServerId(4), "c", EndpointState::Active);
+        nodes.told(22, ServerId(5), "d", EndpointState::Active);
         assert_eq!(names(&mut nodes, 22), [(3, "b".to_string()), (4, "d".to_string())]);
         assert_eq!((nodes.evicted(), nodes.unlisted()), (1, 1));
     }
--- a/crates/accounting/src/worth.rs
+++ b/crates/accounting/src/worth.rs
@@ -19,8 +19,13 @@
 /// The worths of a class.
 pub fn worth(class: &Class) -> Worth {
     // Importance is finite and not negative: the settings are checked.
-    let whole = (class.importance * ONE).round() as u64;
-    Worth { whole, late: class.late_worth, partial: class.partial.unwrap_or(0.0), need: class.need }
+    let whole = (class.priority_weight * ONE).round() as u64;
+    Worth {
+        whole,
+        late: class.late_value_ratio,
+        partial: class.partial_value_ratio.unwrap_or(0.0),
+        need: class.complete_coverage,
+    }
 }
 
 impl Worth {
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 use crate::api::{
-    Action, ClassId, Event, KeyId, ListEntry, ListKind, Nanos, Outcome, PartId, Phase, QueryId, ServerId,
-    SettingsError, ShardId, ZoneId,
+    Action, ClassId, EndpointRecord, EndpointState, EndpointUpdateKind, Event, KeyId, Nanos, Outcome, PartId,
+    QueryId, ServerId, SettingsError, ShardId, ZoneId,
 };
 use crate::settings::Info;
 use crate::Policy;
@@ -43,7 +43,7 @@
     /// Its size for comparison.
     pub rating: f64,
     /// Its phase.
-    pub phase: Phase,
+    pub phase: EndpointState,
     /// Its zone's name.
     pub zone: Option<String>,
 }
@@ -372,7 +372,7 @@
     cell: u32,
     /// When it last started, once the list has said so.
     started_at: Option<Nanos>,
-    phase: Phase,
+    phase: EndpointState,
 }
 
 /// The core of one coordinator.
@@ -462,7 +462,7 @@
 
     /// Data nodes in service, as the list has it.
     pub fn in_service(&self) -> usize {
-        self.servers.values().filter(|s| s.phase == Phase::In).count()
+        self.servers.values().filter(|s| s.phase == EndpointState::Active).count()
     }
 
     /// Data nodes that are not forgotten.
@@ -472,7 +472,7 @@
 
     /// Data nodes in the list, and how many of those get nothing now: they drain, or the module avoids them.
     pub fn listed(&self) -> (usize, usize) {
-        (self.servers.values().filter(|s| s.phase != Phase::Out).count(), self.policy.avoided())
+        (self.servers.values().filter(|s| s.phase != EndpointState::Removed).count(), self.policy.avoided())
     }
 
     /// Takes a query under an id that the embedder has not used before.
@@ -508,7 +508,14 @@
         }
         let Ask { name, class, repeated, parts, text, texts, accept, client, .. } = ask;
         let key = None::<KeyId>;
-        self.events.push(Event::Query { id, class, tenant: None, key, repeated, valid_until });
+        self.events.push(Event::QueryArrived {
+            id,
+            class,
+            tenant: None,
+            key,
+            is_retry: repeated,
+            deadline: valid_until,
+        });
         self.ends.push(Reverse((valid_until.saturating_add(self.backstop), id)));
         self.names.insert(name.clone());
         let parts_of = Vec::with_capacity(parts.len());
@@ -548,7 +555,7 @@
         open.parts.push(id);
         let part = Part { query, shard, weight, text, out: Vec::new(), attempts: Vec::new(), value: None };
         self.parts.insert(id, part);
-        self.events.push(Event::Part { id, query, shard, weight });
+        self.events.push(Event::PartArrived { id, query, shard, weight });
     }
 
     /// The process ends: whatever time clients give, all is answered by then, what is held included.
@@ -558,13 +565,13 @@
             open.valid_until = by;
             self.ends.push(Reverse((by.saturating_add(self.backstop), id)));
         }
-        self.events.push(Event::Ending(by));
+        self.events.push(Event::ShuttingDown(by));
     }
 
     /// The client of a query has left.
     pub fn gone(&mut self, query: QueryId) {
         if self.close(query) {
-            self.events.push(Event::Gone(query));
+            self.events.push(Event::ClientDisconnected(query));
         }
     }
 
@@ -575,14 +582,14 @@
 
     /// The list of data nodes, or a change to it. Names that leave a full list are gone. Returns the shards of
     /// which a holder is new or has started anew: what it has may be older than what was seen.
-    pub fn list(&mut self, kind: ListKind, members: &[Member]) -> Vec<ShardId> {
+    pub fn list(&mut self, kind: EndpointUpdateKind, members: &[Member]) -> Vec<ShardId> {
         let mut anew: Vec<u32> = Vec::new();
-        if kind.is_full() {
-            self.servers.values_mut().for_each(|s| s.phase = Phase::Out);
+        if kind.is_complete() {
+            self.servers.values_mut().for_each(|s| s.phase = EndpointState::Removed);
         }
         let mut entries = Vec::with_capacity(members.len());
         for m in members {
-            if m.phase == Phase::Out && !self.ids.contains_key(&m.name) {
+            if m.phase == EndpointState::Removed && !self.ids.contains_key(&m.name) {
                 continue;
             }
             let server = self.intern(&m.name);
@@ -593,16 +600,16 @@
                 anew.push(m.cell);
             }
             let zone = m.zone.as_ref().and_then(|z| self.info.zones.iter().position(|n| n == z));
-            entries.push(ListEntry {
+            entries.push(EndpointRecord {
                 server,
-                cell: m.cell,
+                partition_group: m.cell,
                 started_at: m.started_at,
-                rating: m.rating,
-                phase: m.phase,
+                capacity: m.rating,
+                state: m.phase,
                 zone: zone.map(|z| ZoneId(z as u32)),
             });
         }
-        self.events.push(Event::List { kind, entries });
+        self.events.push(Event::EndpointsUpdated { kind, records: entries });
         self.retire();
         let shards = (0..self.info.ranges).map(ShardId);
         shards.filter(|&s| anew.iter().any(|&cell| self.cell_holds(cell, s))).collect()
@@ -610,17 +617,17 @@
 
     /// The news of the list is overdue: nothing is sent by it until there is news.
     pub fn list_expired(&mut self) {
-        self.events.push(Event::ListExpired);
+        self.events.push(Event::EndpointListExpired);
     }
 
     /// Forgets the data nodes that have left the list, once nothing of them is out: those that replace them
     /// have other names.
     fn retire(&mut self) {
-        if self.servers.values().all(|s| s.phase != Phase::Out) {
+        if self.servers.values().all(|s| s.phase != EndpointState::Removed) {
             return;
         }
         let used: HashSet<ServerId> = self.attempts.values().map(|a| a.server).collect();
-        let over = |(id, s): &(&ServerId, &Server)| s.phase == Phase::Out && !used.contains(id);
+        let over = |(id, s): &(&ServerId, &Server)| s.phase == EndpointState::Removed && !used.contains(id);
         let over: Vec<ServerId> = self.servers.iter().filter(over).map(|(&id, _)| id).collect();
         for server in over {
             if let Some(gone) = self.servers.remove(&server) {
@@ -645,7 +652,12 @@
         self.next_server += 1;
         self.servers.insert(
             id,
-            Server { name: name.to_string(), cell: u32::MAX, started_at: None, phase: Phase::Out },
+            Server {
+                name: name.to_string(),
+                cell: u32::MAX,
+                started_at: None,
+                phase: EndpointState::Removed,
+            },
         );
         self.ids.insert(name.to_string(), id);
         id
@@ -659,13 +671,13 @@
         a.wanted.clear();
         let outcome = match (outcome, &value, self.parts.get(&a.part).filter(|p| p.value.is_none())) {
             // A pass without a value serves nobody.
-            (Outcome::Pass, None, _) => Outcome::Fault,
-            (Outcome::Pass, Some(value), Some(part)) => {
+            (Outcome::Success, None, _) => Outcome::ServerError,
+            (Outcome::Success, Some(value), Some(part)) => {
                 let accept = self.open.get(&part.query).map(|o| o.accept.clone()).unwrap_or_default();
                 if accept.admits(part.shard, value) {
                     outcome
                 } else {
-                    Outcome::Spoilt
+                    Outcome::MalformedResponse
                 }
             }
             _ => outcome,
@@ -673,13 +685,13 @@
         if let Some(part) = self.parts.get_mut(&a.part) {
             part.attempts[a.number as usize].1 = outcome.never_ran();
             part.out.retain(|o| o.1 != id);
-            if outcome == Outcome::Pass && part.value.is_none() {
+            if outcome == Outcome::Success && part.value.is_none() {
                 part.value = value;
             }
         }
         self.commands.push(Command::Book(Note::Ended { server: a.server, outcome }));
         let latency = self.now.saturating_sub(a.sent);
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             part: a.part,
             attempt: a.number,
             server: a.server,
@@ -696,7 +708,7 @@
             return;
         };
         let latency = self.now.saturating_sub(sent);
-        self.events.push(Event::Probed { server, outcome, latency });
+        self.events.push(Event::HealthChecked { server, outcome, latency });
     }
 
     /// When [`Engine::run`] is next due with nothing else happening.
@@ -736,13 +748,13 @@
     fn expire(&mut self) {
         while self.wakes.peek().is_some_and(|w| w.0 <= self.now) {
             self.wakes.pop();
-            if self.events.last() != Some(&Event::Wake) {
-                self.events.push(Event::Wake);
+            if self.events.last() != Some(&Event::TimerFired) {
+                self.events.push(Event::TimerFired);
             }
         }
         while let Some(&Reverse((_, id))) = self.limits.peek().filter(|l| l.0 .0 <= self.now) {
             self.limits.pop();
-            self.give_up(id, Outcome::TooSlow);
+            self.give_up(id, Outcome::TimedOut);
         }
     }
 
@@ -760,39 +772,39 @@
             self.ends.pop();
             if self.open.contains_key(&id) {
                 self.finish(id, Final::Failed);
-                self.events.push(Event::Gone(id));
+                self.events.push(Event::ClientDisconnected(id));
             }
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { part, server, within } => self.send(part, server, within),
-            Action::Cancel { part, attempt } => {
+            Action::StartAttempt { part, server, timeout: within } => self.send(part, server, within),
+            Action::CancelAttempt { part, attempt } => {
                 let out = self.parts.get(&part).and_then(|p| p.out.iter().find(|o| o.0 == attempt));
                 let id = out.map(|o| o.1).or_else(|| {
                     let same = |a: &&Attempt| a.part == part && a.number == attempt;
                     self.attempts.iter().find(|(_, a)| same(a)).map(|(&id, _)| id)
                 });
                 if let Some(id) = id {
-                    self.give_up(id, Outcome::Undone);
+                    self.give_up(id, Outcome::Cancelled);
                 }
             }
-            Action::Answer { query, whole } => self.answer(query, whole),
-            Action::Refuse { query, hold_off } => {
+            Action::Answer { query, complete: whole } => self.answer(query, whole),
+            Action::Reject { query, retry_after: hold_off } => {
                 self.finish(query, Final::Refused { hold_off });
             }
             Action::Fail { query } => {
                 self.finish(query, Final::Failed);
             }
-            Action::Probe { server } => {
+            Action::CheckHealth { server } => {
                 if self.servers.contains_key(&server) {
                     self.probes.entry(server).or_default().push(self.now);
                     self.commands.push(Command::Probe { server });
                 }
             }
-            Action::Close { server } => self.commands.push(Command::CloseIdle { server }),
-            Action::Wake { after } => self.wakes.push(Reverse(self.now.saturating_add(after.max(1)))),
+            Action::CloseIdleConnections { server } => self.commands.push(Command::CloseIdle { server }),
+            Action::SetTimer { after } => self.wakes.push(Reverse(self.now.saturating_add(after.max(1)))),
         }
     }
 
@@ -803,9 +815,10 @@
 
     fn cell_holds(&self, cell: u32, shard: ShardId) -> bool {
         let layout = self.info.settings.layout;
-        let distance = u64::from(cell) + u64::from(layout.cells);
-        let distance = (distance - u64::from(shard.0 % layout.cells)) % u64::from(layout.cells);
-        cell < layout.cells && distance < u64::from(layout.in_a_row)
+        let distance = u64::from(cell) + u64::from(layout.partition_groups);
+        let distance =
+            (distance - u64::from(shard.0 % layout.partition_groups)) % u64::from(layout.partition_groups);
+        cell < layout.partition_groups && distance < u64::from(layout.groups_per_shard)
     }
 
     fn send(&mut self, part_id: PartId, server: ServerId, within: Nanos) {
@@ -818,7 +831,7 @@
         let (shard, text, copy) = (part.shard, part.text.clone(), !part.out.is_empty());
         let Some(query) = self.open.get(&part.query) else { return };
         let class = &self.info.settings.classes[query.class.0];
-        let (max, begin_by) = (class.attempts, class.begin_by(first));
+        let (max, begin_by) = (class.max_attempts, class.retry_deadline(first));
         let until = query.valid_until.min(self.now.saturating_add(within));
         let wanted = Wanted::by(query.client.clone());
         let attempt = Attempt { part: part_id, number, server, sent: self.now, wanted: wanted.clone() };
@@ -827,10 +840,10 @@
         let phase = self.servers.get(&server).map(|s| s.phase);
         if number >= max
             || until.min(begin_by) <= self.now
-            || phase != Some(Phase::In)
+            || phase != Some(EndpointState::Active)
             || !self.holds(server, shard)
         {
-            self.ended(self.now, id, Outcome::StaleSend, None);
+            self.ended(self.now, id, Outcome::NotSent, None);
             return;
         }
         if let Some(part) = self.parts.get_mut(&part_id) {
@@ -843,7 +856,7 @@
 
     /// Sends of this moment to one data node share a call, up to the most that one carries.
     fn join_calls(&mut self) -> Vec<Command> {
-        let most = self.info.settings.layout.batch as usize;
+        let most = self.info.settings.layout.max_batch as usize;
         let mut joined: Vec<Command> = Vec::with_capacity(self.commands.len());
         let mut calls: HashMap<ServerId, usize> = HashMap::new();
         for command in self.commands.drain(..) {
@@ -869,8 +882,10 @@
         let Some(open) = self.open.get(&id) else { return };
         let class = &self.info.settings.classes[open.class.0];
         let (need, floor) = match open.second {
-            false => (class.need, class.floor),
-            true => (1.0, if class.floor < class.need { class.floor } else { 1.0 }),
+            false => (class.complete_coverage, class.min_coverage),
+            true => {
+                (1.0, if class.min_coverage < class.complete_coverage { class.min_coverage } else { 1.0 })
+            }
         };
         let mut rows = Vec::new();
         let mut scored = Vec::new();
@@ -885,7 +900,7 @@
             return self.overruled(id);
         }
         let whole = whole && weight >= need - SLACK && (!open.second || open.first_whole);
-        if open.second || class.second_step == 0 {
+        if open.second || class.second_phase_parts == 0 {
             self.finish(id, Final::Answered { whole, share: weight, rows });
             return;
         }
@@ -895,12 +910,12 @@
     /// The module answered what may not be answered: the query ends honestly.
     fn overruled(&mut self, id: QueryId) {
         self.finish(id, Final::Failed);
-        self.events.push(Event::Gone(id));
+        self.events.push(Event::ClientDisconnected(id));
     }
 
     fn second_step(&mut self, id: QueryId, whole: bool, mut scored: Vec<(Reverse<u64>, ShardId)>) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        let most = self.info.settings.classes[open.class.0].second_step as usize;
+        let most = self.info.settings.classes[open.class.0].second_phase_parts as usize;
         open.second = true;
         open.first_whole = whole;
         for part in std::mem::take(&mut open.parts) {
@@ -920,7 +935,7 @@
     fn drop_part(&mut self, id: PartId) {
         let Some(part) = self.parts.remove(&id) else { return };
         for (_, attempt) in part.out {
-            self.give_up(attempt, Outcome::Undone);
+            self.give_up(attempt, Outcome::Cancelled);
         }
     }
 
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -30,7 +30,7 @@
     settings::read(&text).unwrap()
 }
 
-fn member(n: u32, phase: Phase) -> Member {
+fn member(n: u32, phase: EndpointState) -> Member {
     Member { name: format!("s{n}"), cell: n % 3, started_at: 0, rating: 1.0, phase, zone: Some("a".into()) }
 }
 
@@ -60,7 +60,7 @@
     finals: BTreeMap<QueryId, usize>,
     gone: HashSet<QueryId>,
     out: BTreeMap<AttemptId, (ServerId, Dispatch)>,
-    phases: BTreeMap<u32, Phase>,
+    phases: BTreeMap<u32, EndpointState>,
     started: usize,
     ended: usize,
     /// The indices of the classes under their present rules.
@@ -77,7 +77,11 @@
                     let number: u32 = engine.server_name(server)[1..].parse().unwrap();
                     assert!(call.len() <= 2, "more parts than a call carries");
                     for d in call {
-                        assert_eq!(self.phases[&number], Phase::In, "sent to a data node that drains");
+                        assert_eq!(
+                            self.phases[&number],
+                            EndpointState::Active,
+                            "sent to a data node that drains"
+                        );
                         let held = (0..2).any(|j| (d.part.shard.0 + j) % 3 == number % 3);
                         assert!(held, "sent to a data node without the shard");
                         assert!(d.until > self.now);
@@ -85,7 +89,10 @@
                         *sent += 1;
                         let part = &engine.parts[&engine.attempts[&d.attempt].part];
                         let class = engine.open[&part.query].class;
-                        assert!(*sent <= engine.info.settings.classes[class.0].attempts, "sent too often");
+                        assert!(
+                            *sent <= engine.info.settings.classes[class.0].max_attempts,
+                            "sent too often"
+                        );
                         assert!(self.out.insert(d.attempt, (server, d)).is_none());
                     }
                 }
@@ -135,19 +142,30 @@
                 let Some((&id, _)) = self.out.iter().nth(pick % self.out.len().max(1)) else { return };
                 let (_, dispatch) = self.out.remove(&id).unwrap();
                 assert!(dispatch.wanted.yes());
-                let outcomes = [Outcome::Pass, Outcome::Pass, Outcome::Pass, Outcome::Fault, Outcome::Cut];
+                let outcomes = [
+                    Outcome::Success,
+                    Outcome::Success,
+                    Outcome::Success,
+                    Outcome::ServerError,
+                    Outcome::ConnectionReset,
+                ];
                 let outcome = outcomes[pick / 7 % outcomes.len()];
                 let data = format!("v{}", dispatch.part.shard.0).into();
-                let value = Some(Value { score: pick as u64, data }).filter(|_| outcome == Outcome::Pass);
+                let value = Some(Value { score: pick as u64, data }).filter(|_| outcome == Outcome::Success);
                 engine.ended(self.now, id, outcome, value.clone());
                 // A second word on it is not heard.
-                engine.ended(self.now, id, Outcome::Cut, value);
+                engine.ended(self.now, id, Outcome::ConnectionReset, value);
             }
             9 => {
                 let number = pick as u32 % 6;
-                let phase = [Phase::In, Phase::In, Phase::Draining, Phase::Out][pick / 7 % 4];
+                let phase = [
+                    EndpointState::Active,
+                    EndpointState::Active,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][pick / 7 % 4];
                 self.phases.insert(number, phase);
-                engine.list(ListKind::Diff, &[member(number, phase)]);
+                engine.list(EndpointUpdateKind::Delta, &[member(number, phase)]);
             }
             10 => {
                 let id = QueryId(pick as u64 % self.asked.len().max(1) as u64);
@@ -156,7 +174,7 @@
                     engine.gone(id);
                 }
             }
-            11 => drop(engine.list(ListKind::Diff, &[])),
+            11 => drop(engine.list(EndpointUpdateKind::Delta, &[])),
             15 => {
                 let before = engine.info.classes.len();
                 let info = engine.reset(info(1 + pick as u32 % 3));
@@ -187,9 +205,9 @@
     fn every_query_gets_one_answer(steps in proptest::collection::vec((0..16u8, any::<usize>()), 0..150)) {
         let mut engine = engine();
         let mut world = World { now: MS, classes: [0, 1, 2], ..World::default() };
-        let all: Vec<Member> = (0..6).map(|n| member(n, Phase::In)).collect();
-        world.phases = (0..6).map(|n| (n, Phase::In)).collect();
-        engine.list(ListKind::Full, &all);
+        let all: Vec<Member> = (0..6).map(|n| member(n, EndpointState::Active)).collect();
+        world.phases = (0..6).map(|n| (n, EndpointState::Active)).collect();
+        engine.list(EndpointUpdateKind::Snapshot, &all);
         world.act(&mut engine);
         for (kind, pick) in steps {
             world.step(&mut engine, kind, pick);
@@ -207,7 +225,7 @@
 #[test]
 fn a_silent_module_is_overruled_in_time() {
     let mut engine = engine();
-    engine.list(ListKind::Full, &[member(0, Phase::In)]);
+    engine.list(EndpointUpdateKind::Snapshot, &[member(0, EndpointState::Active)]);
     engine.ask(MS, QueryId(1), ask(0, &[0], 100 * MS)).unwrap();
     engine.run(MS);
     engine.wakes.clear();
@@ -225,7 +243,7 @@
     let mut engine = engine();
     let held = || ask(0, &[0], 1000 * MS);
     for n in 0..100 {
-        engine.list(ListKind::Diff, &[member(3 * n, Phase::In)]);
+        engine.list(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Active)]);
         engine.ask(MS, QueryId(u64::from(n)), held()).unwrap();
         let sent = engine.run(MS);
         let Some(Command::Send { server, call }) = sent.iter().find(|c| matches!(c, Command::Send { .. }))
@@ -233,14 +251,14 @@
             panic!("{sent:?}")
         };
         assert_eq!(*server, ServerId(n));
-        engine.list(ListKind::Diff, &[member(3 * n, Phase::Out)]);
+        engine.list(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Removed)]);
         assert!(engine.run(MS).iter().all(|c| !matches!(c, Command::Retire { .. })), "a part is out");
-        engine.ended(MS, call[0].attempt, Outcome::Fault, None);
+        engine.ended(MS, call[0].attempt, Outcome::ServerError, None);
         engine.gone(QueryId(u64::from(n)));
         engine.run(MS);
         // A change that does not name it, and one that does: it is not met again.
-        engine.list(ListKind::Diff, &[]);
-        engine.list(ListKind::Diff, &[member(3 * n, Phase::Out)]);
+        engine.list(EndpointUpdateKind::Delta, &[]);
+        engine.list(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Removed)]);
         assert!(engine.run(MS).contains(&Command::Retire { server: *server }));
         assert_eq!(engine.known(), 0);
     }
@@ -281,7 +299,10 @@
 #[test]
 fn a_value_that_is_not_accepted_is_tried_elsewhere() {
     let mut engine = engine();
-    engine.list(ListKind::Full, &(0..6).map(|n| member(n, Phase::In)).collect::<Vec<_>>());
+    engine.list(
+        EndpointUpdateKind::Snapshot,
+        &(0..6).map(|n| member(n, EndpointState::Active)).collect::<Vec<_>>(),
+    );
     let accept = Accept::only(|shard, value| *value.data == *format!("v{}", shard.0));
     let asked = Ask { texts: vec!["a".into(), "b".into()], accept, ..ask(0, &[0, 1], 1000 * MS) };
     engine.ask(MS, QueryId(1), asked).unwrap();
@@ -289,8 +310,11 @@
     let texts: Vec<&str> = sent.iter().map(|d| &*d.part.text).collect();
     assert_eq!(texts, ["a", "b"]);
     let value = |data: &str| Some(Value { score: 0, data: data.into() });
-    assert_eq!(engine.ended(2 * MS, sent[0].attempt, Outcome::Pass, value("v9")), Outcome::Spoilt);
-    assert_eq!(engine.ended(2 * MS, sent[1].attempt, Outcome::Pass, value("v1")), Outcome::Pass);
+    assert_eq!(
+        engine.ended(2 * MS, sent[0].attempt, Outcome::Success, value("v9")),
+        Outcome::MalformedResponse
+    );
+    assert_eq!(engine.ended(2 * MS, sent[1].attempt, Outcome::Success, value("v1")), Outcome::Success);
     let mut again = sends(&engine.run(2 * MS));
     while again.is_empty() {
         let due = engine.next_due().unwrap();
@@ -298,7 +322,7 @@
     }
     assert_eq!((again.len(), again[0].part.shard), (1, ShardId(0)));
     let now = engine.now;
-    engine.ended(now, again[0].attempt, Outcome::Pass, value("v0"));
+    engine.ended(now, again[0].attempt, Outcome::Success, value("v0"));
     let last = engine.run(now);
     assert!(last
         .iter()
@@ -309,13 +333,13 @@
 #[test]
 fn shards_whose_holders_start_anew_are_told() {
     let mut engine = engine();
-    let at = |n, started_at| Member { started_at, ..member(n, Phase::In) };
+    let at = |n, started_at| Member { started_at, ..member(n, EndpointState::Active) };
     // Of three cells in rows of two, cell 1 holds shards 0, 1, 3 and 4.
     let shards = [0, 1, 3, 4].map(ShardId).to_vec();
-    assert_eq!(engine.list(ListKind::Diff, &[at(1, 5)]), shards);
-    assert_eq!(engine.list(ListKind::Diff, &[at(1, 5)]), []);
-    assert_eq!(engine.list(ListKind::Diff, &[at(1, 6)]), shards);
-    assert_eq!(engine.list(ListKind::Diff, &[]), []);
+    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[at(1, 5)]), shards);
+    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[at(1, 5)]), []);
+    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[at(1, 6)]), shards);
+    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[]), []);
 }
 
 /// Guards against two open queries of one name, whose answers could not be told apart; rounded weights
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -138,14 +138,14 @@
     /// Settings that cannot be used are named.
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
         set.check()?;
-        let longest = set.longest_aim();
-        let window = set.budget.map_or(longest.saturating_mul(COPY_WINDOW_AIMS), |b| b.window);
+        let longest = set.longest_latency_objective();
+        let window = set.retry_budget.map_or(longest.saturating_mul(COPY_WINDOW_AIMS), |b| b.window);
         let kept = longest.saturating_mul(SAMPLE_AIMS);
         let copy_window = longest.saturating_mul(COPY_WINDOW_AIMS);
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
-            fleet: Fleet::new(set.layout.cells),
+            fleet: Fleet::new(set.layout.partition_groups),
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
             latencies: RecentSamples::new(SAMPLES, kept),
@@ -184,7 +184,7 @@
 
     /// Takes over settings whose classes begin with those it has: see [`Settings::after`].
     pub fn reset(&mut self, set: Settings) {
-        let (n, kept) = (set.classes.len(), set.longest_aim().saturating_mul(SAMPLE_AIMS));
+        let (n, kept) = (set.classes.len(), set.longest_latency_objective().saturating_mul(SAMPLE_AIMS));
         self.patience.resize(n, RecentSamples::new(PATIENCE_SAMPLES, kept));
         self.fleet.servers.values_mut().for_each(|s| s.class_doubt.resize_with(n, Default::default));
         self.set = set;
@@ -197,7 +197,7 @@
 
     /// How many servers in the list it sends nothing now; doubt or a bad way of a moment sends nobody away.
     pub fn avoided(&self) -> usize {
-        let since = self.now.saturating_sub(self.set.shortest_aim() / TRIAL_SHARE);
+        let since = self.now.saturating_sub(self.set.shortest_latency_objective() / TRIAL_SHARE);
         let shunned = |s: &Server| s.doubt.get(self.now) >= SHUNNED || self.way_bad(s.zone);
         let rests = |s: &Server| !s.listed || shunned(s) && s.used_at.is_none_or(|t| t < since);
         self.fleet.servers.values().filter(|s| !s.gone && rests(s)).count()
@@ -205,28 +205,28 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::List { kind, entries } => self.take_list(kind, entries),
-            Event::ListExpired => self.seen.list_unusable = true,
-            Event::Query { id, class, tenant, key: _, repeated, valid_until } => {
+            Event::EndpointsUpdated { kind, records: entries } => self.take_list(kind, entries),
+            Event::EndpointListExpired => self.seen.list_unusable = true,
+            Event::QueryArrived { id, class, tenant, key: _, is_retry: repeated, deadline: valid_until } => {
                 self.take_query(id, class, tenant, repeated, valid_until);
             }
-            Event::Ending(by) => {
+            Event::ShuttingDown(by) => {
                 self.ends_by = by;
                 self.queries.values_mut().for_each(|q| q.valid_until = q.valid_until.min(by));
                 self.seen.touched.extend(self.queries.keys());
             }
-            Event::Part { id, query, shard, weight } => self.take_part(id, query, shard, weight),
-            Event::Ended { part, attempt, server, outcome, latency } => {
+            Event::PartArrived { id, query, shard, weight } => self.take_part(id, query, shard, weight),
+            Event::AttemptEnded { part, attempt, server, outcome, latency } => {
                 self.take_ended(part, attempt, server, outcome, latency);
             }
             // One that was not sent tells nothing.
-            Event::Probed { outcome: Outcome::StaleSend, .. } => {}
-            Event::Probed { server, outcome, .. } => {
+            Event::HealthChecked { outcome: Outcome::NotSent, .. } => {}
+            Event::HealthChecked { server, outcome, .. } => {
                 let zone = self.fleet.servers.get(&server).and_then(|s| s.zone);
-                self.judge_way(zone, outcome != Outcome::Pass);
+                self.judge_way(zone, outcome != Outcome::Success);
             }
-            Event::Gone(query) => self.forget(query),
-            Event::Wake => self.timers.woken(),
+            Event::ClientDisconnected(query) => self.forget(query),
+            Event::TimerFired => self.timers.woken(),
         }
     }
 
@@ -234,7 +234,7 @@
 
     /// Δ: the paper's replication offset, learnt from our own part latencies.
     fn offset(&self, class: ClassId) -> Nanos {
-        self.seen.tail.unwrap_or((self.set.classes[class.0].aim as f64 * OFFSET_START) as Nanos)
+        self.seen.tail.unwrap_or((self.set.classes[class.0].latency_objective as f64 * OFFSET_START) as Nanos)
     }
 
     /// Quantiles of our recent latencies, once a tick: between ticks there may be many rounds.
@@ -268,12 +268,12 @@
             let tier = self.tier(server, class, extra);
             sound |= tier < 2;
             // Counted with this part in: joining a call that is about to go adds none.
-            let calls = server.calls_out() + (extra + 1).div_ceil(layout.batch);
+            let calls = server.calls_out() + (extra + 1).div_ceil(layout.max_batch);
             if tier > worst || f64::from(calls - 1) >= server.limit {
                 continue;
             }
-            let join = layout.batch - planned.mates(id).min(layout.batch);
-            let away = self.set.home.is_some() && server.zone != self.set.home;
+            let join = layout.max_batch - planned.mates(id).min(layout.max_batch);
+            let away = self.set.local_zone.is_some() && server.zone != self.set.local_zone;
             let rank = (tier, calls, 2 * join + u32::from(!self.open(server)), away, server.last_turn);
             if best.is_none_or(|(b, _)| rank < b) {
                 best = Some((rank, id));
@@ -286,11 +286,11 @@
     /// Whether a connection that can be trusted is open.
     fn open(&self, s: &Server) -> bool {
         let idle = s.used_at.map_or(Nanos::MAX, |t| self.now.saturating_sub(t));
-        !s.pending.is_empty() || !self.stale(idle) && idle < self.set.idle.unwrap_or(0)
+        !s.pending.is_empty() || !self.stale(idle) && idle < self.set.connection_idle_timeout.unwrap_or(0)
     }
 
     fn stale(&self, idle: Nanos) -> bool {
-        idle > self.set.shortest_aim() / IDLE_SHARE
+        idle > self.set.shortest_latency_objective() / IDLE_SHARE
             && shares(&self.seen.idle, self.seen.fresh.share(), IDLE_BAD)
     }
 
@@ -300,13 +300,13 @@
         let (within, class) = (self.ends_at(query).saturating_sub(now), query.class);
         let free = self.parts.get(&id).is_some_and(|p| self.free(p));
         let Some(part) = self.parts.get_mut(&id) else { return };
-        if within == 0 || part.attempts.len() >= self.set.classes[class.0].attempts as usize {
+        if within == 0 || part.attempts.len() >= self.set.classes[class.0].max_attempts as usize {
             return;
         }
         let attempt = part.attempts.len() as u32;
         part.attempts.push(Attempt { server, sent: now, kind, fate: Fate::Out });
-        let aim = self.set.classes[class.0].aim;
-        let call = self.seen.call(server, self.set.layout.batch);
+        let aim = self.set.classes[class.0].latency_objective;
+        let call = self.seen.call(server, self.set.layout.max_batch);
         self.turn += 1;
         let idle = self.connection(server);
         let allowance = self.fleet.servers.get(&server).and_then(|s| self.cold_allowance(s));
@@ -322,7 +322,7 @@
             }
         }
         self.counts.sent(kind, if free { 0 } else { attempt }, now);
-        self.actions.push(Action::Send { part: id, server, within });
+        self.actions.push(Action::StartAttempt { part: id, server, timeout: within });
     }
 
     /// A part is in: it releases one copy for a sibling (FJR), and its slower twin is cancelled.
@@ -358,10 +358,10 @@
     fn copy(&mut self, id: PartId) -> bool {
         let part = &self.parts[&id];
         let class = self.queries[&part.query].class;
-        let allowed = self.set.may_duplicate
-            && self.set.classes[class.0].effect == Effect::Safe
+        let allowed = self.set.may_hedge
+            && self.set.classes[class.0].retry_safety == RetrySafety::Idempotent
             && !part.copied()
-            && part.attempts.len() < self.set.classes[class.0].attempts as usize;
+            && part.attempts.len() < self.set.classes[class.0].max_attempts as usize;
         if !allowed || self.seen.strain > STRAINED || self.kills(part.query) {
             return false;
         }
@@ -371,7 +371,7 @@
 
     fn cancel_out(&mut self, id: PartId) {
         let Some(part) = self.parts.get_mut(&id) else { return };
-        let cancels = part.cancel().into_iter().map(|attempt| Action::Cancel { part: id, attempt });
+        let cancels = part.cancel().into_iter().map(|attempt| Action::CancelAttempt { part: id, attempt });
         self.actions.extend(cancels.filter(|_| self.set.may_cancel));
     }
 
@@ -382,11 +382,11 @@
             return;
         }
         self.counts.taken.add(self.now);
-        let mut worth = self.set.classes[class.0].importance;
+        let mut worth = self.set.classes[class.0].priority_weight;
         if let Some(t) = tenant.filter(|t| t.0 < self.tenant_taken.len()) {
             self.tenant_taken[t.0].add(self.now);
             if self.over_share(t) {
-                worth *= self.set.over_share_worth;
+                worth *= self.set.over_quota_value_ratio;
             }
         }
         // Cut at this process's end, its time tells nothing of the client.
@@ -403,7 +403,7 @@
         let valid = valid_until.saturating_sub(self.now);
         let usual = samples.quantile(self.now, PATIENCE, PATIENCE_SAMPLES / 4).unwrap_or(0);
         samples.add(self.now, valid);
-        let cut = valid < usual - usual / 50 && (repeated || !self.set.marks_retry);
+        let cut = valid < usual - usual / 50 && (repeated || !self.set.clients_mark_retries);
         let elapsed = if cut { self.set.classes[class.0].deadline.saturating_sub(valid) } else { 0 };
         self.now.saturating_sub(elapsed)
     }
@@ -436,7 +436,7 @@
     }
 
     fn need(&self, q: &Query) -> f64 {
-        let share = if q.step == 1 { self.set.classes[q.class.0].need } else { 1.0 };
+        let share = if q.step == 1 { self.set.classes[q.class.0].complete_coverage } else { 1.0 };
         share - SLACK
     }
 
@@ -447,8 +447,8 @@
     /// When nothing worth having can come any more.
     fn ends_at(&self, q: &Query) -> Nanos {
         let class = &self.set.classes[q.class.0];
-        let aimed = q.arrived.saturating_add(class.aim);
-        if class.late_worth > LATE_LEAST {
+        let aimed = q.arrived.saturating_add(class.latency_objective);
+        if class.late_value_ratio > LATE_LEAST {
             q.valid_until
         } else {
             q.valid_until.min(aimed)
@@ -462,20 +462,23 @@
 
     /// The last moment for an answer within the aim.
     fn aim_at(&self, q: &Query) -> Nanos {
-        q.arrived.saturating_add(self.set.classes[q.class.0].aim).saturating_sub(AIM_TICKS * self.set.tick)
+        q.arrived
+            .saturating_add(self.set.classes[q.class.0].latency_objective)
+            .saturating_sub(AIM_TICKS * self.set.tick)
     }
 
     /// Whether the parts that are in may make an answer that is not whole, and one that earns more at the
     /// aim than a whole one would after it.
     fn partial_due(&self, q: &Query) -> bool {
         let class = &self.set.classes[q.class.0];
-        let last = class.second_step == 0 || q.step == 2;
-        if self.now < self.aim_at(q) || !last || class.floor >= class.need {
+        let last = class.second_phase_parts == 0 || q.step == 2;
+        if self.now < self.aim_at(q) || !last || class.min_coverage >= class.complete_coverage {
             return false;
         }
         let done = self.weight(q, |p| p.done);
-        let share = (done / class.need.max(SLACK)).min(1.0);
-        done >= class.floor.max(SLACK) && class.partial.unwrap_or(1.0) * share >= class.late_worth
+        let share = (done / class.complete_coverage.max(SLACK)).min(1.0);
+        done >= class.min_coverage.max(SLACK)
+            && class.partial_value_ratio.unwrap_or(1.0) * share >= class.late_value_ratio
     }
 
     /// Looks at a query after news or when it is due: answer, end, send what is missing, copy.
@@ -501,9 +504,9 @@
 
     fn answer(&mut self, id: QueryId, whole: bool) {
         let Some(q) = self.queries.get_mut(&id) else { return };
-        let two_steps = self.set.classes[q.class.0].second_step > 0 && q.step == 1;
-        let timely = self.now < q.arrived.saturating_add(self.set.classes[q.class.0].aim);
-        self.actions.push(Action::Answer { query: id, whole });
+        let two_steps = self.set.classes[q.class.0].second_phase_parts > 0 && q.step == 1;
+        let timely = self.now < q.arrived.saturating_add(self.set.classes[q.class.0].latency_objective);
+        self.actions.push(Action::Answer { query: id, complete: whole });
         if !two_steps {
             return self.end(id, timely);
         }
@@ -519,7 +522,11 @@
     fn hopeless(&self, id: QueryId) -> bool {
         let q = &self.queries[&id];
         let class = &self.set.classes[q.class.0];
-        let least = if class.floor < class.need { class.floor - SLACK } else { self.need(q) };
+        let least = if class.min_coverage < class.complete_coverage {
+            class.min_coverage - SLACK
+        } else {
+            self.need(q)
+        };
         let kills = self.kills(id);
         self.weight(q, |p| p.done || p.is_out() || !kills && self.may_resend(p, q.class)) < least
     }
@@ -528,16 +535,18 @@
     fn end_unserved(&mut self, id: QueryId) {
         let Some(q) = self.queries.get(&id) else { return };
         let class = &self.set.classes[q.class.0];
-        let partial = class.floor < class.need || q.step == 2 && class.floor < 1.0;
-        if partial && q.stage == Stage::Running && self.weight(q, |p| p.done) >= class.floor.max(SLACK) {
+        let partial = class.min_coverage < class.complete_coverage || q.step == 2 && class.min_coverage < 1.0;
+        if partial && q.stage == Stage::Running && self.weight(q, |p| p.done) >= class.min_coverage.max(SLACK)
+        {
             return self.answer(id, false);
         }
         let unrun = q.parts.iter().all(|p| self.parts[p].proved_unrun());
-        let harmless = class.effect == Effect::Safe || (unrun && q.stage != Stage::BetweenSteps);
+        let harmless =
+            class.retry_safety == RetrySafety::Idempotent || (unrun && q.stage != Stage::BetweenSteps);
         // Others refuse at the same moment: their clients are not to come back at one.
         let hold_off = (self.hold_off(q) as f64 * (1.0 - HOLD_OFF_SPREAD * self.rng.f64())) as Nanos;
         self.actions.push(match harmless {
-            true => Action::Refuse { query: id, hold_off },
+            true => Action::Reject { query: id, retry_after: hold_off },
             false => Action::Fail { query: id },
         });
         self.end(id, false);
@@ -550,8 +559,8 @@
 
     /// When the client should come back: half way to its last useful moment, or as late as it will listen.
     fn hold_off(&self, q: &Query) -> Nanos {
-        let Some(longest) = self.set.max_hold_off else { return 0 };
-        let useful = q.arrived.saturating_add(self.set.classes[q.class.0].aim);
+        let Some(longest) = self.set.max_retry_after else { return 0 };
+        let useful = q.arrived.saturating_add(self.set.classes[q.class.0].latency_objective);
         let left = useful.saturating_sub(self.now.saturating_add(self.seen.median));
         longest.min(if left > 0 { left / 2 } else { longest })
     }
@@ -575,7 +584,7 @@
     }
 
     fn arm(&mut self) {
-        self.actions.extend(self.timers.arm(self.now).map(|after| Action::Wake { after }));
+        self.actions.extend(self.timers.arm(self.now).map(|after| Action::SetTimer { after }));
     }
 
     // ---- Load: what is held back and what is shed first. ----
@@ -593,13 +602,13 @@
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
         let (ended, timely) =
             (self.counts.ended.count(self.now) as f64, self.counts.timely.count(self.now) as f64);
-        let thin = self.send_gap() > THIN_AIMS * self.set.shortest_aim() as f64;
+        let thin = self.send_gap() > THIN_AIMS * self.set.shortest_latency_objective() as f64;
         let throttled = ((ended - THROTTLE * timely) / (ended + 1.0)).min(THROTTLE_MOST);
         let room = (self.set.max_open as f64 * OPEN_SHARE) as usize;
         let mut open = self.queries.len() + self.seen.open_parts;
         for &(_, _, id) in order.iter().rev() {
             let q = &self.queries[&id];
-            let aim = self.set.classes[q.class.0].aim;
+            let aim = self.set.classes[q.class.0].latency_objective;
             let too_late = q.arrived.saturating_add(aim) < self.now + self.offset(q.class).min(aim / 2);
             let unpaced = thin && q.passes == 0 && q.parts.len() as f64 > self.room;
             if open > room || too_late || unpaced && q.chance < throttled {
@@ -627,13 +636,13 @@
     fn admit_one(&mut self, id: QueryId) {
         let q = &self.queries[&id];
         let need = if q.scout && q.passes == 0 { SLACK } else { self.need(q) };
-        let least = need.min(self.set.classes[q.class.0].floor);
+        let least = need.min(self.set.classes[q.class.0].min_coverage);
         let (mut covered, mut planned, mut plan) =
             (self.weight(q, |p| p.done), Planned::default(), Vec::new());
         let unsent: Vec<PartId> =
             q.parts.iter().copied().filter(|p| self.parts[p].attempts.is_empty()).collect();
         let layout = self.set.layout;
-        let shares = layout.batch > 1 && layout.call_overhead > 0;
+        let shares = layout.max_batch > 1 && layout.call_overhead > 0;
         for part in unsent.iter().filter(|_| shares) {
             self.fleet.holders(self.parts[part].shard, layout).for_each(|&id| planned.wanted(id, 1));
         }
@@ -667,20 +676,22 @@
     /// Whether another attempt at a part that is not out is allowed by its class and limits.
     fn may_resend(&self, part: &Part, class: ClassId) -> bool {
         let class = &self.set.classes[class.0];
-        self.now < class.begin_by(part.first_possible_run()) && part.attempts.len() < class.attempts as usize
+        self.now < class.retry_deadline(part.first_possible_run())
+            && part.attempts.len() < class.max_attempts as usize
     }
 
     /// Whether another try repeats no work: nothing of the part has run. A told budget counts all tries.
     fn free(&self, part: &Part) -> bool {
-        self.set.budget.is_none() && part.proved_unrun()
+        self.set.retry_budget.is_none() && part.proved_unrun()
     }
 
     /// Whether the budget has room for another attempt; for a query that has an answer in already, beyond
     /// what is kept for those that would otherwise get none.
     fn budget_left(&mut self, query: QueryId) -> bool {
-        let (free, ratio) = self.set.budget.map_or((RETRY_FREE, RETRY_SHARE), |b| (b.free, b.ratio));
+        let (free, ratio) =
+            self.set.retry_budget.map_or((RETRY_FREE, RETRY_SHARE), |b| (b.base_attempts, b.ratio));
         let q = &self.queries[&query];
-        let floor = self.set.classes[q.class.0].floor;
+        let floor = self.set.classes[q.class.0].min_coverage;
         let spare = floor < self.need(q) && self.weight(q, |p| p.done) >= floor;
         let used = self.counts.extra.count(self.now) + 1;
         let share = if spare { SPARE_BUDGET } else { 1.0 };
@@ -727,7 +738,10 @@
             return false;
         };
         // A copy that may prove needless is worth no connection; on a new one it may begin once it is over.
-        if kind == Kind::Copy && self.set.idle.is_some() && !self.open(&self.fleet.servers[&server]) {
+        if kind == Kind::Copy
+            && self.set.connection_idle_timeout.is_some()
+            && !self.open(&self.fleet.servers[&server])
+        {
             return false;
         }
         if kind == Kind::Retry {
@@ -738,7 +752,7 @@
     }
 
     fn overdue_after(&self, class: ClassId) -> Nanos {
-        ((self.set.classes[class.0].aim as f64 * OVERDUE) as Nanos).max(self.offset(class))
+        ((self.set.classes[class.0].latency_objective as f64 * OVERDUE) as Nanos).max(self.offset(class))
     }
 
     /// A silent or stalled server must not cost the whole aim: an overdue part gets its copy without a
@@ -747,7 +761,7 @@
         if self.seen.strain > STRAINED || self.kills(query) {
             return;
         }
-        let (class, may) = (self.queries[&query].class, self.set.may_cancel || self.set.may_duplicate);
+        let (class, may) = (self.queries[&query].class, self.set.may_cancel || self.set.may_hedge);
         for (sent, id) in self.queries[&query].lone_attempts(&self.parts) {
             let due = self.now >= sent.saturating_add(self.overdue_after(class));
             let alone = due && !self.parts[&id].copied() && !self.copy(id);
@@ -760,13 +774,14 @@
     fn take_ended(&mut self, id: PartId, n: u32, server: ServerId, outcome: Outcome, latency: Nanos) {
         self.judge(id, n, server, outcome, latency);
         let Some(part) = self.parts.get_mut(&id) else { return };
-        let (query, broken) = (part.query, part.broken + u32::from(outcome == Outcome::Cut));
+        let (query, broken) = (part.query, part.broken + u32::from(outcome == Outcome::ConnectionReset));
         let Some(a) = part.attempts.get_mut(n as usize) else { return };
         let was_cancelled = a.fate == Fate::Cancelled;
         a.fate = Fate::Ended { never_ran: outcome.never_ran() };
         part.broken = broken;
         self.queries.entry(query).and_modify(|q| q.broken = q.broken.max(broken));
-        if outcome == Outcome::Pass && self.queries.get(&query).is_some_and(|q| q.stage == Stage::Running) {
+        if outcome == Outcome::Success && self.queries.get(&query).is_some_and(|q| q.stage == Stage::Running)
+        {
             self.answered(id);
         } else if !was_cancelled {
             self.seen.touched.insert(query);
@@ -782,25 +797,27 @@
         let Some(at) = s.pending.iter().position(|p| p.part == part && p.attempt == n) else { return };
         let pending = s.pending.swap_remove(at);
         self.seen.out = self.seen.out.saturating_sub(1);
-        if outcome == Outcome::Pass {
+        if outcome == Outcome::Success {
             s.used_at = Some(now);
             self.seen.passes += 1;
         }
         let usual = STRAIN_TIMES * self.seen.quartile as f64;
         let long = latency as f64 > usual.max(STRAIN_AIM * pending.aim as f64);
-        if outcome == Outcome::StaleSend || outcome == Outcome::Undone && !long {
+        if outcome == Outcome::NotSent || outcome == Outcome::Cancelled && !long {
             return;
         }
         let (zone, doubt) = (s.zone, s.doubt.get(now));
-        let timely = outcome == Outcome::Pass && !long;
+        let timely = outcome == Outcome::Success && !long;
         let stale = !self.way_bad(zone) && self.judge_idle(&pending, outcome, latency);
-        if !stale && !matches!(outcome, Outcome::NoRoom | Outcome::Cut | Outcome::Spoilt) {
+        if !stale
+            && !matches!(outcome, Outcome::Rejected | Outcome::ConnectionReset | Outcome::MalformedResponse)
+        {
             self.judge_way(zone, !timely);
         }
         if stale || !timely && self.way_bad(zone) {
             return;
         }
-        if matches!(outcome, Outcome::Cut | Outcome::Spoilt) {
+        if matches!(outcome, Outcome::ConnectionReset | Outcome::MalformedResponse) {
             return self.lost(id, pending.class, outcome);
         }
         if doubt < DOUBTED {
@@ -812,14 +829,14 @@
         let shared = if self.seen.strain > STRAINED { 0.5 } else { 1.0 };
         // Connections that fail at servers everywhere are no fault of one: it only gets a pause.
         let step = if pending.idle.is_none() { WAY_STEP } else { 0.0 };
-        self.seen.opened.add(outcome == Outcome::NoRoute, step);
+        self.seen.opened.add(outcome == Outcome::ConnectFailed, step);
         let amount = match outcome {
-            Outcome::NoRoute if self.seen.opened.share() > WAY_BAD => return self.pause(id),
-            Outcome::NoRoute => DOUBT_BROKEN,
-            Outcome::Fault => DOUBT_FAILED,
-            Outcome::Undone | Outcome::TooSlow if overdue => DOUBT_FAILED * shared,
-            Outcome::Pass if slow => DOUBT_SLOW * shared,
-            Outcome::Pass => return self.cleared(id, pending.class),
+            Outcome::ConnectFailed if self.seen.opened.share() > WAY_BAD => return self.pause(id),
+            Outcome::ConnectFailed => DOUBT_BROKEN,
+            Outcome::ServerError => DOUBT_FAILED,
+            Outcome::Cancelled | Outcome::TimedOut if overdue => DOUBT_FAILED * shared,
+            Outcome::Success if slow => DOUBT_SLOW * shared,
+            Outcome::Success => return self.cleared(id, pending.class),
             _ => return,
         };
         // What was sent before the last failure was seen belongs to that.
@@ -844,16 +861,16 @@
     fn adapt_limit(&mut self, id: ServerId, pending: &Pending, outcome: Outcome, long: bool) {
         let least = (LIMIT_LEAST / f64::from(self.set.coordinators)).min(1.0);
         let (now, jitter) = (self.now, self.rng.f64());
-        let pause = self.seen.median.max(self.set.shortest_aim() / TRIAL_SHARE) as f64;
+        let pause = self.seen.median.max(self.set.shortest_latency_objective() / TRIAL_SHARE) as f64;
         let Some(s) = self.fleet.servers.get_mut(&id) else { return };
-        let turned = outcome == Outcome::NoRoom;
-        if turned || long && !matches!(outcome, Outcome::NoRoute | Outcome::Fault) {
+        let turned = outcome == Outcome::Rejected;
+        if turned || long && !matches!(outcome, Outcome::ConnectFailed | Outcome::ServerError) {
             // What was sent before the bound was lowered was turned away for the same reason.
             if pending.sent >= s.limit_cut_at {
                 s.limit = (s.limit * if turned { 0.5 } else { LIMIT_CUT }).max(least);
                 s.limit_cut_at = now;
             }
-        } else if outcome == Outcome::Pass && f64::from(s.calls_out() + 1) > s.limit / 2.0 {
+        } else if outcome == Outcome::Success && f64::from(s.calls_out() + 1) > s.limit / 2.0 {
             s.limit += (LIMIT_GROWTH * s.limit).min(1.0 / s.limit);
         }
         if turned {
@@ -864,8 +881,8 @@
     /// Adds to the doubt of a server, at its class too: where only that class fails, passes of others
     /// clear the server but not the class.
     fn doubt(&mut self, id: ServerId, class: ClassId, amount: f64) {
-        let (gap, aim, now) = (self.send_gap(), self.set.shortest_aim(), self.now);
-        let most = (DOUBT_AIMS * aim as f64).max(DOUBT_WARM * self.set.cold.warm_after as f64);
+        let (gap, aim, now) = (self.send_gap(), self.set.shortest_latency_objective(), self.now);
+        let most = (DOUBT_AIMS * aim as f64).max(DOUBT_WARM * self.set.slow_start.warm_up_duration as f64);
         let base = (2.0 * gap).clamp(aim as f64, most) as Nanos;
         let Some(s) = self.fleet.servers.get_mut(&id) else { return };
         let half = base << s.failures.min(DOUBLINGS);
@@ -888,7 +905,7 @@
     fn lost(&mut self, id: ServerId, class: ClassId, outcome: Outcome) {
         let now = self.now;
         let Some(s) = self.fleet.servers.get_mut(&id) else { return };
-        if outcome == Outcome::Cut {
+        if outcome == Outcome::ConnectionReset {
             s.broke_at.get_or_insert(now);
         }
         if std::mem::replace(&mut s.cut_at, now) != now {
@@ -897,14 +914,14 @@
     }
 
     fn pause(&mut self, id: ServerId) {
-        let until = self.now + self.set.shortest_aim() / TRIAL_SHARE;
+        let until = self.now + self.set.shortest_latency_objective() / TRIAL_SHARE;
         self.fleet.servers.entry(id).and_modify(|s| s.next_at = s.next_at.max(until));
     }
 
     fn cleared(&mut self, id: ServerId, class: ClassId) {
         let now = self.now;
         // Where we seldom send, one pass tells little: a server that stands still now and then has many.
-        let thin = self.send_gap() > THIN_AIMS * self.set.shortest_aim() as f64;
+        let thin = self.send_gap() > THIN_AIMS * self.set.shortest_latency_objective() as f64;
         let Some(s) = self.fleet.servers.get_mut(&id) else { return };
         s.failures = if thin { s.failures.saturating_sub(THIN_FORGIVEN) } else { 0 };
         let left = if thin { DOUBT_CLEARED.sqrt() } else { DOUBT_CLEARED };
@@ -912,7 +929,8 @@
         s.class_doubt[class.0].scale(now, left);
         s.broke = false;
         // One that is back within the time in which a cold one falls over has not been away.
-        if s.broke_at.take().is_some_and(|at| now.saturating_sub(at) >= self.set.cold.fall) {
+        if s.broke_at.take().is_some_and(|at| now.saturating_sub(at) >= self.set.slow_start.overload_duration)
+        {
             let credit = Credit { parts: 0.0, at: now, passes: self.seen.passes };
             (s.cold_since, s.credit) = (Some(now), credit);
         }
@@ -951,11 +969,13 @@
             if self.now < self.ways[z].1 || !self.way_bad(zone) {
                 continue;
             }
-            self.ways[z].1 = self.now + self.set.shortest_aim() / 2;
+            self.ways[z].1 = self.now + self.set.shortest_latency_objective() / 2;
             let there = self.fleet.servers.iter().filter(|(_, s)| s.listed && s.zone == zone);
             let there: Vec<ServerId> = there.map(|(&id, _)| id).collect();
             match self.rng.choice(&there) {
-                Some(&server) if self.set.may_probe => self.actions.push(Action::Probe { server }),
+                Some(&server) if self.set.may_check_health => {
+                    self.actions.push(Action::CheckHealth { server })
+                }
                 _ => self.judge_way(zone, false),
             }
         }
@@ -969,20 +989,20 @@
         }
         let idle = self.now.saturating_sub(s.used_at?);
         if self.stale(idle) && self.rng.u32(0..IDLE_TRIAL) > 0 {
-            self.actions.push(Action::Close { server: id });
+            self.actions.push(Action::CloseIdleConnections { server: id });
             return None;
         }
-        self.set.idle.is_none_or(|most| idle < most).then_some(idle)
+        self.set.connection_idle_timeout.is_none_or(|most| idle < most).then_some(idle)
     }
 
     /// The connection: parts never answered after idle times, while those on fresh ones are.
     fn judge_idle(&mut self, pending: &Pending, outcome: Outcome, latency: Nanos) -> bool {
         let silent = match outcome {
-            Outcome::Cut | Outcome::NoRoute => true,
-            Outcome::Undone | Outcome::TooSlow => latency as f64 >= OVERDUE * pending.aim as f64,
+            Outcome::ConnectionReset | Outcome::ConnectFailed => true,
+            Outcome::Cancelled | Outcome::TimedOut => latency as f64 >= OVERDUE * pending.aim as f64,
             _ => false,
         };
-        let rested = pending.idle.is_some_and(|t| t > self.set.shortest_aim() / IDLE_SHARE);
+        let rested = pending.idle.is_some_and(|t| t > self.set.shortest_latency_objective() / IDLE_SHARE);
         let tally = if rested { &mut self.seen.idle } else { &mut self.seen.fresh };
         tally.add(silent, if rested { IDLE_STEP } else { WAY_STEP });
         silent && rested && shares(&self.seen.idle, self.seen.fresh.share(), IDLE_BAD)
@@ -995,10 +1015,10 @@
 
     // ---- The list, drains and cold servers. ----
 
-    fn take_list(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
-        self.seen.list_unusable = kind == ListKind::Known;
+    fn take_list(&mut self, kind: EndpointUpdateKind, entries: Vec<EndpointRecord>) {
+        self.seen.list_unusable = kind == EndpointUpdateKind::Unconfirmed;
         let (mut rng, classes) = (self.rng.fork(), self.set.classes.len());
-        let start = self.set.bursts().max(LIMIT_START);
+        let start = self.set.burst_allowance().max(LIMIT_START);
         let fresh = || Server::new(rng.u64(1..64), start, classes);
         for id in self.fleet.update(self.now, kind, entries, fresh) {
             // Coordinators begin with different credit, or all would send to a cold server at once.
@@ -1014,24 +1034,28 @@
     /// x the larger of what servers complete for us on average and our share of what one core does then. No
     /// server completes more than it can do: together all keep the rule, whatever their number and traffic.
     fn cold_allowance(&self, s: &Server) -> Option<f64> {
-        let cold = &self.set.cold;
-        let since = s.cold_since.filter(|&since| self.now.saturating_sub(since) < cold.warm_after)?;
+        let cold = &self.set.slow_start;
+        let since = s.cold_since.filter(|&since| self.now.saturating_sub(since) < cold.warm_up_duration)?;
         let warmth = |at: Nanos| {
-            let age = at.saturating_sub(since) as f64 / cold.warm_after as f64;
-            cold.share + (1.0 - cold.share) * age
+            let age = at.saturating_sub(since) as f64 / cold.warm_up_duration as f64;
+            cold.initial_capacity_ratio + (1.0 - cold.initial_capacity_ratio) * age
         };
         let mean = (warmth(s.credit.at) + warmth(self.now)) / 2.0;
         let completed = (self.seen.passes - s.credit.passes) as f64 / self.fleet.listed.max(1) as f64;
-        let guess = if self.seen.quartile > 0 { self.seen.quartile } else { self.set.shortest_aim() / 6 };
+        let guess = if self.seen.quartile > 0 {
+            self.seen.quartile
+        } else {
+            self.set.shortest_latency_objective() / 6
+        };
         let span = self.now.saturating_sub(s.credit.at) as f64;
-        let one_core = COLD_ONE_CORE * span / (guess.max(1) as f64 * self.set.sharers());
-        let grown = cold.multiple * mean * (COLD_AS_PEERS * completed).max(one_core);
-        Some((s.credit.parts + grown).min((self.set.bursts() / LIMIT_START).max(1.0)))
+        let one_core = COLD_ONE_CORE * span / (guess.max(1) as f64 * self.set.slow_start_sharers());
+        let grown = cold.overload_multiple * mean * (COLD_AS_PEERS * completed).max(one_core);
+        Some((s.credit.parts + grown).min((self.set.burst_allowance() / LIMIT_START).max(1.0)))
     }
 
     /// Mean time between our first sends to one server.
     fn send_gap(&self) -> f64 {
-        let span = self.set.longest_aim().saturating_mul(COPY_WINDOW_AIMS) as f64;
+        let span = self.set.longest_latency_objective().saturating_mul(COPY_WINDOW_AIMS) as f64;
         let sends = self.counts.first_sends.since(self.now.saturating_sub(span as Nanos)).max(1);
         span * self.fleet.listed.max(1) as f64 / sends as f64
     }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -2,7 +2,8 @@
 //! module's settings and the figures that sockets need. One parser for both programs.
 
 use crate::api::{
-    Budget, Class, ClassId, ColdRule, Discovery, Effect, Layout, Nanos, Settings, Tenant, ZoneId,
+    Class, ClassId, DiscoveryMode, Nanos, RetryBudget, RetrySafety, Settings, ShardLayout, SlowStartPolicy,
+    Tenant, ZoneId,
 };
 use serde::Deserialize;
 
@@ -39,14 +40,15 @@
     /// is shared with them. Other bounds are not: where they bind, the two halve their traffic anyway.
     #[must_use]
     pub fn beside(mut self, others: u32) -> Self {
-        self.settings.cold.processes = others.saturating_add(1);
+        self.settings.slow_start.processes = others.saturating_add(1);
         self
     }
 
     /// What this says, taken over from `before` while queries are open: see [`Settings::after`].
     #[must_use]
     pub fn after(self, before: &Self) -> Self {
-        let (settings, classes) = self.settings.after(&before.settings, (&before.classes, &self.classes));
+        let (settings, classes) =
+            self.settings.carried_over_from(&before.settings, (&before.classes, &self.classes));
         Self { settings, classes, ..before.clone() }
     }
 }
@@ -177,46 +179,46 @@
         classes.push(read_class(class, &info, i)?);
     }
     let rules = &info.rules;
-    let budget = rules.resend_ratio.map(|ratio| Budget {
+    let budget = rules.resend_ratio.map(|ratio| RetryBudget {
         window: rules.extra_window_ns.unwrap_or(0),
-        free: rules.min_extra.unwrap_or(0.0),
+        base_attempts: rules.min_extra.unwrap_or(0.0),
         ratio,
     });
     let discovery = match info.discovery.as_str() {
-        "on_request" => Discovery::OnRequest { must_ask_in: rules.must_ask_in_ns.unwrap_or(u64::MAX) },
-        _ => Discovery::Pushed,
+        "on_request" => DiscoveryMode::Poll { poll_interval_max: rules.must_ask_in_ns.unwrap_or(u64::MAX) },
+        _ => DiscoveryMode::Push,
     };
     let home = info.locality.as_ref().and_then(|own| info.zones.iter().position(|z| z == own));
     let settings = Settings {
         coordinators: info.balancers,
         classes,
-        tenants: info.realms.iter().map(|r| Tenant { quota: r.quota_rps, share: r.share }).collect(),
-        over_share_worth: info.over_share_worth,
+        tenants: info.realms.iter().map(|r| Tenant { quota: r.quota_rps, fair_share: r.share }).collect(),
+        over_quota_value_ratio: info.over_share_worth,
         discovery,
-        layout: Layout {
-            cells: info.domain.positions,
-            in_a_row: info.domain.in_a_row,
-            batch: info.domain.batch,
+        layout: ShardLayout {
+            partition_groups: info.domain.positions,
+            groups_per_shard: info.domain.in_a_row,
+            max_batch: info.domain.batch,
             call_overhead: info.domain.overhead_ns,
         },
         max_open: info.limits.max_open,
         may_cancel: info.limits.cancel,
-        may_duplicate: info.limits.may_duplicate,
-        may_probe: info.limits.probes,
-        max_hold_off: info.limits.retry_after.then_some(info.limits.max_retry_after_ns),
-        budget,
-        cold: ColdRule {
-            share: rules.cold_share,
-            warm_after: rules.cold_ns,
-            multiple: rules.tip_multiple,
-            fall: rules.fall_ns,
+        may_hedge: info.limits.may_duplicate,
+        may_check_health: info.limits.probes,
+        max_retry_after: info.limits.retry_after.then_some(info.limits.max_retry_after_ns),
+        retry_budget: budget,
+        slow_start: SlowStartPolicy {
+            initial_capacity_ratio: rules.cold_share,
+            warm_up_duration: rules.cold_ns,
+            overload_multiple: rules.tip_multiple,
+            overload_duration: rules.fall_ns,
             processes: 1,
         },
         tick: info.tick_ns,
         zones: info.zones.len() as u32,
-        home: home.map(|z| ZoneId(z as u32)),
-        marks_retry: info.client_habits.is_some_and(|h| h.marks_retry),
-        idle: info.limits.conn_idle_ns,
+        local_zone: home.map(|z| ZoneId(z as u32)),
+        clients_mark_retries: info.client_habits.is_some_and(|h| h.marks_retry),
+        connection_idle_timeout: info.limits.conn_idle_ns,
     };
     Ok(Info {
         settings,
@@ -235,24 +237,24 @@
 fn read_class(class: &WireClass, info: &WireInfo, i: usize) -> Result<Class, String> {
     let domain = &info.domain;
     let effect = match class.effect.as_str() {
-        "idempotent" => Effect::Safe,
-        "deduplicated" => Effect::Keyed,
-        "at_most_once" => Effect::Unsafe,
+        "idempotent" => RetrySafety::Idempotent,
+        "deduplicated" => RetrySafety::Deduplicated,
+        "at_most_once" => RetrySafety::AtMostOnce,
         other => return Err(format!("unknown effect '{other}'")),
     };
     let need = domain.complete_from.get(i).copied().unwrap_or(1.0);
     Ok(Class {
-        aim: class.aim_ns,
+        latency_objective: class.aim_ns,
         deadline: class.deadline_ns,
-        importance: class.importance,
-        late_worth: class.late_worth,
-        effect,
-        repeat_window: class.repeat_window_ns,
-        floor: domain.class_floor.get(i).copied().unwrap_or(need),
-        need,
-        partial: domain.class_partial.get(i).copied(),
-        second_step: domain.second_step.get(i).copied().unwrap_or(0),
-        attempts: info.limits.max_attempts,
+        priority_weight: class.importance,
+        late_value_ratio: class.late_worth,
+        retry_safety: effect,
+        retry_window: class.repeat_window_ns,
+        min_coverage: domain.class_floor.get(i).copied().unwrap_or(need),
+        complete_coverage: need,
+        partial_value_ratio: domain.class_partial.get(i).copied(),
+        second_phase_parts: domain.second_step.get(i).copied().unwrap_or(0),
+        max_attempts: info.limits.max_attempts,
         retired: false,
     })
 }
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -24,8 +24,8 @@
 #[test]
 fn processes_in_one_place_share_what_a_cold_node_may_be_sent() {
     let (alone, beside) = (info(&[(0, 0)]), info(&[(0, 0)]).beside(1));
-    assert_eq!((alone.settings.sharers(), beside.settings.sharers()), (1.0, 2.0));
-    assert_eq!(beside.after(&alone).settings.sharers(), 2.0, "kept when settings change");
+    assert_eq!((alone.settings.slow_start_sharers(), beside.settings.slow_start_sharers()), (1.0, 2.0));
+    assert_eq!(beside.after(&alone).settings.slow_start_sharers(), 2.0, "kept when settings change");
 }
 
 /// Guards large deployments: the settings of 1,024 coordinators and 1,024 cells, indented, are taken as they are.
@@ -38,8 +38,11 @@
     let value: serde_json::Value = serde_json::from_str(text).unwrap();
     let info = read(&serde_json::to_string_pretty(&value).unwrap()).unwrap();
     assert_eq!(info.settings.check(), Ok(()));
-    assert_eq!((info.settings.coordinators, info.settings.layout.cells, info.ranges), (1024, 1024, 4096));
-    assert_eq!(info.settings.sharers(), 1024.0);
+    assert_eq!(
+        (info.settings.coordinators, info.settings.layout.partition_groups, info.ranges),
+        (1024, 1024, 4096)
+    );
+    assert_eq!(info.settings.slow_start_sharers(), 1024.0);
 }
 
 proptest! {
@@ -71,7 +74,7 @@
                 let rules = |info: &Info| info.class(&name).map(|c| info.settings.classes[c.0].clone());
                 prop_assert_eq!(rules(&next), rules(&wanted));
             }
-            prop_assert_eq!(next.settings.shortest_aim(), wanted.settings.shortest_aim());
+            prop_assert_eq!(next.settings.shortest_latency_objective(), wanted.settings.shortest_latency_objective());
             now = Some(next);
         }
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use crate::api::{
-    ClassId, Layout, ListEntry, ListKind, Nanos, PartId, Phase, QueryId, ServerId, ShardId, ZoneId,
+    ClassId, EndpointRecord, EndpointState, EndpointUpdateKind, Nanos, PartId, QueryId, ServerId, ShardId,
+    ShardLayout, ZoneId,
 };
 use crate::starts::{cold_since, Evidence};
 use crate::window::{Decaying, SlidingCount, Tally};
@@ -403,23 +404,24 @@
     pub(crate) fn update(
         &mut self,
         now: Nanos,
-        kind: ListKind,
-        entries: Vec<ListEntry>,
+        kind: EndpointUpdateKind,
+        entries: Vec<EndpointRecord>,
         mut fresh: impl FnMut() -> Server,
     ) -> Vec<ServerId> {
         let evidence = self.evidence();
-        if kind != ListKind::Known {
+        if kind != EndpointUpdateKind::Unconfirmed {
             self.confirmed_at = Some(now);
         }
-        if kind.is_full() {
+        if kind.is_complete() {
             self.servers.values_mut().for_each(|s| (s.listed, s.gone) = (false, true));
         }
         let mut started = Vec::new();
         for entry in entries {
             let s = self.servers.entry(entry.server).or_insert_with(&mut fresh);
-            s.cell = entry.cell;
+            s.cell = entry.partition_group;
             s.zone = entry.zone;
-            (s.listed, s.gone) = (entry.phase == Phase::In, entry.phase == Phase::Out);
+            (s.listed, s.gone) =
+                (entry.state == EndpointState::Active, entry.state == EndpointState::Removed);
             // Another time is another start, also an earlier one: the wall clock may have been stepped back.
             if entry.started_at != 0 && entry.started_at != s.started_at {
                 s.started_at = entry.started_at;
@@ -440,9 +442,9 @@
     }
 
     /// The listed servers that hold a shard.
-    pub(crate) fn holders(&self, shard: ShardId, layout: Layout) -> impl Iterator<Item = &ServerId> {
-        (0..layout.in_a_row.min(layout.cells)).flat_map(move |j| {
-            let cell = (u64::from(shard.0) + u64::from(j)) % u64::from(layout.cells);
+    pub(crate) fn holders(&self, shard: ShardId, layout: ShardLayout) -> impl Iterator<Item = &ServerId> {
+        (0..layout.groups_per_shard.min(layout.partition_groups)).flat_map(move |j| {
+            let cell = (u64::from(shard.0) + u64::from(j)) % u64::from(layout.partition_groups);
             self.cells.get(cell as usize).into_iter().flatten()
         })
     }
--- a/crates/core/tests/cold_budget.rs
+++ b/crates/core/tests/cold_budget.rs
@@ -30,7 +30,7 @@
 
 /// One data node: parts wait for a core, and a cold one works the slower.
 struct DataNode {
-    entry: ListEntry,
+    entry: EndpointRecord,
     cores: [Nanos; CORES],
     /// When the parts that wait begin.
     waiting: VecDeque<Nanos>,
@@ -40,17 +40,17 @@
 
 impl DataNode {
     fn new(server: u32) -> Self {
-        let entry = ListEntry { cell: server, ..entry(server, Phase::In) };
+        let entry = EndpointRecord { partition_group: server, ..entry(server, EndpointState::Active) };
         Self { entry, cores: [0; CORES], waiting: VecDeque::new(), reached: Vec::new() }
     }
 
     /// Share of its capacity that it has; all of it if it has not restarted.
-    fn warmth(&self, cold: &ColdRule, now: Nanos) -> f64 {
+    fn warmth(&self, cold: &SlowStartPolicy, now: Nanos) -> f64 {
         if self.entry.started_at == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.entry.started_at) as f64 / cold.warm_after as f64;
-        (cold.share + (1.0 - cold.share) * age).min(1.0)
+        let age = now.saturating_sub(self.entry.started_at) as f64 / cold.warm_up_duration as f64;
+        (cold.initial_capacity_ratio + (1.0 - cold.initial_capacity_ratio) * age).min(1.0)
     }
 
     fn restart(&mut self, now: Nanos) {
@@ -61,12 +61,12 @@
     }
 
     /// Takes a part of so much work; returns when its attempt ends, and how.
-    fn serve(&mut self, cold: &ColdRule, now: Nanos, work: f64) -> (Nanos, Outcome) {
+    fn serve(&mut self, cold: &SlowStartPolicy, now: Nanos, work: f64) -> (Nanos, Outcome) {
         self.reached.push(now);
         self.waiting.retain(|&begins| begins > now);
         let core = self.cores.iter_mut().min().unwrap();
         if *core > now && self.waiting.len() >= WAITING_ROOM {
-            return (now, Outcome::NoRoom);
+            return (now, Outcome::Rejected);
         }
         let begins = now.max(*core);
         if begins > now {
@@ -75,22 +75,24 @@
         let warmth = self.warmth(cold, begins);
         let ends = begins + (work / warmth) as Nanos;
         *self.cores.iter_mut().min().unwrap() = ends;
-        (ends, Outcome::Pass)
+        (ends, Outcome::Success)
     }
 
     /// The sliding window in which the most of its allowance reached it, of the parts that found it cold: once warm it
     /// has no allowance.
-    fn fullest_window(&self, cold: &ColdRule, capacity: f64) -> Window {
+    fn fullest_window(&self, cold: &SlowStartPolicy, capacity: f64) -> Window {
         let (started, mut from) = (self.entry.started_at, 0);
         let mut fullest = Window::default();
         for (last, &at) in self.reached.iter().enumerate() {
-            if started == 0 || at >= started + cold.warm_after {
+            if started == 0 || at >= started + cold.warm_up_duration {
                 break;
             }
             // The earliest window that ends with this part: it is allowed the least.
-            let begin = started.max((at + 1).saturating_sub(cold.fall));
+            let begin = started.max((at + 1).saturating_sub(cold.overload_duration));
             from += self.reached[from..].iter().take_while(|&&t| t < begin).count();
-            let budget = cold.multiple * self.warmth(cold, begin) * capacity * cold.fall as f64 / 1e9;
+            let budget =
+                cold.overload_multiple * self.warmth(cold, begin) * capacity * cold.overload_duration as f64
+                    / 1e9;
             let window = Window { parts: last + 1 - from, budget, age: begin - started };
             if window.share() > fullest.share() {
                 fullest = window;
@@ -154,11 +156,12 @@
 
 impl Simulation {
     fn new(scene: Scene) -> Self {
-        let layout = Layout { cells: scene.servers, in_a_row: 4, ..settings().layout };
+        let layout =
+            ShardLayout { partition_groups: scene.servers, groups_per_shard: 4, ..settings().layout };
         let mut set = Settings { coordinators: scene.coordinators, layout, max_open: MAX_OPEN, ..settings() };
-        set.classes[0].floor = scene.floor;
+        set.classes[0].min_coverage = scene.floor;
         let nodes: Vec<DataNode> = (0..scene.servers).map(DataNode::new).collect();
-        let entries: Vec<ListEntry> = nodes.iter().map(|n| n.entry).collect();
+        let entries: Vec<EndpointRecord> = nodes.iter().map(|n| n.entry).collect();
         let mut rng = fastrand::Rng::with_seed(scene.seed);
         let mut weights: Vec<f64> = (0..scene.coordinators).map(|_| uneven(&mut rng)).collect();
         weights[0] = weights[0].max(0.5); // Not all are idle.
@@ -178,13 +181,13 @@
         for &server in restarted {
             self.nodes[server as usize].restart(now);
         }
-        let told: Vec<ListEntry> = restarted.iter().map(|&s| self.nodes[s as usize].entry).collect();
+        let told: Vec<EndpointRecord> = restarted.iter().map(|&s| self.nodes[s as usize].entry).collect();
         for &n in fresh {
-            let entries: Vec<ListEntry> = self.nodes.iter().map(|n| n.entry).collect();
+            let entries: Vec<EndpointRecord> = self.nodes.iter().map(|n| n.entry).collect();
             let seed = self.rng.u64(..);
             self.served[n].coordinator = Coordinator::started_at(now, &self.set, seed, &entries);
         }
-        let (nodes, rng, cold, work) = (&mut self.nodes, &mut self.rng, self.set.cold, self.scene.work);
+        let (nodes, rng, cold, work) = (&mut self.nodes, &mut self.rng, self.set.slow_start, self.scene.work);
         for served in &mut self.served {
             let mut shards = Vec::new();
             if served.next <= now {
@@ -194,12 +197,12 @@
             if shards.is_empty() && told.is_empty() && !served.coordinator.due(now) {
                 continue;
             }
-            let news =
-                (!told.is_empty()).then(|| Event::List { kind: ListKind::Diff, entries: told.clone() });
+            let news = (!told.is_empty())
+                .then(|| Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: told.clone() });
             served.coordinator.round_at(now, news.into_iter().collect(), &shards, |server, within| {
                 let (ends, outcome) = nodes[server.0 as usize].serve(&cold, now, work * (0.5 + rng.f64()));
                 if ends > now + within {
-                    (now + within, Outcome::TooSlow)
+                    (now + within, Outcome::TimedOut)
                 } else {
                     (ends, outcome)
                 }
@@ -235,8 +238,8 @@
         let restarts: Vec<(Nanos, u32)> = servers.iter().map(|&s| (moment(&mut rng), s)).collect();
         let tenth = if self.seed % 2 == 1 { self.coordinators.div_ceil(10) } else { 0 };
         let fresh: Vec<(Nanos, usize)> = (0..tenth as usize).map(|n| (moment(&mut rng), n)).collect();
-        let cold = simulation.set.cold;
-        simulation.run(&restarts, &fresh, START + WARM_UP + RESTARTS + cold.warm_after);
+        let cold = simulation.set.slow_start;
+        simulation.run(&restarts, &fresh, START + WARM_UP + RESTARTS + cold.warm_up_duration);
         let windows = simulation.nodes.iter().map(|n| n.fullest_window(&cold, self.capacity()));
         windows.max_by(|a, b| a.share().total_cmp(&b.share())).unwrap()
     }
@@ -323,14 +326,14 @@
             let scene =
                 Scene { coordinators, servers: MANY_SERVERS, work: 25e6, load: 0.5, floor: 1.0, seed };
             let mut simulation = Simulation::new(scene);
-            let cold = simulation.set.cold;
+            let cold = simulation.set.slow_start;
             let restart = START + WARM_UP;
-            simulation.run(&[(restart, 0)], &[], restart + cold.warm_after / 2);
+            simulation.run(&[(restart, 0)], &[], restart + cold.warm_up_duration / 2);
             sent += simulation.nodes[0].reached.len();
             // Over its first half it is as warm on average as at a quarter.
-            let warmth = cold.share + (1.0 - cold.share) / 4.0;
-            let mean = scene.load * scene.capacity() * cold.warm_after as f64 / 2.0 / 1e9;
-            budget += 0.75 * cold.multiple * warmth * mean;
+            let warmth = cold.initial_capacity_ratio + (1.0 - cold.initial_capacity_ratio) / 4.0;
+            let mean = scene.load * scene.capacity() * cold.warm_up_duration as f64 / 2.0 / 1e9;
+            budget += 0.75 * cold.overload_multiple * warmth * mean;
         }
         let share = f64::from(sent as u32) / budget;
         println!("{coordinators} coordinators: {sent} parts at the cold server, {share:.2} of the budget");
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -7,19 +7,19 @@
 pub const MS: Nanos = 1_000_000;
 pub const START: Nanos = 1_000_000 * MS;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: RetrySafety) -> Class {
     Class {
-        aim: 1200 * MS,
+        latency_objective: 1200 * MS,
         deadline: 4000 * MS,
-        importance: 1.0,
-        late_worth: 0.0,
-        effect,
-        repeat_window: 2000 * MS,
-        floor: 1.0,
-        need: 1.0,
-        partial: None,
-        second_step: 0,
-        attempts: 3,
+        priority_weight: 1.0,
+        late_value_ratio: 0.0,
+        retry_safety: effect,
+        retry_window: 2000 * MS,
+        min_coverage: 1.0,
+        complete_coverage: 1.0,
+        partial_value_ratio: None,
+        second_phase_parts: 0,
+        max_attempts: 3,
         retired: false,
     }
 }
@@ -27,28 +27,45 @@
 pub fn settings() -> Settings {
     Settings {
         coordinators: 3,
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Keyed)],
+        classes: vec![
+            class(RetrySafety::Idempotent),
+            class(RetrySafety::AtMostOnce),
+            class(RetrySafety::Deduplicated),
+        ],
         tenants: Vec::new(),
-        over_share_worth: 0.2,
-        discovery: Discovery::Pushed,
-        layout: Layout { cells: 1, in_a_row: 1, batch: 1, call_overhead: 0 },
+        over_quota_value_ratio: 0.2,
+        discovery: DiscoveryMode::Push,
+        layout: ShardLayout { partition_groups: 1, groups_per_shard: 1, max_batch: 1, call_overhead: 0 },
         max_open: 200,
         may_cancel: true,
-        may_duplicate: true,
-        may_probe: true,
-        max_hold_off: Some(1000 * MS),
-        budget: Some(Budget { window: 5000 * MS, free: 10.0, ratio: 0.2 }),
-        cold: ColdRule { share: 0.2, warm_after: 16_000 * MS, multiple: 2.0, fall: 2000 * MS, processes: 1 },
+        may_hedge: true,
+        may_check_health: true,
+        max_retry_after: Some(1000 * MS),
+        retry_budget: Some(RetryBudget { window: 5000 * MS, base_attempts: 10.0, ratio: 0.2 }),
+        slow_start: SlowStartPolicy {
+            initial_capacity_ratio: 0.2,
+            warm_up_duration: 16_000 * MS,
+            overload_multiple: 2.0,
+            overload_duration: 2000 * MS,
+            processes: 1,
+        },
         tick: 5 * MS,
         zones: 0,
-        home: None,
-        marks_retry: false,
-        idle: None,
+        local_zone: None,
+        clients_mark_retries: false,
+        connection_idle_timeout: None,
     }
 }
 
-pub fn entry(server: u32, phase: Phase) -> ListEntry {
-    ListEntry { server: ServerId(server), cell: 0, started_at: 0, rating: 1.0, phase, zone: None }
+pub fn entry(server: u32, phase: EndpointState) -> EndpointRecord {
+    EndpointRecord {
+        server: ServerId(server),
+        partition_group: 0,
+        started_at: 0,
+        capacity: 1.0,
+        state: phase,
+        zone: None,
+    }
 }
 
 pub struct Bed {
@@ -60,8 +77,8 @@
 impl Bed {
     pub fn new(settings: Settings, servers: u32) -> Self {
         let mut bed = Self { policy: Policy::new(settings, 7).unwrap(), now: START, next: 0 };
-        let entries = (0..servers).map(|s| entry(s, Phase::In)).collect();
-        bed.round(vec![Event::List { kind: ListKind::Full, entries }]);
+        let entries = (0..servers).map(|s| entry(s, EndpointState::Active)).collect();
+        bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records: entries }]);
         bed
     }
 
@@ -75,7 +92,7 @@
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 5 * MS).min(end);
-            actions.extend(self.round(vec![Event::Wake]));
+            actions.extend(self.round(vec![Event::TimerFired]));
         }
         actions
     }
@@ -92,17 +109,17 @@
         let id = QueryId(self.next);
         self.next += 1 + parts;
         let valid_until = self.now + 4000 * MS;
-        let mut events = vec![Event::Query {
+        let mut events = vec![Event::QueryArrived {
             id,
             class: ClassId(class),
             tenant: None,
             key: None,
-            repeated: false,
-            valid_until,
+            is_retry: false,
+            deadline: valid_until,
         }];
         for p in 1..=parts {
             let weight = 1.0 / parts as f64;
-            events.push(Event::Part { id: PartId(id.0 + p), query: id, shard: ShardId(0), weight });
+            events.push(Event::PartArrived { id: PartId(id.0 + p), query: id, shard: ShardId(0), weight });
         }
         (id, events)
     }
@@ -112,7 +129,7 @@
     }
 
     pub fn ended_after(&self, send: &Sent, attempt: u32, outcome: Outcome, latency: Nanos) -> Event {
-        Event::Ended { part: send.part, attempt, server: send.server, outcome, latency }
+        Event::AttemptEnded { part: send.part, attempt, server: send.server, outcome, latency }
     }
 
     /// Serves `n` one-part queries of 100 ms each, so that the module has samples.
@@ -120,7 +137,7 @@
         for _ in 0..n {
             let (_, _, actions) = self.query(0, 1);
             self.now += 100 * MS;
-            let done = sends(&actions).iter().map(|s| self.ended(s, 0, Outcome::Pass)).collect();
+            let done = sends(&actions).iter().map(|s| self.ended(s, 0, Outcome::Success)).collect();
             self.round(done);
         }
     }
@@ -134,7 +151,7 @@
 
 pub fn sends(actions: &[Action]) -> Vec<Sent> {
     let sent = |a: &Action| match a {
-        Action::Send { part, server, .. } => Some(Sent { part: *part, server: *server }),
+        Action::StartAttempt { part, server, .. } => Some(Sent { part: *part, server: *server }),
         _ => None,
     };
     actions.iter().filter_map(sent).collect()
@@ -160,15 +177,18 @@
 }
 
 impl Coordinator {
-    pub fn new(set: &Settings, seed: u64, entries: &[ListEntry]) -> Self {
+    pub fn new(set: &Settings, seed: u64, entries: &[EndpointRecord]) -> Self {
         Self::started_at(START, set, seed, entries)
     }
 
     /// One that starts now, with the list told to it at once.
-    pub fn started_at(now: Nanos, set: &Settings, seed: u64, entries: &[ListEntry]) -> Self {
+    pub fn started_at(now: Nanos, set: &Settings, seed: u64, entries: &[EndpointRecord]) -> Self {
         let policy = Policy::new(set.clone(), seed).unwrap();
         let mut new = Self { policy, out: Vec::new(), attempts: Default::default(), next: 0, wake_at: 0 };
-        new.policy.round(now, vec![Event::List { kind: ListKind::Full, entries: entries.to_vec() }]);
+        new.policy.round(
+            now,
+            vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records: entries.to_vec() }],
+        );
         new
     }
 
@@ -180,7 +200,7 @@
     /// A round with a query of so many parts at shard 0 if any, each answered in `work`; returns where parts were
     /// sent, and what was done.
     pub fn round(&mut self, now: Nanos, parts: usize, work: Nanos) -> (Vec<ServerId>, Vec<Action>) {
-        self.round_at(now, Vec::new(), &vec![ShardId(0); parts], |_, _| (now + work, Outcome::Pass))
+        self.round_at(now, Vec::new(), &vec![ShardId(0); parts], |_, _| (now + work, Outcome::Success))
     }
 
     /// A round with further events and a query of parts at these shards if any. `serve` takes the server that a part
@@ -199,19 +219,19 @@
         let mut sent = Vec::new();
         for action in &actions {
             match *action {
-                Action::Send { part, server, within } => {
+                Action::StartAttempt { part, server, timeout: within } => {
                     let attempt = *self.attempts.entry(part).and_modify(|n| *n += 1).or_insert(0);
                     let (ends, outcome) = serve(server, within);
                     self.out.push(Out { part, attempt, server, sent: now, ends, outcome });
                     sent.push(server);
                 }
-                Action::Cancel { part, attempt } => {
+                Action::CancelAttempt { part, attempt } => {
                     let called_off = |o: &&mut Out| (o.part, o.attempt) == (part, attempt);
                     if let Some(o) = self.out.iter_mut().find(called_off) {
-                        (o.ends, o.outcome) = (now, Outcome::Undone);
+                        (o.ends, o.outcome) = (now, Outcome::Cancelled);
                     }
                 }
-                Action::Wake { after } => self.wake_at = now + after,
+                Action::SetTimer { after } => self.wake_at = now + after,
                 _ => {}
             }
         }
@@ -220,12 +240,12 @@
 
     /// The attempts that have ended, and the timer if it is due.
     fn ended(&mut self, now: Nanos) -> Vec<Event> {
-        let mut events = vec![Event::Wake];
+        let mut events = vec![Event::TimerFired];
         self.wake_at = Nanos::MAX;
         self.out.retain(|o| {
             if o.ends <= now {
                 let (part, attempt, server, outcome) = (o.part, o.attempt, o.server, o.outcome);
-                events.push(Event::Ended { part, attempt, server, outcome, latency: o.ends - o.sent });
+                events.push(Event::AttemptEnded { part, attempt, server, outcome, latency: o.ends - o.sent });
             }
             o.ends > now
         });
@@ -240,9 +260,17 @@
         let query = QueryId(self.next);
         self.next += 1 + shards.len() as u64;
         let (class, tenant, key, valid_until) = (ClassId(0), None, None, now + 4000 * MS);
-        let mut events = vec![Event::Query { id: query, class, tenant, key, repeated: false, valid_until }];
+        let mut events = vec![Event::QueryArrived {
+            id: query,
+            class,
+            tenant,
+            key,
+            is_retry: false,
+            deadline: valid_until,
+        }];
         let weight = 1.0 / shards.len() as f64;
-        let part = |(p, &shard)| Event::Part { id: PartId(query.0 + 1 + p as u64), query, shard, weight };
+        let part =
+            |(p, &shard)| Event::PartArrived { id: PartId(query.0 + 1 + p as u64), query, shard, weight };
         events.extend(shards.iter().enumerate().map(part));
         events
     }
--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -23,8 +23,8 @@
 enum Step {
     Query { class: usize, parts: u32 },
     End { pick: usize, outcome: Outcome },
-    Change { lines: Vec<(u32, Phase)> },
-    Whole { lines: Vec<(u32, Phase)> },
+    Change { lines: Vec<(u32, EndpointState)> },
+    Whole { lines: Vec<(u32, EndpointState)> },
     NoChange,
     Leave { pick: usize },
 }
@@ -34,22 +34,22 @@
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
-        5 => Just(Outcome::Pass),
-        1 => Just(Outcome::Fault),
-        1 => Just(Outcome::NoRoom),
-        2 => Just(Outcome::NoRoute),
-        1 => Just(Outcome::Cut),
-        1 => Just(Outcome::Spoilt),
-        1 => Just(Outcome::TooSlow),
-        2 => Just(Outcome::StaleSend),
+        5 => Just(Outcome::Success),
+        1 => Just(Outcome::ServerError),
+        1 => Just(Outcome::Rejected),
+        2 => Just(Outcome::ConnectFailed),
+        1 => Just(Outcome::ConnectionReset),
+        1 => Just(Outcome::MalformedResponse),
+        1 => Just(Outcome::TimedOut),
+        2 => Just(Outcome::NotSent),
     ]
 }
 
-fn phase() -> impl Strategy<Value = Phase> {
-    prop_oneof![2 => Just(Phase::In), 2 => Just(Phase::Draining), 1 => Just(Phase::Out)]
+fn phase() -> impl Strategy<Value = EndpointState> {
+    prop_oneof![2 => Just(EndpointState::Active), 2 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)]
 }
 
-fn lines(most: usize) -> impl Strategy<Value = Vec<(u32, Phase)>> {
+fn lines(most: usize) -> impl Strategy<Value = Vec<(u32, EndpointState)>> {
     proptest::collection::vec((0..SERVERS, phase()), 0..most)
 }
 
@@ -110,10 +110,16 @@
 /// Two steps, partial answers, copies and probes, two zones, and no bound on further attempts but those of the classes.
 fn all_ways() -> Settings {
     let mut set = settings();
-    set.classes[0].second_step = 2;
-    set.classes[1] = Class { floor: 0.4, need: 1.0, late_worth: 0.3, attempts: 4, ..class(Effect::Safe) };
-    set.layout = Layout { cells: CELLS, in_a_row: 2, batch: 1, call_overhead: 0 };
-    Settings { zones: ZONES, budget: None, idle: Some(5000 * MS), ..set }
+    set.classes[0].second_phase_parts = 2;
+    set.classes[1] = Class {
+        min_coverage: 0.4,
+        complete_coverage: 1.0,
+        late_value_ratio: 0.3,
+        max_attempts: 4,
+        ..class(RetrySafety::Idempotent)
+    };
+    set.layout = ShardLayout { partition_groups: CELLS, groups_per_shard: 2, max_batch: 1, call_overhead: 0 };
+    Settings { zones: ZONES, retry_budget: None, connection_idle_timeout: Some(5000 * MS), ..set }
 }
 
 impl<'a> World<'a> {
@@ -133,29 +139,29 @@
             probes: Vec::new(),
             tried,
         };
-        let all: Vec<(u32, Phase)> = (0..SERVERS).map(|s| (s, Phase::In)).collect();
+        let all: Vec<(u32, EndpointState)> = (0..SERVERS).map(|s| (s, EndpointState::Active)).collect();
         let events = world.events(&Step::Whole { lines: all });
         world.round(events);
         world
     }
 
     /// The model of the list: the last word on a server holds.
-    fn list(&mut self, kind: ListKind, lines: &[(u32, Phase)]) -> Event {
-        if kind == ListKind::Full {
+    fn list(&mut self, kind: EndpointUpdateKind, lines: &[(u32, EndpointState)]) -> Event {
+        if kind == EndpointUpdateKind::Snapshot {
             self.up.clear();
         }
         for &(server, phase) in lines {
             match phase {
-                Phase::In => drop(self.up.insert(ServerId(server))),
-                Phase::Draining | Phase::Out => drop(self.up.remove(&ServerId(server))),
+                EndpointState::Active => drop(self.up.insert(ServerId(server))),
+                EndpointState::Draining | EndpointState::Removed => drop(self.up.remove(&ServerId(server))),
             }
         }
-        let line = |&(server, phase): &(u32, Phase)| ListEntry {
-            cell: server % CELLS,
+        let line = |&(server, phase): &(u32, EndpointState)| EndpointRecord {
+            partition_group: server % CELLS,
             zone: Some(ZoneId(server / CELLS % ZONES)),
             ..entry(server, phase)
         };
-        Event::List { kind, entries: lines.iter().map(line).collect() }
+        Event::EndpointsUpdated { kind, records: lines.iter().map(line).collect() }
     }
 
     fn events(&mut self, step: &Step) -> Vec<Event> {
@@ -167,22 +173,24 @@
                     p.out.remove(&attempt);
                 }
                 let latency = self.now - sent;
-                vec![Event::Ended { part, attempt, server, outcome: *outcome, latency }]
+                vec![Event::AttemptEnded { part, attempt, server, outcome: *outcome, latency }]
             }
             Step::End { .. } => self.probed().into_iter().collect(),
-            Step::Change { lines } => vec![self.list(ListKind::Diff, lines)],
-            Step::Whole { lines } => vec![self.list(ListKind::Full, lines)],
-            Step::NoChange => vec![Event::List { kind: ListKind::Diff, entries: Vec::new() }],
+            Step::Change { lines } => vec![self.list(EndpointUpdateKind::Delta, lines)],
+            Step::Whole { lines } => vec![self.list(EndpointUpdateKind::Snapshot, lines)],
+            Step::NoChange => {
+                vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: Vec::new() }]
+            }
             Step::Leave { pick } => {
                 let id = self.queries.keys().nth(pick % self.queries.len().max(1)).copied();
-                id.map(|id| (self.queries.remove(&id), Event::Gone(id)).1).into_iter().collect()
+                id.map(|id| (self.queries.remove(&id), Event::ClientDisconnected(id)).1).into_iter().collect()
             }
         }
     }
 
     fn probed(&mut self) -> Option<Event> {
         let (server, sent) = self.probes.pop()?;
-        Some(Event::Probed { server, outcome: Outcome::NoRoute, latency: self.now - sent })
+        Some(Event::HealthChecked { server, outcome: Outcome::ConnectFailed, latency: self.now - sent })
     }
 
     fn query(&mut self, class: usize, parts: u32) -> Vec<Event> {
@@ -190,13 +198,13 @@
         self.next += 1;
         let shards: Vec<ShardId> = (0..parts).map(ShardId).collect();
         self.queries.insert(id, Query { class, shards: shards.clone(), second: false });
-        let mut events = vec![Event::Query {
+        let mut events = vec![Event::QueryArrived {
             id,
             class: ClassId(class),
             tenant: None,
             key: None,
-            repeated: false,
-            valid_until: self.now + 3000 * MS,
+            is_retry: false,
+            deadline: self.now + 3000 * MS,
         }];
         events.extend(self.add_parts(id, &shards, false));
         events
@@ -209,7 +217,7 @@
             let id = PartId(self.next);
             self.next += 1;
             self.parts.insert(id, Part { second, ..Part::default() });
-            events.push(Event::Part { id, query, shard, weight });
+            events.push(Event::PartArrived { id, query, shard, weight });
         }
         events
     }
@@ -230,20 +238,20 @@
 
     fn act(&mut self, action: &Action) -> Vec<Event> {
         match *action {
-            Action::Send { part, server, .. } => self.sent(part, server),
-            Action::Probe { server } => {
+            Action::StartAttempt { part, server, .. } => self.sent(part, server),
+            Action::CheckHealth { server } => {
                 assert!(self.up.contains(&server), "probed one that is not up");
                 self.tried.borrow_mut().probes += 1;
                 self.probes.push((server, self.now));
             }
-            Action::Cancel { part, attempt } => return self.cancelled(part, attempt),
+            Action::CancelAttempt { part, attempt } => return self.cancelled(part, attempt),
             Action::Answer { query, .. } => return self.answered(query),
-            Action::Refuse { query, .. } | Action::Fail { query } => drop(self.queries.remove(&query)),
-            Action::Wake { after } => {
+            Action::Reject { query, .. } | Action::Fail { query } => drop(self.queries.remove(&query)),
+            Action::SetTimer { after } => {
                 let at = self.now + after;
                 self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
             }
-            Action::Close { .. } => {}
+            Action::CloseIdleConnections { .. } => {}
         }
         Vec::new()
     }
@@ -267,11 +275,17 @@
         if let Some(p) = self.parts.get_mut(&part) {
             p.out.remove(&attempt);
         }
-        vec![Event::Ended { part, attempt, server, outcome: Outcome::Undone, latency: self.now - sent }]
+        vec![Event::AttemptEnded {
+            part,
+            attempt,
+            server,
+            outcome: Outcome::Cancelled,
+            latency: self.now - sent,
+        }]
     }
 
     fn answered(&mut self, id: QueryId) -> Vec<Event> {
-        let two = |q: &Query| self.set.classes[q.class].second_step > 0 && !q.second;
+        let two = |q: &Query| self.set.classes[q.class].second_phase_parts > 0 && !q.second;
         match self.queries.get_mut(&id) {
             Some(query) if two(query) => {
                 query.second = true;
@@ -291,7 +305,7 @@
         while let Some(at) = self.wake.filter(|&w| w <= end) {
             self.now = at.max(self.now);
             self.wake = None;
-            self.round(vec![Event::Wake]);
+            self.round(vec![Event::TimerFired]);
         }
         self.now = end;
     }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -13,8 +13,8 @@
 /// what eight servers of so many parts a second can do at 60%.
 fn pressed(coordinators: u32, rate: f64) -> (f64, f64) {
     let set = Settings { coordinators, ..settings() };
-    let cold = set.cold;
-    let entries: Vec<ListEntry> = (0..8).map(|s| entry(s, Phase::In)).collect();
+    let cold = set.slow_start;
+    let entries: Vec<EndpointRecord> = (0..8).map(|s| entry(s, EndpointState::Active)).collect();
     let mut fleet: Vec<Coordinator> =
         (0..coordinators).map(|n| Coordinator::new(&set, u64::from(n) + 1, &entries)).collect();
     let mut rng = fastrand::Rng::with_seed(5);
@@ -24,8 +24,11 @@
     for now in (START..restart + 8000 * MS).step_by(STEP as usize) {
         for coordinator in &mut fleet {
             if now == restart {
-                let entries = vec![ListEntry { started_at: now, ..entry(7, Phase::In) }];
-                coordinator.policy.round(now, vec![Event::List { kind: ListKind::Diff, entries }]);
+                let entries = vec![EndpointRecord { started_at: now, ..entry(7, EndpointState::Active) }];
+                coordinator.policy.round(
+                    now,
+                    vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: entries }],
+                );
             }
             let parts = if rng.f64() < chance { 4 } else { 0 };
             let (sent, _) = coordinator.round(now, parts, (1e9 / rate * 2.0) as Nanos);
@@ -35,9 +38,10 @@
     assert!(!reached.is_empty(), "a cold server gets its share");
     let window = |from: usize| {
         let begin = reached[from];
-        let warmth = cold.share + (1.0 - cold.share) * (begin - restart) as f64 / cold.warm_after as f64;
-        let allowed = cold.multiple * warmth * rate * cold.fall as f64 / 1e9;
-        let sent = reached[from..].iter().take_while(|&&t| t < begin + cold.fall).count() as f64;
+        let warmth = cold.initial_capacity_ratio
+            + (1.0 - cold.initial_capacity_ratio) * (begin - restart) as f64 / cold.warm_up_duration as f64;
+        let allowed = cold.overload_multiple * warmth * rate * cold.overload_duration as f64 / 1e9;
+        let sent = reached[from..].iter().take_while(|&&t| t < begin + cold.overload_duration).count() as f64;
         (sent / allowed, sent - allowed - 2.0 * allowed.sqrt() - 2.0)
     };
     (0..reached.len()).map(window).fold((0.0, f64::MIN), |w, n| (w.0.max(n.0), w.1.max(n.1)))
@@ -79,7 +83,7 @@
         for now in (START..START + 4000 * MS).step_by(STEP as usize) {
             let (_, actions) = coordinator.round(now, 0, MS);
             back.extend(actions.iter().filter_map(|a| match a {
-                Action::Refuse { hold_off, .. } => Some(now + hold_off),
+                Action::Reject { retry_after: hold_off, .. } => Some(now + hold_off),
                 _ => None,
             }));
         }
@@ -99,20 +103,22 @@
     let work = 50 * MS;
     for (coordinators, fit) in [(1, 1), (3, 1), (9, 1), (36, 2), (100, 3), (320, 5)] {
         // Shard 0 is held by the cold server alone, shard 1 by one that is warm.
-        let layout = Layout { cells: 2, in_a_row: 1, ..settings().layout };
+        let layout = ShardLayout { partition_groups: 2, groups_per_shard: 1, ..settings().layout };
         let set = Settings { coordinators, layout, ..settings() };
-        let entries = [0, 1].map(|cell| ListEntry { cell, ..entry(cell, Phase::In) });
+        let entries =
+            [0, 1].map(|cell| EndpointRecord { partition_group: cell, ..entry(cell, EndpointState::Active) });
         let restart = START + 1000 * MS;
-        for unused in [set.cold.warm_after / 2, set.cold.warm_after - 200 * MS] {
+        for unused in [set.slow_start.warm_up_duration / 2, set.slow_start.warm_up_duration - 200 * MS] {
             let mut coordinator = Coordinator::new(&set, 1, &entries);
-            let started = ListEntry { started_at: restart, ..entries[0] };
-            let news = vec![Event::List { kind: ListKind::Diff, entries: vec![started] }];
+            let started = EndpointRecord { started_at: restart, ..entries[0] };
+            let news =
+                vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: vec![started] }];
             coordinator.policy.round(restart, news);
             let end = restart + unused;
             let mut elsewhere = 0;
             for now in (restart..end).step_by(STEP as usize) {
                 let (sent, _) =
-                    coordinator.round_at(now, vec![], &[ShardId(1)], |_, _| (now + work, Outcome::Pass));
+                    coordinator.round_at(now, vec![], &[ShardId(1)], |_, _| (now + work, Outcome::Success));
                 assert!(sent.iter().all(|s| s.0 == 1), "{sent:?}");
                 elsewhere += sent.len();
             }
@@ -128,7 +134,7 @@
 #[test]
 fn a_server_that_stands_still_now_and_then_is_left_for_others_where_traffic_is_thin() {
     let mut set = Settings { coordinators: 100, ..settings() };
-    set.classes.iter_mut().for_each(|c| c.aim = 300 * MS);
+    set.classes.iter_mut().for_each(|c| c.latency_objective = 300 * MS);
     let mut bed = Bed::new(set, 4);
     let (mut at_bad, mut all) = (0, 0);
     for _ in 0..120 {
@@ -140,7 +146,7 @@
             let standing = sent.server.0 == 0 && at_bad % 2 == 0;
             at_bad += usize::from(sent.server.0 == 0);
             let (outcome, latency) =
-                if standing { (Outcome::TooSlow, 200 * MS) } else { (Outcome::Pass, 50 * MS) };
+                if standing { (Outcome::TimedOut, 200 * MS) } else { (Outcome::Success, 50 * MS) };
             bed.now += latency;
             actions = bed.round(vec![bed.ended_after(&sent, attempt, outcome, latency)]);
             attempt += 1;
@@ -155,16 +161,16 @@
 #[test]
 fn a_copy_goes_over_an_open_connection_only() {
     for (idle, called_off) in [(30_000 * MS, 0), (50 * MS, 1)] {
-        let mut bed = Bed::new(Settings { idle: Some(idle), ..settings() }, 2);
+        let mut bed = Bed::new(Settings { connection_idle_timeout: Some(idle), ..settings() }, 2);
         for _ in 0..12 {
             let sent = [bed.query(0, 1).2, bed.query(0, 1).2].map(|actions| sends(&actions)[0]);
             assert_ne!(sent[0].server, sent[1].server);
             bed.now += 100 * MS;
-            bed.round(sent.map(|s| bed.ended(&s, 0, Outcome::Pass)).to_vec());
+            bed.round(sent.map(|s| bed.ended(&s, 0, Outcome::Success)).to_vec());
         }
         bed.query(0, 1);
         let later = bed.pass(600 * MS);
-        let cancels = later.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+        let cancels = later.iter().filter(|a| matches!(a, Action::CancelAttempt { .. })).count();
         assert_eq!((sends(&later).len(), cancels), (1, called_off), "idle after {idle}");
     }
 }
@@ -174,7 +180,7 @@
 #[test]
 fn a_part_that_was_turned_away_is_tried_again_without_a_charge() {
     let tried_again = |outcome| {
-        let mut bed = Bed::new(Settings { budget: None, ..settings() }, 60);
+        let mut bed = Bed::new(Settings { retry_budget: None, ..settings() }, 60);
         let mut again = 0;
         for _ in 0..20 {
             let first = sends(&bed.query(0, 1).2);
@@ -184,7 +190,7 @@
         }
         again
     };
-    let (unrun, run) = (tried_again(Outcome::NoRoom), tried_again(Outcome::Fault));
+    let (unrun, run) = (tried_again(Outcome::Rejected), tried_again(Outcome::ServerError));
     assert!(unrun > 15 && run < 15, "{unrun} of 20 turned away, {run} of 20 that failed");
 }
 
@@ -199,11 +205,11 @@
         let mut refused = 0;
         for n in 0..60 {
             let actions = bed.query(0, parts).2;
-            let at_once = actions.iter().any(|a| matches!(a, Action::Refuse { .. }));
+            let at_once = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
             refused += usize::from(n >= 10 && at_once);
             bed.now += latency;
             let ended =
-                sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Pass, latency)).collect();
+                sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Success, latency)).collect();
             bed.round(ended);
             bed.pass(1500 * MS - latency);
         }
@@ -233,11 +239,11 @@
         }
         // None is answered: each ends with its query.
         let ended = actions.iter().filter_map(|action| match action {
-            Action::Cancel { part, attempt } => Some(Event::Ended {
+            Action::CancelAttempt { part, attempt } => Some(Event::AttemptEnded {
                 part: *part,
                 attempt: *attempt,
                 server: tried[part][*attempt as usize],
-                outcome: Outcome::Undone,
+                outcome: Outcome::Cancelled,
                 latency: 1200 * MS,
             }),
             _ => None,
--- a/crates/core/tests/further.rs
+++ b/crates/core/tests/further.rs
@@ -10,7 +10,12 @@
 
 /// Settings with one class that may be answered from half of its parts.
 fn partial(late_worth: f64) -> Settings {
-    let class = Class { floor: 0.5, partial: Some(0.8), late_worth, ..class(Effect::Safe) };
+    let class = Class {
+        min_coverage: 0.5,
+        partial_value_ratio: Some(0.8),
+        late_value_ratio: late_worth,
+        ..class(RetrySafety::Idempotent)
+    };
     Settings { classes: vec![class], ..settings() }
 }
 
@@ -22,11 +27,11 @@
     let start = bed.now;
     let first = sends(&actions);
     bed.now += 100 * MS;
-    bed.round(vec![bed.ended(&first[0], 0, Outcome::Pass)]);
+    bed.round(vec![bed.ended(&first[0], 0, Outcome::Success)]);
     while bed.now < start + span {
         let actions = bed.pass(5 * MS);
         let whole = actions.iter().find_map(|a| match a {
-            Action::Answer { whole, .. } => Some(*whole),
+            Action::Answer { complete: whole, .. } => Some(*whole),
             _ => None,
         });
         if let Some(whole) = whole {
@@ -46,21 +51,27 @@
 #[test]
 fn a_query_waits_past_its_aim_where_a_late_whole_answer_earns_more() {
     assert_eq!(answered_at(partial(0.9), 2000 * MS), None);
-    assert_eq!(answered_at(Settings { classes: vec![class(Effect::Safe)], ..settings() }, 3900 * MS), None);
+    assert_eq!(
+        answered_at(Settings { classes: vec![class(RetrySafety::Idempotent)], ..settings() }, 3900 * MS),
+        None
+    );
 }
 
 #[test]
 fn a_query_goes_with_what_can_be_reached_where_that_covers_its_floor() {
     for (floor, sent) in [(0.5, 3), (0.9, 0)] {
         let mut set = partial(0.3);
-        set.classes[0].floor = floor;
-        set.layout.cells = 4;
+        set.classes[0].min_coverage = floor;
+        set.layout.partition_groups = 4;
         let mut bed = Bed::new(set, 0);
-        let line = |s| ListEntry { cell: s, ..entry(s, Phase::In) };
-        bed.round(vec![Event::List { kind: ListKind::Full, entries: (0..3).map(line).collect() }]);
+        let line = |s| EndpointRecord { partition_group: s, ..entry(s, EndpointState::Active) };
+        bed.round(vec![Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Snapshot,
+            records: (0..3).map(line).collect(),
+        }]);
         let (id, mut events) = bed.query_events(0, 4);
         for (n, event) in events.iter_mut().skip(1).enumerate() {
-            if let Event::Part { shard, .. } = event {
+            if let Event::PartArrived { shard, .. } = event {
                 *shard = ShardId(n as u32);
             }
         }
@@ -74,7 +85,7 @@
         let mut bed = Bed::new(partial(late_worth), 4);
         let (_, _, actions) = bed.query(0, 1);
         let lasts = actions.iter().find_map(|a| match a {
-            Action::Send { within, .. } => Some(*within),
+            Action::StartAttempt { timeout: within, .. } => Some(*within),
             _ => None,
         });
         assert_eq!(lasts, Some(within * MS));
@@ -83,7 +94,7 @@
 
 #[test]
 fn parts_lost_together_on_a_rested_connection_speak_against_it_not_against_fresh_ones() {
-    let set = Settings { idle: Some(30_000 * MS), max_open: 1000, ..settings() };
+    let set = Settings { connection_idle_timeout: Some(30_000 * MS), max_open: 1000, ..settings() };
     let mut bed = Bed::new(set, 6);
     let (mut closed, mut lost, mut open) = (0, 0, BTreeSet::new());
     for _ in 0..12 {
@@ -94,8 +105,8 @@
         for _ in 0..100 {
             for action in &actions {
                 match action {
-                    Action::Close { server } => fresh.push(*server),
-                    Action::Send { part, server, .. } => {
+                    Action::CloseIdleConnections { server } => fresh.push(*server),
+                    Action::StartAttempt { part, server, .. } => {
                         let attempt = tries.entry(*part).and_modify(|n| *n += 1).or_insert(0);
                         let sent = Sent { part: *part, server: *server };
                         let good = fresh.contains(server) || !open.contains(server);
@@ -110,11 +121,11 @@
             let (due, left): (Vec<_>, Vec<_>) = out.into_iter().partition(|o| o.0 <= bed.now);
             out = left;
             let ended = due.iter().map(|(_, s, n, good)| match good {
-                true => bed.ended(s, *n, Outcome::Pass),
-                false => bed.ended_after(s, *n, Outcome::TooSlow, 600 * MS),
+                true => bed.ended(s, *n, Outcome::Success),
+                false => bed.ended_after(s, *n, Outcome::TimedOut, 600 * MS),
             });
             let mut events: Vec<Event> = ended.collect();
-            events.push(Event::Wake);
+            events.push(Event::TimerFired);
             actions = bed.round(events);
         }
         closed += fresh.len();
@@ -132,7 +143,7 @@
         let sent = sends(&actions);
         // One in eight of an unrepeatable class is never answered: it counts at its age when given up.
         bed.now += if n % 8 == 0 { 1200 } else { 100 } * MS;
-        let outcome = if n % 8 == 0 { Outcome::TooSlow } else { Outcome::Pass };
+        let outcome = if n % 8 == 0 { Outcome::TimedOut } else { Outcome::Success };
         let latency = if n % 8 == 0 { 1200 * MS } else { 100 * MS };
         bed.round(sent.iter().map(|s| bed.ended_after(s, 0, outcome, latency)).collect());
         bed.pass(50 * MS);
@@ -155,14 +166,14 @@
 
 /// Attempts beyond the first for a query of four parts of which one is answered and three stay silent.
 fn further_sends(floor: f64) -> usize {
-    let class = Class { floor, ..class(Effect::Safe) };
-    let budget = Some(Budget { window: 5000 * MS, free: 2.0, ratio: 0.0 });
-    let mut bed = Bed::new(Settings { classes: vec![class], budget, ..settings() }, 12);
+    let class = Class { min_coverage: floor, ..class(RetrySafety::Idempotent) };
+    let budget = Some(RetryBudget { window: 5000 * MS, base_attempts: 2.0, ratio: 0.0 });
+    let mut bed = Bed::new(Settings { classes: vec![class], retry_budget: budget, ..settings() }, 12);
     bed.warm_up(20);
     let (_, _, actions) = bed.query(0, 4);
     let first = sends(&actions);
     bed.now += 100 * MS;
-    let mut further = sends(&bed.round(vec![bed.ended(&first[0], 0, Outcome::Pass)])).len();
+    let mut further = sends(&bed.round(vec![bed.ended(&first[0], 0, Outcome::Success)])).len();
     further += sends(&bed.pass(700 * MS)).len();
     further
 }
@@ -176,11 +187,11 @@
 
 #[test]
 fn rested_connections_are_suspect_also_where_most_servers_keep_theirs() {
-    let mut bed = Bed::new(Settings { idle: Some(30_000 * MS), ..settings() }, 5);
+    let mut bed = Bed::new(Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() }, 5);
     for _ in 0..60 {
         let (_, _, actions) = bed.query(0, 1);
         bed.now += 20 * MS;
-        let done = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Pass)).collect();
+        let done = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Success)).collect();
         bed.round(done);
     }
     // One lost, three answered on rested connections: a quarter of the servers drop them.
@@ -188,16 +199,16 @@
     for n in 0..24 {
         bed.now += 3000 * MS;
         let (_, _, actions) = bed.query(0, 1);
-        let fresh = actions.iter().any(|a| matches!(a, Action::Close { .. }));
+        let fresh = actions.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. }));
         closed += usize::from(fresh);
         let sent = sends(&actions)[0];
         bed.now += 600 * MS;
         let ended = match n % 4 == 0 && !fresh {
-            true => bed.ended_after(&sent, 0, Outcome::TooSlow, 600 * MS),
-            false => bed.ended(&sent, 0, Outcome::Pass),
+            true => bed.ended_after(&sent, 0, Outcome::TimedOut, 600 * MS),
+            false => bed.ended(&sent, 0, Outcome::Success),
         };
         let again = sends(&bed.round(vec![ended]));
-        bed.round(again.iter().map(|s| bed.ended(s, 1, Outcome::Pass)).collect());
+        bed.round(again.iter().map(|s| bed.ended(s, 1, Outcome::Success)).collect());
     }
     assert!(closed >= 10, "{closed}");
 }
@@ -205,22 +216,22 @@
 /// The quiet case of the test above: rested ones are lost, but new ones often cannot be opened at all.
 #[test]
 fn rested_connections_are_kept_while_new_ones_cannot_be_opened() {
-    let mut bed = Bed::new(Settings { idle: Some(30_000 * MS), ..settings() }, 5);
+    let mut bed = Bed::new(Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() }, 5);
     let mut closed = 0;
     for n in 0..60 {
         bed.now += if n % 2 == 0 { 3000 } else { 50 } * MS;
         let (_, _, actions) = bed.query(0, 1);
-        let fresh = actions.iter().any(|a| matches!(a, Action::Close { .. }));
+        let fresh = actions.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. }));
         closed += usize::from(fresh);
         let Some(&sent) = sends(&actions).first() else { continue };
         bed.now += 600 * MS;
         let ended = match (n % 10 == 0, n % 10 == 5 || fresh) {
-            (_, true) => bed.ended_after(&sent, 0, Outcome::NoRoute, 250 * MS),
-            (true, false) => bed.ended_after(&sent, 0, Outcome::TooSlow, 600 * MS),
-            _ => bed.ended(&sent, 0, Outcome::Pass),
+            (_, true) => bed.ended_after(&sent, 0, Outcome::ConnectFailed, 250 * MS),
+            (true, false) => bed.ended_after(&sent, 0, Outcome::TimedOut, 600 * MS),
+            _ => bed.ended(&sent, 0, Outcome::Success),
         };
         let again = sends(&bed.round(vec![ended]));
-        bed.round(again.iter().map(|s| bed.ended(s, 1, Outcome::Pass)).collect());
+        bed.round(again.iter().map(|s| bed.ended(s, 1, Outcome::Success)).collect());
         bed.pass(1000 * MS);
     }
     assert!(closed <= 5, "{closed}");
--- a/crates/core/tests/grown.rs
+++ b/crates/core/tests/grown.rs
@@ -11,9 +11,10 @@
 fn zoned(set: Settings, zones: &[u32]) -> Bed {
     let mut bed = Bed::new(Settings { zones: 3, ..set }, 0);
     let zone = |z: u32| Some(ZoneId(z));
-    let line = |(s, &z): (usize, &u32)| ListEntry { zone: zone(z), ..entry(s as u32, Phase::In) };
+    let line =
+        |(s, &z): (usize, &u32)| EndpointRecord { zone: zone(z), ..entry(s as u32, EndpointState::Active) };
     let entries = zones.iter().enumerate().map(line).collect();
-    bed.round(vec![Event::List { kind: ListKind::Full, entries }]);
+    bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records: entries }]);
     bed
 }
 
@@ -27,7 +28,7 @@
         let attempt = tries.entry(sent.part).and_modify(|n| *n += 1).or_insert(0);
         let silent = bad(sent.server);
         let (latency, outcome) =
-            if silent { (600 * MS, Outcome::TooSlow) } else { (100 * MS, Outcome::Pass) };
+            if silent { (600 * MS, Outcome::TimedOut) } else { (100 * MS, Outcome::Success) };
         bed.now += latency;
         let ended = bed.ended_after(&sent, *attempt, outcome, latency);
         queue.extend(sends(&bed.round(vec![ended])));
@@ -57,11 +58,11 @@
     let actions = bed.pass(1200 * MS);
     let probed: Vec<ServerId> = actions
         .iter()
-        .filter_map(|a| if let Action::Probe { server } = a { Some(*server) } else { None })
+        .filter_map(|a| if let Action::CheckHealth { server } = a { Some(*server) } else { None })
         .collect();
     assert!(!probed.is_empty() && probed.iter().all(|&s| there(s)), "{probed:?}");
     for _ in 0..8 {
-        let passed = Event::Probed { server: probed[0], outcome: Outcome::Pass, latency: 2 * MS };
+        let passed = Event::HealthChecked { server: probed[0], outcome: Outcome::Success, latency: 2 * MS };
         bed.round(vec![passed]);
     }
     bed.pass(60_000 * MS);
@@ -79,14 +80,14 @@
 
 #[test]
 fn rested_connections_that_stay_silent_are_closed_before_use() {
-    let set = Settings { idle: Some(30_000 * MS), ..settings() };
+    let set = Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() };
     let mut bed = Bed::new(set, 3);
     serve(&mut bed, 20, 0, |_| false);
     let mut closed = 0;
     for _ in 0..12 {
         bed.now += 3000 * MS;
         let (_, _, actions) = bed.query(0, 1);
-        let close = actions.iter().any(|a| matches!(a, Action::Close { .. }));
+        let close = actions.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. }));
         closed += u32::from(close);
         let first = sends(&actions)[0].server;
         settle(&mut bed, &actions, |s| !close && s == first);
@@ -97,12 +98,12 @@
 
 #[test]
 fn a_server_silent_on_every_connection_closes_none() {
-    let set = Settings { idle: Some(30_000 * MS), ..settings() };
+    let set = Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() };
     let mut bed = Bed::new(set, 3);
     serve(&mut bed, 20, 0, |_| false);
     for _ in 0..30 {
         let (_, _, actions) = bed.query(0, 1);
-        assert!(!actions.iter().any(|a| matches!(a, Action::Close { .. })));
+        assert!(!actions.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. })));
         settle(&mut bed, &actions, |s| s == ServerId(0));
     }
 }
@@ -130,13 +131,13 @@
     bed.warm_up(20);
     let (query, _, actions) = bed.query(0, 2);
     let first = sends(&actions);
-    let again = sends(&bed.round(first.iter().map(|s| bed.ended(s, 0, Outcome::Cut)).collect()));
+    let again = sends(&bed.round(first.iter().map(|s| bed.ended(s, 0, Outcome::ConnectionReset)).collect()));
     assert_eq!(again.len(), 2, "one connection each may break for any reason");
-    let end = bed.round(vec![bed.ended(&again[0], 1, Outcome::Cut)]);
+    let end = bed.round(vec![bed.ended(&again[0], 1, Outcome::ConnectionReset)]);
     assert!(sends(&end).is_empty());
     let end: Vec<Action> =
-        end.into_iter().chain(bed.round(vec![bed.ended(&again[1], 1, Outcome::Cut)])).collect();
-    assert!(end.iter().any(|a| matches!(a, Action::Refuse { query: q, .. } if *q == query)), "ends at once");
+        end.into_iter().chain(bed.round(vec![bed.ended(&again[1], 1, Outcome::ConnectionReset)])).collect();
+    assert!(end.iter().any(|a| matches!(a, Action::Reject { query: q, .. } if *q == query)), "ends at once");
 }
 
 /// Guards against waiting with a part whose connection broke, and against shunning its server for it or
@@ -148,11 +149,12 @@
     for _ in 0..6 {
         let (query, _, actions) = bed.query(0, 3);
         let first = sends(&actions);
-        let again = sends(&bed.round(first.iter().map(|s| bed.ended(s, 0, Outcome::Cut)).collect()));
+        let again =
+            sends(&bed.round(first.iter().map(|s| bed.ended(s, 0, Outcome::ConnectionReset)).collect()));
         assert_eq!(again.len(), 3);
         bed.now += 100 * MS;
-        let done = bed.round(again.iter().map(|s| bed.ended(s, 1, Outcome::Pass)).collect());
-        assert!(done.contains(&Action::Answer { query, whole: true }));
+        let done = bed.round(again.iter().map(|s| bed.ended(s, 1, Outcome::Success)).collect());
+        assert!(done.contains(&Action::Answer { query, complete: true }));
         bed.pass(2000 * MS);
         let used: std::collections::BTreeSet<ServerId> =
             serve(&mut bed, 6, 0, |_| false).into_iter().collect();
@@ -163,7 +165,14 @@
 fn marked(bed: &mut Bed, parts: u64, valid: Nanos, repeated: bool) -> (QueryId, Vec<Action>) {
     let (id, mut events) = bed.query_events(0, parts);
     let (now, key) = (bed.now, Some(KeyId(7)));
-    events[0] = Event::Query { id, class: ClassId(0), tenant: None, key, repeated, valid_until: now + valid };
+    events[0] = Event::QueryArrived {
+        id,
+        class: ClassId(0),
+        tenant: None,
+        key,
+        is_retry: repeated,
+        deadline: now + valid,
+    };
     (id, bed.round(events))
 }
 
@@ -175,10 +184,10 @@
     let ahead = sends(&actions);
     assert_eq!(ahead.len(), 1);
     bed.now += 100 * MS;
-    let rest = sends(&bed.round(vec![bed.ended(&ahead[0], 0, Outcome::Pass)]));
+    let rest = sends(&bed.round(vec![bed.ended(&ahead[0], 0, Outcome::Success)]));
     assert_eq!(rest.len(), 2);
-    let done = rest.iter().map(|s| bed.ended(s, 0, Outcome::Pass)).collect();
-    assert!(bed.round(done).contains(&Action::Answer { query, whole: true }));
+    let done = rest.iter().map(|s| bed.ended(s, 0, Outcome::Success)).collect();
+    assert!(bed.round(done).contains(&Action::Answer { query, complete: true }));
     let (_, actions) = marked(&mut bed, 3, 4000 * MS, false);
     assert_eq!(sends(&actions).len(), 3, "a first try goes out whole");
 }
@@ -189,7 +198,7 @@
     bed.warm_up(40);
     let (query, actions) = marked(&mut bed, 1, 2000 * MS, false);
     assert!(sends(&actions).is_empty());
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { query: q, .. } if *q == query)));
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { query: q, .. } if *q == query)));
 }
 
 #[test]
@@ -201,10 +210,10 @@
         let (_, actions) = marked(&mut bed, 1, valid, false);
         assert_eq!(sends(&actions).len(), 1, "{i}: {actions:?}");
         bed.now += 100 * MS;
-        let done = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Pass)).collect();
+        let done = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Success)).collect();
         bed.round(done);
     }
-    let mut bed = Bed::new(Settings { marks_retry: true, ..settings() }, 3);
+    let mut bed = Bed::new(Settings { clients_mark_retries: true, ..settings() }, 3);
     bed.warm_up(40);
     let (_, actions) = marked(&mut bed, 1, 500 * MS, false);
     assert_eq!(sends(&actions).len(), 1, "an impatient first try is no abuse");
@@ -212,7 +221,7 @@
 
 #[test]
 fn connects_that_fail_everywhere_do_not_make_servers_cold() {
-    let mut bed = Bed::new(Settings { idle: Some(100 * MS), ..settings() }, 8);
+    let mut bed = Bed::new(Settings { connection_idle_timeout: Some(100 * MS), ..settings() }, 8);
     let mut tries = std::collections::BTreeMap::new();
     for _ in 0..16 {
         let (_, _, mut actions) = bed.query(0, 1);
@@ -220,7 +229,7 @@
             let mut later = Vec::new();
             for sent in sends(&actions) {
                 let attempt = tries.entry(sent.part).and_modify(|n| *n += 1).or_insert(0);
-                let failed = bed.ended(&sent, *attempt, Outcome::NoRoute);
+                let failed = bed.ended(&sent, *attempt, Outcome::ConnectFailed);
                 later.extend(bed.round(vec![failed]));
             }
             later.extend(bed.pass(100 * MS));
@@ -232,7 +241,7 @@
         let (_, _, actions) = bed.query(0, 8);
         assert_eq!(sends(&actions).len(), 8, "no server is taken for cold");
         bed.now += 100 * MS;
-        let done = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Pass)).collect();
+        let done = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Success)).collect();
         bed.round(done);
     }
 }
@@ -243,8 +252,8 @@
     set.coordinators = 100;
     let mut bed = Bed::new(set, 2);
     bed.warm_up(40);
-    let started = ListEntry { started_at: bed.now, ..entry(1, Phase::In) };
-    bed.round(vec![Event::List { kind: ListKind::Diff, entries: vec![started] }]);
+    let started = EndpointRecord { started_at: bed.now, ..entry(1, EndpointState::Active) };
+    bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: vec![started] }]);
     let begin = bed.now;
     let mut cold = 0;
     while bed.now < begin + 14_000 * MS {
@@ -264,11 +273,11 @@
     let begin = bed.now;
     while bed.now < begin + 3000 * MS {
         let (_, _, actions) = bed.query(0, 1);
-        let fulls: Vec<Event> = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::NoRoom)).collect();
+        let fulls: Vec<Event> = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Rejected)).collect();
         sent += fulls.len();
         let more = sends(&bed.round(fulls));
         sent += more.len();
-        let fulls = more.iter().map(|s| bed.ended(s, 1, Outcome::NoRoom)).collect();
+        let fulls = more.iter().map(|s| bed.ended(s, 1, Outcome::Rejected)).collect();
         bed.round(fulls);
         bed.now += 50 * MS;
     }
@@ -285,7 +294,8 @@
     for _ in 0..32 {
         let (_, _, actions) = bed.query(0, 1);
         bed.now += 700 * MS;
-        let done = sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Pass, 700 * MS)).collect();
+        let done =
+            sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Success, 700 * MS)).collect();
         bed.round(done);
     }
     let strained: usize = (0..12).map(|_| sends(&bed.query(0, 1).2).len()).sum();
@@ -302,7 +312,8 @@
         let (_, _, actions) = bed.query(0, 1);
         first_sends += sends(&actions).len();
         bed.now += 500 * MS;
-        let done = sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Pass, 500 * MS)).collect();
+        let done =
+            sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Success, 500 * MS)).collect();
         bed.round(done);
     }
     assert!(first_sends > 50, "{first_sends} of 60 left at once");
@@ -311,13 +322,17 @@
 #[test]
 fn settings_and_ids_out_of_range_are_errors_or_ignored() {
     let bad = Policy::new(Settings { zones: u32::MAX, ..settings() }, 1);
-    assert!(matches!(bad, Err(SettingsError::BadFigure(what)) if what.contains("zones")));
+    assert!(matches!(bad, Err(SettingsError::InvalidFigure(what)) if what.contains("zones")));
     let mut bed = zoned(settings(), &[0, 9, 4_000_000]);
     let served = serve(&mut bed, 9, 0, |_| false);
     assert_eq!(served.len(), 9, "an unknown zone is a zone that is not known");
-    bed.round(vec![Event::Probed { server: ServerId(77), outcome: Outcome::Cut, latency: u64::MAX }]);
+    bed.round(vec![Event::HealthChecked {
+        server: ServerId(77),
+        outcome: Outcome::ConnectionReset,
+        latency: u64::MAX,
+    }]);
     let odd = Sent { part: PartId(1 << 40), server: ServerId(0) };
-    assert!(sends(&bed.round(vec![bed.ended_after(&odd, 3, Outcome::Pass, u64::MAX)])).is_empty());
+    assert!(sends(&bed.round(vec![bed.ended_after(&odd, 3, Outcome::Success, u64::MAX)])).is_empty());
 }
 
 /// Guards against holding spoilt answers, which may come from any server, against one: it is neither shunned
@@ -330,12 +345,12 @@
         let (query, _, actions) = bed.query(0, 3);
         let first = sends(&actions);
         // One connection, with three parts of one query out.
-        let again = bed.round(first.iter().map(|s| bed.ended(s, 0, Outcome::Spoilt)).collect());
+        let again = bed.round(first.iter().map(|s| bed.ended(s, 0, Outcome::MalformedResponse)).collect());
         let retried = sends(&again);
         assert_eq!(retried.len(), 3, "{again:?}");
         bed.now += 100 * MS;
-        let done = bed.round(retried.iter().map(|s| bed.ended(s, 1, Outcome::Pass)).collect());
-        assert!(done.contains(&Action::Answer { query, whole: true }));
+        let done = bed.round(retried.iter().map(|s| bed.ended(s, 1, Outcome::Success)).collect());
+        assert!(done.contains(&Action::Answer { query, complete: true }));
         bed.pass(2000 * MS);
         let used: std::collections::BTreeSet<ServerId> =
             serve(&mut bed, 6, 0, |_| false).into_iter().collect();
@@ -347,9 +362,12 @@
 /// before that.
 #[test]
 fn ties_go_to_the_own_zone_first() {
-    let mut bed = Bed::new(Settings { zones: 2, home: Some(ZoneId(1)), ..settings() }, 0);
-    let line = |s| ListEntry { zone: Some(ZoneId(s % 2)), ..entry(s, Phase::In) };
-    bed.round(vec![Event::List { kind: ListKind::Full, entries: (0..4).map(line).collect() }]);
+    let mut bed = Bed::new(Settings { zones: 2, local_zone: Some(ZoneId(1)), ..settings() }, 0);
+    let line = |s| EndpointRecord { zone: Some(ZoneId(s % 2)), ..entry(s, EndpointState::Active) };
+    bed.round(vec![Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Snapshot,
+        records: (0..4).map(line).collect(),
+    }]);
     serve(&mut bed, 20, 0, |_| false);
     let (_, _, actions) = bed.query(0, 4);
     let mut zones: Vec<u32> = sends(&actions).iter().map(|s| s.server.0 % 2).collect();
@@ -372,9 +390,11 @@
     let mut next = bed.now + MS;
     while next < end {
         bed.now = next;
-        let actions = bed.round(vec![Event::Wake]);
+        let actions = bed.round(vec![Event::TimerFired]);
         let after =
-            actions.iter().filter_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
+            actions
+                .iter()
+                .filter_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
         next = bed.now + after.min().expect("a timer is set while queries are open");
         rounds += 1;
     }
--- a/crates/core/tests/module.rs
+++ b/crates/core/tests/module.rs
@@ -22,7 +22,7 @@
     let (query, _, actions) = bed.query(0, 2);
     let first = sends(&actions);
     bed.now += 90 * MS;
-    let early = bed.round(vec![bed.ended(&first[0], 0, Outcome::Pass)]);
+    let early = bed.round(vec![bed.ended(&first[0], 0, Outcome::Success)]);
     assert!(sends(&early).is_empty(), "no copy before the offset");
     let later = bed.pass(30 * MS);
     let copies = sends(&later);
@@ -30,9 +30,9 @@
     assert_eq!(copies[0].part, first[1].part);
     assert_ne!(copies[0].server, first[1].server);
     assert!(sends(&bed.pass(100 * MS)).is_empty(), "one copy a part");
-    let end = bed.round(vec![bed.ended(&copies[0], 1, Outcome::Pass)]);
-    assert!(end.contains(&Action::Cancel { part: first[1].part, attempt: 0 }));
-    assert!(end.contains(&Action::Answer { query, whole: true }));
+    let end = bed.round(vec![bed.ended(&copies[0], 1, Outcome::Success)]);
+    assert!(end.contains(&Action::CancelAttempt { part: first[1].part, attempt: 0 }));
+    assert!(end.contains(&Action::Answer { query, complete: true }));
 }
 
 #[test]
@@ -56,9 +56,12 @@
 
 #[test]
 fn unsafe_parts_are_sent_again_only_when_proved_unrun() {
-    for (outcome, again) in
-        [(Outcome::NoRoute, 1), (Outcome::NoRoom, 1), (Outcome::Cut, 0), (Outcome::Fault, 0)]
-    {
+    for (outcome, again) in [
+        (Outcome::ConnectFailed, 1),
+        (Outcome::Rejected, 1),
+        (Outcome::ConnectionReset, 0),
+        (Outcome::ServerError, 0),
+    ] {
         let mut bed = Bed::new(settings(), 3);
         let (query, _, actions) = bed.query(1, 1);
         let first = sends(&actions);
@@ -74,7 +77,7 @@
     let (query, _, _) = bed.query(1, 1);
     let end = bed.pass(1300 * MS);
     assert!(end.contains(&Action::Fail { query }));
-    assert!(!end.iter().any(|a| matches!(a, Action::Refuse { .. })));
+    assert!(!end.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
 #[test]
@@ -82,31 +85,33 @@
     let mut bed = Bed::new(settings(), 0);
     let (query, _, _) = bed.query(0, 2);
     let end = bed.pass(1300 * MS);
-    let refused =
-        |a: &&Action| matches!(a, Action::Refuse { query: q, hold_off } if *q == query && *hold_off > 0);
+    let refused = |a: &&Action| matches!(a, Action::Reject { query: q, retry_after: hold_off } if *q == query && *hold_off > 0);
     assert_eq!(end.iter().filter(refused).count(), 1);
 }
 
 #[test]
 fn keyed_parts_are_sent_again_only_inside_their_window() {
     let mut set = settings();
-    set.classes[2].aim = 3500 * MS;
-    set.classes[2].repeat_window = 300 * MS;
+    set.classes[2].latency_objective = 3500 * MS;
+    set.classes[2].retry_window = 300 * MS;
     let mut bed = Bed::new(set, 3);
     let (_, _, actions) = bed.query(2, 1);
     let first = sends(&actions);
     bed.now += 301 * MS;
-    assert!(sends(&bed.round(vec![bed.ended(&first[0], 0, Outcome::Fault)])).is_empty());
+    assert!(sends(&bed.round(vec![bed.ended(&first[0], 0, Outcome::ServerError)])).is_empty());
 }
 
 #[test]
 fn nothing_goes_to_draining_gone_or_missing_servers() {
     let mut bed = Bed::new(settings(), 3);
-    let entries = vec![entry(0, Phase::Draining), entry(1, Phase::Out)];
-    bed.round(vec![Event::List { kind: ListKind::Diff, entries }]);
+    let entries = vec![entry(0, EndpointState::Draining), entry(1, EndpointState::Removed)];
+    bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: entries }]);
     let (_, _, actions) = bed.query(0, 3);
     assert!(sends(&actions).iter().all(|s| s.server == ServerId(2)));
-    let full = Event::List { kind: ListKind::Full, entries: vec![entry(0, Phase::In)] };
+    let full = Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Snapshot,
+        records: vec![entry(0, EndpointState::Active)],
+    };
     bed.round(vec![full]);
     let (_, _, actions) = bed.query(0, 1);
     assert_eq!(sends(&actions)[0].server, ServerId(0));
@@ -116,13 +121,13 @@
 fn a_cold_server_gets_no_more_than_its_bound_in_a_fall_window() {
     let mut bed = Bed::new(settings(), 2);
     bed.warm_up(40);
-    let started = ListEntry { started_at: bed.now, ..entry(1, Phase::In) };
-    bed.round(vec![Event::List { kind: ListKind::Diff, entries: vec![started] }]);
+    let started = EndpointRecord { started_at: bed.now, ..entry(1, EndpointState::Active) };
+    bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: vec![started] }]);
     let mut cold = 0;
     for _ in 0..40 {
         let (_, _, actions) = bed.query(0, 1);
         bed.now += 50 * MS;
-        let done: Vec<Event> = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Pass)).collect();
+        let done: Vec<Event> = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Success)).collect();
         cold += sends(&actions).iter().filter(|s| s.server == ServerId(1)).count();
         bed.round(done);
     }
@@ -137,7 +142,7 @@
     for _ in 0..3 {
         let (_, _, actions) = bed.query(0, 1);
         bed.pass(1210 * MS);
-        let undone = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Undone)).collect();
+        let undone = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Cancelled)).collect();
         bed.round(undone);
     }
     bed.pass(4000 * MS);
@@ -150,9 +155,9 @@
     let mut bed = Bed::new(settings(), 1);
     let (query, _, actions) = bed.query(0, 1);
     let first = sends(&actions);
-    let after = bed.round(vec![bed.ended(&first[0], 0, Outcome::NoRoute)]);
+    let after = bed.round(vec![bed.ended(&first[0], 0, Outcome::ConnectFailed)]);
     assert!(sends(&after).is_empty(), "the dead server is not asked again in the same tick");
-    assert!(!after.iter().any(|a| matches!(a, Action::Refuse { query: q, .. } if *q == query)));
+    assert!(!after.iter().any(|a| matches!(a, Action::Reject { query: q, .. } if *q == query)));
     let mut again = Vec::new();
     for _ in 0..200 {
         again = sends(&bed.pass(5 * MS));
@@ -168,7 +173,7 @@
     let mut bed = Bed::new(settings(), 2);
     let (_, _, actions) = bed.query(0, 1);
     let dead = sends(&actions)[0];
-    bed.round(vec![bed.ended(&dead, 0, Outcome::NoRoute)]);
+    bed.round(vec![bed.ended(&dead, 0, Outcome::ConnectFailed)]);
     for _ in 0..10 {
         let (_, _, actions) = bed.query(0, 1);
         assert!(sends(&actions).iter().all(|s| s.server != dead.server));
@@ -185,7 +190,7 @@
 #[test]
 fn held_queries_of_greater_worth_go_first() {
     let mut set = settings();
-    set.classes[1].importance = 5.0;
+    set.classes[1].priority_weight = 5.0;
     let mut bed = Bed::new(set, 1);
     let mut out = Vec::new();
     for _ in 0..10 {
@@ -193,53 +198,54 @@
     }
     let (_, parts, actions) = bed.query(1, 1);
     assert!(sends(&actions).is_empty());
-    let next = sends(&bed.round(vec![bed.ended(&out[0], 0, Outcome::Pass)]));
+    let next = sends(&bed.round(vec![bed.ended(&out[0], 0, Outcome::Success)]));
     assert_eq!(next[0].part, parts[0]);
 }
 
 #[test]
 fn spares_are_kept_and_replace_a_failed_part() {
     let mut set = settings();
-    set.classes[0].need = 0.75;
-    set.classes[0].floor = 0.75;
+    set.classes[0].complete_coverage = 0.75;
+    set.classes[0].min_coverage = 0.75;
     let mut bed = Bed::new(set, 6);
     let (query, _, actions) = bed.query(0, 4);
     let first = sends(&actions);
     assert_eq!(first.len(), 3);
-    let spare = sends(&bed.round(vec![bed.ended(&first[0], 0, Outcome::Fault)]));
+    let spare = sends(&bed.round(vec![bed.ended(&first[0], 0, Outcome::ServerError)]));
     assert_eq!(spare.len(), 1);
     assert!(first.iter().all(|s| s.part != spare[0].part));
     let done = vec![
-        bed.ended(&first[1], 0, Outcome::Pass),
-        bed.ended(&first[2], 0, Outcome::Pass),
-        bed.ended(&spare[0], 0, Outcome::Pass),
+        bed.ended(&first[1], 0, Outcome::Success),
+        bed.ended(&first[2], 0, Outcome::Success),
+        bed.ended(&spare[0], 0, Outcome::Success),
     ];
-    assert!(bed.round(done).contains(&Action::Answer { query, whole: true }));
+    assert!(bed.round(done).contains(&Action::Answer { query, complete: true }));
 }
 
 #[test]
 fn a_second_step_is_sent_and_answered() {
     let mut set = settings();
-    set.classes[0].second_step = 1;
+    set.classes[0].second_phase_parts = 1;
     let mut bed = Bed::new(set, 3);
     let (query, _, actions) = bed.query(0, 1);
-    let done = vec![bed.ended(&sends(&actions)[0], 0, Outcome::Pass)];
-    assert!(bed.round(done).contains(&Action::Answer { query, whole: true }));
+    let done = vec![bed.ended(&sends(&actions)[0], 0, Outcome::Success)];
+    assert!(bed.round(done).contains(&Action::Answer { query, complete: true }));
     let part = PartId(900);
-    let more = sends(&bed.round(vec![Event::Part { id: part, query, shard: ShardId(0), weight: 1.0 }]));
+    let more =
+        sends(&bed.round(vec![Event::PartArrived { id: part, query, shard: ShardId(0), weight: 1.0 }]));
     assert_eq!(more.len(), 1);
-    let done = vec![bed.ended(&more[0], 0, Outcome::Pass)];
-    assert!(bed.round(done).contains(&Action::Answer { query, whole: true }));
+    let done = vec![bed.ended(&more[0], 0, Outcome::Success)];
+    assert!(bed.round(done).contains(&Action::Answer { query, complete: true }));
 }
 
 #[test]
 fn a_partial_answer_is_given_when_time_is_up_and_not_marked_whole() {
     let mut set = settings();
-    set.classes[0].floor = 0.5;
+    set.classes[0].min_coverage = 0.5;
     let mut bed = Bed::new(set, 2);
     let (query, _, actions) = bed.query(0, 2);
-    bed.round(vec![bed.ended(&sends(&actions)[0], 0, Outcome::Pass)]);
-    assert!(bed.pass(1300 * MS).contains(&Action::Answer { query, whole: false }));
+    bed.round(vec![bed.ended(&sends(&actions)[0], 0, Outcome::Success)]);
+    assert!(bed.pass(1300 * MS).contains(&Action::Answer { query, complete: false }));
 }
 
 #[test]
@@ -248,13 +254,13 @@
     set.classes.clear();
     assert_eq!(Policy::new(set, 1).err(), Some(SettingsError::NoClasses));
     let mut set = settings();
-    set.layout.cells = 0;
-    assert!(matches!(Policy::new(set, 1), Err(SettingsError::BadLayout(_))));
+    set.layout.partition_groups = 0;
+    assert!(matches!(Policy::new(set, 1), Err(SettingsError::InvalidLayout(_))));
     let mut set = settings();
-    set.classes[1].need = f64::NAN;
-    assert!(matches!(Policy::new(set, 1), Err(SettingsError::BadClass(ClassId(1), _))));
+    set.classes[1].complete_coverage = f64::NAN;
+    assert!(matches!(Policy::new(set, 1), Err(SettingsError::InvalidClass(ClassId(1), _))));
     let mut set = settings();
-    set.classes[0].attempts = 0;
+    set.classes[0].max_attempts = 0;
     assert!(Policy::new(set, 1).is_err_and(|e| e.to_string().contains("max_attempts")));
 }
 
@@ -263,10 +269,10 @@
     let mut bed = Bed::new(settings(), 1);
     let ghost = Sent { part: PartId(77), server: ServerId(9) };
     let events = vec![
-        Event::Gone(QueryId(5)),
-        bed.ended(&ghost, 3, Outcome::Pass),
-        Event::Part { id: PartId(1), query: QueryId(99), shard: ShardId(u32::MAX), weight: f64::NAN },
-        Event::Wake,
+        Event::ClientDisconnected(QueryId(5)),
+        bed.ended(&ghost, 3, Outcome::Success),
+        Event::PartArrived { id: PartId(1), query: QueryId(99), shard: ShardId(u32::MAX), weight: f64::NAN },
+        Event::TimerFired,
     ];
     assert!(sends(&bed.round(events)).is_empty());
     bed.now -= 500 * MS;
@@ -286,15 +292,15 @@
         since += u32::from(called_off >= 1 && first.server == silent);
         if called_off >= 1 || first.server != silent {
             bed.now += 50 * MS;
-            bed.round(vec![bed.ended(&first, 0, Outcome::Pass)]);
+            bed.round(vec![bed.ended(&first, 0, Outcome::Success)]);
             continue;
         }
         let again = sends(&bed.pass(490 * MS));
         assert_eq!(again.len(), 1, "tried elsewhere");
         let Sent { part, server } = first;
         let latency = 490 * MS;
-        let undone = Event::Ended { part, attempt: 0, server, outcome: Outcome::Undone, latency };
-        bed.round(vec![undone, bed.ended(&again[0], 1, Outcome::Pass)]);
+        let undone = Event::AttemptEnded { part, attempt: 0, server, outcome: Outcome::Cancelled, latency };
+        bed.round(vec![undone, bed.ended(&again[0], 1, Outcome::Success)]);
         called_off += 1;
     }
     assert_eq!((called_off, since), (1, 0));
@@ -306,14 +312,14 @@
     for _ in 0..40 {
         let (_, _, actions) = bed.query(0, 1);
         bed.now += 400 * MS;
-        let done = |s: &Sent| bed.ended_after(s, 0, Outcome::Pass, 400 * MS);
+        let done = |s: &Sent| bed.ended_after(s, 0, Outcome::Success, 400 * MS);
         let done = sends(&actions).iter().map(done).collect();
         bed.round(done);
     }
     while !sends(&bed.query(0, 1).2).is_empty() {}
     let (held, _, actions) = bed.query(0, 1);
     assert!(sends(&actions).is_empty());
-    let refused = |a: &Action| matches!(a, Action::Refuse { query, .. } if *query == held);
+    let refused = |a: &Action| matches!(a, Action::Reject { query, .. } if *query == held);
     assert!(!bed.pass(700 * MS).iter().any(refused));
     assert!(bed.pass(150 * MS).iter().any(refused), "0.4 s before the aim");
 }
@@ -325,12 +331,13 @@
     for _ in 0..9 {
         let (_, _, actions) = bed.query(0, 1);
         bed.now += 600 * MS;
-        let done = sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Pass, 600 * MS)).collect();
+        let done =
+            sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Success, 600 * MS)).collect();
         bed.round(done);
     }
     let (_, _, actions) = bed.query(0, 2);
     let first = sends(&actions);
-    bed.round(vec![bed.ended(&first[0], 0, Outcome::Pass)]);
+    bed.round(vec![bed.ended(&first[0], 0, Outcome::Success)]);
     assert!(sends(&bed.pass(1100 * MS)).is_empty());
 }
 
@@ -339,7 +346,7 @@
     let mut set = settings();
     set.max_open = 20;
     let mut bed = Bed::new(set, 1);
-    let refused = |a: &Action| matches!(a, Action::Refuse { .. });
+    let refused = |a: &Action| matches!(a, Action::Reject { .. });
     let shed = (0..15).filter(|_| bed.query(0, 1).2.iter().any(refused)).count();
     assert!((4..=8).contains(&shed), "{shed} of 15 shed");
 }
@@ -357,7 +364,7 @@
         bed.now += taken * MS;
         let latency = taken * MS;
         let Sent { part, server } = sent;
-        bed.round(vec![Event::Ended { part, attempt: 0, server, outcome: Outcome::Pass, latency }]);
+        bed.round(vec![Event::AttemptEnded { part, attempt: 0, server, outcome: Outcome::Success, latency }]);
     }
     assert!(late <= 1, "{late} of the last 20 went to the slow server");
 }
@@ -367,12 +374,12 @@
 #[test]
 fn a_part_that_cannot_be_called_off_is_not_sent_twice_at_once() {
     for (may_cancel, may_duplicate, sent) in [(false, false, 0), (true, false, 1)] {
-        let mut bed = Bed::new(Settings { may_cancel, may_duplicate, ..settings() }, 3);
+        let mut bed = Bed::new(Settings { may_cancel, may_hedge: may_duplicate, ..settings() }, 3);
         bed.warm_up(30);
         let first = sends(&bed.query(0, 1).2)[0];
         assert_eq!(sends(&bed.pass(900 * MS)).len(), sent, "cancel {may_cancel}");
         if sent == 0 {
-            let again = bed.round(vec![bed.ended_after(&first, 0, Outcome::Fault, 900 * MS)]);
+            let again = bed.round(vec![bed.ended_after(&first, 0, Outcome::ServerError, 900 * MS)]);
             assert_eq!(sends(&again).len(), 1);
         }
     }
@@ -382,8 +389,8 @@
 fn restarted() -> Bed {
     let mut bed = Bed::new(settings(), 0);
     bed.policy = Policy::new(settings(), 7).unwrap();
-    let entries = (0..3).map(|s| entry(s, Phase::In)).collect();
-    bed.round(vec![Event::List { kind: ListKind::Known, entries }]);
+    let entries = (0..3).map(|s| entry(s, EndpointState::Active)).collect();
+    bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Unconfirmed, records: entries }]);
     bed
 }
 
@@ -391,12 +398,14 @@
 /// it. Queries go out with the first word, if only that nothing has changed, where that leaves a server in.
 #[test]
 fn nothing_is_sent_by_a_list_from_before_the_start() {
-    for (kind, drained) in [(ListKind::Diff, 1), (ListKind::Full, 3), (ListKind::Diff, 0)] {
+    for (kind, drained) in
+        [(EndpointUpdateKind::Delta, 1), (EndpointUpdateKind::Snapshot, 3), (EndpointUpdateKind::Delta, 0)]
+    {
         let mut bed = restarted();
         assert!(sends(&bed.query(0, 3).2).is_empty());
         assert!(sends(&bed.pass(300 * MS)).is_empty());
-        let entries: Vec<_> = (0..drained).map(|s| entry(s, Phase::Draining)).collect();
-        let sent = sends(&bed.round(vec![Event::List { kind, entries }]));
+        let entries: Vec<_> = (0..drained).map(|s| entry(s, EndpointState::Draining)).collect();
+        let sent = sends(&bed.round(vec![Event::EndpointsUpdated { kind, records: entries }]));
         assert!(sent.iter().all(|s| s.server.0 >= drained), "{sent:?}");
         assert_eq!(sent.is_empty(), drained == 3, "{sent:?}");
     }
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -14,23 +14,23 @@
 enum Step {
     Query { class: usize, parts: u64 },
     End { pick: usize, outcome: Outcome },
-    List { server: u32, phase: Phase, restart: bool },
+    List { server: u32, phase: EndpointState, restart: bool },
     Leave { pick: usize },
     Pass { ms: u64 },
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
-        4 => Just(Outcome::Pass),
-        1 => Just(Outcome::Fault),
-        1 => Just(Outcome::NoRoom),
-        1 => Just(Outcome::NoRoute),
-        1 => Just(Outcome::Cut),
+        4 => Just(Outcome::Success),
+        1 => Just(Outcome::ServerError),
+        1 => Just(Outcome::Rejected),
+        1 => Just(Outcome::ConnectFailed),
+        1 => Just(Outcome::ConnectionReset),
     ]
 }
 
-fn phase() -> impl Strategy<Value = Phase> {
-    prop_oneof![3 => Just(Phase::In), 1 => Just(Phase::Draining), 1 => Just(Phase::Out)]
+fn phase() -> impl Strategy<Value = EndpointState> {
+    prop_oneof![3 => Just(EndpointState::Active), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)]
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -98,9 +98,9 @@
             extra: Vec::new(),
             log: Vec::new(),
         };
-        let line = |s| ListEntry { zone: Some(ZoneId(s % 3)), ..entry(s, Phase::In) };
+        let line = |s| EndpointRecord { zone: Some(ZoneId(s % 3)), ..entry(s, EndpointState::Active) };
         let entries = (0..4).map(line).collect();
-        world.round(vec![Event::List { kind: ListKind::Full, entries }]);
+        world.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records: entries }]);
         world
     }
 
@@ -114,21 +114,24 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { part, server, within } => self.check_send(*part, *server, *within),
-            Action::Cancel { part, attempt } => {
+            Action::StartAttempt { part, server, timeout: within } => {
+                self.check_send(*part, *server, *within)
+            }
+            Action::CancelAttempt { part, attempt } => {
                 assert!((*attempt as usize) < self.parts[part].attempts.len(), "cancel of nothing sent");
             }
-            Action::Answer { query, whole } => {
+            Action::Answer { query, complete: whole } => {
                 self.close(*query);
                 let class = &self.set.classes[self.queries[query].class];
                 let weight: f64 =
                     self.parts.values().filter(|p| p.query == *query && p.passed).map(|p| p.weight).sum();
-                assert!(weight >= class.floor - 1e-4, "answer under the floor");
-                assert!(!whole || weight >= class.need - 1e-4, "marked whole and is not");
+                assert!(weight >= class.min_coverage - 1e-4, "answer under the floor");
+                assert!(!whole || weight >= class.complete_coverage - 1e-4, "marked whole and is not");
             }
-            Action::Refuse { query, .. } => {
+            Action::Reject { query, .. } => {
                 self.close(*query);
-                let unsafe_class = self.set.classes[self.queries[query].class].effect == Effect::Unsafe;
+                let unsafe_class =
+                    self.set.classes[self.queries[query].class].retry_safety == RetrySafety::AtMostOnce;
                 let unrun = self
                     .parts
                     .values()
@@ -137,8 +140,8 @@
                 assert!(!unsafe_class || unrun, "refused what may have run");
             }
             Action::Fail { query } => self.close(*query),
-            Action::Probe { .. } => assert!(self.set.may_probe, "a probe where none is allowed"),
-            Action::Wake { after } => {
+            Action::CheckHealth { .. } => assert!(self.set.may_check_health, "a probe where none is allowed"),
+            Action::SetTimer { after } => {
                 let at = self.now + after;
                 self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
             }
@@ -161,26 +164,29 @@
         assert!(self.now + within <= q.valid_until);
         let class = &self.set.classes[q.class];
         let may_have_run = p.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran));
-        match class.effect {
-            Effect::Safe => {}
-            Effect::Unsafe => assert!(may_have_run.is_none(), "an unsafe part sent twice"),
-            Effect::Keyed => {
+        match class.retry_safety {
+            RetrySafety::Idempotent => {}
+            RetrySafety::AtMostOnce => assert!(may_have_run.is_none(), "an unsafe part sent twice"),
+            RetrySafety::Deduplicated => {
                 assert!(
-                    may_have_run.is_none_or(|a| self.now <= a.sent + class.repeat_window),
+                    may_have_run.is_none_or(|a| self.now <= a.sent + class.retry_window),
                     "past the window"
                 );
             }
         }
         p.attempts.push(Attempt { sent: self.now, outcome: None });
         let number = p.attempts.len() as u32 - 1;
-        assert!(p.attempts.len() <= class.attempts as usize);
+        assert!(p.attempts.len() <= class.max_attempts as usize);
         self.out.push((part, number, server, self.now));
         if number > 0 {
             self.extra.push(self.now);
-            let budget = self.set.budget.unwrap();
+            let budget = self.set.retry_budget.unwrap();
             let from = self.now - budget.window;
             let count = |times: &[Nanos]| times.iter().filter(|&&t| t > from).count() as f64;
-            assert!(count(&self.extra) <= budget.free + budget.ratio * count(&self.taken), "over the budget");
+            assert!(
+                count(&self.extra) <= budget.base_attempts + budget.ratio * count(&self.taken),
+                "over the budget"
+            );
         }
     }
 
@@ -191,17 +197,20 @@
                 let (part, attempt, server, sent) = self.out.swap_remove(pick % self.out.len());
                 let p = self.parts.get_mut(&part).unwrap();
                 p.attempts[attempt as usize].outcome = Some(outcome);
-                p.passed |= outcome == Outcome::Pass;
+                p.passed |= outcome == Outcome::Success;
                 let latency = self.now - sent;
-                self.round(vec![Event::Ended { part, attempt, server, outcome, latency }]);
+                self.round(vec![Event::AttemptEnded { part, attempt, server, outcome, latency }]);
             }
             Step::End { .. } => {}
             Step::List { server, phase, restart } => {
-                self.listed.insert(ServerId(server), phase == Phase::In);
+                self.listed.insert(ServerId(server), phase == EndpointState::Active);
                 let started_at = if restart { self.now } else { 0 };
                 let zone = Some(ZoneId(server % 3));
-                let entries = vec![ListEntry { started_at, zone, ..entry(server, phase) }];
-                self.round(vec![Event::List { kind: ListKind::Diff, entries }]);
+                let entries = vec![EndpointRecord { started_at, zone, ..entry(server, phase) }];
+                self.round(vec![Event::EndpointsUpdated {
+                    kind: EndpointUpdateKind::Delta,
+                    records: entries,
+                }]);
             }
             Step::Leave { pick } => {
                 let open: Vec<QueryId> = self
@@ -213,7 +222,7 @@
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
                     self.queries.get_mut(&id).unwrap().gone = true;
-                    self.round(vec![Event::Gone(id)]);
+                    self.round(vec![Event::ClientDisconnected(id)]);
                 }
             }
             Step::Pass { ms } => self.pass(ms * MS),
@@ -226,19 +235,19 @@
         let valid_until = self.now + 3000 * MS;
         self.queries.insert(id, Query { class, valid_until, finals: 0, gone: false });
         self.taken.push(self.now);
-        let mut events = vec![Event::Query {
+        let mut events = vec![Event::QueryArrived {
             id,
             class: ClassId(class),
             tenant: None,
             key: Some(KeyId(parts)),
-            repeated: parts % 2 == 1,
-            valid_until,
+            is_retry: parts % 2 == 1,
+            deadline: valid_until,
         }];
         for p in 1..=parts {
             let (part, weight) = (PartId(id.0 + p), 1.0 / parts as f64);
             self.parts.insert(part, Part { query: id, weight, attempts: Vec::new(), passed: false });
             self.taken.push(self.now);
-            events.push(Event::Part { id: part, query: id, shard: ShardId(0), weight });
+            events.push(Event::PartArrived { id: part, query: id, shard: ShardId(0), weight });
         }
         self.round(events);
     }
@@ -249,7 +258,7 @@
         while let Some(at) = self.wake.filter(|&w| w <= end) {
             self.now = at.max(self.now);
             self.wake = None;
-            self.round(vec![Event::Wake]);
+            self.round(vec![Event::TimerFired]);
         }
         self.now = end;
     }
@@ -268,13 +277,13 @@
 
 fn mixed() -> Settings {
     let mut set = settings();
-    set.classes[0].need = 0.7;
-    set.classes[0].floor = 0.4;
-    set.classes[2].late_worth = 0.3;
+    set.classes[0].complete_coverage = 0.7;
+    set.classes[0].min_coverage = 0.4;
+    set.classes[2].late_value_ratio = 0.3;
     // One zone less than the list names: a zone out of range is not known.
     set.zones = 2;
-    set.idle = Some(5000 * MS);
-    set.marks_retry = true;
+    set.connection_idle_timeout = Some(5000 * MS);
+    set.clients_mark_retries = true;
     set
 }
 
@@ -282,13 +291,20 @@
 fn partial() -> Settings {
     let mut set = mixed();
     for (class, (floor, late_worth)) in set.classes.iter_mut().zip([(0.5, 0.1), (1.0, 0.0), (0.6, 0.3)]) {
-        let effect = Effect::Safe;
-        *class = Class { effect, floor, need: 1.0, partial: Some(0.8), late_worth, ..class.clone() };
+        let effect = RetrySafety::Idempotent;
+        *class = Class {
+            retry_safety: effect,
+            min_coverage: floor,
+            complete_coverage: 1.0,
+            partial_value_ratio: Some(0.8),
+            late_value_ratio: late_worth,
+            ..class.clone()
+        };
     }
-    set.layout = Layout { batch: 4, call_overhead: 58 * MS, ..set.layout };
-    set.budget = Some(Budget { window: 5000 * MS, free: 5.0, ratio: 0.1 });
-    set.classes.iter_mut().for_each(|c| c.attempts = 4);
-    Settings { may_probe: false, ..set }
+    set.layout = ShardLayout { max_batch: 4, call_overhead: 58 * MS, ..set.layout };
+    set.retry_budget = Some(RetryBudget { window: 5000 * MS, base_attempts: 5.0, ratio: 0.1 });
+    set.classes.iter_mut().for_each(|c| c.max_attempts = 4);
+    Settings { may_check_health: false, ..set }
 }
 
 fn hold_the_rules(set: fn() -> Settings) {
--- a/crates/core/tests/wall_clock.rs
+++ b/crates/core/tests/wall_clock.rs
@@ -16,7 +16,7 @@
     while bed.now < end {
         let (_, _, actions) = bed.query(0, 1);
         bed.now += 50 * MS;
-        let done: Vec<Event> = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Pass)).collect();
+        let done: Vec<Event> = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Success)).collect();
         sent += sends(&actions).iter().filter(|s| s.server == COLD).count();
         bed.round(done);
     }
@@ -28,13 +28,16 @@
     let end = bed.now + span;
     while bed.now < end {
         bed.pass(SECOND);
-        bed.round(vec![Event::List { kind: ListKind::Diff, entries: Vec::new() }]);
+        bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: Vec::new() }]);
     }
 }
 
-fn told(bed: &mut Bed, kind: ListKind, started_at: Nanos) {
-    let started = ListEntry { started_at, ..entry(1, Phase::In) };
-    bed.round(vec![Event::List { kind, entries: vec![entry(0, Phase::In), started] }]);
+fn told(bed: &mut Bed, kind: EndpointUpdateKind, started_at: Nanos) {
+    let started = EndpointRecord { started_at, ..entry(1, EndpointState::Active) };
+    bed.round(vec![Event::EndpointsUpdated {
+        kind,
+        records: vec![entry(0, EndpointState::Active), started],
+    }]);
 }
 
 /// What a cold server is sent within the rule's span when its start is told as it is.
@@ -43,19 +46,19 @@
     bed.warm_up(40);
     quiet(&mut bed, 10 * SECOND);
     let now = bed.now;
-    told(&mut bed, ListKind::Diff, now);
-    sent_to_the_cold_one(&mut bed, settings().cold.fall)
+    told(&mut bed, EndpointUpdateKind::Delta, now);
+    sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration)
 }
 
 /// What a warm one is sent in that time.
 fn warm() -> usize {
     let mut bed = Bed::new(settings(), 2);
     bed.warm_up(40);
-    sent_to_the_cold_one(&mut bed, settings().cold.fall)
+    sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration)
 }
 
 fn is_cold(bed: &mut Bed, case: &str) {
-    let (honest, sent) = (honest(), sent_to_the_cold_one(bed, settings().cold.fall));
+    let (honest, sent) = (honest(), sent_to_the_cold_one(bed, settings().slow_start.overload_duration));
     assert!(sent <= honest + 2, "{case}: {sent} parts, where {honest} go when the start is told as it is");
 }
 
@@ -69,7 +72,7 @@
 #[test]
 fn a_start_told_after_the_wall_clock_went_back_is_a_start_of_now() {
     for back in [2 * SECOND, 5 * SECOND, 20 * SECOND, HOUR] {
-        for kind in [ListKind::Diff, ListKind::Full] {
+        for kind in [EndpointUpdateKind::Delta, EndpointUpdateKind::Snapshot] {
             let mut bed = Bed::new(settings(), 2);
             bed.now += 2 * HOUR;
             bed.warm_up(40);
@@ -88,10 +91,10 @@
     bed.warm_up(40);
     quiet(&mut bed, 10 * SECOND);
     let now = bed.now;
-    told(&mut bed, ListKind::Diff, now + HOUR);
+    told(&mut bed, EndpointUpdateKind::Delta, now + HOUR);
     is_cold(&mut bed, "stepped forward");
-    quiet(&mut bed, settings().cold.warm_after);
-    let sent = sent_to_the_cold_one(&mut bed, settings().cold.fall);
+    quiet(&mut bed, settings().slow_start.warm_up_duration);
+    let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
     assert!(sent + 4 >= warm(), "{sent} parts once it is warm, where {} go to a warm one", warm());
 }
 
@@ -103,11 +106,11 @@
     bed.now += 2 * HOUR;
     bed.warm_up(40);
     let now = bed.now;
-    told(&mut bed, ListKind::Diff, now);
-    quiet(&mut bed, settings().cold.warm_after + SECOND);
+    told(&mut bed, EndpointUpdateKind::Delta, now);
+    quiet(&mut bed, settings().slow_start.warm_up_duration + SECOND);
     bed.warm_up(40);
     let now = bed.now;
-    told(&mut bed, ListKind::Diff, now - HOUR);
+    told(&mut bed, EndpointUpdateKind::Delta, now - HOUR);
     is_cold(&mut bed, "the second start");
 }
 
@@ -117,12 +120,12 @@
 fn a_start_that_is_known_is_not_told_anew() {
     let mut bed = Bed::new(settings(), 2);
     let start = bed.now;
-    told(&mut bed, ListKind::Diff, start);
-    quiet(&mut bed, settings().cold.warm_after + SECOND);
+    told(&mut bed, EndpointUpdateKind::Delta, start);
+    quiet(&mut bed, settings().slow_start.warm_up_duration + SECOND);
     bed.warm_up(40);
     for time in [start, 0, start] {
-        told(&mut bed, ListKind::Full, time);
-        let sent = sent_to_the_cold_one(&mut bed, settings().cold.fall);
+        told(&mut bed, EndpointUpdateKind::Snapshot, time);
+        let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
         assert!(sent + 4 >= warm(), "{sent} parts, where {} go to a warm one", warm());
     }
 }
@@ -131,15 +134,15 @@
 /// clock was stepped before it began cannot be seen by it.
 #[test]
 fn servers_of_the_first_list_that_started_long_ago_are_warm() {
-    for kind in [ListKind::Full, ListKind::Known] {
+    for kind in [EndpointUpdateKind::Snapshot, EndpointUpdateKind::Unconfirmed] {
         let mut bed = Bed::new(settings(), 2);
         bed.policy = curlewdeck_core::Policy::new(settings(), 7).unwrap();
         bed.now += 2 * HOUR;
         let long_ago = bed.now - HOUR;
         told(&mut bed, kind, long_ago);
-        told(&mut bed, ListKind::Full, long_ago);
+        told(&mut bed, EndpointUpdateKind::Snapshot, long_ago);
         bed.warm_up(40);
-        let sent = sent_to_the_cold_one(&mut bed, settings().cold.fall);
+        let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
         assert!(sent + 4 >= warm(), "{kind:?}: {sent} parts, where {} go to a warm one", warm());
     }
 }
@@ -154,7 +157,7 @@
     bed.pass(60 * SECOND);
     bed.policy.wall_clock_stepped();
     let now = bed.now;
-    told(&mut bed, ListKind::Full, now - 30 * SECOND);
+    told(&mut bed, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
     is_cold(&mut bed, "an outage and a step");
 }
 
@@ -166,7 +169,7 @@
     quiet(&mut bed, 10 * SECOND);
     bed.pass(60 * SECOND);
     let now = bed.now;
-    told(&mut bed, ListKind::Full, now - 30 * SECOND);
-    let sent = sent_to_the_cold_one(&mut bed, settings().cold.fall);
+    told(&mut bed, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
+    let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
     assert!(sent + 4 >= warm(), "{sent} parts, where {} go to a warm one", warm());
 }
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -6,7 +6,7 @@
 //!
 //! A discovery that is out of reach can have told nothing, and extends the lease.
 
-use curlewdeck_core::api::{Discovery, Nanos};
+use curlewdeck_core::api::{DiscoveryMode, Nanos};
 
 use crate::TOLD_AFTER;
 
@@ -20,7 +20,7 @@
 /// Until when the list may be used.
 #[derive(Debug)]
 pub struct Lease {
-    discovery: Discovery,
+    discovery: DiscoveryMode,
     ends_at: Nanos,
     /// A watch has ended that may have done so instead of telling a change, which counts then, out of reach or not.
     ended_until: Option<Nanos>,
@@ -32,7 +32,7 @@
 
 impl Lease {
     /// One that has not begun: there has been no news yet.
-    pub fn new(discovery: Discovery) -> Self {
+    pub fn new(discovery: DiscoveryMode) -> Self {
         Self { discovery, ends_at: 0, ended_until: None, moved_until: None, reload_until: None }
     }
 
@@ -56,16 +56,16 @@
     /// The service has ended a watch in order: instead of telling a change, maybe.
     pub fn watch_ended(&mut self, now: Nanos) {
         match self.discovery {
-            Discovery::OnRequest { .. } => {
+            DiscoveryMode::Poll { .. } => {
                 self.ended_until.get_or_insert(after(now, WATCH_END_TOLD_AFTER));
             }
-            Discovery::Pushed => self.end_by(now),
+            DiscoveryMode::Push => self.end_by(now),
         }
     }
 
     /// The connection of a watch has failed between two lines. An agent may have a change since, which counts at once.
     pub fn watch_broken(&mut self, now: Nanos) {
-        if self.discovery == Discovery::Pushed {
+        if self.discovery == DiscoveryMode::Push {
             self.end_by(now);
         }
     }
@@ -78,7 +78,7 @@
     /// It is seen now that discovery was out of reach at a time: spans that are not over yet begin anew with its return. One
     /// that is over stays over, until there is news, but for that of an agent, whose watch ended as it went down.
     pub fn out_of_reach(&mut self, now: Nanos, at: Nanos) {
-        if self.discovery == Discovery::Pushed {
+        if self.discovery == DiscoveryMode::Push {
             self.agent_down(at);
         }
         if now >= self.ends_at() {
--- a/crates/membership/src/pacing.rs
+++ b/crates/membership/src/pacing.rs
@@ -1,6 +1,6 @@
 //! When the next call to discovery may begin: jitter, exponential backoff and hedging.
 
-use curlewdeck_core::api::{Discovery, Nanos};
+use curlewdeck_core::api::{DiscoveryMode, Nanos};
 use fastrand::Rng;
 
 use crate::subscription::CallEnd;
@@ -52,7 +52,7 @@
 /// The pace of calls to discovery of one coordinator.
 #[derive(Debug)]
 pub struct Pacing {
-    discovery: Discovery,
+    discovery: DiscoveryMode,
     coordinators: u32,
     spans: Spans,
     rng: Rng,
@@ -66,7 +66,7 @@
 
 impl Pacing {
     /// The pace under `discovery`, beside so many coordinators.
-    pub fn new(discovery: Discovery, coordinators: u32, spans: Spans, seed: u64) -> Self {
+    pub fn new(discovery: DiscoveryMode, coordinators: u32, spans: Spans, seed: u64) -> Self {
         Self {
             discovery,
             coordinators,
@@ -79,7 +79,7 @@
     }
 
     /// How the list comes.
-    pub fn discovery(&self) -> Discovery {
+    pub fn discovery(&self) -> DiscoveryMode {
         self.discovery
     }
 
@@ -97,7 +97,7 @@
 
     /// How long after the start the first call begins: all coordinators may have started at once.
     pub fn first_pause(&mut self) -> Nanos {
-        let Discovery::OnRequest { must_ask_in } = self.discovery else { return 0 };
+        let DiscoveryMode::Poll { poll_interval_max: must_ask_in } = self.discovery else { return 0 };
         let spread = self.spread(must_ask_in);
         if spread <= must_ask_in / SPREAD_WORTH {
             return 0;
@@ -136,7 +136,7 @@
         if !sound_watch_ended {
             self.failures = self.failures.saturating_add(1);
         }
-        let Discovery::OnRequest { must_ask_in } = self.discovery else {
+        let DiscoveryMode::Poll { poll_interval_max: must_ask_in } = self.discovery else {
             return if sound_watch_ended {
                 0
             } else {
@@ -174,18 +174,18 @@
         let hedge = least + self.share_of(CALL_GAP - least);
         match self.discovery {
             _ if beside => hedge,
-            Discovery::Pushed => AGENT_ANSWER,
-            Discovery::OnRequest { .. } if moved => hedge.min(HEDGE_AFTER_MOVE),
-            Discovery::OnRequest { .. } if self.coordinators_are_few() => hedge.min(HEDGE_OF_FEW),
-            Discovery::OnRequest { .. } => hedge,
+            DiscoveryMode::Push => AGENT_ANSWER,
+            DiscoveryMode::Poll { .. } if moved => hedge.min(HEDGE_AFTER_MOVE),
+            DiscoveryMode::Poll { .. } if self.coordinators_are_few() => hedge.min(HEDGE_OF_FEW),
+            DiscoveryMode::Poll { .. } => hedge,
         }
     }
 
     /// Whether the calls of all of them at once are no load.
     pub fn coordinators_are_few(&self) -> bool {
         match self.discovery {
-            Discovery::OnRequest { must_ask_in } => self.spread(must_ask_in) <= SHORT_PAUSE,
-            Discovery::Pushed => true,
+            DiscoveryMode::Poll { poll_interval_max: must_ask_in } => self.spread(must_ask_in) <= SHORT_PAUSE,
+            DiscoveryMode::Push => true,
         }
     }
 
--- a/crates/membership/src/subscription.rs
+++ b/crates/membership/src/subscription.rs
@@ -5,7 +5,7 @@
 //! Calls that nothing is heard of, for whatever reason, end with their lifetime, so that discovery is always called
 //! again.
 
-use curlewdeck_core::api::{Discovery, Nanos};
+use curlewdeck_core::api::{DiscoveryMode, Nanos};
 
 use crate::confirmation::Confirmation;
 use crate::lease::{Lease, MOVE_TOLD_AFTER};
@@ -212,10 +212,10 @@
     /// A coordinator that neither watches nor asks is told of changes by its last call.
     fn asked_until(&self) -> Nanos {
         match self.pacing.discovery() {
-            Discovery::OnRequest { must_ask_in } if !self.follows() => {
+            DiscoveryMode::Poll { poll_interval_max: must_ask_in } if !self.follows() => {
                 self.last_contact.saturating_add(must_ask_in)
             }
-            Discovery::OnRequest { .. } | Discovery::Pushed => Nanos::MAX,
+            DiscoveryMode::Poll { .. } | DiscoveryMode::Push => Nanos::MAX,
         }
     }
 
@@ -369,7 +369,7 @@
     /// Whether a call that is turned down tells that discovery is down, and not that it is crowded: the watch was broken,
     /// and the calls of all coordinators together are no load. An agent that is down is silent.
     fn service_is_down(&self) -> bool {
-        let asked = matches!(self.pacing.discovery(), Discovery::OnRequest { .. });
+        let asked = matches!(self.pacing.discovery(), DiscoveryMode::Poll { .. });
         asked && self.watch_broken && self.pacing.coordinators_are_few()
     }
 
@@ -445,7 +445,7 @@
         if due == Due::Hedge && newest_follows == Some(true) {
             self.reconnects = true;
         }
-        if newest_follows == Some(false) && self.pacing.discovery() == Discovery::Pushed {
+        if newest_follows == Some(false) && self.pacing.discovery() == DiscoveryMode::Push {
             // An agent answers at once, or it is down.
             self.lease.agent_down(now);
         }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Many subscriptions over scripted time: what all of them together ask of one service, and when each learns a change.
 
-use curlewdeck_core::api::{Discovery, Nanos};
+use curlewdeck_core::api::{DiscoveryMode, Nanos};
 use curlewdeck_membership::{
     CallEnd, CallId, Command, Event, Pacing, Request, Spans, Subscription, TOLD_AFTER,
 };
@@ -16,7 +16,7 @@
 const ANSWER: Nanos = 2200 * MS;
 
 fn subscription(coordinators: u32, seed: u64) -> Subscription {
-    let discovery = Discovery::OnRequest { must_ask_in: MUST_ASK_IN };
+    let discovery = DiscoveryMode::Poll { poll_interval_max: MUST_ASK_IN };
     Subscription::new(Pacing::new(discovery, coordinators, SPANS, seed), Some(1), START)
 }
 
--- a/crates/membership/tests/lease.rs
+++ b/crates/membership/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Until when a list may be used: each clause of the rule by itself, and whole subscriptions against a model of all of
 //! them over random steps.
 
-use curlewdeck_core::api::{Discovery, Nanos};
+use curlewdeck_core::api::{DiscoveryMode, Nanos};
 use curlewdeck_membership::{
     CallEnd, CallId, Command, Event, Lease, Pacing, Request, Spans, Subscription, TOLD_AFTER,
 };
@@ -10,7 +10,7 @@
 
 const MS: Nanos = 1_000_000;
 const START: Nanos = 1_000_000 * MS;
-const ON_REQUEST: Discovery = Discovery::OnRequest { must_ask_in: 10_000 * MS };
+const ON_REQUEST: DiscoveryMode = DiscoveryMode::Poll { poll_interval_max: 10_000 * MS };
 const SPANS: Spans = Spans { hedge: 3000 * MS, silence: 2600 * MS };
 /// What a watch should have told that has ended counts so long after its end.
 const WATCH_END: Nanos = 2000 * MS;
@@ -19,7 +19,7 @@
 /// A lease ends before the moment at which a change counts, and not much before it.
 const MARGIN: std::ops::RangeInclusive<Nanos> = 100 * MS..=300 * MS;
 
-fn renewed(discovery: Discovery) -> Lease {
+fn renewed(discovery: DiscoveryMode) -> Lease {
     let mut lease = Lease::new(discovery);
     lease.renew(START);
     lease
@@ -37,7 +37,7 @@
 
 #[test]
 fn after_the_last_news_a_change_counts_in_6_s() {
-    for discovery in [ON_REQUEST, Discovery::Pushed] {
+    for discovery in [ON_REQUEST, DiscoveryMode::Push] {
         ends_in_time_for(&renewed(discovery), START + TOLD_AFTER);
     }
 }
@@ -47,7 +47,7 @@
     let mut lease = renewed(ON_REQUEST);
     lease.watch_ended(START + 1000 * MS);
     ends_in_time_for(&lease, START + 1000 * MS + WATCH_END);
-    let mut lease = renewed(Discovery::Pushed);
+    let mut lease = renewed(DiscoveryMode::Push);
     lease.watch_ended(START + 1000 * MS);
     assert_eq!(lease.ends_at(), START + 1000 * MS);
 }
@@ -65,14 +65,14 @@
     let mut lease = renewed(ON_REQUEST);
     lease.watch_broken(START + 1000 * MS);
     ends_in_time_for(&lease, START + TOLD_AFTER);
-    let mut lease = renewed(Discovery::Pushed);
+    let mut lease = renewed(DiscoveryMode::Push);
     lease.watch_broken(START + 1000 * MS);
     assert_eq!(lease.ends_at(), START + 1000 * MS);
 }
 
 #[test]
 fn news_that_is_lost_on_its_way_counts_at_once() {
-    for discovery in [ON_REQUEST, Discovery::Pushed] {
+    for discovery in [ON_REQUEST, DiscoveryMode::Push] {
         let mut lease = renewed(discovery);
         lease.news_lost(START + 1000 * MS);
         assert_eq!(lease.ends_at(), START + 1000 * MS);
@@ -135,11 +135,11 @@
 
 #[test]
 fn an_agent_that_is_silent_or_refuses_has_ended_its_watch_since_it_went_down() {
-    let mut silent = renewed(Discovery::Pushed);
+    let mut silent = renewed(DiscoveryMode::Push);
     silent.watch_ended(START);
     silent.agent_down(START + 500 * MS);
     ends_in_time_for(&silent, START + 500 * MS + TOLD_AFTER);
-    let mut refuses = renewed(Discovery::Pushed);
+    let mut refuses = renewed(DiscoveryMode::Push);
     refuses.watch_broken(START);
     refuses.out_of_reach(START + 500 * MS, START + 490 * MS);
     ends_in_time_for(&refuses, START + 490 * MS + TOLD_AFTER);
@@ -148,7 +148,7 @@
 /// A new agent that refuses does not bring the list of the one before back once its 4 s are over.
 #[test]
 fn an_agent_that_refuses_extends_no_move_that_is_over() {
-    let mut lease = renewed(Discovery::Pushed);
+    let mut lease = renewed(DiscoveryMode::Push);
     lease.service_moved(START);
     let over = lease.ends_at();
     lease.out_of_reach(over, over);
--- a/crates/membership/tests/subscription.rs
+++ b/crates/membership/tests/subscription.rs
@@ -1,6 +1,6 @@
 //! When calls to discovery are begun, kept and given up, step by step.
 
-use curlewdeck_core::api::{Discovery, Nanos};
+use curlewdeck_core::api::{DiscoveryMode, Nanos};
 use curlewdeck_membership::{
     CallEnd, CallId, Command, Event, Pacing, Request, Spans, Subscription, CALL_GAP, TOLD_AFTER,
 };
@@ -10,7 +10,7 @@
 const SPANS: Spans = Spans { hedge: 3000 * MS, silence: 2600 * MS };
 /// A service that answers within this is heard in time.
 const ANSWER: Nanos = 2200 * MS;
-const ON_REQUEST: Discovery = Discovery::OnRequest { must_ask_in: 10_000 * MS };
+const ON_REQUEST: DiscoveryMode = DiscoveryMode::Poll { poll_interval_max: 10_000 * MS };
 const KNOWN: u64 = 41;
 /// A move of the service is in force this long after the signal.
 const MOVE_IN_FORCE: Nanos = 4000 * MS;
@@ -25,7 +25,7 @@
 }
 
 impl Bed {
-    fn new(discovery: Discovery, coordinators: u32, known: Option<u64>, seed: u64) -> Self {
+    fn new(discovery: DiscoveryMode, coordinators: u32, known: Option<u64>, seed: u64) -> Self {
         let pacing = Pacing::new(discovery, coordinators, SPANS, seed);
         let subscription = Subscription::new(pacing, known, START);
         let mut bed = Self { subscription, now: START, open: Vec::new(), usable_unconfirmed: false };
@@ -83,7 +83,7 @@
 #[test]
 fn discovery_is_called_at_the_start() {
     for (discovery, known) in
-        [(ON_REQUEST, Some(KNOWN)), (ON_REQUEST, None), (Discovery::Pushed, Some(KNOWN))]
+        [(ON_REQUEST, Some(KNOWN)), (ON_REQUEST, None), (DiscoveryMode::Push, Some(KNOWN))]
     {
         let bed = Bed::new(discovery, 1, known, 1);
         let request = known.map_or(Request::Snapshot, |since| Request::Watch { since });
@@ -156,7 +156,7 @@
 /// one that begins in time for that.
 #[test]
 fn a_call_that_is_answered_late_is_heard() {
-    for discovery in [ON_REQUEST, Discovery::Pushed] {
+    for discovery in [ON_REQUEST, DiscoveryMode::Push] {
         for coordinators in [1, 300] {
             let mut bed = Bed::new(discovery, coordinators, Some(KNOWN), 1);
             bed.step(Event::QueryWaiting);
@@ -273,7 +273,7 @@
 /// agent that fails is asked again well within the grace of a drain, about ten times a second at most.
 #[test]
 fn an_agent_is_asked_again_at_once() {
-    let mut bed = Bed::new(Discovery::Pushed, 300, Some(KNOWN), 1);
+    let mut bed = Bed::new(DiscoveryMode::Push, 300, Some(KNOWN), 1);
     bed.step(Event::Told(bed.newest(), 42));
     bed.now += 5000 * MS;
     bed.step(Event::Heartbeat(bed.newest()));
@@ -373,7 +373,7 @@
 /// Guards against a subscription that spins: after each deadline the next one lies ahead.
 #[test]
 fn no_deadline_stays_due() {
-    for discovery in [ON_REQUEST, Discovery::Pushed] {
+    for discovery in [ON_REQUEST, DiscoveryMode::Push] {
         let mut bed = Bed::new(discovery, 1, Some(KNOWN), 3);
         for _ in 0..500 {
             bed.now = bed.subscription.next_deadline().max(bed.now);
@@ -388,7 +388,7 @@
 #[test]
 fn a_list_that_is_usable_again_without_news_is_told() {
     for refuses in [true, false] {
-        let mut bed = Bed::new(Discovery::Pushed, 1, Some(KNOWN), 1);
+        let mut bed = Bed::new(DiscoveryMode::Push, 1, Some(KNOWN), 1);
         bed.step(Event::Told(bed.newest(), 42));
         let watch = bed.newest();
         bed.now += 1000 * MS;
