--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -12,7 +12,7 @@
 use curlewdeck_snmp::registry::Module;
 use curlewdeck_snmp::tree::Value;
 
-use crate::api::{Nanos, Phase};
+use crate::api::{EndpointState, Nanos};
 use crate::limits::Limits;
 use crate::mib;
 use crate::net::coordinator::Core;
@@ -38,7 +38,7 @@
     refusal_share: f64,
     /// By node index: its phase and drains when it was last seen. None before the first look: what that finds is no
     /// news; a node that comes later is taken to have been in service.
-    nodes: Option<BTreeMap<u32, (Phase, u64)>>,
+    nodes: Option<BTreeMap<u32, (EndpointState, u64)>>,
     /// Refused and asked when the share was last looked at, and when.
     refusals: Option<(Nanos, u64, u64)>,
     list_overdue: u64,
@@ -105,7 +105,7 @@
         for row in &books.nodes {
             let (phase, drains) = match &self.nodes {
                 None => (row.phase, row.drains),
-                Some(seen) => seen.get(&row.index).copied().unwrap_or((Phase::In, 0)),
+                Some(seen) => seen.get(&row.index).copied().unwrap_or((EndpointState::Active, 0)),
             };
             let name = Value::Text(row.name.clone().into_bytes());
             if row.drains > drains {
@@ -115,7 +115,7 @@
                     &[("cdNodeName", row.index, name.clone())],
                 ));
             }
-            if row.phase == Phase::Out && phase != Phase::Out {
+            if row.phase == EndpointState::Removed && phase != EndpointState::Removed {
                 news.push(self.notice("cdNodeLost", &row.name, &[("cdNodeName", row.index, name)]));
             }
             nodes.insert(row.index, (row.phase, row.drains));
@@ -313,10 +313,10 @@
     #[test]
     fn drains_and_losses_are_told_once() {
         let (mut w, mut a) = (Watch::new(0.1), account());
-        a.node(0, ServerId(0), "s", Phase::Draining);
+        a.node(0, ServerId(0), "s", EndpointState::Draining);
         assert!(look(&mut w, &mut a, 0, (0, 0, 0)).is_empty(), "what is seen first is no news");
-        a.node(0, ServerId(0), "s", Phase::In);
-        a.node(0, ServerId(0), "s", Phase::Draining);
+        a.node(0, ServerId(0), "s", EndpointState::Active);
+        a.node(0, ServerId(0), "s", EndpointState::Draining);
         assert_eq!(look(&mut w, &mut a, 0, (0, 0, 0)), ["cdNodeDraining"]);
         assert!(look(&mut w, &mut a, 0, (0, 0, 0)).is_empty());
         a.retired(0, ServerId(0));
@@ -324,7 +324,7 @@
         assert!(look(&mut w, &mut a, 9 * S, (0, 0, 0)).is_empty(), "its row has gone");
         assert!(w.nodes.as_ref().is_some_and(BTreeMap::is_empty));
         // One that comes and drains between two looks.
-        a.node(9 * S, ServerId(1), "t", Phase::Draining);
+        a.node(9 * S, ServerId(1), "t", EndpointState::Draining);
         assert_eq!(look(&mut w, &mut a, 9 * S, (0, 0, 0)), ["cdNodeDraining"]);
     }
 
@@ -358,9 +358,9 @@
     #[test]
     fn notices_carry_what_the_mib_says() {
         let (mut w, mut a) = (Watch::new(0.1), account());
-        a.node(0, ServerId(0), "s", Phase::In);
+        a.node(0, ServerId(0), "s", EndpointState::Active);
         look(&mut w, &mut a, 0, (0, 0, 0));
-        a.node(0, ServerId(0), "s", Phase::Draining);
+        a.node(0, ServerId(0), "s", EndpointState::Draining);
         a.retired(0, ServerId(0));
         let books = a.snapshot(0);
         for notice in w.look(&Figures { books, list_overdue: 1, denied: 1, descriptors: (99, 100) }) {
--- a/src/bin/curlewdeck-simulator-adapter/host.rs
+++ b/src/bin/curlewdeck-simulator-adapter/host.rs
@@ -5,7 +5,8 @@
 
 use base64::Engine;
 use curlewdeck::api::{
-    Action, ClassId, Event, KeyId, ListEntry, ListKind, PartId, QueryId, ServerId, ShardId, TenantId, ZoneId,
+    Action, ClassId, EndpointRecord, EndpointUpdateKind, Event, KeyId, PartId, QueryId, ServerId, ShardId,
+    TenantId, ZoneId,
 };
 use curlewdeck::settings::{self, Info};
 use curlewdeck::Policy;
@@ -25,7 +26,7 @@
     cell: u32,
     started_at: u64,
     rating: f64,
-    phase: curlewdeck::api::Phase,
+    phase: curlewdeck::api::EndpointState,
     area: Option<String>,
 }
 
@@ -99,14 +100,14 @@
                 let query = QueryId(f.number("txn")?);
                 f.end()?;
                 instance.close(query);
-                instance.events.push(Event::Gone(query));
+                instance.events.push(Event::ClientDisconnected(query));
             }
             "reminder" => {
                 let instance = self.instance(&mut f)?;
                 let nonce = f.text("nonce")?;
                 f.end()?;
                 if nonce == WAKE {
-                    instance.events.push(Event::Wake);
+                    instance.events.push(Event::TimerFired);
                 }
             }
             "pong" => self.pong(&mut f)?,
@@ -186,7 +187,7 @@
         let salt: u64 = f.number("salt")?;
         let read = settings::read(f.rest("info")?).map_err(|e| format!("enlist: {e}"))?;
         let Info { settings, classes, tenants, zones, .. } = read;
-        let second_step = settings.classes.iter().map(|c| c.second_step > 0).collect();
+        let second_step = settings.classes.iter().map(|c| c.second_phase_parts > 0).collect();
         let subscriber = Subscriber::new(&settings, salt, self.clock.unwrap_or(0));
         let policy = Policy::new(settings, salt).map_err(|e| format!("enlist: {e}"))?;
         let instance = Instance {
@@ -212,8 +213,8 @@
     fn backends_changed(&mut self, f: &mut Fields) -> Result<(), String> {
         let mixer: u32 = f.number("mixer")?;
         let news = match f.text("kind")? {
-            "diff" => News::List(ListKind::Diff),
-            "snapshot" => News::List(ListKind::Full),
+            "diff" => News::List(EndpointUpdateKind::Delta),
+            "snapshot" => News::List(EndpointUpdateKind::Snapshot),
             "disk" => News::BeforeStart,
             "error" => News::Failed,
             other => return Err(format!("backends_changed: unknown kind '{other}'")),
@@ -240,7 +241,7 @@
                 instance.subscriber.failed(now);
                 return Ok(());
             }
-            News::BeforeStart => ListKind::Full,
+            News::BeforeStart => EndpointUpdateKind::Snapshot,
             News::List(kind) => {
                 instance.subscriber.heard(now);
                 kind
@@ -248,16 +249,16 @@
         };
         let mut entries = Vec::with_capacity(lines.len());
         for line in lines {
-            entries.push(ListEntry {
+            entries.push(EndpointRecord {
                 server: instance.intern(&line.searcher),
-                cell: line.cell,
+                partition_group: line.cell,
                 started_at: line.started_at,
-                rating: line.rating,
-                phase: line.phase,
+                capacity: line.rating,
+                state: line.phase,
                 zone: instance.zone(line.area.as_deref()),
             });
         }
-        instance.events.push(Event::List { kind, entries });
+        instance.events.push(Event::EndpointsUpdated { kind, records: entries });
         Ok(())
     }
 
@@ -284,10 +285,17 @@
             instance.open.insert(query, Open { ask, answers_left });
             let repeated = bitmap & 2 != 0;
             let tenant = tenant.map(TenantId);
-            instance.events.push(Event::Query { id: query, class, tenant, key, repeated, valid_until });
+            instance.events.push(Event::QueryArrived {
+                id: query,
+                class,
+                tenant,
+                key,
+                is_retry: repeated,
+                deadline: valid_until,
+            });
         } else if let Some(&query) = instance.asks.get(&ask) {
             let shard = ShardId(range as u32);
-            instance.events.push(Event::Part { id: PartId(id), query, shard, weight: amount });
+            instance.events.push(Event::PartArrived { id: PartId(id), query, shard, weight: amount });
         }
         Ok(())
     }
@@ -302,7 +310,7 @@
         let server = instance.intern(f.text("searcher")?);
         f.optional("metrics")?.map_or(Ok(()), wire::check_load)?;
         f.end()?;
-        instance.events.push(Event::Ended { part, attempt, server, outcome, latency });
+        instance.events.push(Event::AttemptEnded { part, attempt, server, outcome, latency });
         Ok(())
     }
 
@@ -313,7 +321,7 @@
         let server = instance.intern(f.text("searcher")?);
         f.optional("metrics")?.map_or(Ok(()), wire::check_load)?;
         f.end()?;
-        instance.events.push(Event::Probed { server, outcome, latency });
+        instance.events.push(Event::HealthChecked { server, outcome, latency });
         Ok(())
     }
 
@@ -336,7 +344,7 @@
 #[derive(Debug, Clone, Copy)]
 enum News {
     /// A list or a change.
-    List(ListKind),
+    List(EndpointUpdateKind),
     /// The list as it was held before the start.
     BeforeStart,
     /// A call has failed, or the subscription has dropped.
@@ -380,19 +388,21 @@
     fn write(&mut self, mixer: u32, action: &Action, out: &mut String) {
         // Writing to a string cannot fail.
         let _ = match action {
-            Action::Send { part, server, within } => {
+            Action::StartAttempt { part, server, timeout: within } => {
                 let name = &self.names[server.0 as usize];
                 writeln!(out, "place {mixer} {} {within} {name}", part.0)
             }
-            Action::Cancel { part, attempt } => writeln!(out, "drop_attempt {mixer} {} {attempt}", part.0),
-            Action::Answer { query, whole } => {
+            Action::CancelAttempt { part, attempt } => {
+                writeln!(out, "drop_attempt {mixer} {} {attempt}", part.0)
+            }
+            Action::Answer { query, complete: whole } => {
                 match self.open.get_mut(query) {
                     Some(open) if open.answers_left > 1 => open.answers_left -= 1,
                     _ => self.close(*query),
                 }
                 writeln!(out, "settle_query {mixer} {} {}", query.0, u8::from(*whole))
             }
-            Action::Refuse { query, hold_off } => {
+            Action::Reject { query, retry_after: hold_off } => {
                 self.close(*query);
                 writeln!(out, "bounce {mixer} {} {hold_off}", query.0)
             }
@@ -400,13 +410,13 @@
                 self.close(*query);
                 writeln!(out, "error {mixer} {}", query.0)
             }
-            Action::Probe { server } => {
+            Action::CheckHealth { server } => {
                 writeln!(out, "health_check {mixer} {}", self.names[server.0 as usize])
             }
-            Action::Close { server } => {
+            Action::CloseIdleConnections { server } => {
                 writeln!(out, "release {mixer} {}", self.names[server.0 as usize])
             }
-            Action::Wake { after } => writeln!(out, "remind {mixer} {WAKE} {after}"),
+            Action::SetTimer { after } => writeln!(out, "remind {mixer} {WAKE} {after}"),
         };
     }
 }
--- a/src/bin/curlewdeck-simulator-adapter/subscriber.rs
+++ b/src/bin/curlewdeck-simulator-adapter/subscriber.rs
@@ -1,6 +1,6 @@
 //! When an instance of the simulator asks discovery for changes: by the pace of the real coordinator, one call at a time.
 
-use curlewdeck::api::{Discovery, Nanos, Settings};
+use curlewdeck::api::{DiscoveryMode, Nanos, Settings};
 use curlewdeck_membership::{CallEnd, Pacing, Spans, CALL_LIFETIME};
 
 /// The simulator tells how each call has ended, so nothing is hedged and no silence is timed.
@@ -22,7 +22,7 @@
     /// The calls of an instance that starts now.
     pub fn new(settings: &Settings, seed: u64, now: Nanos) -> Self {
         let mut pacing = Pacing::new(settings.discovery, settings.coordinators, SPANS, seed);
-        let asks = matches!(settings.discovery, Discovery::OnRequest { .. });
+        let asks = matches!(settings.discovery, DiscoveryMode::Poll { .. });
         let call_at = asks.then(|| now + pacing.first_pause());
         Self { pacing, call_at, last_contact: now, armed: None }
     }
--- a/src/bin/curlewdeck-simulator-adapter/wire.rs
+++ b/src/bin/curlewdeck-simulator-adapter/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's field formats.
 
-use curlewdeck::api::{Outcome, Phase};
+use curlewdeck::api::{EndpointState, Outcome};
 
 /// The fields of one line, taken from left to right.
 pub struct Fields<'a> {
@@ -81,23 +81,23 @@
 
 pub fn outcome(text: &str) -> Result<Outcome, String> {
     Ok(match text {
-        "pass" => Outcome::Pass,
-        "fault" => Outcome::Fault,
-        "no_room" => Outcome::NoRoom,
-        "too_slow" => Outcome::TooSlow,
-        "no_route" => Outcome::NoRoute,
-        "cut" => Outcome::Cut,
-        "undone" => Outcome::Undone,
-        "stale_send" => Outcome::StaleSend,
+        "pass" => Outcome::Success,
+        "fault" => Outcome::ServerError,
+        "no_room" => Outcome::Rejected,
+        "too_slow" => Outcome::TimedOut,
+        "no_route" => Outcome::ConnectFailed,
+        "cut" => Outcome::ConnectionReset,
+        "undone" => Outcome::Cancelled,
+        "stale_send" => Outcome::NotSent,
         other => return Err(format!("expected an outcome, found '{other}'")),
     })
 }
 
-pub fn phase(text: &str) -> Result<Phase, String> {
+pub fn phase(text: &str) -> Result<EndpointState, String> {
     Ok(match text {
-        "IN" => Phase::In,
-        "LAME" => Phase::Draining,
-        "OUT" => Phase::Out,
+        "IN" => EndpointState::Active,
+        "LAME" => EndpointState::Draining,
+        "OUT" => EndpointState::Removed,
         other => return Err(format!("m: expected a phase (IN, LAME or OUT), found '{other}'")),
     })
 }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -117,8 +117,8 @@
     pub fn view(&self, account: &Account) {
         let queries = |end: End| account.sum(|c| c.of(end));
         let attempts = account.attempts();
-        let passed = attempts.of(Outcome::Pass);
-        let (stale, dropped) = (attempts.of(Outcome::StaleSend), attempts.of(Outcome::Undone));
+        let passed = attempts.of(Outcome::Success);
+        let (stale, dropped) = (attempts.of(Outcome::NotSent), attempts.of(Outcome::Cancelled));
         for (counter, count) in [
             (&self.queries_taken, account.sum(|c| c.taken)),
             (&self.answers_whole, queries(End::WholeInTime) + queries(End::WholeLate)),
--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -119,7 +119,7 @@
             return Err(format!("measure '{}': the scale is at most {MAX_SCALE}", m.name));
         }
         let class = info.class(&self.class).ok_or_else(|| format!("there is no class '{}'", self.class))?;
-        match info.settings.classes[class.0].second_step {
+        match info.settings.classes[class.0].second_phase_parts {
             0 => Ok(class),
             _ => Err(format!("the class '{}' has a second step, whose answer is not mergeable", self.class)),
         }
@@ -235,7 +235,7 @@
     fn sets(&self) -> Json {
         let set = |(s, class): &(SetConfig, ClassId)| {
             let info = self.core.info();
-            let floor = info.settings.classes[info.now(*class).0].floor;
+            let floor = info.settings.classes[info.now(*class).0].min_coverage;
             let measures: Vec<Json> =
                 s.measures.iter().map(|m| json!({"name": m.name, "scale": m.scale})).collect();
             json!({"id": s.id, "title": s.title, "class": s.class, "leastShare": floor, "measures": measures})
@@ -354,7 +354,7 @@
         };
         let end = End {
             merging,
-            floor: self.core.info().settings.classes[class.0].floor,
+            floor: self.core.info().settings.classes[class.0].min_coverage,
             memory: self.memory.clone(),
             keys: self.keys.clone(),
             cursor_life: self.cursor_life,
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -511,7 +511,7 @@
     }
     let class = info.class(&collection.class);
     let class = class.ok_or_else(|| format!("ogc: {id}: there is no class '{}'", collection.class))?;
-    if info.settings.classes[class.0].second_step > 0 {
+    if info.settings.classes[class.0].second_phase_parts > 0 {
         return Err(format!("ogc: {id}: the class '{}' has a second step", collection.class));
     }
     Ok(class)
--- a/src/mib.rs
+++ b/src/mib.rs
@@ -8,7 +8,7 @@
 use curlewdeck_snmp::tree::Value;
 use curlewdeck_snmp::Oid;
 
-use crate::api::{Nanos, Phase};
+use crate::api::{EndpointState, Nanos};
 use crate::counters::Counters;
 use crate::replication::driver::{Role, Standing};
 
@@ -323,9 +323,9 @@
     }
     for node in &books.nodes {
         let phase = match node.phase {
-            Phase::In => 1,
-            Phase::Draining => 2,
-            Phase::Out => 3,
+            EndpointState::Active => 1,
+            EndpointState::Draining => 2,
+            EndpointState::Removed => 3,
         };
         let row = [
             Value::Text(node.name.clone().into_bytes()),
@@ -365,7 +365,7 @@
             Account::new(&text.info.settings.classes, &text.info.classes, NodeBounds { rows: 4, keep: 1 });
         account.taken(0, crate::api::QueryId(1), crate::api::ClassId(0));
         account.answered(5_000_000, crate::api::QueryId(1), true, 1.0);
-        account.node(0, crate::api::ServerId(0), "s", Phase::In);
+        account.node(0, crate::api::ServerId(0), "s", EndpointState::Active);
         account.snapshot(0)
     }
 
--- a/src/net/connection_pool.rs
+++ b/src/net/connection_pool.rs
@@ -163,9 +163,9 @@
     /// How what is out on it ends with it.
     fn lost(&self) -> Outcome {
         if self.spoilt {
-            Outcome::Spoilt
+            Outcome::MalformedResponse
         } else {
-            Outcome::Cut
+            Outcome::ConnectionReset
         }
     }
 
@@ -293,8 +293,8 @@
     /// Ends what may not be sent: it never ran, which says nothing of the data node.
     fn refuse(&mut self, item: Item) {
         match item {
-            Item::Call(call, _) => call.iter().for_each(|d| self.end(d.attempt, Outcome::StaleSend, None)),
-            Item::Probe => self.outputs.push(Output::Probed(Outcome::StaleSend)),
+            Item::Call(call, _) => call.iter().for_each(|d| self.end(d.attempt, Outcome::NotSent, None)),
+            Item::Probe => self.outputs.push(Output::Probed(Outcome::NotSent)),
             Item::GiveUp(_) => {}
         }
     }
@@ -382,7 +382,7 @@
                     let (takes_new, now) = (self.takes_new, self.now);
                     let (sent, stale): (Vec<_>, Vec<_>) =
                         call.into_iter().partition(|d| takes_new && d.until > now);
-                    let stale = stale.iter().map(|d| Output::End(d.attempt, Outcome::StaleSend, None));
+                    let stale = stale.iter().map(|d| Output::End(d.attempt, Outcome::NotSent, None));
                     self.outputs.extend(stale);
                     if sent.is_empty() {
                         continue;
@@ -470,8 +470,10 @@
     fn fail_waiting(&mut self, waiting: VecDeque<Item>) {
         for item in waiting {
             match item {
-                Item::Call(call, _) => call.iter().for_each(|d| self.end(d.attempt, Outcome::NoRoute, None)),
-                Item::Probe => self.outputs.push(Output::Probed(Outcome::NoRoute)),
+                Item::Call(call, _) => {
+                    call.iter().for_each(|d| self.end(d.attempt, Outcome::ConnectFailed, None))
+                }
+                Item::Probe => self.outputs.push(Output::Probed(Outcome::ConnectFailed)),
                 Item::GiveUp(_) => {}
             }
         }
@@ -637,7 +639,7 @@
         for link in self.links.values_mut() {
             while link.probes.front().is_some_and(|&sent| now.saturating_sub(sent) >= most) {
                 link.probes.pop_front();
-                self.outputs.push(Output::Probed(Outcome::TooSlow));
+                self.outputs.push(Output::Probed(Outcome::TimedOut));
             }
         }
         self.close_idle(self.limits.idle);
--- a/src/net/connection_pool/tests.rs
+++ b/src/net/connection_pool/tests.rs
@@ -37,7 +37,7 @@
 
 fn answer(id: u64) -> Reply {
     let value = Some(Value { score: 1, data: "v".into() });
-    Reply::Answer { name: format!("q.{id}"), outcome: Outcome::Pass, value }
+    Reply::Answer { name: format!("q.{id}"), outcome: Outcome::Success, value }
 }
 
 /// How far the model holds an attempt to be.
@@ -152,10 +152,10 @@
             Output::End(id, outcome, _) => {
                 let at = std::mem::replace(&mut self.attempts[id.0 as usize].0, At::Over);
                 let right = match outcome {
-                    Outcome::StaleSend => at == At::Waiting,
-                    Outcome::NoRoute => matches!(at, At::Waiting | At::Handed(_)),
-                    Outcome::Cut | Outcome::Spoilt => matches!(at, At::Written(_)),
-                    Outcome::Pass => matches!(at, At::Written(_) | At::Handed(_)),
+                    Outcome::NotSent => at == At::Waiting,
+                    Outcome::ConnectFailed => matches!(at, At::Waiting | At::Handed(_)),
+                    Outcome::ConnectionReset | Outcome::MalformedResponse => matches!(at, At::Written(_)),
+                    Outcome::Success => matches!(at, At::Written(_) | At::Handed(_)),
                     _ => false,
                 };
                 assert!(right, "{id:?} ended {outcome:?} when it was {at:?}");
@@ -333,7 +333,7 @@
         links.step(0, Input::Written(LinkId(0)));
     }
     let ended = links.step(1, Input::Frame(LinkId(0), answer(0)));
-    assert!(matches!(ended[..], [Output::End(AttemptId(0), Outcome::Pass, _)]), "{ended:?}");
+    assert!(matches!(ended[..], [Output::End(AttemptId(0), Outcome::Success, _)]), "{ended:?}");
     links
 }
 
@@ -345,8 +345,11 @@
     links.step(1, Input::Call(vec![part(2, WAIT)]));
     links.step(1, Input::Call(vec![part(3, WAIT)]));
     let outputs = links.step(2, Input::Frame(LinkId(0), answer(99)));
-    let expected =
-        [Output::Shut(LinkId(0)), Output::End(AttemptId(1), Outcome::Spoilt, None), Output::Dial(LinkId(1))];
+    let expected = [
+        Output::Shut(LinkId(0)),
+        Output::End(AttemptId(1), Outcome::MalformedResponse, None),
+        Output::Dial(LinkId(1)),
+    ];
     assert_eq!(outputs, expected);
     assert_eq!(links.step(3, Input::WriteFailed(LinkId(0), false)), []);
     let moved = links.step(4, Input::Up(LinkId(1)));
@@ -363,7 +366,7 @@
     let moved = [Output::Shut(LinkId(0)), Output::Dial(LinkId(1))];
     assert_eq!(links.step(2, Input::WriteFailed(LinkId(0), false)), moved);
     links.step(3, Input::Up(LinkId(1)));
-    let ended = [Output::Shut(LinkId(1)), Output::End(AttemptId(1), Outcome::NoRoute, None)];
+    let ended = [Output::Shut(LinkId(1)), Output::End(AttemptId(1), Outcome::ConnectFailed, None)];
     assert_eq!(links.step(3, Input::WriteFailed(LinkId(1), false)), ended);
 }
 
@@ -374,8 +377,8 @@
     let mut links = used(1);
     links.step(2, Input::Call(vec![part(1, WAIT), part(2, WAIT)]));
     let left = links.step(2, Input::LeftOut(LinkId(0), vec![AttemptId(2)]));
-    assert_eq!(left, [Output::End(AttemptId(2), Outcome::StaleSend, None)]);
-    let ended = [Output::End(AttemptId(1), Outcome::Cut, None), Output::Shut(LinkId(0))];
+    assert_eq!(left, [Output::End(AttemptId(2), Outcome::NotSent, None)]);
+    let ended = [Output::End(AttemptId(1), Outcome::ConnectionReset, None), Output::Shut(LinkId(0))];
     assert_eq!(links.step(2, Input::WriteFailed(LinkId(0), true)), ended);
 }
 
@@ -388,7 +391,7 @@
     assert_eq!(links.step(2, Input::Begun(LinkId(0))), []);
     assert_eq!(links.step(2, Input::Frame(LinkId(0), answer(1))), []);
     let ended = links.step(3, Input::Frame(LinkId(0), answer(2)));
-    assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Pass, _)]), "{ended:?}");
+    assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Success, _)]), "{ended:?}");
 }
 
 /// Guards against sending on over a connection that has died unseen: new parts go over another, and once
@@ -403,7 +406,7 @@
     links.step(150, Input::Up(LinkId(1)));
     links.step(150, Input::Written(LinkId(1)));
     let ended = links.step(160, Input::Frame(LinkId(1), answer(3)));
-    let lost = |id| Output::End(AttemptId(id), Outcome::Spoilt, None);
+    let lost = |id| Output::End(AttemptId(id), Outcome::MalformedResponse, None);
     assert_eq!(ended[1..], [Output::Shut(LinkId(0)), lost(1), lost(2)], "{ended:?}");
 }
 
@@ -435,7 +438,7 @@
     links.step(0, Input::TakesNew(true));
     links.step(0, Input::Call(vec![part(0, WAIT)]));
     let ended = links.step(0, Input::NoSocket(LinkId(0)));
-    assert_eq!(ended, [Output::End(AttemptId(0), Outcome::StaleSend, None)]);
+    assert_eq!(ended, [Output::End(AttemptId(0), Outcome::NotSent, None)]);
     assert_eq!(links.count(), 0);
 }
 
@@ -449,9 +452,9 @@
     links.step(0, Input::NoSocket(LinkId(0)));
     for id in 1..100 {
         let ended = links.step(NO_SOCKET_PAUSE - 1, Input::Call(vec![part(id, WAIT)]));
-        assert_eq!(ended, [Output::End(AttemptId(id), Outcome::StaleSend, None)]);
+        assert_eq!(ended, [Output::End(AttemptId(id), Outcome::NotSent, None)]);
     }
-    assert_eq!(links.step(NO_SOCKET_PAUSE - 1, Input::Probe), [Output::Probed(Outcome::NoRoute)]);
+    assert_eq!(links.step(NO_SOCKET_PAUSE - 1, Input::Probe), [Output::Probed(Outcome::ConnectFailed)]);
     assert_eq!(links.count(), 0);
     let tried = links.step(NO_SOCKET_PAUSE, Input::Call(vec![part(100, WAIT)]));
     assert_eq!(tried, [Output::Dial(LinkId(1))]);
@@ -467,7 +470,7 @@
     let sent = links.step(now, Input::Call(vec![part(3, WAIT)]));
     assert!(matches!(sent[..], [Output::Write(LinkId(0), _)]), "{sent:?}");
     let full = links.step(now, Input::Call(vec![part(4, WAIT)]));
-    assert_eq!(full, [Output::End(AttemptId(4), Outcome::StaleSend, None)]);
+    assert_eq!(full, [Output::End(AttemptId(4), Outcome::NotSent, None)]);
 }
 
 /// Guards against choosing such a connection again once all that was out on it is given up.
@@ -489,7 +492,7 @@
     for unasked in [
         Input::Begun(LinkId(0)),
         Input::Frame(LinkId(0), answer(0)),
-        Input::Frame(LinkId(0), Reply::Probed(Outcome::Pass)),
+        Input::Frame(LinkId(0), Reply::Probed(Outcome::Success)),
     ] {
         assert_eq!(used(1).step(2, unasked), [Output::Shut(LinkId(0))]);
     }
@@ -501,15 +504,15 @@
 /// end for long, and nothing goes out when it does.
 #[test]
 fn what_waits_when_nothing_new_is_taken_ends_at_once() {
-    let stale = |id| Output::End(AttemptId(id), Outcome::StaleSend, None);
+    let stale = |id| Output::End(AttemptId(id), Outcome::NotSent, None);
     let mut links = links();
     links.step(0, Input::TakesNew(true));
     links.step(0, Input::Call(vec![part(0, WAIT)]));
     links.step(0, Input::Probe);
     let ended = links.step(0, Input::TakesNew(false));
-    assert_eq!(ended, [stale(0), Output::Probed(Outcome::StaleSend)]);
+    assert_eq!(ended, [stale(0), Output::Probed(Outcome::NotSent)]);
     assert_eq!(links.step(0, Input::Up(LinkId(0))), []);
-    assert_eq!(links.step(0, Input::Probe), [Output::Probed(Outcome::StaleSend)]);
+    assert_eq!(links.step(0, Input::Probe), [Output::Probed(Outcome::NotSent)]);
     // What is being written is not ended here: its first byte may be out.
     let mut links = used(1);
     links.step(2, Input::Call(vec![part(1, WAIT)]));
@@ -528,12 +531,12 @@
 fn a_probe_that_is_left_out_ends_once() {
     let mut links = used(1);
     links.step(2, Input::Probe);
-    assert_eq!(links.step(2, Input::ProbeLeftOut(LinkId(0))), [Output::Probed(Outcome::StaleSend)]);
+    assert_eq!(links.step(2, Input::ProbeLeftOut(LinkId(0))), [Output::Probed(Outcome::NotSent)]);
     assert_eq!(links.step(2, Input::Written(LinkId(0))), []);
     assert_eq!(links.step(2 + PROBE, Input::Tick), []);
     let mut links = used(1);
     links.step(2, Input::Probe);
-    assert_eq!(links.step(2 + PROBE, Input::Tick), [Output::Probed(Outcome::TooSlow)]);
+    assert_eq!(links.step(2 + PROBE, Input::Tick), [Output::Probed(Outcome::TimedOut)]);
     assert_eq!(links.step(2 + PROBE, Input::ProbeLeftOut(LinkId(0))), []);
 }
 
@@ -555,7 +558,7 @@
     assert_eq!(links.links[&LinkId(1)].parts(), 2);
     links.step(4, Input::Frame(LinkId(0), answer(1)));
     let last = links.step(4, Input::Frame(LinkId(0), answer(2)));
-    assert!(matches!(last[..], [Output::End(AttemptId(2), Outcome::Pass, _), Output::Shut(LinkId(0))]));
+    assert!(matches!(last[..], [Output::End(AttemptId(2), Outcome::Success, _), Output::Shut(LinkId(0))]));
 }
 
 /// Guards what waits for a connection to an address that its data node has left: it waits for one to the new address,
@@ -574,7 +577,7 @@
     links.step(2, Input::AddressChanged);
     links.step(2, Input::Call(vec![part(2, WAIT)]));
     let ended = links.step(2, Input::NoSocket(LinkId(1)));
-    assert_eq!(ended, [Output::End(AttemptId(2), Outcome::StaleSend, None)]);
+    assert_eq!(ended, [Output::End(AttemptId(2), Outcome::NotSent, None)]);
 }
 
 /// Guards what is out at an earlier address against answers from the new one: they do not show that it is lost.
@@ -587,5 +590,5 @@
     links.step(now, Input::Up(LinkId(1)));
     links.step(now, Input::Written(LinkId(1)));
     let ended = links.step(now, Input::Frame(LinkId(1), answer(2)));
-    assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Pass, _)]), "{ended:?}");
+    assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Success, _)]), "{ended:?}");
 }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -12,7 +12,9 @@
 use curlewdeck_accounting::{Account, End, Snapshot};
 use may::sync::mpsc::{Receiver, Sender};
 
-use crate::api::{ClassId, Discovery, ListKind, Nanos, Phase, QueryId, ServerId, ShardId};
+use crate::api::{
+    ClassId, DiscoveryMode, EndpointState, EndpointUpdateKind, Nanos, QueryId, ServerId, ShardId,
+};
 use crate::counters::Counters;
 use crate::engine::{Ask, Command, Engine, Final, Note, Rejected};
 use crate::net::endpoint_list_lease::ListLease;
@@ -125,7 +127,7 @@
     /// How long a client turned away over the limit should stay away.
     pub fn full_hold_off(&self) -> Nanos {
         let settings = &self.info().settings;
-        settings.max_hold_off.unwrap_or(0).min(settings.shortest_aim() / 4)
+        settings.max_retry_after.unwrap_or(0).min(settings.shortest_latency_objective() / 4)
     }
 }
 
@@ -172,12 +174,12 @@
 
 impl Node {
     /// Follows the list: where it is, and whether it may be sent anything new.
-    fn follow(&self, phase: Phase, address: SocketAddr) {
+    fn follow(&self, phase: EndpointState, address: SocketAddr) {
         self.gate.move_to(address);
         tell(&self.mail, NodeMsg::Address(address));
         match phase {
-            Phase::In => drop(self.gate.set(true)),
-            Phase::Draining | Phase::Out => self.shut(),
+            EndpointState::Active => drop(self.gate.set(true)),
+            EndpointState::Draining | EndpointState::Removed => self.shut(),
         }
     }
 
@@ -216,8 +218,8 @@
         counters: parts.counters.clone(),
     };
     let must_ask_in = match parts.info.settings.discovery {
-        Discovery::OnRequest { must_ask_in } => must_ask_in,
-        Discovery::Pushed => Nanos::MAX,
+        DiscoveryMode::Poll { poll_interval_max: must_ask_in } => must_ask_in,
+        DiscoveryMode::Push => Nanos::MAX,
     };
     let heard = parts.clock.now();
     let mut account = Account::new(&parts.info.settings.classes, &parts.info.classes, parts.nodes);
@@ -425,24 +427,27 @@
             Counters::add(&self.core.counters.list_overdue);
         }
         self.heard = now;
-        self.list =
-            if news.kind == ListKind::Known { ListStanding::Unconfirmed } else { ListStanding::InForce };
-        if news.kind.is_full() {
+        self.list = if news.kind == EndpointUpdateKind::Unconfirmed {
+            ListStanding::Unconfirmed
+        } else {
+            ListStanding::InForce
+        };
+        if news.kind.is_complete() {
             let named = |id: &ServerId| news.members.iter().any(|m| m.0.name == self.engine.server_name(*id));
             for (&id, node) in self.nodes.iter().filter(|(id, _)| !named(id)) {
                 node.shut();
-                self.account.node(now, id, "", Phase::Out);
+                self.account.node(now, id, "", EndpointState::Removed);
             }
         }
         let members: Vec<_> = news.members.iter().map(|m| m.0.clone()).collect();
         for (member, addr) in &news.members {
-            if member.phase == Phase::Out {
+            if member.phase == EndpointState::Removed {
                 // One that is not known needs no actor to be gone.
                 if let Some(id) = self.engine.id(&member.name) {
                     if let Some(node) = self.nodes.get(&id) {
                         node.shut();
                     }
-                    self.account.node(now, id, &member.name, Phase::Out);
+                    self.account.node(now, id, &member.name, EndpointState::Removed);
                 }
                 continue;
             }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -17,7 +17,7 @@
 };
 use may::sync::mpsc::{channel, Receiver, Sender};
 
-use crate::api::{self, ListKind, Nanos};
+use crate::api::{self, EndpointUpdateKind, Nanos};
 use crate::counters::Counters;
 use crate::limits::Limits;
 use crate::net::endpoint_list_lease::ListLease;
@@ -51,7 +51,7 @@
     /// The service's address.
     pub address: SocketAddr,
     /// How the list comes.
-    pub discovery: api::Discovery,
+    pub discovery: api::DiscoveryMode,
     /// Coordinators that call the same service.
     pub coordinators: u32,
     /// For random numbers.
@@ -82,7 +82,8 @@
     );
     let mut table = MembershipTable::default();
     let known = plan.known.map(|known| ListNews::in_force(table.apply(known.into())));
-    let known = ListNews { kind: ListKind::Known, ..known.unwrap_or_else(ListNews::unchanged) };
+    let known =
+        ListNews { kind: EndpointUpdateKind::Unconfirmed, ..known.unwrap_or_else(ListNews::unchanged) };
     let words = limits.stack_words;
     let actor = Actor {
         address: plan.address,
--- a/src/net/endpoints.rs
+++ b/src/net/endpoints.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
-use crate::api::{ListKind, Phase};
+use crate::api::{EndpointState, EndpointUpdateKind};
 use crate::engine::Member;
 
 mod fault;
@@ -165,7 +165,7 @@
 #[derive(Debug, Clone)]
 pub struct ListNews {
     /// Full, a change, or the news that there is none.
-    pub kind: ListKind,
+    pub kind: EndpointUpdateKind,
     /// Its lines, with the address of each.
     pub members: Vec<ListedMember>,
 }
@@ -173,12 +173,12 @@
 impl ListNews {
     /// The news that nothing has changed: the list that is held is in force.
     pub fn unchanged() -> Self {
-        Self { kind: ListKind::Diff, members: Vec::new() }
+        Self { kind: EndpointUpdateKind::Delta, members: Vec::new() }
     }
 
     /// What the core is to take over.
     pub fn in_force(update: Update<ListedMember>) -> Self {
-        let kind = if update.complete { ListKind::Full } else { ListKind::Diff };
+        let kind = if update.complete { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
         let listed = |line: Line<ListedMember>| {
             let (member, address) = line.member?;
             Some((Member { phase: phase(line.state), ..member }, address))
@@ -201,11 +201,11 @@
     (member, entry.endpoint)
 }
 
-fn phase(state: State) -> Phase {
+fn phase(state: State) -> EndpointState {
     match state {
-        State::Up => Phase::In,
-        State::Draining => Phase::Draining,
-        State::Removed => Phase::Out,
+        State::Up => EndpointState::Active,
+        State::Draining => EndpointState::Draining,
+        State::Removed => EndpointState::Removed,
     }
 }
 
--- a/src/net/endpoints/tests.rs
+++ b/src/net/endpoints/tests.rs
@@ -75,7 +75,7 @@
     MembershipUpdate::read(text.as_bytes()).unwrap()
 }
 
-type Named<'a> = Vec<(&'a str, Phase)>;
+type Named<'a> = Vec<(&'a str, EndpointState)>;
 
 /// An update's lines for the table of what is in force.
 fn table(update: MembershipUpdate) -> Update<ListedMember> {
@@ -246,7 +246,7 @@
         for lines in [[good.as_str(), bad], [bad, good.as_str()]] {
             let update = update(&lines);
             assert_eq!(update.unreadable_lines().count(), 1, "{bad}");
-            assert_eq!(phases(&table(update)).0, [("s-1", Phase::Draining)], "{bad}");
+            assert_eq!(phases(&table(update)).0, [("s-1", EndpointState::Draining)], "{bad}");
         }
     }
     // Bytes that are no text at all.
@@ -254,7 +254,7 @@
         [br#"{"rev":1,"targets":[{"uid":"s-"#, &b"\xff\xfe"[..], br#"","state":"up"},"#, good.as_bytes()];
     let update = MembershipUpdate::read(&[&text.concat()[..], b"]}"].concat()).unwrap();
     assert_eq!(update.unreadable_lines().count(), 1);
-    assert_eq!(phases(&table(update)).0, [("s-1", Phase::Draining)]);
+    assert_eq!(phases(&table(update)).0, [("s-1", EndpointState::Draining)]);
 }
 
 /// What is known of an object as a whole.
@@ -304,8 +304,12 @@
     let update = update(&lines.each_ref().map(String::as_str));
     assert_eq!(update.unreadable_lines().count(), 4);
     let news = table(update);
-    let partial = vec![("s-2", Phase::In), ("s-3", Phase::Out), ("s-4", Phase::Draining)];
-    assert_eq!(phases(&news), (vec![("s-1", Phase::In)], partial));
+    let partial = vec![
+        ("s-2", EndpointState::Active),
+        ("s-3", EndpointState::Removed),
+        ("s-4", EndpointState::Draining),
+    ];
+    assert_eq!(phases(&news), (vec![("s-1", EndpointState::Active)], partial));
     assert_eq!(news.lines[0].member.as_ref().unwrap().0.started_at, 7_000_000);
 }
 
@@ -317,22 +321,22 @@
         |state: &str, boot_ms: &str| line_with(&[("state", &format!("{state:?}")), ("boot_ms", boot_ms)]);
     let part = |state: &str| line_with(&[("state", &format!("{state:?}")), ("endpoint", "null")]);
     let cases = [
-        (vec![line("up", "7"), line("draining", "7")], Phase::Draining),
-        (vec![line("draining", "7"), line("up", "7")], Phase::Draining),
-        (vec![line("draining", "7"), line("up", "6")], Phase::Draining),
-        (vec![line("draining", "7"), line("up", "8")], Phase::In),
-        (vec![line("removed", "7"), line("up", "7")], Phase::Out),
-        (vec![line("removed", "7"), line("up", "8")], Phase::In),
-        (vec![line("up", "8"), line("removed", "7")], Phase::Out),
-        (vec![line("draining", "7"), line("removed", "7")], Phase::Out),
-        (vec![line("draining", "7"), line("up", "7"), line("up", "7")], Phase::Draining),
-        (vec![line("up", "7"), part("draining")], Phase::Draining),
-        (vec![line("up", "7"), part("up")], Phase::In),
-        (vec![line("draining", "7"), part("up")], Phase::Draining),
-        (vec![part("draining"), line("up", "7")], Phase::Draining),
-        (vec![part("draining"), line("up", "8")], Phase::In),
-        (vec![part("up"), line("up", "7")], Phase::In),
-        (vec![line("draining", r#""x""#), line("up", "8")], Phase::Draining),
+        (vec![line("up", "7"), line("draining", "7")], EndpointState::Draining),
+        (vec![line("draining", "7"), line("up", "7")], EndpointState::Draining),
+        (vec![line("draining", "7"), line("up", "6")], EndpointState::Draining),
+        (vec![line("draining", "7"), line("up", "8")], EndpointState::Active),
+        (vec![line("removed", "7"), line("up", "7")], EndpointState::Removed),
+        (vec![line("removed", "7"), line("up", "8")], EndpointState::Active),
+        (vec![line("up", "8"), line("removed", "7")], EndpointState::Removed),
+        (vec![line("draining", "7"), line("removed", "7")], EndpointState::Removed),
+        (vec![line("draining", "7"), line("up", "7"), line("up", "7")], EndpointState::Draining),
+        (vec![line("up", "7"), part("draining")], EndpointState::Draining),
+        (vec![line("up", "7"), part("up")], EndpointState::Active),
+        (vec![line("draining", "7"), part("up")], EndpointState::Draining),
+        (vec![part("draining"), line("up", "7")], EndpointState::Draining),
+        (vec![part("draining"), line("up", "8")], EndpointState::Active),
+        (vec![part("up"), line("up", "7")], EndpointState::Active),
+        (vec![line("draining", r#""x""#), line("up", "8")], EndpointState::Draining),
     ];
     for (lines, phase) in cases {
         let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
@@ -340,8 +344,8 @@
     }
     // Without any whole line.
     let (down, up) = (part("draining"), part("up"));
-    assert_eq!(phases(&table(update(&[&down, &up]))), (vec![], vec![("s-1", Phase::Draining)]));
-    assert_eq!(phases(&table(update(&[&up, &down]))), (vec![], vec![("s-1", Phase::Draining)]));
+    assert_eq!(phases(&table(update(&[&down, &up]))), (vec![], vec![("s-1", EndpointState::Draining)]));
+    assert_eq!(phases(&table(update(&[&up, &down]))), (vec![], vec![("s-1", EndpointState::Draining)]));
 }
 
 // ---- The stream of a watch. ----
@@ -481,9 +485,9 @@
         let (good, other) = (line_with(&[("state", r#""draining""#)]), line_with(&changes));
         let lines = if first { [other.as_str(), &good] } else { [&good, other.as_str()] };
         let news = table(update(&lines));
-        prop_assert!(phases(&news).0.contains(&("s-1", Phase::Draining)));
+        prop_assert!(phases(&news).0.contains(&("s-1", EndpointState::Draining)));
         let said_up = changes.iter().all(|change| change.0 != "state");
-        let up = |lines: &[(&str, Phase)]| lines.iter().any(|l| l.1 == Phase::In);
+        let up = |lines: &[(&str, EndpointState)]| lines.iter().any(|l| l.1 == EndpointState::Active);
         let (whole, partial) = phases(&news);
         prop_assert!(said_up || !(up(&whole) || up(&partial)));
     }
--- a/src/net/feature_node.rs
+++ b/src/net/feature_node.rs
@@ -112,7 +112,7 @@
     fn end_unconnected(&self) {
         for (&attempt, job) in &self.jobs {
             if job.unconnected.swap(false, Ordering::AcqRel) {
-                self.context.core.send(Msg::Ended(attempt, Outcome::StaleSend, None));
+                self.context.core.send(Msg::Ended(attempt, Outcome::NotSent, None));
             }
         }
     }
@@ -134,7 +134,7 @@
         let attempt = dispatch.attempt;
         let full = self.jobs.len() >= self.context.limits.node_backlog;
         let Some(addr) = self.addr.filter(|_| !full) else {
-            return self.context.core.send(Msg::Ended(attempt, Outcome::StaleSend, None));
+            return self.context.core.send(Msg::Ended(attempt, Outcome::NotSent, None));
         };
         let job = Arc::new(Job::new(addr));
         self.jobs.insert(attempt, job.clone());
@@ -158,7 +158,7 @@
         });
         if started.is_err() {
             self.jobs.remove(&attempt);
-            self.context.core.send(Msg::Ended(attempt, Outcome::StaleSend, None));
+            self.context.core.send(Msg::Ended(attempt, Outcome::NotSent, None));
         }
     }
 
@@ -166,7 +166,7 @@
     fn probe(&mut self) {
         let now = self.context.clock.now();
         if !self.gate.open(now) {
-            return self.context.core.send(Msg::Probed(self.id, Outcome::StaleSend));
+            return self.context.core.send(Msg::Probed(self.id, Outcome::NotSent));
         }
         Counters::add(&self.context.counters.probes);
         let (id, context, addr) = (self.id, self.context.clone(), self.addr);
@@ -186,15 +186,15 @@
                     asked: false,
                 };
                 match fetch.connect(None).and_then(|s| fetch.page(&s, "/")) {
-                    Ok((200, ..)) => Outcome::Pass,
-                    Ok(_) => Outcome::Fault,
+                    Ok((200, ..)) => Outcome::Success,
+                    Ok(_) => Outcome::ServerError,
                     Err(outcome) => outcome,
                 }
             };
-            core.send(Msg::Probed(id, addr.map_or(Outcome::NoRoute, probe)));
+            core.send(Msg::Probed(id, addr.map_or(Outcome::ConnectFailed, probe)));
         });
         if started.is_err() {
-            self.context.core.send(Msg::Probed(id, Outcome::NoRoute));
+            self.context.core.send(Msg::Probed(id, Outcome::ConnectFailed));
         }
     }
 }
@@ -218,12 +218,12 @@
     fn run(mut self, dispatch: &Dispatch, rested: Option<Arc<Stream>>) -> Ended {
         let part = &dispatch.part;
         let Some(query) = RangeQuery::new(&part.text, part.shard, &self.names) else {
-            return (Outcome::StaleSend, None, None);
+            return (Outcome::NotSent, None, None);
         };
         match self.connect(rested).and_then(|stream| self.pages(&stream, query).map(|v| (v, stream))) {
             Ok(((data, keep), stream)) => {
                 let value = Value { score: 0, data: data.into() };
-                (Outcome::Pass, Some(value), keep.then_some(stream))
+                (Outcome::Success, Some(value), keep.then_some(stream))
             }
             Err(outcome) => {
                 if let Ok(Some(stream)) = self.job.stream.lock().as_deref() {
@@ -242,13 +242,13 @@
         let stream = match rested {
             Some(stream) => stream,
             None => {
-                let permit = self.context.permits.take().ok_or(Outcome::NoRoute)?;
+                let permit = self.context.permits.take().ok_or(Outcome::ConnectFailed)?;
                 Counters::add(&self.context.counters.dials);
                 let within = Duration::from_nanos(self.context.connections.connect_timeout).min(self.left());
                 let dialled = Stream::dial(&self.job.addr, within, Some(permit));
                 Arc::new(dialled.map_err(|_| {
                     Counters::add(&self.context.counters.dials_failed);
-                    Outcome::NoRoute
+                    Outcome::ConnectFailed
                 })?)
             }
         };
@@ -257,7 +257,7 @@
         }
         match self.job.unconnected.swap(false, Ordering::AcqRel) {
             true => Ok(stream),
-            false => Err(Outcome::StaleSend),
+            false => Err(Outcome::NotSent),
         }
     }
 
@@ -268,7 +268,7 @@
         let late = !self.asked && now >= self.begin_by;
         let over = dropped || late || self.left().is_zero();
         if over || !self.gate.open_at(self.job.addr, now) {
-            return Err(if self.asked { Outcome::Fault } else { Outcome::StaleSend });
+            return Err(if self.asked { Outcome::ServerError } else { Outcome::NotSent });
         }
         Ok(())
     }
@@ -281,8 +281,8 @@
             match status {
                 200 => {}
                 404 if query.limit.is_none() => return Ok((features::value(&[]), keep)),
-                429 | 503 if features.is_empty() => return Err(Outcome::NoRoom),
-                _ => return Err(Outcome::Fault),
+                429 | 503 if features.is_empty() => return Err(Outcome::Rejected),
+                _ => return Err(Outcome::ServerError),
             }
             let page = features::parse_page(&body).map_err(|why| self.unusable(why))?;
             features.extend(page.features);
@@ -290,7 +290,7 @@
             match page.next.filter(|_| features.len() < wanted) {
                 Some(next) if keep => target = next,
                 // The server ends the connection between pages: what is read is not the whole range.
-                Some(_) => return Err(Outcome::Fault),
+                Some(_) => return Err(Outcome::ServerError),
                 None => {
                     features.truncate(wanted);
                     return Ok((features::value(&features), keep));
@@ -303,7 +303,7 @@
     fn unusable(&self, why: &'static str) -> Outcome {
         log::warn!("a feature server's answer cannot be used: {why}");
         Counters::add(&self.context.counters.bad_frames);
-        Outcome::Fault
+        Outcome::ServerError
     }
 
     /// Asks for one page and reads the answer whole.
@@ -320,7 +320,13 @@
             may.get().is_ok().then(|| request.clone().into_bytes())
         };
         let written = stream.write_current(current, || freshness.holds(clock.now()), || true, within);
-        let cut = |e: Unwritten| if self.asked || e.begun { Outcome::Cut } else { Outcome::NoRoute };
+        let cut = |e: Unwritten| {
+            if self.asked || e.begun {
+                Outcome::ConnectionReset
+            } else {
+                Outcome::ConnectFailed
+            }
+        };
         written.map_err(cut)?;
         may.get()?;
         self.asked = true;
@@ -347,9 +353,9 @@
                 Err(e)
                     if matches!(e.kind(), std::io::ErrorKind::TimedOut | std::io::ErrorKind::WouldBlock) =>
                 {
-                    return Err(Outcome::TooSlow);
+                    return Err(Outcome::TimedOut);
                 }
-                Err(_) => return Err(Outcome::Cut),
+                Err(_) => return Err(Outcome::ConnectionReset),
             }
         }
     }
@@ -361,7 +367,7 @@
                 let text = String::from_utf8(held[size..].to_vec());
                 Ok((head.status, text.map_err(|_| self.unusable("it is not text"))?, false))
             }
-            _ => Err(Outcome::Cut),
+            _ => Err(Outcome::ConnectionReset),
         }
     }
 }
--- a/src/net/frame.rs
+++ b/src/net/frame.rs
@@ -181,7 +181,7 @@
         },
         b'I' | b'U' if rest.len() > limits.line => return Err(BadFrame("a probe's answer is too long")),
         b'I' | b'U' | b'Z' if !whole => return Ok(None),
-        b'I' | b'U' => Reply::Probed(if rest == b"500" { Outcome::Fault } else { Outcome::Pass }),
+        b'I' | b'U' => Reply::Probed(if rest == b"500" { Outcome::ServerError } else { Outcome::Success }),
         b'Z' => Reply::Refused(String::from_utf8_lossy(rest).into_owned()),
         _ => return Err(BadFrame("its letter is not known")),
     };
@@ -200,7 +200,7 @@
             Self::Failed(outcome) => (outcome, None),
             Self::Passed(score) => {
                 let data = std::str::from_utf8(data).map_err(|_| BadFrame("a value is not text"))?;
-                (Outcome::Pass, Some(Value { score, data: Arc::from(data) }))
+                (Outcome::Success, Some(Value { score, data: Arc::from(data) }))
             }
         };
         Ok(Reply::Answer { name: name.to_string(), outcome, value })
@@ -226,8 +226,8 @@
             let score = text(score)?.parse().map_err(|_| BadFrame("an answer's score is no number"))?;
             End::Passed(score)
         }
-        b"500" => End::Failed(Outcome::Fault),
-        b"503" => End::Failed(Outcome::NoRoom),
+        b"500" => End::Failed(Outcome::ServerError),
+        b"503" => End::Failed(Outcome::Rejected),
         _ => return Err(BadFrame("an answer's end is not known")),
     };
     Ok(Some((text(name)?, end_code, &rest[end + 1..])))
--- a/src/net/frame/tests.rs
+++ b/src/net/frame/tests.rs
@@ -58,7 +58,7 @@
     }
     let (reply, used) = parse(&bytes, LIMITS).unwrap().unwrap();
     let value = Some(Value { score: 1_840_277_719, data: "5be2a07c".into() });
-    assert_eq!(reply, Reply::Answer { name: "9b1f.3".into(), outcome: Outcome::Pass, value });
+    assert_eq!(reply, Reply::Answer { name: "9b1f.3".into(), outcome: Outcome::Success, value });
     assert_eq!(used, bytes.len());
 }
 
@@ -80,7 +80,7 @@
     for report in [&b""[..], b"-", b"qps=1 x=2", b"\xff\xfe", b"qps=", b"{} \t\0"] {
         let bytes = frame(b'O', &[b"a.1 200 7 ", report, b"\nv"].concat());
         let value = Some(Value { score: 7, data: "v".into() });
-        let reply = Reply::Answer { name: "a.1".into(), outcome: Outcome::Pass, value };
+        let reply = Reply::Answer { name: "a.1".into(), outcome: Outcome::Success, value };
         assert_eq!(parse(&bytes, LIMITS), Ok(Some((reply, bytes.len()))), "{report:?}");
     }
 }
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -53,7 +53,7 @@
     assert_eq!(lock(&no_socket_log).due(Nanos::MAX), Some(1));
     for id in 0..PARTS {
         let ended = told.try_recv();
-        assert!(matches!(ended, Ok(Msg::Ended(AttemptId(n), Outcome::StaleSend, None)) if n == id), "{id}");
+        assert!(matches!(ended, Ok(Msg::Ended(AttemptId(n), Outcome::NotSent, None)) if n == id), "{id}");
     }
 }
 
@@ -88,7 +88,7 @@
             node.take(word);
         }
         match told.try_recv() {
-            Ok(Msg::Ended(AttemptId(0), Outcome::StaleSend, None) | Msg::Probed(_, Outcome::StaleSend)) => {}
+            Ok(Msg::Ended(AttemptId(0), Outcome::NotSent, None) | Msg::Probed(_, Outcome::NotSent)) => {}
             _ => panic!("it did not end as not sent"),
         }
         stream.shut();
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -119,7 +119,7 @@
         core: core_mail.clone(),
         limits: limits.clone(),
         connections: info.connections,
-        shortest_aim: Duration::from_nanos(info.settings.shortest_aim()),
+        shortest_aim: Duration::from_nanos(info.settings.shortest_latency_objective()),
         permits: Permits::new(limits.node_sockets),
         no_socket_log: Arc::new(Mutex::new(LogLimit::new(nanos(limits.no_socket_log)))),
         counters: counters.clone(),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::Ordering;
 
-use curlewdeck::api::Phase;
+use curlewdeck::api::EndpointState;
 use curlewdeck::config::{Config, Edge};
 use curlewdeck::startup::{self, Coordinator};
 use serde_json::{json, Value};
@@ -63,7 +63,7 @@
     let in_service = || {
         let books = coordinator.accounts().unwrap();
         assert_eq!((books.nodes_unlisted, books.nodes_evicted), (0, 0));
-        books.nodes.iter().filter(|n| n.phase == Phase::In).count()
+        books.nodes.iter().filter(|n| n.phase == EndpointState::Active).count()
     };
     until("all data nodes", || in_service() == NODES as usize);
 }
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use curlewdeck::api::Phase;
+use curlewdeck::api::EndpointState;
 use curlewdeck::limits::Limits;
 use curlewdeck::startup::Coordinator;
 use harness::scripted::{asked, chunk, news, Line, Scripted, WATCH};
@@ -137,9 +137,9 @@
 
 // ---- Whole lists. ----
 
-fn phase(coordinator: &Coordinator, name: &str) -> Phase {
+fn phase(coordinator: &Coordinator, name: &str) -> EndpointState {
     let books = coordinator.accounts().expect("the core answers");
-    books.nodes.iter().find(|node| node.name == name).map_or(Phase::Out, |node| node.phase)
+    books.nodes.iter().find(|node| node.name == name).map_or(EndpointState::Removed, |node| node.phase)
 }
 
 /// Where a whole list comes that leaves out one that drains.
@@ -182,14 +182,14 @@
             tell(&mut watch, news(2, false, &both("draining")[..1]));
         }
         ready(&coordinator);
-        assert_eq!(phase(&coordinator, "drains"), Phase::Draining, "{way:?}");
+        assert_eq!(phase(&coordinator, "drains"), EndpointState::Draining, "{way:?}");
         if way == WholeList::OnTheNextWatch {
             drop(watch);
             (watch, _) = discovery.call();
             watch.write_all(WATCH).unwrap();
         }
         tell(&mut watch, news(3, true, &both("up")[1..]));
-        assert_eq!(phase(&coordinator, "drains"), Phase::Out, "{way:?}");
+        assert_eq!(phase(&coordinator, "drains"), EndpointState::Removed, "{way:?}");
         let before = drains.parts().len();
         ask_in_turn(coordinator.listen, TURNS);
         // A change that does not name it changes nothing for it.
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use curlewdeck::api::{Outcome, Phase};
+use curlewdeck::api::{EndpointState, Outcome};
 use curlewdeck_accounting::{ClassRow, End, Snapshot};
 use harness::stand_in::{DataNode, Discovery, NodeReply};
 use harness::{change, member, query, ready, until, Bed};
@@ -58,12 +58,13 @@
     }
     assert!(seen[0][2] > 0 && seen[1][1] > 0, "nothing failed or was partial: {seen:?}");
     for (row, node) in s.nodes.iter().zip(&nodes) {
-        let reached =
-            row.attempts.started - row.attempts.of(Outcome::StaleSend) - row.attempts.of(Outcome::NoRoute);
+        let reached = row.attempts.started
+            - row.attempts.of(Outcome::NotSent)
+            - row.attempts.of(Outcome::ConnectFailed);
         assert_eq!(reached, node.parts().len() as u64, "node {}", row.name);
-        assert_eq!((row.phase, row.drains), (Phase::In, 0));
+        assert_eq!((row.phase, row.drains), (EndpointState::Active, 0));
     }
-    assert!(s.nodes[1].attempts.of(Outcome::Fault) > 0);
+    assert!(s.nodes[1].attempts.of(Outcome::ServerError) > 0);
     let counters = &coordinator.core.counters;
     let all: std::collections::BTreeMap<_, _> = counters.all().into_iter().collect();
     assert_eq!(all["cdQueriesTaken"], s.sum(|c| c.taken));
@@ -75,7 +76,7 @@
     change(&coordinator, &discovery, "s1", "draining");
     assert_eq!(
         (books(&coordinator).nodes[1].phase, books(&coordinator).nodes[1].drains),
-        (Phase::Draining, 1)
+        (EndpointState::Draining, 1)
     );
     change(&coordinator, &discovery, "s1", "removed");
     until("the core forgets the node", || books(&coordinator).nodes[1].gone.is_some());
