--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -31,49 +31,49 @@
 /// Rounds that one moment may take: each follows from the ends and parts that the one before made.
 const ROUNDS: usize = 16;
 
-/// One line of the list of data nodes, under the names that the list uses.
+/// One record of the endpoint list, under the names that discovery uses.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// The data node's name: the same for all coordinators and after a restart.
     pub name: String,
-    /// Its cell.
-    pub cell: u32,
-    /// When it last started; 0: long ago.
+    /// Its partition group.
+    pub partition_group: u32,
+    /// When its process last started; 0: long ago.
     pub started_at: Nanos,
-    /// Its size for comparison.
-    pub rating: f64,
-    /// Its phase.
-    pub phase: EndpointState,
+    /// Its capacity in comparison with others.
+    pub capacity: f64,
+    /// Its state.
+    pub state: EndpointState,
     /// Its zone's name.
     pub zone: Option<String>,
 }
 
-/// What a front demands of a value before it counts as its part's. It is asked once for each value that comes while
-/// the part has none. Without a demand every value counts.
+/// A frontend's check of a value before it counts as its part's. It is called once for each value that comes while
+/// the part has none. Without a check every value counts.
 #[derive(Clone, Default)]
-pub struct Accept(Option<Arc<Judge>>);
+pub struct ResponseValidator(Option<Arc<IsValid>>);
 
 /// Whether a value may count for a shard.
-pub type Judge = dyn Fn(ShardId, &Value) -> bool + Send + Sync;
+pub type IsValid = dyn Fn(ShardId, &Value) -> bool + Send + Sync;
 
-impl Accept {
-    /// Demands that this holds of a value.
-    pub fn only(judge: impl Fn(ShardId, &Value) -> bool + Send + Sync + 'static) -> Self {
-        Self(Some(Arc::new(judge)))
+impl ResponseValidator {
+    /// Accepts the values of which this holds.
+    pub fn new(is_valid: impl Fn(ShardId, &Value) -> bool + Send + Sync + 'static) -> Self {
+        Self(Some(Arc::new(is_valid)))
     }
 
-    fn admits(&self, shard: ShardId, value: &Value) -> bool {
-        self.0.as_ref().is_none_or(|judge| judge(shard, value))
+    fn accepts(&self, shard: ShardId, value: &Value) -> bool {
+        self.0.as_ref().is_none_or(|is_valid| is_valid(shard, value))
     }
 }
 
-impl std::fmt::Debug for Accept {
+impl std::fmt::Debug for ResponseValidator {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(if self.0.is_some() { "Accept(demand)" } else { "Accept(any)" })
+        f.write_str(if self.0.is_some() { "ResponseValidator(check)" } else { "ResponseValidator(any)" })
     }
 }
 
-impl PartialEq for Accept {
+impl PartialEq for ResponseValidator {
     fn eq(&self, other: &Self) -> bool {
         match (&self.0, &other.0) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
@@ -82,32 +82,32 @@
     }
 }
 
-/// The client of a query, as its front sees it at any moment: whether it is still there. Without a look it is.
+/// Whether the client of a query is still connected, as its frontend sees it at any moment. Without a check it is.
 #[derive(Clone, Default)]
-pub struct Client(Option<Arc<Look>>);
+pub struct ClientLiveness(Option<Arc<IsConnected>>);
 
-/// Whether a client is still there.
-pub type Look = dyn Fn() -> bool + Send + Sync;
+/// Whether a client is still connected.
+pub type IsConnected = dyn Fn() -> bool + Send + Sync;
 
-impl Client {
-    /// One that is there for as long as this holds.
-    pub fn seen(look: impl Fn() -> bool + Send + Sync + 'static) -> Self {
-        Self(Some(Arc::new(look)))
+impl ClientLiveness {
+    /// A client that is connected for as long as this holds.
+    pub fn new(is_connected: impl Fn() -> bool + Send + Sync + 'static) -> Self {
+        Self(Some(Arc::new(is_connected)))
     }
 
-    /// Whether it is.
-    pub fn here(&self) -> bool {
-        self.0.as_ref().is_none_or(|look| look())
+    /// Whether the client is still connected.
+    pub fn is_connected(&self) -> bool {
+        self.0.as_ref().is_none_or(|is_connected| is_connected())
     }
 }
 
-impl std::fmt::Debug for Client {
+impl std::fmt::Debug for ClientLiveness {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(if self.0.is_some() { "Client(seen)" } else { "Client(any)" })
+        f.write_str(if self.0.is_some() { "ClientLiveness(check)" } else { "ClientLiveness(any)" })
     }
 }
 
-impl PartialEq for Client {
+impl PartialEq for ClientLiveness {
     fn eq(&self, other: &Self) -> bool {
         match (&self.0, &other.0) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
@@ -116,90 +116,98 @@
     }
 }
 
-/// A query as a front hands it in.
+/// A query as a frontend submits it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct QueryRequest {
     /// Its name on the wire.
     pub name: String,
     /// Its class.
     pub class: ClassId,
-    /// Whether the client says that it repeats.
-    pub repeated: bool,
+    /// Whether the client marks it as a retry of its own.
+    pub is_retry: bool,
     /// When the client gives up.
-    pub valid_until: Nanos,
+    pub deadline: Nanos,
     /// Shards and their shares of the answer.
     pub parts: Vec<(ShardId, f64)>,
-    /// What each part asks.
+    /// The text that each part carries.
     pub text: Arc<str>,
-    /// What the parts of the first step ask, in their order, where they do not all ask the same.
-    pub texts: Vec<Arc<str>>,
-    /// What is demanded of a value.
-    pub accept: Accept,
+    /// The texts of the parts of the first phase, in their order, where they do not all carry the same.
+    pub part_texts: Vec<Arc<str>>,
+    /// The check of values.
+    pub validator: ResponseValidator,
     /// Its client.
-    pub client: Client,
+    pub client: ClientLiveness,
 }
 
 /// Why a query is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rejected {
-    /// As many queries and parts are held as may be.
-    Full,
-    /// It names no part, a shard that does not exist or one shard twice, or its weights are no shares of one
-    /// whole.
-    BadParts,
+pub enum RejectReason {
+    /// As many queries and parts are open as may be.
+    QueueFull,
+    /// It names no part, a shard that does not exist or one shard twice, or its weights do not add up to one.
+    InvalidParts,
     /// A query of this name is open, or was a short while ago: data nodes answer by name.
-    SameName,
+    DuplicateName,
     /// There is no such class.
     UnknownClass,
-    /// Its time has run out already.
-    Late,
+    /// Its deadline has passed already.
+    DeadlinePassed,
 }
 
 /// What a part carries to its data node.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PartText {
+pub struct PartRequest {
     /// The part's name on the wire.
     pub name: String,
     /// Its shard.
     pub shard: ShardId,
     /// The query's text.
     pub text: Arc<str>,
-    /// In a second step: the shards that were in, and whether the first step was whole.
-    pub after: Option<(Vec<ShardId>, bool)>,
+    /// In a second phase: how the first one ended.
+    pub first_phase: Option<FirstPhase>,
 }
 
-/// Whether an attempt is still wanted. The engine clears it the moment that the attempt has ended for it, ahead
-/// of the query's answer; it is looked at right before a frame's first byte, so that nothing is sent on for a
+/// How the first phase of a query ended, as the parts of its second phase tell their data nodes.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct FirstPhase {
+    /// The shards whose values were in.
+    pub shards: Vec<ShardId>,
+    /// Whether they made a complete answer.
+    pub complete: bool,
+}
+
+/// Tells whether an attempt may still be sent. The engine cancels it the moment that the attempt has ended for it, ahead
+/// of the query's answer; it is checked right before a frame's first byte, so that nothing is sent on for a
 /// query that has its answer, whatever waits in whichever mailbox. The same holds for a query whose client has
-/// left: while its parts go out one after the other, nobody else has come to read that.
+/// disconnected.
 #[derive(Debug, Clone, Default)]
-pub struct Wanted {
+pub struct CancellationToken {
     flag: Arc<AtomicBool>,
-    client: Client,
+    client: ClientLiveness,
 }
 
-impl Wanted {
-    /// Wanted until it is cleared.
+impl CancellationToken {
+    /// Active until it is cancelled.
     pub fn new() -> Self {
-        Self::by(Client::default())
+        Self::for_client(ClientLiveness::default())
     }
 
-    /// Wanted until it is cleared, by this client.
-    pub fn by(client: Client) -> Self {
+    /// Active until it is cancelled or this client has disconnected.
+    pub fn for_client(client: ClientLiveness) -> Self {
         Self { flag: Arc::new(AtomicBool::new(true)), client }
     }
 
-    /// Whether it still is.
-    pub fn yes(&self) -> bool {
-        self.flag.load(Ordering::Acquire) && self.client.here()
+    /// Whether the attempt may still be sent.
+    pub fn is_active(&self) -> bool {
+        self.flag.load(Ordering::Acquire) && self.client.is_connected()
     }
 
-    fn clear(&self) {
+    fn cancel(&self) {
         self.flag.store(false, Ordering::Release);
     }
 }
 
-impl PartialEq for Wanted {
+impl PartialEq for CancellationToken {
     fn eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.flag, &other.flag)
     }
@@ -210,14 +218,14 @@
 pub struct Dispatch {
     /// The attempt.
     pub attempt: AttemptId,
-    /// What it asks.
-    pub part: Arc<PartText>,
-    /// Until when its answer is waited for.
-    pub until: Nanos,
-    /// It is not begun from then on: its class may be repeated for so long only.
-    pub begin_by: Nanos,
-    /// Whether it is still wanted.
-    pub wanted: Wanted,
+    /// What it carries.
+    pub part: Arc<PartRequest>,
+    /// Until when its response is waited for.
+    pub deadline: Nanos,
+    /// It is not begun from then on: its class may be retried for so long only.
+    pub start_deadline: Nanos,
+    /// Whether it may still be sent.
+    pub cancellation: CancellationToken,
 }
 
 /// A value from a data node.
@@ -240,48 +248,48 @@
 
 /// The one final answer of a query.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Final {
+pub enum QueryOutcome {
     /// Served.
     Answered {
-        /// Whether the answer is whole.
-        whole: bool,
+        /// Whether the answer is complete.
+        complete: bool,
         /// The share of the weight that is in.
-        share: f64,
+        coverage: f64,
         /// The values that are in.
         rows: Vec<Row>,
     },
-    /// Turned away; trying again is harmless.
-    Refused {
-        /// How long to stay away; 0: no advice.
-        hold_off: Nanos,
+    /// Rejected; a retry is harmless.
+    Rejected {
+        /// How long the client should wait before it retries; 0: no advice.
+        retry_after: Nanos,
     },
-    /// Given up.
+    /// Failed, with no promise.
     Failed,
 }
 
-impl Final {
+impl QueryOutcome {
     /// In a word, for the log.
     pub fn word(&self) -> &'static str {
         match self {
-            Self::Answered { whole: true, .. } => "answered whole",
-            Self::Answered { .. } => "answered in part",
-            Self::Refused { .. } => "refused",
+            Self::Answered { complete: true, .. } => "complete",
+            Self::Answered { .. } => "partial",
+            Self::Rejected { .. } => "rejected",
             Self::Failed => "failed",
         }
     }
 }
 
-/// What became of an attempt, for the books: each is started once and ends once.
+/// What became of an attempt, for the request ledger: each is started once and ends once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Note {
+pub enum AttemptEvent {
     /// It was started.
     Started {
         /// Where it goes.
         server: ServerId,
         /// Its number among those of its part, from 0.
         number: u32,
-        /// Whether another of the part is out.
-        copy: bool,
+        /// Whether another of the part is in flight.
+        hedge: bool,
     },
     /// It has ended, with regard to its value.
     Ended {
@@ -296,52 +304,52 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Send one call with these attempts.
-    Send {
+    SendCall {
         /// Where to.
         server: ServerId,
         /// The parts of the call.
         call: Vec<Dispatch>,
     },
-    /// Stop waiting for an attempt: its end has been told already.
-    Drop {
+    /// Stop waiting for an attempt: its end has been recorded already.
+    CancelAttempt {
         /// Where it went.
         server: ServerId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Probe a data node.
-    Probe {
+    /// Check the health of a data node.
+    CheckHealth {
         /// Which.
         server: ServerId,
     },
     /// Close idle connections to a data node.
-    CloseIdle {
+    CloseIdleConnections {
         /// Which.
         server: ServerId,
     },
-    /// Forget a data node: it has left the list, and nothing of it is out.
-    Retire {
+    /// Forget a data node: it has left the list, and no attempt is in flight there.
+    ForgetServer {
         /// Which.
         server: ServerId,
     },
-    /// Book this.
-    Book(Note),
+    /// Record this in the request ledger.
+    RecordAttempt(AttemptEvent),
     /// Give a query its final answer.
-    Finish {
+    FinishQuery {
         /// The query.
         query: QueryId,
         /// The answer.
-        answer: Final,
+        outcome: QueryOutcome,
     },
 }
 
 struct Open {
     name: String,
     class: ClassId,
-    valid_until: Nanos,
+    deadline: Nanos,
     text: Arc<str>,
-    accept: Accept,
-    client: Client,
+    validator: ResponseValidator,
+    client: ClientLiveness,
     parts: Vec<PartId>,
     second: bool,
     first_whole: bool,
@@ -351,7 +359,7 @@
     query: QueryId,
     shard: ShardId,
     weight: f64,
-    text: Arc<PartText>,
+    text: Arc<PartRequest>,
     /// Attempts out, by number.
     out: Vec<(u32, AttemptId)>,
     /// All attempts by number: when each was sent, and whether it is proved never to have run.
@@ -364,15 +372,15 @@
     number: u32,
     server: ServerId,
     sent: Nanos,
-    wanted: Wanted,
+    wanted: CancellationToken,
 }
 
 struct Server {
     name: String,
-    cell: u32,
+    partition_group: u32,
     /// When it last started, once the list has said so.
     started_at: Option<Nanos>,
-    phase: EndpointState,
+    state: EndpointState,
 }
 
 /// The core of one coordinator.
@@ -439,9 +447,9 @@
     }
 
     /// Takes over what the settings say now. Queries that are open go on under the rules they came under.
-    pub fn reset(&mut self, info: Info) -> &Info {
-        self.info = info.after(&self.info);
-        self.policy.reset(self.info.settings.clone());
+    pub fn update_settings(&mut self, info: Info) -> &Info {
+        self.info = info.carried_over_from(&self.info);
+        self.policy.update_settings(self.info.settings.clone());
         &self.info
     }
 
@@ -450,90 +458,88 @@
         self.servers.get(&id).map_or("", |s| &s.name)
     }
 
-    /// Queries held.
-    pub fn held(&self) -> usize {
+    /// How many queries are open.
+    pub fn open_queries(&self) -> usize {
         self.open.len()
     }
 
-    /// Attempts whose end is not yet told.
-    pub fn out(&self) -> usize {
+    /// How many attempts are in flight.
+    pub fn in_flight_attempts(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Data nodes in service, as the list has it.
-    pub fn in_service(&self) -> usize {
-        self.servers.values().filter(|s| s.phase == EndpointState::Active).count()
+    /// How many data nodes are in service by the endpoint list.
+    pub fn active_servers(&self) -> usize {
+        self.servers.values().filter(|s| s.state == EndpointState::Active).count()
     }
 
-    /// Data nodes that are not forgotten.
-    pub fn known(&self) -> usize {
+    /// How many data nodes are not forgotten.
+    pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// Data nodes in the list, and how many of those get nothing now: they drain, or the module avoids them.
-    pub fn listed(&self) -> (usize, usize) {
-        (self.servers.values().filter(|s| s.phase != EndpointState::Removed).count(), self.policy.avoided())
+    /// How many data nodes the endpoint list has.
+    pub fn listed_servers(&self) -> usize {
+        self.servers.values().filter(|s| s.state != EndpointState::Removed).count()
+    }
+
+    /// How many data nodes of the endpoint list get no attempts now: they drain or are ejected.
+    pub fn excluded_servers(&self) -> usize {
+        self.policy.excluded_servers()
     }
 
     /// Takes a query under an id that the embedder has not used before.
     ///
     /// # Errors
     /// Says why it is not taken; then nothing is owed for it.
-    pub fn ask(&mut self, now: Nanos, id: QueryId, ask: Ask) -> Result<(), Rejected> {
+    pub fn submit(&mut self, now: Nanos, id: QueryId, request: QueryRequest) -> Result<(), RejectReason> {
         self.now = self.now.max(now);
         let settings = &self.info.settings;
-        if ask.class.0 >= settings.classes.len() {
-            return Err(Rejected::UnknownClass);
+        if request.class.0 >= settings.classes.len() {
+            return Err(RejectReason::UnknownClass);
         }
-        let shards: HashSet<ShardId> = ask.parts.iter().map(|p| p.0).collect();
-        let sum: f64 = ask.parts.iter().map(|p| p.1).sum();
-        let weights = ask.parts.iter().all(|p| p.1 > 0.0) && (sum - 1.0).abs() <= ROUNDING;
+        let shards: HashSet<ShardId> = request.parts.iter().map(|p| p.0).collect();
+        let sum: f64 = request.parts.iter().map(|p| p.1).sum();
+        let weights = request.parts.iter().all(|p| p.1 > 0.0) && (sum - 1.0).abs() <= ROUNDING;
         let known = shards.iter().all(|s| self.info.ranges == 0 || s.0 < self.info.ranges);
-        if shards.is_empty() || shards.len() != ask.parts.len() || !known || !weights {
-            return Err(Rejected::BadParts);
+        if shards.is_empty() || shards.len() != request.parts.len() || !known || !weights {
+            return Err(RejectReason::InvalidParts);
         }
-        let valid_until = ask.valid_until.min(self.ends_by);
-        if valid_until <= self.now {
-            return Err(Rejected::Late);
+        let deadline = request.deadline.min(self.ends_by);
+        if deadline <= self.now {
+            return Err(RejectReason::DeadlinePassed);
         }
         while let Some((_, name)) = self.rested.front().filter(|r| r.0 <= self.now) {
             self.names.remove(name);
             self.rested.pop_front();
         }
-        if self.names.contains(&ask.name) {
-            return Err(Rejected::SameName);
+        if self.names.contains(&request.name) {
+            return Err(RejectReason::DuplicateName);
         }
-        if self.open.len() + self.parts.len() + 1 + ask.parts.len() > settings.max_open {
-            return Err(Rejected::Full);
+        if self.open.len() + self.parts.len() + 1 + request.parts.len() > settings.max_open {
+            return Err(RejectReason::QueueFull);
         }
-        let Ask { name, class, repeated, parts, text, texts, accept, client, .. } = ask;
+        let QueryRequest { name, class, is_retry, parts, text, part_texts, validator, client, .. } = request;
         let key = None::<KeyId>;
-        self.events.push(Event::QueryArrived {
-            id,
-            class,
-            tenant: None,
-            key,
-            is_retry: repeated,
-            deadline: valid_until,
-        });
-        self.ends.push(Reverse((valid_until.saturating_add(self.backstop), id)));
+        self.events.push(Event::QueryArrived { id, class, tenant: None, key, is_retry, deadline });
+        self.ends.push(Reverse((deadline.saturating_add(self.backstop), id)));
         self.names.insert(name.clone());
         let parts_of = Vec::with_capacity(parts.len());
         let open = Open {
             name,
             class,
-            valid_until,
+            deadline,
             text,
-            accept,
+            validator,
             client,
             parts: parts_of,
             second: false,
             first_whole: false,
         };
         self.open.insert(id, open);
-        let mut texts = texts.into_iter();
+        let mut part_texts = part_texts.into_iter();
         for (shard, weight) in parts {
-            self.add_part(id, shard, weight, texts.next(), None);
+            self.add_part(id, shard, weight, part_texts.next(), None);
         }
         Ok(())
     }
@@ -544,32 +550,37 @@
         shard: ShardId,
         weight: f64,
         own: Option<Arc<str>>,
-        after: Option<(Vec<ShardId>, bool)>,
+        first_phase: Option<FirstPhase>,
     ) {
         let Some(open) = self.open.get_mut(&query) else { return };
         let id = PartId(self.next_part);
         self.next_part += 1;
-        let suffix = if after.is_some() { ".fetch" } else { "" };
+        let suffix = if first_phase.is_some() { ".fetch" } else { "" };
         let name = format!("{}.{}{suffix}", open.name, shard.0);
-        let text = Arc::new(PartText { name, shard, text: own.unwrap_or_else(|| open.text.clone()), after });
+        let text = Arc::new(PartRequest {
+            name,
+            shard,
+            text: own.unwrap_or_else(|| open.text.clone()),
+            first_phase,
+        });
         open.parts.push(id);
         let part = Part { query, shard, weight, text, out: Vec::new(), attempts: Vec::new(), value: None };
         self.parts.insert(id, part);
         self.events.push(Event::PartArrived { id, query, shard, weight });
     }
 
-    /// The process ends: whatever time clients give, all is answered by then, what is held included.
-    pub fn ending(&mut self, by: Nanos) {
+    /// The process shuts down: whatever time clients give, all is answered by then, what is queued included.
+    pub fn shut_down_by(&mut self, by: Nanos) {
         self.ends_by = self.ends_by.min(by);
-        for (&id, open) in self.open.iter_mut().filter(|(_, o)| o.valid_until > by) {
-            open.valid_until = by;
+        for (&id, open) in self.open.iter_mut().filter(|(_, o)| o.deadline > by) {
+            open.deadline = by;
             self.ends.push(Reverse((by.saturating_add(self.backstop), id)));
         }
         self.events.push(Event::ShuttingDown(by));
     }
 
-    /// The client of a query has left.
-    pub fn gone(&mut self, query: QueryId) {
+    /// The client of a query has disconnected.
+    pub fn client_disconnected(&mut self, query: QueryId) {
         if self.close(query) {
             self.events.push(Event::ClientDisconnected(query));
         }
@@ -582,64 +593,64 @@
 
     /// The list of data nodes, or a change to it. Names that leave a full list are gone. Returns the shards of
     /// which a holder is new or has started anew: what it has may be older than what was seen.
-    pub fn list(&mut self, kind: EndpointUpdateKind, members: &[Member]) -> Vec<ShardId> {
+    pub fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) -> Vec<ShardId> {
         let mut anew: Vec<u32> = Vec::new();
         if kind.is_complete() {
-            self.servers.values_mut().for_each(|s| s.phase = EndpointState::Removed);
+            self.servers.values_mut().for_each(|s| s.state = EndpointState::Removed);
         }
-        let mut entries = Vec::with_capacity(members.len());
-        for m in members {
-            if m.phase == EndpointState::Removed && !self.ids.contains_key(&m.name) {
+        let mut entries = Vec::with_capacity(endpoints.len());
+        for endpoint in endpoints {
+            if endpoint.state == EndpointState::Removed && !self.ids.contains_key(&endpoint.name) {
                 continue;
             }
-            let server = self.intern(&m.name);
+            let server = self.intern(&endpoint.name);
             let Some(known) = self.servers.get_mut(&server) else { continue };
-            known.cell = m.cell;
-            known.phase = m.phase;
-            if known.started_at.replace(m.started_at) != Some(m.started_at) {
-                anew.push(m.cell);
+            known.partition_group = endpoint.partition_group;
+            known.state = endpoint.state;
+            if known.started_at.replace(endpoint.started_at) != Some(endpoint.started_at) {
+                anew.push(endpoint.partition_group);
             }
-            let zone = m.zone.as_ref().and_then(|z| self.info.zones.iter().position(|n| n == z));
+            let zone = endpoint.zone.as_ref().and_then(|z| self.info.zones.iter().position(|n| n == z));
             entries.push(EndpointRecord {
                 server,
-                partition_group: m.cell,
-                started_at: m.started_at,
-                capacity: m.rating,
-                state: m.phase,
+                partition_group: endpoint.partition_group,
+                started_at: endpoint.started_at,
+                capacity: endpoint.capacity,
+                state: endpoint.state,
                 zone: zone.map(|z| ZoneId(z as u32)),
             });
         }
         self.events.push(Event::EndpointsUpdated { kind, records: entries });
         self.retire();
         let shards = (0..self.info.ranges).map(ShardId);
-        shards.filter(|&s| anew.iter().any(|&cell| self.cell_holds(cell, s))).collect()
+        shards.filter(|&s| anew.iter().any(|&group| self.group_holds(group, s))).collect()
     }
 
     /// The news of the list is overdue: nothing is sent by it until there is news.
-    pub fn list_expired(&mut self) {
+    pub fn endpoint_list_expired(&mut self) {
         self.events.push(Event::EndpointListExpired);
     }
 
     /// Forgets the data nodes that have left the list, once nothing of them is out: those that replace them
     /// have other names.
     fn retire(&mut self) {
-        if self.servers.values().all(|s| s.phase != EndpointState::Removed) {
+        if self.servers.values().all(|s| s.state != EndpointState::Removed) {
             return;
         }
         let used: HashSet<ServerId> = self.attempts.values().map(|a| a.server).collect();
-        let over = |(id, s): &(&ServerId, &Server)| s.phase == EndpointState::Removed && !used.contains(id);
+        let over = |(id, s): &(&ServerId, &Server)| s.state == EndpointState::Removed && !used.contains(id);
         let over: Vec<ServerId> = self.servers.iter().filter(over).map(|(&id, _)| id).collect();
         for server in over {
             if let Some(gone) = self.servers.remove(&server) {
                 self.ids.remove(&gone.name);
             }
             self.probes.remove(&server);
-            self.commands.push(Command::Retire { server });
+            self.commands.push(Command::ForgetServer { server });
         }
     }
 
     /// The id of a data node that is known.
-    pub fn id(&self, name: &str) -> Option<ServerId> {
+    pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
 
@@ -654,9 +665,9 @@
             id,
             Server {
                 name: name.to_string(),
-                cell: u32::MAX,
+                partition_group: u32::MAX,
                 started_at: None,
-                phase: EndpointState::Removed,
+                state: EndpointState::Removed,
             },
         );
         self.ids.insert(name.to_string(), id);
@@ -665,16 +676,22 @@
 
     /// An attempt has ended; only the first word on it counts. Returns how it has ended with regard to its value:
     /// one that its front does not accept is spoilt, and may have run.
-    pub fn ended(&mut self, now: Nanos, id: AttemptId, outcome: Outcome, value: Option<Value>) -> Outcome {
+    pub fn attempt_ended(
+        &mut self,
+        now: Nanos,
+        id: AttemptId,
+        outcome: Outcome,
+        value: Option<Value>,
+    ) -> Outcome {
         self.now = self.now.max(now);
         let Some(a) = self.attempts.remove(&id) else { return outcome };
-        a.wanted.clear();
+        a.wanted.cancel();
         let outcome = match (outcome, &value, self.parts.get(&a.part).filter(|p| p.value.is_none())) {
             // A pass without a value serves nobody.
             (Outcome::Success, None, _) => Outcome::ServerError,
             (Outcome::Success, Some(value), Some(part)) => {
-                let accept = self.open.get(&part.query).map(|o| o.accept.clone()).unwrap_or_default();
-                if accept.admits(part.shard, value) {
+                let validator = self.open.get(&part.query).map(|o| o.validator.clone()).unwrap_or_default();
+                if validator.accepts(part.shard, value) {
                     outcome
                 } else {
                     Outcome::MalformedResponse
@@ -689,7 +706,7 @@
                 part.value = value;
             }
         }
-        self.commands.push(Command::Book(Note::Ended { server: a.server, outcome }));
+        self.commands.push(Command::RecordAttempt(AttemptEvent::Ended { server: a.server, outcome }));
         let latency = self.now.saturating_sub(a.sent);
         self.events.push(Event::AttemptEnded {
             part: a.part,
@@ -702,7 +719,7 @@
     }
 
     /// A probe has ended.
-    pub fn probed(&mut self, now: Nanos, server: ServerId, outcome: Outcome) {
+    pub fn health_checked(&mut self, now: Nanos, server: ServerId, outcome: Outcome) {
         self.now = self.now.max(now);
         let Some(sent) = self.probes.get_mut(&server).filter(|p| !p.is_empty()).map(|p| p.remove(0)) else {
             return;
@@ -712,7 +729,7 @@
     }
 
     /// When [`Engine::run`] is next due with nothing else happening.
-    pub fn next_due(&mut self) -> Option<Nanos> {
+    pub fn next_deadline(&mut self) -> Option<Nanos> {
         while self.limits.peek().is_some_and(|l| !self.attempts.contains_key(&l.0 .1)) {
             self.limits.pop();
         }
@@ -761,8 +778,8 @@
     /// Ends an attempt from this side, and has the data node told.
     fn give_up(&mut self, id: AttemptId, outcome: Outcome) {
         if let Some(a) = self.attempts.get(&id) {
-            self.commands.push(Command::Drop { server: a.server, attempt: id });
-            self.ended(self.now, id, outcome, None);
+            self.commands.push(Command::CancelAttempt { server: a.server, attempt: id });
+            self.attempt_ended(self.now, id, outcome, None);
         }
     }
 
@@ -771,7 +788,7 @@
         while let Some(&Reverse((_, id))) = self.ends.peek().filter(|e| e.0 .0 <= self.now) {
             self.ends.pop();
             if self.open.contains_key(&id) {
-                self.finish(id, Final::Failed);
+                self.finish(id, QueryOutcome::Failed);
                 self.events.push(Event::ClientDisconnected(id));
             }
         }
@@ -791,34 +808,36 @@
                 }
             }
             Action::Answer { query, complete: whole } => self.answer(query, whole),
-            Action::Reject { query, retry_after: hold_off } => {
-                self.finish(query, Final::Refused { hold_off });
+            Action::Reject { query, retry_after } => {
+                self.finish(query, QueryOutcome::Rejected { retry_after });
             }
             Action::Fail { query } => {
-                self.finish(query, Final::Failed);
+                self.finish(query, QueryOutcome::Failed);
             }
             Action::CheckHealth { server } => {
                 if self.servers.contains_key(&server) {
                     self.probes.entry(server).or_default().push(self.now);
-                    self.commands.push(Command::Probe { server });
+                    self.commands.push(Command::CheckHealth { server });
                 }
             }
-            Action::CloseIdleConnections { server } => self.commands.push(Command::CloseIdle { server }),
+            Action::CloseIdleConnections { server } => {
+                self.commands.push(Command::CloseIdleConnections { server })
+            }
             Action::SetTimer { after } => self.wakes.push(Reverse(self.now.saturating_add(after.max(1)))),
         }
     }
 
     /// Whether a data node's cell holds a shard.
     fn holds(&self, server: ServerId, shard: ShardId) -> bool {
-        self.servers.get(&server).is_some_and(|s| self.cell_holds(s.cell, shard))
+        self.servers.get(&server).is_some_and(|s| self.group_holds(s.partition_group, shard))
     }
 
-    fn cell_holds(&self, cell: u32, shard: ShardId) -> bool {
+    fn group_holds(&self, partition_group: u32, shard: ShardId) -> bool {
         let layout = self.info.settings.layout;
-        let distance = u64::from(cell) + u64::from(layout.partition_groups);
+        let distance = u64::from(partition_group) + u64::from(layout.partition_groups);
         let distance =
             (distance - u64::from(shard.0 % layout.partition_groups)) % u64::from(layout.partition_groups);
-        cell < layout.partition_groups && distance < u64::from(layout.groups_per_shard)
+        partition_group < layout.partition_groups && distance < u64::from(layout.groups_per_shard)
     }
 
     fn send(&mut self, part_id: PartId, server: ServerId, within: Nanos) {
@@ -832,26 +851,32 @@
         let Some(query) = self.open.get(&part.query) else { return };
         let class = &self.info.settings.classes[query.class.0];
         let (max, begin_by) = (class.max_attempts, class.retry_deadline(first));
-        let until = query.valid_until.min(self.now.saturating_add(within));
-        let wanted = Wanted::by(query.client.clone());
+        let until = query.deadline.min(self.now.saturating_add(within));
+        let wanted = CancellationToken::for_client(query.client.clone());
         let attempt = Attempt { part: part_id, number, server, sent: self.now, wanted: wanted.clone() };
         self.attempts.insert(id, attempt);
-        self.commands.push(Command::Book(Note::Started { server, number, copy }));
-        let phase = self.servers.get(&server).map(|s| s.phase);
+        self.commands.push(Command::RecordAttempt(AttemptEvent::Started { server, number, hedge: copy }));
+        let state = self.servers.get(&server).map(|s| s.state);
         if number >= max
             || until.min(begin_by) <= self.now
-            || phase != Some(EndpointState::Active)
+            || state != Some(EndpointState::Active)
             || !self.holds(server, shard)
         {
-            self.ended(self.now, id, Outcome::NotSent, None);
+            self.attempt_ended(self.now, id, Outcome::NotSent, None);
             return;
         }
         if let Some(part) = self.parts.get_mut(&part_id) {
             part.out.push((number, id));
         }
         self.limits.push(Reverse((until, id)));
-        let call = vec![Dispatch { attempt: id, part: text, until, begin_by, wanted }];
-        self.commands.push(Command::Send { server, call });
+        let call = vec![Dispatch {
+            attempt: id,
+            part: text,
+            deadline: until,
+            start_deadline: begin_by,
+            cancellation: wanted,
+        }];
+        self.commands.push(Command::SendCall { server, call });
     }
 
     /// Sends of this moment to one data node share a call, up to the most that one carries.
@@ -860,12 +885,12 @@
         let mut joined: Vec<Command> = Vec::with_capacity(self.commands.len());
         let mut calls: HashMap<ServerId, usize> = HashMap::new();
         for command in self.commands.drain(..) {
-            if let Command::Send { server, call } = &command {
+            if let Command::SendCall { server, call } = &command {
                 if !call.iter().all(|d| self.attempts.contains_key(&d.attempt)) {
                     continue; // Ended within the same moment.
                 }
                 let place = calls.get(server).copied();
-                if let Some(Command::Send { call: open, .. }) = place.and_then(|i| joined.get_mut(i)) {
+                if let Some(Command::SendCall { call: open, .. }) = place.and_then(|i| joined.get_mut(i)) {
                     if open.len() + call.len() <= most {
                         open.extend(call.iter().cloned());
                         continue;
@@ -901,7 +926,7 @@
         }
         let whole = whole && weight >= need - SLACK && (!open.second || open.first_whole);
         if open.second || class.second_phase_parts == 0 {
-            self.finish(id, Final::Answered { whole, share: weight, rows });
+            self.finish(id, QueryOutcome::Answered { complete: whole, coverage: weight, rows });
             return;
         }
         self.second_step(id, whole, scored);
@@ -909,7 +934,7 @@
 
     /// The module answered what may not be answered: the query ends honestly.
     fn overruled(&mut self, id: QueryId) {
-        self.finish(id, Final::Failed);
+        self.finish(id, QueryOutcome::Failed);
         self.events.push(Event::ClientDisconnected(id));
     }
 
@@ -927,7 +952,13 @@
         scored.truncate(most);
         let weight = 1.0 / scored.len() as f64;
         for (_, shard) in scored {
-            self.add_part(id, shard, weight, None, Some((shards.clone(), whole)));
+            self.add_part(
+                id,
+                shard,
+                weight,
+                None,
+                Some(FirstPhase { shards: shards.clone(), complete: whole }),
+            );
         }
     }
 
@@ -946,9 +977,9 @@
         true
     }
 
-    fn finish(&mut self, query: QueryId, answer: Final) {
+    fn finish(&mut self, query: QueryId, answer: QueryOutcome) {
         if self.close(query) {
-            self.commands.push(Command::Finish { query, answer });
+            self.commands.push(Command::FinishQuery { query, outcome: answer });
         }
     }
 }
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -30,25 +30,32 @@
     settings::read(&text).unwrap()
 }
 
-fn member(n: u32, phase: EndpointState) -> Member {
-    Member { name: format!("s{n}"), cell: n % 3, started_at: 0, rating: 1.0, phase, zone: Some("a".into()) }
+fn member(n: u32, phase: EndpointState) -> Endpoint {
+    Endpoint {
+        name: format!("s{n}"),
+        partition_group: n % 3,
+        started_at: 0,
+        capacity: 1.0,
+        state: phase,
+        zone: Some("a".into()),
+    }
 }
 
-fn ask(class: usize, shards: &[u32], valid_until: Nanos) -> Ask {
+fn ask(class: usize, shards: &[u32], valid_until: Nanos) -> QueryRequest {
     let weight = 1.0 / shards.len() as f64;
     let parts = shards.iter().map(|&s| (ShardId(s), weight)).collect();
     static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     let name = format!("q{}", NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
-    Ask {
+    QueryRequest {
         name,
         class: ClassId(class),
-        repeated: false,
-        valid_until,
+        is_retry: false,
+        deadline: valid_until,
         parts,
         text: "t".into(),
-        texts: Vec::new(),
-        accept: Accept::default(),
-        client: Client::default(),
+        part_texts: Vec::new(),
+        validator: ResponseValidator::default(),
+        client: ClientLiveness::default(),
     }
 }
 
@@ -73,7 +80,7 @@
     fn act(&mut self, engine: &mut Engine) {
         for command in engine.run(self.now) {
             match command {
-                Command::Send { server, call } => {
+                Command::SendCall { server, call } => {
                     let number: u32 = engine.server_name(server)[1..].parse().unwrap();
                     assert!(call.len() <= 2, "more parts than a call carries");
                     for d in call {
@@ -84,7 +91,7 @@
                         );
                         let held = (0..2).any(|j| (d.part.shard.0 + j) % 3 == number % 3);
                         assert!(held, "sent to a data node without the shard");
-                        assert!(d.until > self.now);
+                        assert!(d.deadline > self.now);
                         let sent = self.sent.entry(d.part.name.clone()).or_default();
                         *sent += 1;
                         let part = &engine.parts[&engine.attempts[&d.attempt].part];
@@ -96,36 +103,40 @@
                         assert!(self.out.insert(d.attempt, (server, d)).is_none());
                     }
                 }
-                Command::Drop { attempt, .. } => {
+                Command::CancelAttempt { attempt, .. } => {
                     let dropped = self.out.remove(&attempt);
-                    assert!(dropped.is_none_or(|o| !o.1.wanted.yes()), "sent on after its end");
+                    assert!(dropped.is_none_or(|o| !o.1.cancellation.is_active()), "sent on after its end");
                 }
-                Command::Finish { query, answer } => {
+                Command::FinishQuery { query, outcome: answer } => {
                     *self.finals.entry(query).or_default() += 1;
                     let (class, parts, until) = self.asked[&query];
                     assert!(self.now <= until + BACKSTOP, "answered late");
-                    if let Final::Answered { whole, rows, .. } = answer {
+                    if let QueryOutcome::Answered { complete: whole, rows, .. } = answer {
                         let needed = if class == 2 { parts.min(2) } else { parts };
                         assert!(!whole || rows.len() == needed, "marked whole that is not");
                         assert!(2 * rows.len() >= needed && (class == 1 || rows.len() == needed));
                         assert!(rows.iter().all(|r| *r.data == *format!("v{}", r.shard.0)));
                     }
                 }
-                Command::Retire { server } => {
+                Command::ForgetServer { server } => {
                     assert!(self.out.values().all(|o| o.0 != server), "forgotten with parts out");
                     assert_eq!(engine.server_name(server), "");
                 }
-                Command::Book(Note::Started { .. }) => self.started += 1,
-                Command::Book(Note::Ended { .. }) => self.ended += 1,
-                Command::Probe { .. } | Command::CloseIdle { .. } => {}
+                Command::RecordAttempt(AttemptEvent::Started { .. }) => self.started += 1,
+                Command::RecordAttempt(AttemptEvent::Ended { .. }) => self.ended += 1,
+                Command::CheckHealth { .. } | Command::CloseIdleConnections { .. } => {}
             }
         }
-        assert_eq!(self.started - self.ended, engine.out(), "an attempt is booked twice or not at all");
+        assert_eq!(
+            self.started - self.ended,
+            engine.in_flight_attempts(),
+            "an attempt is booked twice or not at all"
+        );
         for (_, d) in self.out.values() {
-            assert!(d.wanted.yes(), "an attempt that is out is wanted");
+            assert!(d.cancellation.is_active(), "an attempt that is out is wanted");
         }
         let out: HashSet<AttemptId> = self.out.keys().copied().collect();
-        assert_eq!(engine.out(), out.len(), "attempts without an end");
+        assert_eq!(engine.in_flight_attempts(), out.len(), "attempts without an end");
     }
 
     fn step(&mut self, engine: &mut Engine, kind: u8, pick: usize) {
@@ -134,14 +145,14 @@
                 let id = QueryId(self.asked.len() as u64);
                 let shards: Vec<u32> = (0..1 + pick as u32 % 5).collect();
                 let until = self.now + (1 + pick as Nanos % 2000) * MS;
-                if engine.ask(self.now, id, ask(self.classes[pick % 3], &shards, until)).is_ok() {
+                if engine.submit(self.now, id, ask(self.classes[pick % 3], &shards, until)).is_ok() {
                     self.asked.insert(id, (pick % 3, shards.len(), until));
                 }
             }
             3..=8 => {
                 let Some((&id, _)) = self.out.iter().nth(pick % self.out.len().max(1)) else { return };
                 let (_, dispatch) = self.out.remove(&id).unwrap();
-                assert!(dispatch.wanted.yes());
+                assert!(dispatch.cancellation.is_active());
                 let outcomes = [
                     Outcome::Success,
                     Outcome::Success,
@@ -152,9 +163,9 @@
                 let outcome = outcomes[pick / 7 % outcomes.len()];
                 let data = format!("v{}", dispatch.part.shard.0).into();
                 let value = Some(Value { score: pick as u64, data }).filter(|_| outcome == Outcome::Success);
-                engine.ended(self.now, id, outcome, value.clone());
+                engine.attempt_ended(self.now, id, outcome, value.clone());
                 // A second word on it is not heard.
-                engine.ended(self.now, id, Outcome::ConnectionReset, value);
+                engine.attempt_ended(self.now, id, Outcome::ConnectionReset, value);
             }
             9 => {
                 let number = pick as u32 % 6;
@@ -165,19 +176,19 @@
                     EndpointState::Removed,
                 ][pick / 7 % 4];
                 self.phases.insert(number, phase);
-                engine.list(EndpointUpdateKind::Delta, &[member(number, phase)]);
+                engine.update_endpoints(EndpointUpdateKind::Delta, &[member(number, phase)]);
             }
             10 => {
                 let id = QueryId(pick as u64 % self.asked.len().max(1) as u64);
                 if self.asked.contains_key(&id) && !self.finals.contains_key(&id) {
                     self.gone.insert(id);
-                    engine.gone(id);
+                    engine.client_disconnected(id);
                 }
             }
-            11 => drop(engine.list(EndpointUpdateKind::Delta, &[])),
+            11 => drop(engine.update_endpoints(EndpointUpdateKind::Delta, &[])),
             15 => {
                 let before = engine.info.classes.len();
-                let info = engine.reset(info(1 + pick as u32 % 3));
+                let info = engine.update_settings(info(1 + pick as u32 % 3));
                 assert!(info.classes.len() >= before && info.classes.len() <= 9, "classes are found again");
                 self.classes = ["a", "b", "c"].map(|name| info.class(name).unwrap().0);
             }
@@ -188,7 +199,7 @@
 
     fn pass(&mut self, engine: &mut Engine, span: Nanos) {
         let end = self.now + span;
-        while let Some(at) = engine.next_due().filter(|&at| at <= end) {
+        while let Some(at) = engine.next_deadline().filter(|&at| at <= end) {
             self.now = self.now.max(at);
             self.act(engine);
         }
@@ -205,9 +216,9 @@
     fn every_query_gets_one_answer(steps in proptest::collection::vec((0..16u8, any::<usize>()), 0..150)) {
         let mut engine = engine();
         let mut world = World { now: MS, classes: [0, 1, 2], ..World::default() };
-        let all: Vec<Member> = (0..6).map(|n| member(n, EndpointState::Active)).collect();
+        let all: Vec<Endpoint> = (0..6).map(|n| member(n, EndpointState::Active)).collect();
         world.phases = (0..6).map(|n| (n, EndpointState::Active)).collect();
-        engine.list(EndpointUpdateKind::Snapshot, &all);
+        engine.update_endpoints(EndpointUpdateKind::Snapshot, &all);
         world.act(&mut engine);
         for (kind, pick) in steps {
             world.step(&mut engine, kind, pick);
@@ -217,7 +228,7 @@
             let finals = world.finals.get(id).copied().unwrap_or(0);
             prop_assert_eq!(finals, usize::from(!world.gone.contains(id)), "{:?}", id);
         }
-        prop_assert_eq!((engine.held(), engine.out()), (0, 0));
+        prop_assert_eq!((engine.open_queries(), engine.in_flight_attempts()), (0, 0));
     }
 }
 
@@ -225,15 +236,16 @@
 #[test]
 fn a_silent_module_is_overruled_in_time() {
     let mut engine = engine();
-    engine.list(EndpointUpdateKind::Snapshot, &[member(0, EndpointState::Active)]);
-    engine.ask(MS, QueryId(1), ask(0, &[0], 100 * MS)).unwrap();
+    engine.update_endpoints(EndpointUpdateKind::Snapshot, &[member(0, EndpointState::Active)]);
+    engine.submit(MS, QueryId(1), ask(0, &[0], 100 * MS)).unwrap();
     engine.run(MS);
     engine.wakes.clear();
     engine.limits.clear();
-    assert_eq!(engine.next_due(), Some(100 * MS + BACKSTOP));
+    assert_eq!(engine.next_deadline(), Some(100 * MS + BACKSTOP));
     let commands = engine.run(100 * MS + BACKSTOP);
-    let finals = commands.iter().filter(|c| matches!(c, Command::Finish { answer: Final::Failed, .. }));
-    assert_eq!((finals.count(), engine.held(), engine.out()), (1, 0, 0));
+    let finals =
+        commands.iter().filter(|c| matches!(c, Command::FinishQuery { outcome: QueryOutcome::Failed, .. }));
+    assert_eq!((finals.count(), engine.open_queries(), engine.in_flight_attempts()), (1, 0, 0));
 }
 
 /// Guards against growth over a long day on which data nodes are replaced: each is forgotten once it is
@@ -243,24 +255,25 @@
     let mut engine = engine();
     let held = || ask(0, &[0], 1000 * MS);
     for n in 0..100 {
-        engine.list(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Active)]);
-        engine.ask(MS, QueryId(u64::from(n)), held()).unwrap();
+        engine.update_endpoints(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Active)]);
+        engine.submit(MS, QueryId(u64::from(n)), held()).unwrap();
         let sent = engine.run(MS);
-        let Some(Command::Send { server, call }) = sent.iter().find(|c| matches!(c, Command::Send { .. }))
+        let Some(Command::SendCall { server, call }) =
+            sent.iter().find(|c| matches!(c, Command::SendCall { .. }))
         else {
             panic!("{sent:?}")
         };
         assert_eq!(*server, ServerId(n));
-        engine.list(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Removed)]);
-        assert!(engine.run(MS).iter().all(|c| !matches!(c, Command::Retire { .. })), "a part is out");
-        engine.ended(MS, call[0].attempt, Outcome::ServerError, None);
-        engine.gone(QueryId(u64::from(n)));
+        engine.update_endpoints(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Removed)]);
+        assert!(engine.run(MS).iter().all(|c| !matches!(c, Command::ForgetServer { .. })), "a part is out");
+        engine.attempt_ended(MS, call[0].attempt, Outcome::ServerError, None);
+        engine.client_disconnected(QueryId(u64::from(n)));
         engine.run(MS);
         // A change that does not name it, and one that does: it is not met again.
-        engine.list(EndpointUpdateKind::Delta, &[]);
-        engine.list(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Removed)]);
-        assert!(engine.run(MS).contains(&Command::Retire { server: *server }));
-        assert_eq!(engine.known(), 0);
+        engine.update_endpoints(EndpointUpdateKind::Delta, &[]);
+        engine.update_endpoints(EndpointUpdateKind::Delta, &[member(3 * n, EndpointState::Removed)]);
+        assert!(engine.run(MS).contains(&Command::ForgetServer { server: *server }));
+        assert_eq!(engine.known_servers(), 0);
     }
     assert_eq!(engine.policy.servers(), 0);
 }
@@ -269,18 +282,18 @@
 fn what_cannot_be_taken_is_rejected() {
     let mut engine = engine();
     let all: Vec<u32> = (0..6).collect();
-    let try_ask = |engine: &mut Engine, id, ask| engine.ask(MS, QueryId(id), ask);
-    assert_eq!(try_ask(&mut engine, 0, ask(9, &[0], MS * 9)), Err(Rejected::UnknownClass));
-    assert_eq!(try_ask(&mut engine, 0, ask(0, &[], MS * 9)), Err(Rejected::BadParts));
-    assert_eq!(try_ask(&mut engine, 0, ask(0, &[1, 1], MS * 9)), Err(Rejected::BadParts));
-    assert_eq!(try_ask(&mut engine, 0, ask(0, &[6], MS * 9)), Err(Rejected::BadParts));
-    assert_eq!(try_ask(&mut engine, 0, ask(0, &[0], MS)), Err(Rejected::Late));
+    let try_ask = |engine: &mut Engine, id, ask| engine.submit(MS, QueryId(id), ask);
+    assert_eq!(try_ask(&mut engine, 0, ask(9, &[0], MS * 9)), Err(RejectReason::UnknownClass));
+    assert_eq!(try_ask(&mut engine, 0, ask(0, &[], MS * 9)), Err(RejectReason::InvalidParts));
+    assert_eq!(try_ask(&mut engine, 0, ask(0, &[1, 1], MS * 9)), Err(RejectReason::InvalidParts));
+    assert_eq!(try_ask(&mut engine, 0, ask(0, &[6], MS * 9)), Err(RejectReason::InvalidParts));
+    assert_eq!(try_ask(&mut engine, 0, ask(0, &[0], MS)), Err(RejectReason::DeadlinePassed));
     let weighted = |weights: &[f64]| {
         let parts = (0..).zip(weights).map(|(s, &w)| (ShardId(s), w)).collect();
-        Ask { parts, ..ask(0, &[0], MS * 9) }
+        QueryRequest { parts, ..ask(0, &[0], MS * 9) }
     };
     for bad in [&[0.5, 0.4][..], &[1.5, -0.5], &[0.0, 1.0], &[f64::NAN], &[f64::INFINITY], &[2.0]] {
-        assert_eq!(try_ask(&mut engine, 0, weighted(bad)), Err(Rejected::BadParts), "{bad:?}");
+        assert_eq!(try_ask(&mut engine, 0, weighted(bad)), Err(RejectReason::InvalidParts), "{bad:?}");
     }
     let taken = (0..20).filter(|&id| try_ask(&mut engine, id, ask(0, &all, MS * 9)).is_ok()).count();
     assert_eq!(taken, 60 / 7);
@@ -288,7 +301,7 @@
 
 fn sends(commands: &[Command]) -> Vec<Dispatch> {
     let call = |c: &Command| match c {
-        Command::Send { call, .. } => call.clone(),
+        Command::SendCall { call, .. } => call.clone(),
         _ => Vec::new(),
     };
     commands.iter().flat_map(call).collect()
@@ -299,47 +312,55 @@
 #[test]
 fn a_value_that_is_not_accepted_is_tried_elsewhere() {
     let mut engine = engine();
-    engine.list(
+    engine.update_endpoints(
         EndpointUpdateKind::Snapshot,
         &(0..6).map(|n| member(n, EndpointState::Active)).collect::<Vec<_>>(),
     );
-    let accept = Accept::only(|shard, value| *value.data == *format!("v{}", shard.0));
-    let asked = Ask { texts: vec!["a".into(), "b".into()], accept, ..ask(0, &[0, 1], 1000 * MS) };
-    engine.ask(MS, QueryId(1), asked).unwrap();
+    let accept = ResponseValidator::new(|shard, value| *value.data == *format!("v{}", shard.0));
+    let asked = QueryRequest {
+        part_texts: vec!["a".into(), "b".into()],
+        validator: accept,
+        ..ask(0, &[0, 1], 1000 * MS)
+    };
+    engine.submit(MS, QueryId(1), asked).unwrap();
     let sent = sends(&engine.run(MS));
     let texts: Vec<&str> = sent.iter().map(|d| &*d.part.text).collect();
     assert_eq!(texts, ["a", "b"]);
     let value = |data: &str| Some(Value { score: 0, data: data.into() });
     assert_eq!(
-        engine.ended(2 * MS, sent[0].attempt, Outcome::Success, value("v9")),
+        engine.attempt_ended(2 * MS, sent[0].attempt, Outcome::Success, value("v9")),
         Outcome::MalformedResponse
     );
-    assert_eq!(engine.ended(2 * MS, sent[1].attempt, Outcome::Success, value("v1")), Outcome::Success);
+    assert_eq!(
+        engine.attempt_ended(2 * MS, sent[1].attempt, Outcome::Success, value("v1")),
+        Outcome::Success
+    );
     let mut again = sends(&engine.run(2 * MS));
     while again.is_empty() {
-        let due = engine.next_due().unwrap();
+        let due = engine.next_deadline().unwrap();
         again = sends(&engine.run(due));
     }
     assert_eq!((again.len(), again[0].part.shard), (1, ShardId(0)));
     let now = engine.now;
-    engine.ended(now, again[0].attempt, Outcome::Success, value("v0"));
+    engine.attempt_ended(now, again[0].attempt, Outcome::Success, value("v0"));
     let last = engine.run(now);
-    assert!(last
-        .iter()
-        .any(|c| matches!(c, Command::Finish { answer: Final::Answered { whole: true, .. }, .. })));
+    assert!(last.iter().any(|c| matches!(
+        c,
+        Command::FinishQuery { outcome: QueryOutcome::Answered { complete: true, .. }, .. }
+    )));
 }
 
 /// A data node that is new or has started anew may have older data: its shards are told, once.
 #[test]
 fn shards_whose_holders_start_anew_are_told() {
     let mut engine = engine();
-    let at = |n, started_at| Member { started_at, ..member(n, EndpointState::Active) };
+    let at = |n, started_at| Endpoint { started_at, ..member(n, EndpointState::Active) };
     // Of three cells in rows of two, cell 1 holds shards 0, 1, 3 and 4.
     let shards = [0, 1, 3, 4].map(ShardId).to_vec();
-    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[at(1, 5)]), shards);
-    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[at(1, 5)]), []);
-    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[at(1, 6)]), shards);
-    assert_eq!(engine.list(EndpointUpdateKind::Delta, &[]), []);
+    assert_eq!(engine.update_endpoints(EndpointUpdateKind::Delta, &[at(1, 5)]), shards);
+    assert_eq!(engine.update_endpoints(EndpointUpdateKind::Delta, &[at(1, 5)]), []);
+    assert_eq!(engine.update_endpoints(EndpointUpdateKind::Delta, &[at(1, 6)]), shards);
+    assert_eq!(engine.update_endpoints(EndpointUpdateKind::Delta, &[]), []);
 }
 
 /// Guards against two open queries of one name, whose answers could not be told apart; rounded weights
@@ -347,29 +368,32 @@
 #[test]
 fn a_name_is_taken_until_its_query_ends() {
     let mut engine = engine();
-    let one = Ask { parts: (0..3).map(|s| (ShardId(s), 0.3333)).collect(), ..ask(0, &[0], MS * 9) };
-    assert_eq!(engine.ask(MS, QueryId(0), one.clone()), Ok(()));
-    assert_eq!(engine.ask(MS, QueryId(1), one.clone()), Err(Rejected::SameName));
-    engine.gone(QueryId(0));
+    let one = QueryRequest { parts: (0..3).map(|s| (ShardId(s), 0.3333)).collect(), ..ask(0, &[0], MS * 9) };
+    assert_eq!(engine.submit(MS, QueryId(0), one.clone()), Ok(()));
+    assert_eq!(engine.submit(MS, QueryId(1), one.clone()), Err(RejectReason::DuplicateName));
+    engine.client_disconnected(QueryId(0));
     // Late answers may still come.
-    assert_eq!(engine.ask(2 * MS, QueryId(2), one.clone()), Err(Rejected::SameName));
-    assert_eq!(engine.ask(MS + NAME_REST, QueryId(3), one), Ok(()));
+    assert_eq!(engine.submit(2 * MS, QueryId(2), one.clone()), Err(RejectReason::DuplicateName));
+    assert_eq!(engine.submit(MS + NAME_REST, QueryId(3), one), Ok(()));
 }
 
 /// Guards the process's end: what is held and what comes is ended by then, whatever time its client gives.
 #[test]
 fn nothing_is_held_beyond_the_end() {
     let mut engine = engine();
-    engine.ask(0, QueryId(1), ask(0, &[0, 1], 2000 * MS)).unwrap();
+    engine.submit(0, QueryId(1), ask(0, &[0, 1], 2000 * MS)).unwrap();
     engine.run(0);
-    engine.ending(50 * MS);
-    engine.ask(MS, QueryId(2), ask(1, &[2], 2000 * MS)).unwrap();
+    engine.shut_down_by(50 * MS);
+    engine.submit(MS, QueryId(2), ask(1, &[2], 2000 * MS)).unwrap();
     let ended =
-        |commands: Vec<Command>| commands.iter().filter(|c| matches!(c, Command::Finish { .. })).count();
+        |commands: Vec<Command>| commands.iter().filter(|c| matches!(c, Command::FinishQuery { .. })).count();
     let mut done = 0;
     for now in 0..60 {
         done += ended(engine.run(now * MS));
     }
-    assert_eq!((done, engine.held()), (2, 0));
-    assert_eq!(engine.ask(60 * MS, QueryId(3), ask(0, &[0], 2000 * MS)), Err(Rejected::Late));
+    assert_eq!((done, engine.open_queries()), (2, 0));
+    assert_eq!(
+        engine.submit(60 * MS, QueryId(3), ask(0, &[0], 2000 * MS)),
+        Err(RejectReason::DeadlinePassed)
+    );
 }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -183,7 +183,7 @@
     }
 
     /// Takes over settings whose classes begin with those it has: see [`Settings::after`].
-    pub fn reset(&mut self, set: Settings) {
+    pub fn update_settings(&mut self, set: Settings) {
         let (n, kept) = (set.classes.len(), set.longest_latency_objective().saturating_mul(SAMPLE_AIMS));
         self.patience.resize(n, RecentSamples::new(PATIENCE_SAMPLES, kept));
         self.fleet.servers.values_mut().for_each(|s| s.class_doubt.resize_with(n, Default::default));
@@ -196,7 +196,7 @@
     }
 
     /// How many servers in the list it sends nothing now; doubt or a bad way of a moment sends nobody away.
-    pub fn avoided(&self) -> usize {
+    pub fn excluded_servers(&self) -> usize {
         let since = self.now.saturating_sub(self.set.shortest_latency_objective() / TRIAL_SHARE);
         let shunned = |s: &Server| s.doubt.get(self.now) >= SHUNNED || self.way_bad(s.zone);
         let rests = |s: &Server| !s.listed || shunned(s) && s.used_at.is_none_or(|t| t < since);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -39,14 +39,14 @@
     /// The same for a process beside which so many others may serve in its place: what a cold data node may be sent
     /// is shared with them. Other bounds are not: where they bind, the two halve their traffic anyway.
     #[must_use]
-    pub fn beside(mut self, others: u32) -> Self {
+    pub fn sharing_with(mut self, others: u32) -> Self {
         self.settings.slow_start.processes = others.saturating_add(1);
         self
     }
 
     /// What this says, taken over from `before` while queries are open: see [`Settings::after`].
     #[must_use]
-    pub fn after(self, before: &Self) -> Self {
+    pub fn carried_over_from(self, before: &Self) -> Self {
         let (settings, classes) =
             self.settings.carried_over_from(&before.settings, (&before.classes, &self.classes));
         Self { settings, classes, ..before.clone() }
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -23,9 +23,13 @@
 /// Guards cold data nodes against two processes that stand in the place of one.
 #[test]
 fn processes_in_one_place_share_what_a_cold_node_may_be_sent() {
-    let (alone, beside) = (info(&[(0, 0)]), info(&[(0, 0)]).beside(1));
+    let (alone, beside) = (info(&[(0, 0)]), info(&[(0, 0)]).sharing_with(1));
     assert_eq!((alone.settings.slow_start_sharers(), beside.settings.slow_start_sharers()), (1.0, 2.0));
-    assert_eq!(beside.after(&alone).settings.slow_start_sharers(), 2.0, "kept when settings change");
+    assert_eq!(
+        beside.carried_over_from(&alone).settings.slow_start_sharers(),
+        2.0,
+        "kept when settings change"
+    );
 }
 
 /// Guards large deployments: the settings of 1,024 coordinators and 1,024 cells, indented, are taken as they are.
@@ -58,7 +62,7 @@
         for swap in swaps {
             let wanted = info(&swap.clone().into_iter().collect::<Vec<_>>());
             let next = match &now {
-                Some(before) => wanted.clone().after(before),
+                Some(before) => wanted.clone().carried_over_from(before),
                 None => wanted.clone(),
             };
             prop_assert!(next.settings.check().is_ok());
--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -24,7 +24,7 @@
 use crate::api::{ClassId, ShardId};
 use crate::config::cursor_keys;
 use crate::counters::Counters;
-use crate::engine::{Accept, Ask, Final, Rejected};
+use crate::engine::{QueryOutcome, QueryRequest, RejectReason, ResponseValidator};
 use crate::frontend::http_server::{Answer, Front, Reply, Served};
 use crate::frontend::problem::{problem, retry_after, unix_now, unserved, valid_until, PROBLEM};
 use crate::limits::Limits;
@@ -334,22 +334,23 @@
             (0..ranges).map(|r| merging.text(r).into()).collect()
         };
         let judge = merging.clone();
-        let accept = Accept::only(move |shard, value| match lock(&judge).offer(shard.0, &value.data) {
-            Ok(()) => true,
-            Err(unfit) => {
-                log::warn!("tag range {}: {unfit}", shard.0);
-                false
-            }
-        });
-        let ask = Ask {
+        let accept =
+            ResponseValidator::new(move |shard, value| match lock(&judge).offer(shard.0, &value.data) {
+                Ok(()) => true,
+                Err(unfit) => {
+                    log::warn!("tag range {}: {unfit}", shard.0);
+                    false
+                }
+            });
+        let ask = QueryRequest {
             name: format!("d{:016x}", self.next.fetch_add(1, Ordering::Relaxed)),
             class,
-            repeated: false,
-            valid_until: valid_until(&self.core, &self.limits, class, wait, out.asked_at()),
+            is_retry: false,
+            deadline: valid_until(&self.core, &self.limits, class, wait, out.asked_at()),
             parts: (0..ranges).map(|r| (ShardId(r), share)).collect(),
             text: "".into(),
-            texts,
-            accept,
+            part_texts: texts,
+            validator: accept,
             client: out.client(),
         };
         let end = End {
@@ -377,11 +378,11 @@
 }
 
 impl End {
-    fn reply(self, ended: Result<Final, Rejected>, out: Answer) {
+    fn reply(self, ended: Result<QueryOutcome, RejectReason>, out: Answer) {
         if let Some(reply) = self.unserved(&ended) {
             return out.send(reply);
         }
-        let Ok(Final::Answered { rows, .. }) = ended else {
+        let Ok(QueryOutcome::Answered { rows, .. }) = ended else {
             return out.send(problem(500, "there is no answer"));
         };
         let values: Vec<_> = rows.into_iter().map(|r| (r.shard.0, r.data)).collect();
@@ -418,12 +419,14 @@
     }
 
     /// The answer to a query that has none, with what was wrong with the values that came.
-    fn unserved(&self, ended: &Result<Final, Rejected>) -> Option<Reply> {
+    fn unserved(&self, ended: &Result<QueryOutcome, RejectReason>) -> Option<Reply> {
         let reply = unserved(ended, self.core.full_hold_off())?;
         let merging = lock(&self.merging);
         let seen = merging.refused().next().map(|(range, unfit)| format!("tag range {range}: {unfit}"));
         match (ended, seen) {
-            (Ok(Final::Failed), Some(seen)) => Some(problem(504, &format!("no answer in time; {seen}"))),
+            (Ok(QueryOutcome::Failed), Some(seen)) => {
+                Some(problem(504, &format!("no answer in time; {seen}")))
+            }
             _ => Some(reply),
         }
     }
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -20,7 +20,7 @@
 use crate::api::{ClassId, Nanos, ShardId};
 use crate::config::cursor_keys;
 use crate::counters::Counters;
-use crate::engine::{Accept, Ask, Client, Final, Rejected, Row};
+use crate::engine::{ClientLiveness, QueryOutcome, QueryRequest, RejectReason, ResponseValidator, Row};
 use crate::frontend::feature_pages::{by_id, by_offset, check_ids, Range};
 use crate::frontend::http_server::{Answer, Front, Reply, Served};
 use crate::frontend::problem::{problem, unix_now, unserved, valid_until};
@@ -392,15 +392,15 @@
         let ranges: Vec<u32> = (parts.from.0..self.ranges).collect();
         let share = 1.0 / ranges.len() as f64;
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let ask = Ask {
+        let ask = QueryRequest {
             name: format!("{number:016x}"),
             class,
-            repeated: false,
-            valid_until: valid_until(&self.core, &self.limits, class, self.limits.ogc_wait, asker.asked_at),
+            is_retry: false,
+            deadline: valid_until(&self.core, &self.limits, class, self.limits.ogc_wait, asker.asked_at),
             parts: ranges.into_iter().map(|r| (ShardId(r), share)).collect(),
             text: parts.text.into(),
-            texts: parts.texts,
-            accept: parts.accept,
+            part_texts: parts.texts,
+            validator: parts.accept,
             client: asker.client,
         };
         Served::Later(self.core.ask(ask, reply))
@@ -446,7 +446,7 @@
 
 /// Who asks, and since when.
 struct Asker {
-    client: Client,
+    client: ClientLiveness,
     asked_at: Nanos,
 }
 
@@ -461,13 +461,13 @@
     from: ShardId,
     text: String,
     texts: Vec<Arc<str>>,
-    accept: Accept,
+    accept: ResponseValidator,
 }
 
 impl Parts {
     /// All ranges, all the same.
     fn new(text: String) -> Self {
-        Self { from: ShardId(0), text, texts: Vec::new(), accept: Accept::default() }
+        Self { from: ShardId(0), text, texts: Vec::new(), accept: ResponseValidator::default() }
     }
 
     /// Each range goes on behind an id of its own, and gives features in the order of their ids or does not count.
@@ -477,7 +477,7 @@
             Place::From(id) | Place::After(id) => format!("{own}&after={}", http::encode(id)).into(),
         };
         let places: Vec<Place> = reached.iter().map(|r| r.place.clone()).collect();
-        let accept = Accept::only(move |shard, value| {
+        let accept = ResponseValidator::new(move |shard, value| {
             let place = places.get(shard.0 as usize).cloned().unwrap_or_default();
             match check_ids(&value.data, &place, limit) {
                 Ok(()) => true,
@@ -539,9 +539,11 @@
     filter: &Filter,
     ranges: u32,
     seal: Option<&Seal>,
-    ended: Result<Final, Rejected>,
+    ended: Result<QueryOutcome, RejectReason>,
 ) -> Reply {
-    let Ok(Final::Answered { whole, rows, .. }) = ended else { return problem(500, "there is no answer") };
+    let Ok(QueryOutcome::Answered { complete: whole, rows, .. }) = ended else {
+        return problem(500, "there is no answer");
+    };
     let mut read: Vec<_> = rows.iter().filter_map(read).collect();
     read.sort_by_key(|r| r.0);
     let from = if let At::Offset(cursor) = &filter.at { cursor.range.0 } else { 0 };
@@ -592,8 +594,10 @@
     Reply { status: 200, kind: GEOJSON, more: String::new(), body: body.into_bytes() }
 }
 
-fn one(base: &str, path: &str, collection: &str, ended: Result<Final, Rejected>) -> Reply {
-    let Ok(Final::Answered { whole, rows, .. }) = ended else { return problem(500, "there is no answer") };
+fn one(base: &str, path: &str, collection: &str, ended: Result<QueryOutcome, RejectReason>) -> Reply {
+    let Ok(QueryOutcome::Answered { complete: whole, rows, .. }) = ended else {
+        return problem(500, "there is no answer");
+    };
     let read: Vec<Option<Range>> = rows.iter().map(read).collect();
     let complete = whole && read.iter().all(Option::is_some);
     let Some(feature) = read.iter().flatten().find_map(|r| r.1.first()) else {
@@ -672,7 +676,7 @@
             &filter,
             2,
             None,
-            Ok(Final::Answered { whole: true, share: 1.0, rows }),
+            Ok(QueryOutcome::Answered { complete: true, coverage: 1.0, rows }),
         );
         let body: Json = serde_json::from_slice(&reply.body).unwrap();
         assert_eq!((&body["complete"], &body["missingRanges"]), (&json!(false), &json!([1])));
--- a/src/frontend/http_server.rs
+++ b/src/frontend/http_server.rs
@@ -292,10 +292,10 @@
 
 impl Answer {
     /// Whoever waits for it.
-    pub fn client(&self) -> engine::Client {
+    pub fn client(&self) -> engine::ClientLiveness {
         // What is on its way to data nodes keeps no connection open.
         let connection = Arc::downgrade(&self.busy.connection);
-        engine::Client::seen(move || connection.upgrade().is_some_and(|c| c.here()))
+        engine::ClientLiveness::new(move || connection.upgrade().is_some_and(|c| c.here()))
     }
 
     /// When the last byte of its request came: its client's time runs from then on, however late its turn comes.
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -7,7 +7,7 @@
 
 use crate::api::{Nanos, ShardId};
 use crate::counters::Counters;
-use crate::engine::{Accept, Ask, Client, Final, Rejected};
+use crate::engine::{ClientLiveness, QueryOutcome, QueryRequest, RejectReason, ResponseValidator};
 use crate::frontend::http_server::{Answer, Front, Reply, Served, Service};
 use crate::limits::Limits;
 use crate::net::coordinator::Core;
@@ -71,27 +71,31 @@
     }
 }
 
-fn answer(ended: Result<Final, Rejected>, full_hold_off: Nanos) -> Reply {
+fn answer(ended: Result<QueryOutcome, RejectReason>, full_hold_off: Nanos) -> Reply {
     match ended {
-        Ok(Final::Answered { whole, rows, .. }) => {
+        Ok(QueryOutcome::Answered { complete: whole, rows, .. }) => {
             let rows = rows.iter().map(|r| RowOut { id: r.shard.0, data: &r.data }).collect();
             match serde_json::to_vec(&Served200 { exact: whole, rows }) {
                 Ok(body) => Reply { status: 200, kind: "application/json", more: String::new(), body },
                 Err(_) => Reply::text(500, "the answer cannot be written"),
             }
         }
-        Ok(Final::Refused { hold_off }) => retry_after(Reply::text(503, "refused"), hold_off),
-        Ok(Final::Failed) => Reply::text(504, "given up"),
-        Err(Rejected::Full) => retry_after(Reply::text(503, "over the limit"), full_hold_off),
-        Err(Rejected::Late) => Reply::text(503, "no time is left"),
-        Err(Rejected::BadParts) => Reply::text(400, "parts: at least one, each shard once, their weights 1"),
-        Err(Rejected::SameName) => Reply::text(409, "X-Request-ID: a request of this id is open"),
-        Err(Rejected::UnknownClass) => Reply::text(404, "unknown class"),
+        Ok(QueryOutcome::Rejected { retry_after: hold_off }) => {
+            retry_after(Reply::text(503, "refused"), hold_off)
+        }
+        Ok(QueryOutcome::Failed) => Reply::text(504, "given up"),
+        Err(RejectReason::QueueFull) => retry_after(Reply::text(503, "over the limit"), full_hold_off),
+        Err(RejectReason::DeadlinePassed) => Reply::text(503, "no time is left"),
+        Err(RejectReason::InvalidParts) => {
+            Reply::text(400, "parts: at least one, each shard once, their weights 1")
+        }
+        Err(RejectReason::DuplicateName) => Reply::text(409, "X-Request-ID: a request of this id is open"),
+        Err(RejectReason::UnknownClass) => Reply::text(404, "unknown class"),
     }
 }
 
 impl Platform {
-    fn ask(&self, request: &Request, asked_at: Nanos) -> Result<Ask, Reply> {
+    fn ask(&self, request: &Request, asked_at: Nanos) -> Result<QueryRequest, Reply> {
         let class = request.path.split('/').nth(1).unwrap_or("");
         let info = self.core.info();
         let class = info.class(class).ok_or_else(|| Reply::text(404, "unknown class"))?;
@@ -111,16 +115,16 @@
         let body: Body = serde_json::from_slice(&request.body)
             .map_err(|e| Reply::text(400, &format!("the body is not as expected: {e}")))?;
         let wait = nanos(wait.saturating_sub(self.limits.answer_margin));
-        Ok(Ask {
+        Ok(QueryRequest {
             name: name.to_string(),
             class,
-            repeated: request.headers.get("x-retried") == Some("1"),
-            valid_until: asked_at.saturating_add(wait),
+            is_retry: request.headers.get("x-retried") == Some("1"),
+            deadline: asked_at.saturating_add(wait),
             parts: body.parts.iter().map(|p| (ShardId(p.id), p.w)).collect(),
             text: body.expr.into(),
-            texts: Vec::new(),
-            accept: Accept::default(),
-            client: Client::default(),
+            part_texts: Vec::new(),
+            validator: ResponseValidator::default(),
+            client: ClientLiveness::default(),
         })
     }
 
@@ -143,7 +147,7 @@
         }
         match self.ask(&request, out.asked_at()) {
             Ok(ask) => {
-                let ask = Ask { client: out.client(), ..ask };
+                let ask = QueryRequest { client: out.client(), ..ask };
                 let hold_off = self.core.full_hold_off();
                 let reply = Box::new(move |ended| out.send(answer(ended, hold_off)));
                 Served::Later(self.core.ask(ask, reply))
--- a/src/frontend/platform/tests.rs
+++ b/src/frontend/platform/tests.rs
@@ -13,9 +13,9 @@
 #[test]
 fn answers_have_the_protocols_form() {
     let rows = vec![Row { shard: ShardId(3), data: "5be2\"a0".into() }];
-    let reply = answer(Ok(Final::Answered { whole: false, share: 0.5, rows }), 0);
+    let reply = answer(Ok(QueryOutcome::Answered { complete: false, coverage: 0.5, rows }), 0);
     assert_eq!(reply.body, br#"{"exact":false,"rows":[{"id":3,"data":"5be2\"a0"}]}"#);
-    let reply = answer(Err(Rejected::Full), 250_000_000);
+    let reply = answer(Err(RejectReason::QueueFull), 250_000_000);
     assert_eq!((reply.status, reply.more.as_str()), (503, "Retry-After: 0.250\r\n"));
-    assert_eq!(answer(Ok(Final::Failed), 0).status, 504);
+    assert_eq!(answer(Ok(QueryOutcome::Failed), 0).status, 504);
 }
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use crate::api::{ClassId, Nanos};
-use crate::engine::{Final, Rejected};
+use crate::engine::{QueryOutcome, RejectReason};
 use crate::frontend::http_server::Reply;
 use crate::limits::Limits;
 use crate::net::coordinator::Core;
@@ -29,14 +29,18 @@
 }
 
 /// The answer to a query that has none of its own.
-pub fn unserved(ended: &Result<Final, Rejected>, full_hold_off: Nanos) -> Option<Reply> {
+pub fn unserved(ended: &Result<QueryOutcome, RejectReason>, full_hold_off: Nanos) -> Option<Reply> {
     match ended {
-        Ok(Final::Answered { .. }) => None,
-        Ok(Final::Refused { hold_off }) => Some(retry_after(problem(503, "refused, try again"), *hold_off)),
-        Ok(Final::Failed) => Some(problem(504, "the data nodes did not answer in time")),
-        Err(Rejected::Full) => Some(retry_after(problem(503, "over the limit, try again"), full_hold_off)),
-        Err(Rejected::Late) => Some(problem(503, "no time is left")),
-        Err(Rejected::BadParts | Rejected::UnknownClass | Rejected::SameName) => {
+        Ok(QueryOutcome::Answered { .. }) => None,
+        Ok(QueryOutcome::Rejected { retry_after: hold_off }) => {
+            Some(retry_after(problem(503, "refused, try again"), *hold_off))
+        }
+        Ok(QueryOutcome::Failed) => Some(problem(504, "the data nodes did not answer in time")),
+        Err(RejectReason::QueueFull) => {
+            Some(retry_after(problem(503, "over the limit, try again"), full_hold_off))
+        }
+        Err(RejectReason::DeadlinePassed) => Some(problem(503, "no time is left")),
+        Err(RejectReason::InvalidParts | RejectReason::UnknownClass | RejectReason::DuplicateName) => {
             Some(problem(500, "the query cannot be asked"))
         }
     }
--- a/src/net/connection_pool.rs
+++ b/src/net/connection_pool.rs
@@ -381,7 +381,7 @@
                 Item::Call(call, moved) => {
                     let (takes_new, now) = (self.takes_new, self.now);
                     let (sent, stale): (Vec<_>, Vec<_>) =
-                        call.into_iter().partition(|d| takes_new && d.until > now);
+                        call.into_iter().partition(|d| takes_new && d.deadline > now);
                     let stale = stale.iter().map(|d| Output::End(d.attempt, Outcome::NotSent, None));
                     self.outputs.extend(stale);
                     if sent.is_empty() {
--- a/src/net/connection_pool/tests.rs
+++ b/src/net/connection_pool/tests.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use crate::api::ShardId;
-use crate::engine::{PartText, Wanted};
+use crate::engine::{CancellationToken, PartRequest};
 use proptest::prelude::*;
 
 const MULTIPLEX: usize = 3;
@@ -25,13 +25,14 @@
 }
 
 fn part(id: u64, until: Nanos) -> Dispatch {
-    let text = PartText { name: format!("q.{id}"), shard: ShardId(0), text: "t".into(), after: None };
+    let text =
+        PartRequest { name: format!("q.{id}"), shard: ShardId(0), text: "t".into(), first_phase: None };
     Dispatch {
         attempt: AttemptId(id),
         part: Arc::new(text),
-        until,
-        begin_by: Nanos::MAX,
-        wanted: Wanted::new(),
+        deadline: until,
+        start_deadline: Nanos::MAX,
+        cancellation: CancellationToken::new(),
     }
 }
 
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -16,7 +16,7 @@
     ClassId, DiscoveryMode, EndpointState, EndpointUpdateKind, Nanos, QueryId, ServerId, ShardId,
 };
 use crate::counters::Counters;
-use crate::engine::{Ask, Command, Engine, Final, Note, Rejected};
+use crate::engine::{AttemptEvent, Command, Engine, QueryOutcome, QueryRequest, RejectReason};
 use crate::net::endpoint_list_lease::ListLease;
 use crate::net::endpoints::ListNews;
 use crate::net::messages::{CoreMail, DiscoveryMsg, Gate, Msg, NodeMsg, Reply, REQUEST};
@@ -45,12 +45,12 @@
 
 impl Core {
     /// Hands in a query. `reply` is called once, unless the query is told gone first.
-    pub fn ask(&self, ask: Ask, reply: Reply) -> QueryId {
+    pub fn ask(&self, ask: QueryRequest, reply: Reply) -> QueryId {
         let id = QueryId(self.next.fetch_add(1, Ordering::Relaxed));
         if self.backlog.fetch_add(1, Ordering::AcqRel) >= self.most {
             self.backlog.fetch_sub(1, Ordering::AcqRel);
             self.turned_away(ask.class);
-            reply(Err(Rejected::Full));
+            reply(Err(RejectReason::QueueFull));
         } else {
             self.mail.send(Msg::Ask(id, ask, reply));
         }
@@ -292,7 +292,7 @@
         loop {
             self.act();
             let figures_at = self.publish();
-            if let Some(at) = self.engine.next_due().into_iter().chain(figures_at).min() {
+            if let Some(at) = self.engine.next_deadline().into_iter().chain(figures_at).min() {
                 self.alarm.set(at);
             }
             let Ok(message) = inbox.recv() else { return };
@@ -313,7 +313,7 @@
         }
         self.figures_at = now.saturating_add(every);
         self.take_over_full();
-        let (known, excluded) = self.engine.listed();
+        let (known, excluded) = (self.engine.listed_servers(), self.engine.excluded_servers());
         let counters = &self.core.counters;
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let beside = Beside {
@@ -339,7 +339,7 @@
                 } else {
                     String::new()
                 };
-                match self.engine.ask(now, id, ask) {
+                match self.engine.submit(now, id, ask) {
                     Ok(()) => {
                         log::debug!(target: REQUEST, "{name} taken as query {}", id.0);
                         self.wait_for_list();
@@ -349,9 +349,9 @@
                     Err(why) => {
                         log::debug!(target: REQUEST, "{name} not taken: {why:?}");
                         match why {
-                            Rejected::Full => self.core.turned_away(class),
+                            RejectReason::QueueFull => self.core.turned_away(class),
                             // Refused as any other; it was late before it could be taken.
-                            Rejected::Late => {
+                            RejectReason::DeadlinePassed => {
                                 self.account.taken(now, id, class);
                                 self.account.ended(id, End::Refused);
                             }
@@ -365,7 +365,7 @@
                 if self.replies.remove(&id).is_some() {
                     log::debug!(target: REQUEST, "query {} ends: its client has left", id.0);
                     self.account.ended(id, End::Gone);
-                    self.engine.gone(id);
+                    self.engine.client_disconnected(id);
                 }
             }
             Msg::List(news, on_the_way) => {
@@ -376,7 +376,7 @@
             Msg::ListExpired => {}
             Msg::Ended(id, outcome, value) => {
                 log::debug!(target: REQUEST, "attempt {} ended: {outcome:?}", id.0);
-                let counted = self.engine.ended(now, id, outcome, value);
+                let counted = self.engine.attempt_ended(now, id, outcome, value);
                 if counted != outcome {
                     Counters::add(&self.core.counters.values_unfit);
                 }
@@ -392,13 +392,13 @@
                 take(snapshot);
             }
             Msg::Reset(info) => {
-                let info = self.engine.reset(*info);
+                let info = self.engine.update_settings(*info);
                 self.account.extend(&info.settings.classes, &info.classes);
                 *lock(&self.core.info) = Arc::new(info.clone());
             }
-            Msg::Ending(by) => self.engine.ending(by),
+            Msg::Ending(by) => self.engine.shut_down_by(by),
             Msg::Rung => self.alarm.rung(),
-            Msg::Probed(server, outcome) => self.engine.probed(now, server, outcome),
+            Msg::Probed(server, outcome) => self.engine.health_checked(now, server, outcome),
         }
     }
 
@@ -441,9 +441,9 @@
         }
         let members: Vec<_> = news.members.iter().map(|m| m.0.clone()).collect();
         for (member, addr) in &news.members {
-            if member.phase == EndpointState::Removed {
+            if member.state == EndpointState::Removed {
                 // One that is not known needs no actor to be gone.
-                if let Some(id) = self.engine.id(&member.name) {
+                if let Some(id) = self.engine.server_id(&member.name) {
                     if let Some(node) = self.nodes.get(&id) {
                         node.shut();
                     }
@@ -452,22 +452,22 @@
                 continue;
             }
             let id = self.engine.intern(&member.name);
-            self.account.node(now, id, &member.name, member.phase);
+            self.account.node(now, id, &member.name, member.state);
             let (start, lease) = (&mut self.start_node, &self.lease);
             let node = self.nodes.entry(id).or_insert_with(|| {
                 let gate = Gate::under(lease.clone());
                 Node { mail: start(id, gate.clone()), gate }
             });
-            node.follow(member.phase, *addr);
+            node.follow(member.state, *addr);
         }
         if self.core.clock.wall_stepped() {
             self.engine.wall_clock_stepped();
         }
-        let anew = self.engine.list(news.kind, &members);
+        let anew = self.engine.update_endpoints(news.kind, &members);
         if let Some(started) = &self.started {
             started(&anew);
         }
-        self.core.ready.store(self.engine.in_service() > 0, Ordering::Release);
+        self.core.ready.store(self.engine.active_servers() > 0, Ordering::Release);
         if !members.is_empty() {
             Counters::add(&self.core.counters.list_changes);
         }
@@ -479,7 +479,7 @@
             return;
         }
         self.list = ListStanding::Expired;
-        self.engine.list_expired();
+        self.engine.endpoint_list_expired();
         self.nodes.values().for_each(|node| tell(&node.mail, NodeMsg::GateShut));
     }
 
@@ -489,41 +489,43 @@
         let (mut given_up, mut answers) = (false, Vec::new());
         for command in self.engine.run(now) {
             match command {
-                Command::Book(Note::Started { server, number, copy }) => {
+                Command::RecordAttempt(AttemptEvent::Started { server, number, hedge: copy }) => {
                     self.account.started(server, number, copy);
                 }
-                Command::Book(Note::Ended { server, outcome }) => self.account.attempt_ended(server, outcome),
-                Command::Send { server, call } => {
+                Command::RecordAttempt(AttemptEvent::Ended { server, outcome }) => {
+                    self.account.attempt_ended(server, outcome)
+                }
+                Command::SendCall { server, call } => {
                     for d in &call {
                         log::debug!(target: REQUEST, "{} attempt {} to node {}", d.part.name, d.attempt.0, server.0);
                     }
                     self.tell_node(server, NodeMsg::Call(call));
                 }
-                Command::Drop { server, attempt } => {
+                Command::CancelAttempt { server, attempt } => {
                     log::debug!(target: REQUEST, "attempt {} given up at node {}", attempt.0, server.0);
                     given_up = true;
                     self.tell_node(server, NodeMsg::Drop(attempt));
                 }
-                Command::Retire { server } => {
+                Command::ForgetServer { server } => {
                     self.account.retired(now, server);
                     if let Some(node) = self.nodes.remove(&server) {
                         tell(&node.mail, NodeMsg::Retire);
                     }
                 }
-                Command::Probe { server } => self.tell_node(server, NodeMsg::Probe),
-                Command::CloseIdle { server } => self.tell_node(server, NodeMsg::CloseIdle),
-                Command::Finish { query, answer } => {
-                    match &answer {
-                        Final::Answered { whole, share, .. } => {
-                            self.account.answered(now, query, *whole, *share);
+                Command::CheckHealth { server } => self.tell_node(server, NodeMsg::Probe),
+                Command::CloseIdleConnections { server } => self.tell_node(server, NodeMsg::CloseIdle),
+                Command::FinishQuery { query, outcome } => {
+                    match &outcome {
+                        QueryOutcome::Answered { complete, coverage, .. } => {
+                            self.account.answered(now, query, *complete, *coverage);
                         }
-                        Final::Refused { .. } => drop(self.account.ended(query, End::Refused)),
-                        Final::Failed => drop(self.account.ended(query, End::Failed)),
+                        QueryOutcome::Rejected { .. } => drop(self.account.ended(query, End::Refused)),
+                        QueryOutcome::Failed => drop(self.account.ended(query, End::Failed)),
                     }
                     // Whoever has the answer finds it counted.
                     self.core.counters.view(&self.account);
-                    log::debug!(target: REQUEST, "query {} ends: {}", query.0, answer.word());
-                    answers.extend(self.replies.remove(&query).map(|reply| (reply, answer)));
+                    log::debug!(target: REQUEST, "query {} ends: {}", query.0, outcome.word());
+                    answers.extend(self.replies.remove(&query).map(|reply| (reply, outcome)));
                 }
             }
         }
@@ -533,7 +535,7 @@
             // that it is given up: those words go out first. One turn is the data nodes' actors', one their writers'.
             (0..HOPS).for_each(|_| may::coroutine::yield_now());
         }
-        answers.into_iter().for_each(|(reply, answer)| reply(Ok(answer)));
+        answers.into_iter().for_each(|(reply, outcome)| reply(Ok(outcome)));
     }
 
     fn tell_node(&self, server: ServerId, message: NodeMsg) {
--- a/src/net/endpoints.rs
+++ b/src/net/endpoints.rs
@@ -9,7 +9,7 @@
 use serde_json::value::RawValue;
 
 use crate::api::{EndpointState, EndpointUpdateKind};
-use crate::engine::Member;
+use crate::engine::Endpoint;
 
 mod fault;
 mod line;
@@ -68,7 +68,7 @@
 }
 
 /// A data node as the core knows it, and its address.
-pub type ListedMember = (Member, SocketAddr);
+pub type ListedMember = (Endpoint, SocketAddr);
 
 impl From<MembershipUpdate> for Update<ListedMember> {
     /// For the table of what is in force. Each data node is named once: of lines of the same one the last counts, see
@@ -181,7 +181,7 @@
         let kind = if update.complete { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
         let listed = |line: Line<ListedMember>| {
             let (member, address) = line.member?;
-            Some((Member { phase: phase(line.state), ..member }, address))
+            Some((Endpoint { state: phase(line.state), ..member }, address))
         };
         Self { kind, members: update.lines.into_iter().filter_map(listed).collect() }
     }
@@ -190,12 +190,12 @@
 const MILLI: u64 = 1_000_000;
 
 fn member(entry: MemberEntry) -> ListedMember {
-    let member = Member {
+    let member = Endpoint {
         name: entry.uid,
-        cell: entry.cell,
+        partition_group: entry.cell,
         started_at: entry.boot_ms.saturating_mul(MILLI),
-        rating: entry.capacity,
-        phase: phase(entry.state),
+        capacity: entry.capacity,
+        state: phase(entry.state),
         zone: entry.zone,
     };
     (member, entry.endpoint)
--- a/src/net/feature_node.rs
+++ b/src/net/feature_node.rs
@@ -15,7 +15,7 @@
 
 use crate::api::{Nanos, Outcome, ServerId};
 use crate::counters::Counters;
-use crate::engine::{AttemptId, Dispatch, Value, Wanted};
+use crate::engine::{AttemptId, CancellationToken, Dispatch, Value};
 use crate::net::features::{self, Names, RangeQuery};
 use crate::net::http;
 use crate::net::messages::{Gate, Msg, NodeMsg};
@@ -143,9 +143,9 @@
             names: self.names.clone(),
             gate: self.gate.clone(),
             job,
-            until: dispatch.until,
-            begin_by: dispatch.begin_by,
-            wanted: dispatch.wanted.clone(),
+            until: dispatch.deadline,
+            begin_by: dispatch.start_deadline,
+            wanted: dispatch.cancellation.clone(),
             asked: false,
         };
         let (own, rested) = (self.own.clone(), self.rested());
@@ -182,7 +182,7 @@
                     job: Arc::new(Job::new(addr)),
                     until,
                     begin_by: until,
-                    wanted: Wanted::new(),
+                    wanted: CancellationToken::new(),
                     asked: false,
                 };
                 match fetch.connect(None).and_then(|s| fetch.page(&s, "/")) {
@@ -207,7 +207,7 @@
     job: Arc<Job>,
     until: Nanos,
     begin_by: Nanos,
-    wanted: Wanted,
+    wanted: CancellationToken,
     /// A request was written whole: the attempt may have run.
     asked: bool,
 }
@@ -263,7 +263,7 @@
 
     /// Whether the next page may be asked for. The first that may not never ran.
     fn may_ask(&self) -> Result<(), Outcome> {
-        let dropped = self.job.dropped.load(Ordering::Acquire) || !self.wanted.yes();
+        let dropped = self.job.dropped.load(Ordering::Acquire) || !self.wanted.is_active();
         let now = self.context.clock.now();
         let late = !self.asked && now >= self.begin_by;
         let over = dropped || late || self.left().is_zero();
--- a/src/net/frame.rs
+++ b/src/net/frame.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use crate::api::{Nanos, Outcome};
-use crate::engine::{AttemptId, Dispatch, Value};
+use crate::engine::{AttemptId, Dispatch, FirstPhase, Value};
 
 const HEAD: usize = 4;
 const MILLI: Nanos = 1_000_000;
@@ -98,7 +98,9 @@
     /// Whether these of its attempts are all wanted.
     pub fn wanted(&self, sent: &[AttemptId]) -> bool {
         match self {
-            Self::Call(parts) => parts.iter().all(|d| d.wanted.yes() || !sent.contains(&d.attempt)),
+            Self::Call(parts) => {
+                parts.iter().all(|d| d.cancellation.is_active() || !sent.contains(&d.attempt))
+            }
             Self::Probe | Self::Whole(_) => true,
         }
     }
@@ -114,7 +116,8 @@
             }
             Self::Whole(bytes) => return Current { bytes: Some(bytes.clone()), ..Current::default() },
         };
-        let may = |d: &&Dispatch| takes_new && now < d.until.min(d.begin_by) && d.wanted.yes();
+        let may =
+            |d: &&Dispatch| takes_new && now < d.deadline.min(d.start_deadline) && d.cancellation.is_active();
         let (sent, stale): (Vec<&Dispatch>, Vec<&Dispatch>) = parts.iter().partition(may);
         let ids = |parts: &[&Dispatch]| parts.iter().map(|d| d.attempt).collect();
         let bytes = (!sent.is_empty()).then(|| call(&sent, now));
@@ -126,11 +129,11 @@
 fn call(parts: &[&Dispatch], now: Nanos) -> Vec<u8> {
     let mut rest = Vec::new();
     for d in parts {
-        let wait = (d.until.saturating_sub(now) / MILLI).max(1);
+        let wait = (d.deadline.saturating_sub(now) / MILLI).max(1);
         let mut list = format!("d={wait}");
-        if let Some((shards, whole)) = &d.part.after {
+        if let Some(FirstPhase { shards, complete }) = &d.part.first_phase {
             let names: Vec<String> = shards.iter().map(|s| s.0.to_string()).collect();
-            list.push_str(&format!(",from={},whole={}", names.join("+"), u8::from(*whole)));
+            list.push_str(&format!(",from={},whole={}", names.join("+"), u8::from(*complete)));
         }
         let text = d.part.text.as_bytes();
         let line = format!("{} {} {list} {}\n", d.part.name, d.part.shard.0, text.len());
--- a/src/net/frame/tests.rs
+++ b/src/net/frame/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use crate::api::ShardId;
-use crate::engine::{AttemptId, PartText, Wanted};
+use crate::engine::{AttemptId, CancellationToken, PartRequest};
 use proptest::prelude::*;
 
 const LIMITS: FrameLimits = FrameLimits { frame: 1024, line: 100 };
 
-fn dispatch(after: Option<(Vec<ShardId>, bool)>) -> Dispatch {
-    let part = PartText { name: "9b1f.3".into(), shard: ShardId(3), text: "c41e77d0".into(), after };
+fn dispatch(first_phase: Option<FirstPhase>) -> Dispatch {
+    let part = PartRequest { name: "9b1f.3".into(), shard: ShardId(3), text: "c41e77d0".into(), first_phase };
     Dispatch {
         attempt: AttemptId(1),
         part: Arc::new(part),
-        until: 250 * MILLI,
-        begin_by: Nanos::MAX,
-        wanted: Wanted::new(),
+        deadline: 250 * MILLI,
+        start_deadline: Nanos::MAX,
+        cancellation: CancellationToken::new(),
     }
 }
 
@@ -22,7 +22,7 @@
     let bytes = call(&[&dispatch(None)], 10 * MILLI);
     assert_eq!(bytes[..5], [26, 0, 0, 0, b'D']);
     assert_eq!(&bytes[5..], b"9b1f.3 3 d=240 8\nc41e77d0");
-    let second = dispatch(Some((vec![ShardId(3), ShardId(5)], true)));
+    let second = dispatch(Some(FirstPhase { shards: vec![ShardId(3), ShardId(5)], complete: true }));
     let text = String::from_utf8(call(&[&second], 10 * MILLI)[5..].to_vec()).unwrap();
     assert_eq!(text, "9b1f.3 3 d=240,from=3+5,whole=1 8\nc41e77d0");
     assert_eq!(give_up("a.1"), b"\x04\0\0\0Ka.1");
@@ -33,7 +33,7 @@
 #[test]
 fn parts_not_wanted_any_more_are_left_out() {
     let (kept, mut over) = (dispatch(None), dispatch(None));
-    over.wanted = Wanted::default();
+    over.cancellation = CancellationToken::default();
     let now = |parts: Vec<Dispatch>| Frame::Call(parts).current(10 * MILLI, true).bytes;
     assert_eq!(now(vec![over.clone(), kept.clone()]), now(vec![kept]));
     assert_eq!(now(vec![over]), None);
@@ -110,8 +110,8 @@
 #[test]
 fn parts_that_may_not_go_out_now_are_left_out() {
     let kept = dispatch(None);
-    let window = Dispatch { attempt: AttemptId(2), begin_by: 20 * MILLI, ..dispatch(None) };
-    let time = Dispatch { attempt: AttemptId(3), until: 20 * MILLI, ..dispatch(None) };
+    let window = Dispatch { attempt: AttemptId(2), start_deadline: 20 * MILLI, ..dispatch(None) };
+    let time = Dispatch { attempt: AttemptId(3), deadline: 20 * MILLI, ..dispatch(None) };
     let frame = Frame::Call(vec![kept.clone(), window, time]);
     let all = [AttemptId(1), AttemptId(2), AttemptId(3)];
     assert_eq!(frame.current(10 * MILLI, true).sent, all);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -11,7 +11,7 @@
 use may::sync::mpsc::{channel, Receiver, Sender};
 
 use crate::api::{Nanos, Outcome, QueryId, ServerId};
-use crate::engine::{Ask, AttemptId, Dispatch, Final, Rejected, Value};
+use crate::engine::{AttemptId, Dispatch, QueryOutcome, QueryRequest, RejectReason, Value};
 use crate::net::connection_pool::{Input, LinkId};
 use crate::net::endpoint_list_lease::ListLease;
 use crate::net::endpoints::{ListNews, MembershipUpdate};
@@ -21,12 +21,12 @@
 use crate::settings::Info;
 
 /// How a query ends, for its front: called once.
-pub type Reply = Box<dyn FnOnce(Result<Final, Rejected>) + Send>;
+pub type Reply = Box<dyn FnOnce(Result<QueryOutcome, RejectReason>) + Send>;
 
 /// What the core is told.
 pub enum Msg {
     /// A query.
-    Ask(QueryId, Ask, Reply),
+    Ask(QueryId, QueryRequest, Reply),
     /// A query's client has left.
     Gone(QueryId),
     /// News of the list, on its way until it is taken.
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -1,17 +1,18 @@
 use super::*;
 
 use crate::api::{Outcome, ShardId};
-use crate::engine::{AttemptId, Dispatch, PartText, Wanted};
+use crate::engine::{AttemptId, CancellationToken, Dispatch, PartRequest};
 use crate::net::messages;
 
 fn part(id: u64) -> Dispatch {
-    let text = PartText { name: format!("q.{id}"), shard: ShardId(0), text: "t".into(), after: None };
+    let text =
+        PartRequest { name: format!("q.{id}"), shard: ShardId(0), text: "t".into(), first_phase: None };
     Dispatch {
         attempt: AttemptId(id),
         part: Arc::new(text),
-        until: Nanos::MAX,
-        begin_by: Nanos::MAX,
-        wanted: Wanted::new(),
+        deadline: Nanos::MAX,
+        start_deadline: Nanos::MAX,
+        cancellation: CancellationToken::new(),
     }
 }
 
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -92,7 +92,7 @@
     let others = u32::from(inherited.is_some());
     let limits = Arc::new(Limits::within(config.platform(others as usize))?);
     let (clock, counters) = (Clock::start(), Arc::<Counters>::default());
-    let info = Arc::new(config.info.beside(others));
+    let info = Arc::new(config.info.sharing_with(others));
     let engine =
         Engine::new(Info::clone(&info), config.seed, nanos(limits.backstop), nanos(limits.name_rest))
             .map_err(|e| e.to_string())?;
@@ -339,7 +339,7 @@
             self.tell_discovery(DiscoveryMsg::Moved(config.discovery_in_file));
         }
         if taken.document["settings"] != config.document["settings"] {
-            self.core.reset(config.info.clone().beside(self.others));
+            self.core.reset(config.info.clone().sharing_with(self.others));
         }
         let changed = if taken.document == config.document { Taken::Unchanged } else { Taken::Changed };
         *taken = config;
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use curlewdeck::api::ShardId;
-use curlewdeck::engine::{Accept, Ask, Client, Final};
+use curlewdeck::engine::{ClientLiveness, QueryOutcome, QueryRequest, ResponseValidator};
 use curlewdeck::limits::{Limits, Platform};
 use curlewdeck::startup::Coordinator;
 
@@ -113,16 +113,16 @@
 }
 
 /// A query for all four shards, as a front hands it in.
-fn whole(coordinator: &Coordinator, class: &str, client: Client) -> Ask {
-    Ask {
+fn whole(coordinator: &Coordinator, class: &str, client: ClientLiveness) -> QueryRequest {
+    QueryRequest {
         name: format!("whole-{class}"),
         class: coordinator.core.info().class(class).unwrap(),
-        repeated: false,
-        valid_until: coordinator.core.clock.now() + 60_000_000_000,
+        is_retry: false,
+        deadline: coordinator.core.clock.now() + 60_000_000_000,
         parts: (0..4).map(|shard| (ShardId(shard), 0.25)).collect(),
         text: "c41e77d0".into(),
-        texts: Vec::new(),
-        accept: Accept::default(),
+        part_texts: Vec::new(),
+        validator: ResponseValidator::default(),
         client,
     }
 }
@@ -135,13 +135,13 @@
     let coordinator = Bed::default().start(discovery.addr, "");
     ready(&coordinator);
     let looks = AtomicUsize::new(0);
-    let client = Client::seen(move || looks.fetch_add(1, Ordering::SeqCst) == 0);
+    let client = ClientLiveness::new(move || looks.fetch_add(1, Ordering::SeqCst) == 0);
     coordinator.core.ask(whole(&coordinator, "tag-lookup", client), Box::new(|_| ()));
     // What is asked after it goes over the same connections behind it.
     let (told, answered) = std::sync::mpsc::channel();
-    let next = whole(&coordinator, "plaza-ranking", Client::default());
+    let next = whole(&coordinator, "plaza-ranking", ClientLiveness::default());
     coordinator.core.ask(next, Box::new(move |ended| told.send(ended).unwrap()));
-    assert!(matches!(answered.recv().unwrap(), Ok(Final::Answered { whole: true, .. })));
+    assert!(matches!(answered.recv().unwrap(), Ok(QueryOutcome::Answered { complete: true, .. })));
     let parts = a.parts().into_iter().chain(b.parts());
     assert_eq!(parts.filter(|p| p.id.starts_with("whole-tag-lookup")).count(), 1);
 }
@@ -157,7 +157,7 @@
     // Half of the shards are at the late one alone; the class may be answered from the other half.
     let coordinator = Bed { in_a_row: 1, ..Bed::default() }.start(discovery.addr, "");
     ready(&coordinator);
-    let ask = whole(&coordinator, "plaza-ranking", Client::default());
+    let ask = whole(&coordinator, "plaza-ranking", ClientLiveness::default());
     let (told, answered) = std::sync::mpsc::channel();
     coordinator.core.ask(
         ask,
@@ -181,7 +181,7 @@
         }),
     );
     let (ended, letters) = answered.recv().unwrap();
-    assert!(matches!(ended, Ok(Final::Answered { whole: false, .. })), "{ended:?}");
+    assert!(matches!(ended, Ok(QueryOutcome::Answered { complete: false, .. })), "{ended:?}");
     let count = |letter: u8| letters.iter().filter(|&&l| l == letter).count();
     assert!(count(b'D') > 0, "nothing went to the late one: {letters:?}");
     assert!(count(b'K') == count(b'D') || count(b'E') > 0, "{}", String::from_utf8_lossy(&letters));
