--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -4,8 +4,8 @@
 use curlewdeck::api::{Class, ClassId, EndpointState, Outcome, QueryId, RetrySafety, ServerId};
 use curlewdeck::counters::Counters;
 use curlewdeck::mib;
-use curlewdeck_accounting::nodes::NodeBounds;
-use curlewdeck_accounting::{Account, Snapshot};
+use curlewdeck_accounting::node_table::NodeBounds;
+use curlewdeck_accounting::{LedgerSnapshot, RequestLedger};
 use curlewdeck_snmp::agent::{Agent, Bounds, Incoming};
 use curlewdeck_snmp::codec;
 use curlewdeck_snmp::manager::{Ask, Reply, Security, Session, Walk};
@@ -18,7 +18,7 @@
 }
 
 /// Ten classes and fifty nodes.
-fn books() -> Snapshot {
+fn books() -> LedgerSnapshot {
     let class = Class {
         latency_objective: 1_000_000_000,
         deadline: 2_000_000_000,
@@ -34,14 +34,14 @@
         retired: false,
     };
     let names: Vec<String> = (0..10).map(|n| format!("class-{n}")).collect();
-    let mut account = Account::new(&vec![class; 10], &names, NodeBounds { rows: 64, keep: 1 });
+    let mut account = RequestLedger::new(&vec![class; 10], &names, NodeBounds { max_rows: 64, retention: 1 });
     for n in 0..1000u64 {
-        account.taken(0, QueryId(n), ClassId(n as usize % 10));
-        account.answered(n * 1_000_000, QueryId(n), true, 1.0);
+        account.query_accepted(0, QueryId(n), ClassId(n as usize % 10));
+        account.query_answered(n * 1_000_000, QueryId(n), true, 1.0);
     }
     for n in 0..50 {
-        account.node(0, ServerId(n), &format!("s-{n}"), EndpointState::Active);
-        account.started(ServerId(n), 0, false);
+        account.node_state(0, ServerId(n), &format!("s-{n}"), EndpointState::Active);
+        account.attempt_started(ServerId(n), 0, false);
         account.attempt_ended(ServerId(n), Outcome::Success);
     }
     account.snapshot(0)
--- a/crates/accounting/src/lib.rs
+++ b/crates/accounting/src/lib.rs
@@ -1,60 +1,66 @@
 //! The one table of truth of what a coordinator has served.
 //!
 //! Each query is booked when it is taken and at its one end, by class and outcome, with the worth that was asked for and
-//! earned; each attempt when it is started and at its one end, by kind and by node. In every [`Snapshot`] taken = ended
+//! earned; each attempt when it is started and at its one end, by kind and by node. In every [`LedgerSnapshot`] taken = ended
 //! + open, for queries by class and for attempts by node, and earned <= asked. Nothing here reads a clock.
 
-pub mod figures;
-pub mod nodes;
+pub mod node_table;
+pub mod process_stats;
+pub mod query_value;
 pub mod saved;
-pub mod worth;
 
 use std::collections::HashMap;
 
 use curlewdeck_core::api::{Class, ClassId, EndpointState, Nanos, Outcome, QueryId, ServerId};
 use hdrhistogram::Histogram;
 
-use nodes::{NodeBounds, NodeRow, Nodes};
+use node_table::{NodeBounds, NodeRow, NodeTable};
+use query_value::QueryValue;
 use saved::{Saved, SavedClass};
-use worth::{worth, Worth};
 
 /// How a query ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum End {
+pub enum QueryEnd {
     /// Answered whole, within the class's aim.
-    WholeInTime,
+    CompleteInTime,
     /// Answered whole, after it.
-    WholeLate,
+    CompleteLate,
     /// Answered in part.
     Partial,
     /// Refused: trying again is harmless.
-    Refused,
+    Rejected,
     /// Given up.
     Failed,
     /// Its client left.
-    Gone,
+    ClientDisconnected,
 }
 
-impl End {
+impl QueryEnd {
     /// All ends, in the order of their tables.
-    pub const ALL: [Self; 6] =
-        [Self::WholeInTime, Self::WholeLate, Self::Partial, Self::Refused, Self::Failed, Self::Gone];
+    pub const ALL: [Self; 6] = [
+        Self::CompleteInTime,
+        Self::CompleteLate,
+        Self::Partial,
+        Self::Rejected,
+        Self::Failed,
+        Self::ClientDisconnected,
+    ];
 
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            Self::WholeInTime => "wholeInTime",
-            Self::WholeLate => "wholeLate",
+            Self::CompleteInTime => "wholeInTime",
+            Self::CompleteLate => "wholeLate",
             Self::Partial => "partial",
-            Self::Refused => "refused",
+            Self::Rejected => "refused",
             Self::Failed => "failed",
-            Self::Gone => "gone",
+            Self::ClientDisconnected => "gone",
         }
     }
 }
 
 /// How an attempt ended, in the order of its tables.
-pub const OUTCOMES: [(Outcome, &str); 9] = [
+pub const ATTEMPT_OUTCOMES: [(Outcome, &str); 9] = [
     (Outcome::Success, "pass"),
     (Outcome::ServerError, "fault"),
     (Outcome::Rejected, "noRoom"),
@@ -66,29 +72,29 @@
     (Outcome::NotSent, "staleSend"),
 ];
 
-/// An outcome's place among [`OUTCOMES`].
+/// An outcome's place among [`ATTEMPT_OUTCOMES`].
 fn place(outcome: Outcome) -> usize {
-    OUTCOMES.iter().position(|o| o.0 == outcome).unwrap_or(OUTCOMES.len() - 1)
+    ATTEMPT_OUTCOMES.iter().position(|o| o.0 == outcome).unwrap_or(ATTEMPT_OUTCOMES.len() - 1)
 }
 
 /// Attempts by what they were and how they ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Attempts {
+pub struct AttemptCounts {
     /// Started.
     pub started: u64,
     /// Of them: a part's second or later one.
-    pub repeats: u64,
+    pub retries: u64,
     /// Of them: while another of the part was out.
-    pub copies: u64,
-    /// Ended, by kind, in the order of [`OUTCOMES`].
-    pub ended: [u64; OUTCOMES.len()],
+    pub hedges: u64,
+    /// Ended, by kind, in the order of [`ATTEMPT_OUTCOMES`].
+    pub ended: [u64; ATTEMPT_OUTCOMES.len()],
 }
 
-impl Attempts {
-    fn start(&mut self, number: u32, copy: bool) {
+impl AttemptCounts {
+    fn start(&mut self, number: u32, hedge: bool) {
         self.started += 1;
-        self.repeats += u64::from(number > 0);
-        self.copies += u64::from(copy);
+        self.retries += u64::from(number > 0);
+        self.hedges += u64::from(hedge);
     }
 
     fn end(&mut self, outcome: Outcome) {
@@ -96,17 +102,17 @@
     }
 
     /// All that ended.
-    pub fn all_ended(&self) -> u64 {
+    pub fn total_ended(&self) -> u64 {
         self.ended.iter().sum()
     }
 
     /// Those that are out.
-    pub fn out(&self) -> u64 {
-        self.started - self.all_ended()
+    pub fn in_flight(&self) -> u64 {
+        self.started - self.total_ended()
     }
 
     /// Ended with this outcome.
-    pub fn of(&self, outcome: Outcome) -> u64 {
+    pub fn ended_with(&self, outcome: Outcome) -> u64 {
         self.ended[place(outcome)]
     }
 }
@@ -117,18 +123,18 @@
     /// Its name.
     pub name: String,
     /// Queries taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Queries turned away over the limit, which were not taken.
-    pub full: u64,
-    /// Ended, in the order of [`End::ALL`].
-    pub ended: [u64; End::ALL.len()],
+    pub queue_full: u64,
+    /// Ended, in the order of [`QueryEnd::ALL`].
+    pub ended: [u64; QueryEnd::ALL.len()],
     /// Worth asked for, in millionths: of all that were taken.
-    pub asked: u64,
+    pub value_requested: u64,
     /// Worth earned, in millionths.
-    pub earned: u64,
+    pub value_served: u64,
     /// Latencies of answers in milliseconds: the least of each of these shares of them in thousandths
-    /// ([`QUANTILES`]); none where there is no answer.
-    pub latency_ms: Option<[u64; QUANTILES.len()]>,
+    /// ([`LATENCY_QUANTILES`]); none where there is no answer.
+    pub latency_ms: Option<[u64; LATENCY_QUANTILES.len()]>,
     /// Sum of the latencies of answers, in milliseconds.
     pub latency_sum_ms: u64,
 }
@@ -136,32 +142,32 @@
 impl ClassRow {
     /// Queries that are open.
     pub fn open(&self) -> u64 {
-        self.taken - self.ended.iter().sum::<u64>()
+        self.accepted - self.ended.iter().sum::<u64>()
     }
 
     /// Ended so.
-    pub fn of(&self, end: End) -> u64 {
+    pub fn ended_with(&self, end: QueryEnd) -> u64 {
         Self::nth(&self.ended, end)
     }
 
-    /// Ended so, of figures in the order of [`End::ALL`].
-    pub fn nth(ended: &[u64; End::ALL.len()], end: End) -> u64 {
-        End::ALL.iter().zip(ended).find(|(e, _)| **e == end).map_or(0, |(_, n)| *n)
+    /// Ended so, of figures in the order of [`QueryEnd::ALL`].
+    pub fn nth(ended: &[u64; QueryEnd::ALL.len()], end: QueryEnd) -> u64 {
+        QueryEnd::ALL.iter().zip(ended).find(|(e, _)| **e == end).map_or(0, |(_, n)| *n)
     }
 }
 
 /// Shares of answers, in thousandths, whose latency a snapshot gives.
-pub const QUANTILES: [u32; 5] = [500, 900, 950, 990, 1000];
+pub const LATENCY_QUANTILES: [u32; 5] = [500, 900, 950, 990, 1000];
 
 /// All figures at one moment.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Snapshot {
+pub struct LedgerSnapshot {
     /// When.
     pub at: Nanos,
     /// By class, in the order of the settings.
     pub classes: Vec<ClassRow>,
     /// All attempts, of nodes that are gone too.
-    pub attempts: Attempts,
+    pub attempts: AttemptCounts,
     /// By node, in the order of their indices.
     pub nodes: Vec<NodeRow>,
     /// Node rows that went to make room for others before their time.
@@ -170,7 +176,7 @@
     pub nodes_unlisted: u64,
 }
 
-impl Snapshot {
+impl LedgerSnapshot {
     /// A figure over all classes.
     pub fn sum(&self, of: impl Fn(&ClassRow) -> u64) -> u64 {
         self.classes.iter().map(of).sum()
@@ -183,23 +189,23 @@
     pub fn check(&self) -> Result<(), String> {
         for class in &self.classes {
             let ended: u64 = class.ended.iter().sum();
-            if ended > class.taken {
-                return Err(format!("class {}: {ended} ended of {} taken", class.name, class.taken));
+            if ended > class.accepted {
+                return Err(format!("class {}: {ended} ended of {} taken", class.name, class.accepted));
             }
-            if class.earned > class.asked {
+            if class.value_served > class.value_requested {
                 return Err(format!(
                     "class {}: {} earned of {} asked",
-                    class.name, class.earned, class.asked
+                    class.name, class.value_served, class.value_requested
                 ));
             }
         }
-        let total = |a: &Attempts| (a.started, a.all_ended());
+        let total = |a: &AttemptCounts| (a.started, a.total_ended());
         let (started, ended) = total(&self.attempts);
         if ended > started {
             return Err(format!("{ended} attempts ended of {started} started"));
         }
         for node in &self.nodes {
-            if node.attempts.all_ended() > node.attempts.started {
+            if node.attempts.total_ended() > node.attempts.started {
                 return Err(format!("node {}: more attempts ended than started", node.name));
             }
         }
@@ -211,13 +217,13 @@
     }
 }
 
-struct ClassAccount {
+struct ClassLedger {
     class: Class,
     row: ClassRow,
-    worth: Worth,
+    value: QueryValue,
     latency: Histogram<u64>,
     /// Of `row.full`: what an earlier process had counted.
-    restored_full: u64,
+    restored_queue_full: u64,
 }
 
 /// Latencies of more than an hour are counted as one.
@@ -226,43 +232,43 @@
 const DIGITS: u8 = 2;
 
 /// The account of one process.
-pub struct Account {
-    classes: Vec<ClassAccount>,
+pub struct RequestLedger {
+    classes: Vec<ClassLedger>,
     /// Queries that are open: their class and when they were taken. As many as the core holds.
     open: HashMap<QueryId, (ClassId, Nanos)>,
-    attempts: Attempts,
-    nodes: Nodes,
+    attempts: AttemptCounts,
+    nodes: NodeTable,
 }
 
-impl Account {
+impl RequestLedger {
     /// An account of these classes that has booked nothing.
     pub fn new(classes: &[Class], names: &[String], bounds: NodeBounds) -> Self {
         let mut account = Self {
             classes: Vec::new(),
             open: HashMap::new(),
-            attempts: Attempts::default(),
-            nodes: Nodes::new(bounds),
+            attempts: AttemptCounts::default(),
+            nodes: NodeTable::new(bounds),
         };
-        account.extend(classes, names);
+        account.add_classes(classes, names);
         account
     }
 
     /// Takes in the classes behind those that it has: their indices are never given again.
-    pub fn extend(&mut self, classes: &[Class], names: &[String]) {
-        let account = |(class, name): (&Class, &String)| ClassAccount {
+    pub fn add_classes(&mut self, classes: &[Class], names: &[String]) {
+        let account = |(class, name): (&Class, &String)| ClassLedger {
             class: class.clone(),
             row: ClassRow {
                 name: name.clone(),
-                taken: 0,
-                full: 0,
-                ended: [0; End::ALL.len()],
-                asked: 0,
-                earned: 0,
+                accepted: 0,
+                queue_full: 0,
+                ended: [0; QueryEnd::ALL.len()],
+                value_requested: 0,
+                value_served: 0,
                 latency_ms: None,
                 latency_sum_ms: 0,
             },
-            worth: worth(class),
-            restored_full: 0,
+            value: QueryValue::of_class(class),
+            restored_queue_full: 0,
             // The bounds are constants that a histogram can have.
             latency: Histogram::new_with_bounds(1, LONGEST_MS, DIGITS).expect("bounds of a histogram"),
         };
@@ -275,52 +281,59 @@
     }
 
     /// A query was taken.
-    pub fn taken(&mut self, now: Nanos, query: QueryId, class: ClassId) {
+    pub fn query_accepted(&mut self, now: Nanos, query: QueryId, class: ClassId) {
         let Some(account) = self.classes.get_mut(class.0) else { return };
-        account.row.taken += 1;
-        account.row.asked = account.row.asked.saturating_add(account.worth.whole);
+        account.row.accepted += 1;
+        account.row.value_requested = account.row.value_requested.saturating_add(account.value.full);
         self.open.insert(query, (class, now));
     }
 
     /// So many queries of a class were turned away over the limit, in all.
-    pub fn full(&mut self, class: ClassId, count: u64) {
+    pub fn queries_rejected_queue_full(&mut self, class: ClassId, count: u64) {
         if let Some(account) = self.classes.get_mut(class.0) {
-            account.row.full = account.row.full.max(account.restored_full.saturating_add(count));
+            account.row.queue_full =
+                account.row.queue_full.max(account.restored_queue_full.saturating_add(count));
         }
     }
 
     /// A query was answered, with this share of its ranges' weight in. Only its first end counts.
-    pub fn answered(&mut self, now: Nanos, query: QueryId, whole: bool, share: f64) -> Option<End> {
+    pub fn query_answered(
+        &mut self,
+        now: Nanos,
+        query: QueryId,
+        complete: bool,
+        coverage: f64,
+    ) -> Option<QueryEnd> {
         let (class, taken) = self.open.remove(&query)?;
         let account = self.classes.get_mut(class.0)?;
         let latency = now.saturating_sub(taken);
         let in_time = latency <= account.class.latency_objective;
-        let end = match (whole, in_time) {
-            (true, true) => End::WholeInTime,
-            (true, false) => End::WholeLate,
-            (false, _) => End::Partial,
+        let end = match (complete, in_time) {
+            (true, true) => QueryEnd::CompleteInTime,
+            (true, false) => QueryEnd::CompleteLate,
+            (false, _) => QueryEnd::Partial,
         };
-        let earned = account.worth.earned(whole, in_time, share);
-        account.row.earned = account.row.earned.saturating_add(earned);
+        let value_served = account.value.served(complete, in_time, coverage);
+        account.row.value_served = account.row.value_served.saturating_add(value_served);
         let ms = (latency / 1_000_000).clamp(1, LONGEST_MS);
         account.latency.saturating_record(ms);
         account.row.latency_sum_ms = account.row.latency_sum_ms.saturating_add(ms);
-        account.book(end);
+        account.record(end);
         Some(end)
     }
 
     /// A query ended without an answer. Only its first end counts.
-    pub fn ended(&mut self, query: QueryId, end: End) -> Option<End> {
+    pub fn query_ended(&mut self, query: QueryId, end: QueryEnd) -> Option<QueryEnd> {
         let (class, _) = self.open.remove(&query)?;
-        self.classes.get_mut(class.0)?.book(end);
+        self.classes.get_mut(class.0)?.record(end);
         Some(end)
     }
 
     /// An attempt was started at a node: the part's number of it, and whether another of the part is out.
-    pub fn started(&mut self, node: ServerId, number: u32, copy: bool) {
-        self.attempts.start(number, copy);
+    pub fn attempt_started(&mut self, node: ServerId, number: u32, hedge: bool) {
+        self.attempts.start(number, hedge);
         if let Some(row) = self.nodes.row_to_start(node) {
-            row.attempts.start(number, copy);
+            row.attempts.start(number, hedge);
         }
     }
 
@@ -333,34 +346,34 @@
     }
 
     /// The list says this of a node.
-    pub fn node(&mut self, now: Nanos, node: ServerId, name: &str, phase: EndpointState) {
-        self.nodes.told(now, node, name, phase);
+    pub fn node_state(&mut self, now: Nanos, node: ServerId, name: &str, state: EndpointState) {
+        self.nodes.update_state(now, node, name, state);
     }
 
     /// A node was forgotten by the core: nothing of it is out, and its id is not given again.
-    pub fn retired(&mut self, now: Nanos, node: ServerId) {
-        self.nodes.retired(now, node);
+    pub fn node_removed(&mut self, now: Nanos, node: ServerId) {
+        self.nodes.removed(now, node);
     }
 
     /// What outlives the process: what has ended. What is open now will not be answered by the next one.
     pub fn save(&self) -> Saved {
-        let class = |c: &ClassAccount| {
+        let class = |c: &ClassLedger| {
             let (row, open) = (&c.row, c.row.open());
             SavedClass {
                 name: row.name.clone(),
-                full: row.full,
+                full: row.queue_full,
                 ended: row.ended,
-                asked: row.asked.saturating_sub(c.worth.whole.saturating_mul(open)),
-                earned: row.earned,
+                asked: row.value_requested.saturating_sub(c.value.full.saturating_mul(open)),
+                earned: row.value_served,
                 latency_sum_ms: row.latency_sum_ms,
             }
         };
         let attempts = &self.attempts;
-        let ended = attempts.all_ended();
+        let ended = attempts.total_ended();
         Saved {
             classes: self.classes.iter().map(class).collect(),
-            repeats: attempts.repeats.min(ended),
-            copies: attempts.copies.min(ended),
+            repeats: attempts.retries.min(ended),
+            copies: attempts.hedges.min(ended),
             ended: attempts.ended,
             next_node: self.nodes.next(),
             nodes_evicted: self.nodes.evicted(),
@@ -375,25 +388,25 @@
             let Some(class) = saved.classes.iter().find(|c| c.name == account.row.name) else { continue };
             let row = &mut account.row;
             row.ended = class.ended;
-            row.taken = class.ended.iter().fold(0, |sum, n| sum.saturating_add(*n));
-            (row.full, row.latency_sum_ms) = (class.full, class.latency_sum_ms);
-            (row.asked, row.earned) = (class.asked, class.earned.min(class.asked));
-            account.restored_full = class.full;
+            row.accepted = class.ended.iter().fold(0, |sum, n| sum.saturating_add(*n));
+            (row.queue_full, row.latency_sum_ms) = (class.full, class.latency_sum_ms);
+            (row.value_requested, row.value_served) = (class.asked, class.earned.min(class.asked));
+            account.restored_queue_full = class.full;
         }
         self.attempts.ended = saved.ended;
         self.attempts.started = saved.ended.iter().fold(0, |sum, n| sum.saturating_add(*n));
-        self.attempts.repeats = saved.repeats.min(self.attempts.started);
-        self.attempts.copies = saved.copies.min(self.attempts.started);
+        self.attempts.retries = saved.repeats.min(self.attempts.started);
+        self.attempts.hedges = saved.copies.min(self.attempts.started);
         self.nodes.restore(saved.next_node, saved.nodes_evicted, saved.nodes_unlisted);
     }
 
     /// Queries that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_queries(&self) -> usize {
         self.open.len()
     }
 
     /// All attempts.
-    pub fn attempts(&self) -> &Attempts {
+    pub fn attempts(&self) -> &AttemptCounts {
         &self.attempts
     }
 
@@ -403,13 +416,13 @@
     }
 
     /// All figures as they stand.
-    pub fn snapshot(&mut self, now: Nanos) -> Snapshot {
-        let class = |c: &ClassAccount| {
+    pub fn snapshot(&mut self, now: Nanos) -> LedgerSnapshot {
+        let class = |c: &ClassLedger| {
             let quantile = |q: u32| c.latency.value_at_quantile(f64::from(q) / 1000.0);
-            let latency_ms = (!c.latency.is_empty()).then(|| QUANTILES.map(quantile));
+            let latency_ms = (!c.latency.is_empty()).then(|| LATENCY_QUANTILES.map(quantile));
             ClassRow { latency_ms, ..c.row.clone() }
         };
-        Snapshot {
+        LedgerSnapshot {
             at: now,
             classes: self.classes.iter().map(class).collect(),
             attempts: self.attempts,
@@ -420,9 +433,9 @@
     }
 }
 
-impl ClassAccount {
-    fn book(&mut self, end: End) {
-        let at = End::ALL.iter().position(|e| *e == end).unwrap_or(0);
+impl ClassLedger {
+    fn record(&mut self, end: QueryEnd) {
+        let at = QueryEnd::ALL.iter().position(|e| *e == end).unwrap_or(0);
         self.row.ended[at] += 1;
     }
 }
@@ -452,29 +465,29 @@
         }
     }
 
-    fn account() -> Account {
-        let bounds = NodeBounds { rows: 4, keep: 10 * MS };
-        Account::new(&[class(), class()], &["a".into(), "b".into()], bounds)
+    fn account() -> RequestLedger {
+        let bounds = NodeBounds { max_rows: 4, retention: 10 * MS };
+        RequestLedger::new(&[class(), class()], &["a".into(), "b".into()], bounds)
     }
 
     #[test]
     fn an_end_is_booked_once_with_its_worth() {
         let mut a = account();
         for n in 0..4 {
-            a.taken(0, QueryId(n), ClassId(0));
+            a.query_accepted(0, QueryId(n), ClassId(0));
         }
-        assert_eq!(a.answered(50 * MS, QueryId(0), true, 1.0), Some(End::WholeInTime));
-        assert_eq!(a.answered(50 * MS, QueryId(0), true, 1.0), None, "a second end");
-        assert_eq!(a.answered(101 * MS, QueryId(1), true, 1.0), Some(End::WholeLate));
-        assert_eq!(a.answered(60 * MS, QueryId(2), false, 0.9), Some(End::Partial));
-        assert_eq!(a.ended(QueryId(2), End::Gone), None);
+        assert_eq!(a.query_answered(50 * MS, QueryId(0), true, 1.0), Some(QueryEnd::CompleteInTime));
+        assert_eq!(a.query_answered(50 * MS, QueryId(0), true, 1.0), None, "a second end");
+        assert_eq!(a.query_answered(101 * MS, QueryId(1), true, 1.0), Some(QueryEnd::CompleteLate));
+        assert_eq!(a.query_answered(60 * MS, QueryId(2), false, 0.9), Some(QueryEnd::Partial));
+        assert_eq!(a.query_ended(QueryId(2), QueryEnd::ClientDisconnected), None);
         let s = a.snapshot(0);
         let row = &s.classes[0];
-        assert_eq!((row.taken, row.open(), row.asked), (4, 1, 12_000_000));
+        assert_eq!((row.accepted, row.open(), row.value_requested), (4, 1, 12_000_000));
         // 3 in time, 3 * 0.3 late, 3 * 0.8 * 0.9 in part.
-        assert_eq!(row.earned, 3_000_000 + 900_000 + 2_160_000);
+        assert_eq!(row.value_served, 3_000_000 + 900_000 + 2_160_000);
         assert_eq!(row.latency_ms.map(|l| (l[0], l[4])), Some((60, 101)));
-        assert_eq!(s.classes[1].taken, 0);
+        assert_eq!(s.classes[1].accepted, 0);
     }
 
     proptest! {
@@ -494,35 +507,35 @@
                 let node = ServerId(ids[pick as usize % 7]);
                 match kind {
                     0 | 1 => {
-                        a.taken(now, QueryId(next), ClassId(pick as usize % 3));
+                        a.query_accepted(now, QueryId(next), ClassId(pick as usize % 3));
                         next += 1;
                     }
-                    2 => drop(a.answered(now, query, pick % 2 == 0, 0.9)),
-                    3 => drop(a.ended(query, End::ALL[3 + pick as usize % 3])),
+                    2 => drop(a.query_answered(now, query, pick % 2 == 0, 0.9)),
+                    3 => drop(a.query_ended(query, QueryEnd::ALL[3 + pick as usize % 3])),
                     4 => {
-                        a.started(node, pick as u32 % 3, pick % 2 == 0);
+                        a.attempt_started(node, pick as u32 % 3, pick % 2 == 0);
                         out.push((node, pick));
                     }
                     5 => {
                         if let Some((node, pick)) = out.pop() {
-                            a.attempt_ended(node, OUTCOMES[pick as usize % OUTCOMES.len()].0);
+                            a.attempt_ended(node, ATTEMPT_OUTCOMES[pick as usize % ATTEMPT_OUTCOMES.len()].0);
                         }
                     }
-                    6 => a.node(now, node, &format!("s{}", node.0), [EndpointState::Active, EndpointState::Draining, EndpointState::Removed][pick as usize % 3]),
+                    6 => a.node_state(now, node, &format!("s{}", node.0), [EndpointState::Active, EndpointState::Draining, EndpointState::Removed][pick as usize % 3]),
                     7 if out.iter().all(|o| o.0 != node) => {
-                        a.retired(now, node);
+                        a.node_removed(now, node);
                         ids[pick as usize % 7] += 7;
                     }
-                    _ => a.full(ClassId(pick as usize % 2), pick),
+                    _ => a.queries_rejected_queue_full(ClassId(pick as usize % 2), pick),
                 }
                 let s = a.snapshot(now);
                 prop_assert_eq!(s.check(), Ok(()));
-                prop_assert_eq!(s.sum(ClassRow::open), a.open() as u64);
-                prop_assert_eq!(s.attempts.out(), out.len() as u64);
+                prop_assert_eq!(s.sum(ClassRow::open), a.open_queries() as u64);
+                prop_assert_eq!(s.attempts.in_flight(), out.len() as u64);
                 prop_assert!(s.nodes.len() <= 4);
                 prop_assert!(s.nodes.windows(2).all(|w| w[0].index < w[1].index));
                 for (b, n) in before.classes.iter().zip(&s.classes) {
-                    prop_assert!(b.taken <= n.taken && b.earned <= n.earned && b.ended.iter().zip(&n.ended).all(|(b, n)| b <= n));
+                    prop_assert!(b.accepted <= n.accepted && b.value_served <= n.value_served && b.ended.iter().zip(&n.ended).all(|(b, n)| b <= n));
                 }
                 before = s;
             }
@@ -534,13 +547,13 @@
     fn a_restart_goes_on_from_what_had_ended() {
         let mut a = account();
         for n in 0..3 {
-            a.taken(0, QueryId(n), ClassId(0));
+            a.query_accepted(0, QueryId(n), ClassId(0));
         }
-        a.answered(50 * MS, QueryId(0), true, 1.0);
-        a.full(ClassId(0), 4);
-        a.node(0, ServerId(0), "s", EndpointState::Active);
-        a.started(ServerId(0), 0, false);
-        a.started(ServerId(0), 1, true);
+        a.query_answered(50 * MS, QueryId(0), true, 1.0);
+        a.queries_rejected_queue_full(ClassId(0), 4);
+        a.node_state(0, ServerId(0), "s", EndpointState::Active);
+        a.attempt_started(ServerId(0), 0, false);
+        a.attempt_started(ServerId(0), 1, true);
         a.attempt_ended(ServerId(0), Outcome::Success);
         let saved = a.save();
         let mut b = account();
@@ -548,33 +561,37 @@
         let s = b.snapshot(0);
         assert_eq!(s.check(), Ok(()));
         let row = &s.classes[0];
-        assert_eq!((row.taken, row.open(), row.asked, row.earned, row.full), (1, 0, 3_000_000, 3_000_000, 4));
-        assert_eq!((s.attempts.started, s.attempts.out()), (1, 0));
-        b.full(ClassId(0), 1);
-        b.node(0, ServerId(0), "s", EndpointState::Active);
+        assert_eq!(
+            (row.accepted, row.open(), row.value_requested, row.value_served, row.queue_full),
+            (1, 0, 3_000_000, 3_000_000, 4)
+        );
+        assert_eq!((s.attempts.started, s.attempts.in_flight()), (1, 0));
+        b.queries_rejected_queue_full(ClassId(0), 1);
+        b.node_state(0, ServerId(0), "s", EndpointState::Active);
         let s = b.snapshot(0);
-        assert_eq!((s.classes[0].full, s.nodes[0].index), (5, 2));
+        assert_eq!((s.classes[0].queue_full, s.nodes[0].index), (5, 2));
         assert_eq!(b.save().next_node, 3);
         // Another deployment's classes are not mixed in.
-        let mut c = Account::new(&[class()], &["other".into()], NodeBounds { rows: 1, keep: 1 });
+        let mut c =
+            RequestLedger::new(&[class()], &["other".into()], NodeBounds { max_rows: 1, retention: 1 });
         c.restore(&saved);
-        assert_eq!(c.snapshot(0).classes[0].taken, 0);
+        assert_eq!(c.snapshot(0).classes[0].accepted, 0);
     }
 
     /// The check itself must be able to fail.
     #[test]
     fn a_snapshot_that_does_not_hold_is_named() {
         let mut a = account();
-        a.taken(0, QueryId(0), ClassId(0));
-        a.node(0, ServerId(0), "s", EndpointState::Active);
+        a.query_accepted(0, QueryId(0), ClassId(0));
+        a.node_state(0, ServerId(0), "s", EndpointState::Active);
         let good = a.snapshot(0);
-        let spoil = |change: fn(&mut Snapshot)| {
+        let spoil = |change: fn(&mut LedgerSnapshot)| {
             let mut s = good.clone();
             change(&mut s);
             s.check().unwrap_err()
         };
         assert!(spoil(|s| s.classes[0].ended[0] = 2).contains("2 ended of 1 taken"));
-        assert!(spoil(|s| s.classes[0].earned = u64::MAX).contains("earned"));
+        assert!(spoil(|s| s.classes[0].value_served = u64::MAX).contains("earned"));
         assert!(spoil(|s| s.attempts.ended[0] = 1).contains("attempts ended"));
         assert!(spoil(|s| s.nodes[0].attempts.ended[0] = 1).contains("node s"));
         assert!(spoil(|s| s.nodes[0].attempts.started = 1).contains("at nodes"));
--- a/crates/accounting/src/nodes.rs
+++ b/crates/accounting/src/node_table.rs
@@ -7,15 +7,15 @@
 
 use curlewdeck_core::api::{EndpointState, Nanos, ServerId};
 
-use crate::Attempts;
+use crate::AttemptCounts;
 
 /// Bounds of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeBounds {
     /// Rows.
-    pub rows: usize,
+    pub max_rows: usize,
     /// How long a node that is gone keeps its row.
-    pub keep: Nanos,
+    pub retention: Nanos,
 }
 
 /// One node.
@@ -26,21 +26,21 @@
     /// Its name in the list.
     pub name: String,
     /// What the list says of it.
-    pub phase: EndpointState,
+    pub state: EndpointState,
     /// Since when it has that phase.
-    pub since: Nanos,
+    pub state_since: Nanos,
     /// When it got its row: its counts start there.
     pub created: Nanos,
     /// How often it was seen to drain.
     pub drains: u64,
     /// Its attempts.
-    pub attempts: Attempts,
+    pub attempts: AttemptCounts,
     /// Since when the core has forgotten it.
-    pub gone: Option<Nanos>,
+    pub removed_at: Option<Nanos>,
 }
 
 /// The table.
-pub struct Nodes {
+pub struct NodeTable {
     bounds: NodeBounds,
     rows: BTreeMap<u32, NodeRow>,
     /// The rows of nodes that the core knows, by its ids.
@@ -53,7 +53,7 @@
     unlisted: u64,
 }
 
-impl Nodes {
+impl NodeTable {
     /// An empty table.
     pub fn new(bounds: NodeBounds) -> Self {
         Self {
@@ -101,7 +101,7 @@
     }
 
     /// The list says this of a node. One that is met gone needs no row.
-    pub fn told(&mut self, now: Nanos, id: ServerId, name: &str, phase: EndpointState) {
+    pub fn update_state(&mut self, now: Nanos, id: ServerId, name: &str, phase: EndpointState) {
         if !self.by_id.contains_key(&id) {
             if phase == EndpointState::Removed || self.without.contains(&id) {
                 return;
@@ -109,16 +109,16 @@
             self.add(now, id, name, phase);
         }
         let Some(row) = self.row(id) else { return };
-        if row.phase != phase {
+        if row.state != phase {
             row.drains += u64::from(phase == EndpointState::Draining);
-            (row.phase, row.since) = (phase, now);
+            (row.state, row.state_since) = (phase, now);
         }
     }
 
     fn add(&mut self, now: Nanos, id: ServerId, name: &str, phase: EndpointState) {
         self.prune(now);
-        if self.rows.len() >= self.bounds.rows {
-            let gone = self.rows.values().filter_map(|r| r.gone.map(|at| (at, r.index)));
+        if self.rows.len() >= self.bounds.max_rows {
+            let gone = self.rows.values().filter_map(|r| r.removed_at.map(|at| (at, r.index)));
             let Some((_, oldest)) = gone.min() else {
                 self.unlisted += 1;
                 self.without.insert(id);
@@ -133,33 +133,33 @@
         let row = NodeRow {
             index,
             name: name.to_string(),
-            phase,
-            since: now,
+            state: phase,
+            state_since: now,
             created: now,
             drains: u64::from(phase == EndpointState::Draining),
-            attempts: Attempts::default(),
-            gone: None,
+            attempts: AttemptCounts::default(),
+            removed_at: None,
         };
         self.rows.insert(index, row);
         self.by_id.insert(id, index);
     }
 
     /// The core has forgotten a node.
-    pub fn retired(&mut self, now: Nanos, id: ServerId) {
+    pub fn removed(&mut self, now: Nanos, id: ServerId) {
         self.without.remove(&id);
         let Some(index) = self.by_id.remove(&id) else { return };
         if let Some(row) = self.rows.get_mut(&index) {
-            row.gone = Some(now);
-            if row.phase != EndpointState::Removed {
-                (row.phase, row.since) = (EndpointState::Removed, now);
+            row.removed_at = Some(now);
+            if row.state != EndpointState::Removed {
+                (row.state, row.state_since) = (EndpointState::Removed, now);
             }
         }
     }
 
     /// Rows whose time is over go.
     fn prune(&mut self, now: Nanos) {
-        let keep = self.bounds.keep;
-        self.rows.retain(|_, r| r.gone.is_none_or(|at| now.saturating_sub(at) <= keep));
+        let keep = self.bounds.retention;
+        self.rows.retain(|_, r| r.removed_at.is_none_or(|at| now.saturating_sub(at) <= keep));
     }
 
     /// All rows, in the order of their indices.
@@ -173,20 +173,20 @@
 mod tests {
     use super::*;
 
-    fn names(nodes: &mut Nodes, now: Nanos) -> Vec<(u32, String)> {
+    fn names(nodes: &mut NodeTable, now: Nanos) -> Vec<(u32, String)> {
         nodes.rows(now).into_iter().map(|r| (r.index, r.name)).collect()
     }
 
     /// The hard case of a thousand nodes replaced one by one: rows stay bounded, and no index comes again.
     #[test]
     fn a_thousand_nodes_are_replaced_in_bounded_room() {
-        let mut nodes = Nodes::new(NodeBounds { rows: 8, keep: 5 });
+        let mut nodes = NodeTable::new(NodeBounds { max_rows: 8, retention: 5 });
         let mut seen = std::collections::BTreeSet::new();
         for n in 0..1000u32 {
-            nodes.told(n.into(), ServerId(n), &format!("s{n}"), EndpointState::Active);
+            nodes.update_state(n.into(), ServerId(n), &format!("s{n}"), EndpointState::Active);
             if n >= 4 {
-                nodes.told(n.into(), ServerId(n - 4), "", EndpointState::Removed);
-                nodes.retired(n.into(), ServerId(n - 4));
+                nodes.update_state(n.into(), ServerId(n - 4), "", EndpointState::Removed);
+                nodes.removed(n.into(), ServerId(n - 4));
             }
             let rows = nodes.rows(n.into());
             assert!(rows.len() <= 8 && rows.iter().any(|r| r.name == format!("s{n}")));
@@ -199,25 +199,25 @@
 
     #[test]
     fn a_node_that_is_gone_keeps_its_row_for_a_while() {
-        let mut nodes = Nodes::new(NodeBounds { rows: 2, keep: 10 });
-        nodes.told(0, ServerId(1), "a", EndpointState::Active);
-        nodes.told(1, ServerId(1), "a", EndpointState::Draining);
-        nodes.told(2, ServerId(1), "a", EndpointState::Draining);
-        nodes.retired(3, ServerId(1));
+        let mut nodes = NodeTable::new(NodeBounds { max_rows: 2, retention: 10 });
+        nodes.update_state(0, ServerId(1), "a", EndpointState::Active);
+        nodes.update_state(1, ServerId(1), "a", EndpointState::Draining);
+        nodes.update_state(2, ServerId(1), "a", EndpointState::Draining);
+        nodes.removed(3, ServerId(1));
         let row = nodes.rows(13).remove(0);
-        assert_eq!((row.drains, row.phase, row.gone), (1, EndpointState::Removed, Some(3)));
+        assert_eq!((row.drains, row.state, row.removed_at), (1, EndpointState::Removed, Some(3)));
         assert!(names(&mut nodes, 14).is_empty());
         // The same name under another id is another row.
-        nodes.told(20, ServerId(2), "a", EndpointState::Active);
+        nodes.update_state(20, ServerId(2), "a", EndpointState::Active);
         assert_eq!(names(&mut nodes, 20), [(2, "a".to_string())]);
         // Where all are there, one more finds no room; one that is gone makes some.
-        nodes.told(21, ServerId(3), "b", EndpointState::Active);
-        nodes.told(21, ServerId(4), "c", EndpointState::Active);
+        nodes.update_state(21, ServerId(3), "b", EndpointState::Active);
+        nodes.update_state(21, ServerId(4), "c", EndpointState::Active);
         assert_eq!((names(&mut nodes, 21).len(), nodes.unlisted()), (2, 1));
-        nodes.retired(22, ServerId(2));
+        nodes.removed(22, ServerId(2));
         // The one without a row stays so: it may have attempts out that no row saw start.
-        nodes.told(22, ServerId(4), "c", EndpointState::Active);
-        nodes.told(22, ServerId(5), "d", EndpointState::Active);
+        nodes.update_state(22, ServerId(4), "c", EndpointState::Active);
+        nodes.update_state(22, ServerId(5), "d", EndpointState::Active);
         assert_eq!(names(&mut nodes, 22), [(3, "b".to_string()), (4, "d".to_string())]);
         assert_eq!((nodes.evicted(), nodes.unlisted()), (1, 1));
     }
--- a/crates/accounting/src/saved.rs
+++ b/crates/accounting/src/saved.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{End, OUTCOMES};
+use crate::{QueryEnd, ATTEMPT_OUTCOMES};
 
 /// One class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -11,8 +11,8 @@
     pub name: String,
     /// Queries turned away over the limit.
     pub full: u64,
-    /// Ended, in the order of [`End::ALL`].
-    pub ended: [u64; End::ALL.len()],
+    /// Ended, in the order of [`QueryEnd::ALL`].
+    pub ended: [u64; QueryEnd::ALL.len()],
     /// Worth asked for by those, in millionths.
     pub asked: u64,
     /// Worth earned.
@@ -30,8 +30,8 @@
     pub repeats: u64,
     /// Attempts that were started while another of the part was out.
     pub copies: u64,
-    /// Attempts by how they ended, in the order of [`OUTCOMES`].
-    pub ended: [u64; OUTCOMES.len()],
+    /// Attempts by how they ended, in the order of [`ATTEMPT_OUTCOMES`].
+    pub ended: [u64; ATTEMPT_OUTCOMES.len()],
     /// The next index of a node.
     pub next_node: u32,
     /// Rows of nodes that went before their time.
--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use curlewdeck_accounting::{ClassRow, End, Snapshot};
+use curlewdeck_accounting::{ClassRow, LedgerSnapshot, QueryEnd};
 use curlewdeck_snmp::notify::{Bounds, Notice, Notifier, Send, Target};
 use curlewdeck_snmp::registry::Module;
 use curlewdeck_snmp::tree::Value;
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Figures {
     /// The books.
-    pub books: Snapshot,
+    pub books: LedgerSnapshot,
     /// Times that the list was silent for too long.
     pub list_overdue: u64,
     /// Management requests not served for their security.
@@ -99,12 +99,12 @@
         news
     }
 
-    fn look_at_nodes(&mut self, books: &Snapshot) -> Vec<Notice> {
+    fn look_at_nodes(&mut self, books: &LedgerSnapshot) -> Vec<Notice> {
         let mut news = Vec::new();
         let mut nodes = BTreeMap::new();
         for row in &books.nodes {
             let (phase, drains) = match &self.nodes {
-                None => (row.phase, row.drains),
+                None => (row.state, row.drains),
                 Some(seen) => seen.get(&row.index).copied().unwrap_or((EndpointState::Active, 0)),
             };
             let name = Value::Text(row.name.clone().into_bytes());
@@ -115,18 +115,19 @@
                     &[("cdNodeName", row.index, name.clone())],
                 ));
             }
-            if row.phase == EndpointState::Removed && phase != EndpointState::Removed {
+            if row.state == EndpointState::Removed && phase != EndpointState::Removed {
                 news.push(self.notice("cdNodeLost", &row.name, &[("cdNodeName", row.index, name)]));
             }
-            nodes.insert(row.index, (row.phase, row.drains));
+            nodes.insert(row.index, (row.state, row.drains));
         }
         self.nodes = Some(nodes);
         news
     }
 
-    fn look_at_refusals(&mut self, books: &Snapshot) -> Option<Notice> {
-        let (refused, full) = (books.sum(|c| c.of(End::Refused)), books.sum(|c: &ClassRow| c.full));
-        let asked = books.sum(|c| c.taken) + full;
+    fn look_at_refusals(&mut self, books: &LedgerSnapshot) -> Option<Notice> {
+        let (refused, full) =
+            (books.sum(|c| c.ended_with(QueryEnd::Rejected)), books.sum(|c: &ClassRow| c.queue_full));
+        let asked = books.sum(|c| c.accepted) + full;
         let Some((at, before, asked_before)) = self.refusals else {
             self.refusals = Some((books.at, refused + full, asked));
             return None;
@@ -288,19 +289,23 @@
 mod tests {
     use super::*;
     use crate::api::{ClassId, QueryId, ServerId};
-    use curlewdeck_accounting::nodes::NodeBounds;
-    use curlewdeck_accounting::Account;
+    use curlewdeck_accounting::node_table::NodeBounds;
+    use curlewdeck_accounting::RequestLedger;
 
     const S: Nanos = 1_000_000_000;
 
-    fn account() -> Account {
+    fn account() -> RequestLedger {
         let text = crate::config::Config::read(include_str!("../examples/config.json"), |_| None).unwrap();
-        Account::new(&text.info.settings.classes, &text.info.classes, NodeBounds { rows: 4, keep: S })
+        RequestLedger::new(
+            &text.info.settings.classes,
+            &text.info.classes,
+            NodeBounds { max_rows: 4, retention: S },
+        )
     }
 
     fn look(
         watch: &mut Watch,
-        account: &mut Account,
+        account: &mut RequestLedger,
         now: Nanos,
         more: (u64, u64, usize),
     ) -> Vec<&'static str> {
@@ -313,18 +318,18 @@
     #[test]
     fn drains_and_losses_are_told_once() {
         let (mut w, mut a) = (Watch::new(0.1), account());
-        a.node(0, ServerId(0), "s", EndpointState::Draining);
+        a.node_state(0, ServerId(0), "s", EndpointState::Draining);
         assert!(look(&mut w, &mut a, 0, (0, 0, 0)).is_empty(), "what is seen first is no news");
-        a.node(0, ServerId(0), "s", EndpointState::Active);
-        a.node(0, ServerId(0), "s", EndpointState::Draining);
+        a.node_state(0, ServerId(0), "s", EndpointState::Active);
+        a.node_state(0, ServerId(0), "s", EndpointState::Draining);
         assert_eq!(look(&mut w, &mut a, 0, (0, 0, 0)), ["cdNodeDraining"]);
         assert!(look(&mut w, &mut a, 0, (0, 0, 0)).is_empty());
-        a.retired(0, ServerId(0));
+        a.node_removed(0, ServerId(0));
         assert_eq!(look(&mut w, &mut a, 0, (0, 0, 0)), ["cdNodeLost"]);
         assert!(look(&mut w, &mut a, 9 * S, (0, 0, 0)).is_empty(), "its row has gone");
         assert!(w.nodes.as_ref().is_some_and(BTreeMap::is_empty));
         // One that comes and drains between two looks.
-        a.node(9 * S, ServerId(1), "t", EndpointState::Draining);
+        a.node_state(9 * S, ServerId(1), "t", EndpointState::Draining);
         assert_eq!(look(&mut w, &mut a, 9 * S, (0, 0, 0)), ["cdNodeDraining"]);
     }
 
@@ -333,14 +338,14 @@
         let (mut w, mut a) = (Watch::new(0.1), account());
         look(&mut w, &mut a, 0, (0, 0, 0));
         for n in 0..100 {
-            a.taken(0, QueryId(n), ClassId(0));
-            a.ended(QueryId(n), if n < 10 { End::Refused } else { End::Failed });
+            a.query_accepted(0, QueryId(n), ClassId(0));
+            a.query_ended(QueryId(n), if n < 10 { QueryEnd::Rejected } else { QueryEnd::Failed });
         }
         assert!(look(&mut w, &mut a, 11 * S, (0, 0, 0)).is_empty(), "a tenth is not more than a tenth");
-        a.full(ClassId(0), 25);
+        a.queries_rejected_queue_full(ClassId(0), 25);
         assert!(look(&mut w, &mut a, 12 * S, (0, 0, 0)).is_empty(), "not looked at yet");
         assert_eq!(look(&mut w, &mut a, 22 * S, (0, 0, 0)), ["cdRefusalsHigh"]);
-        a.full(ClassId(0), 30);
+        a.queries_rejected_queue_full(ClassId(0), 30);
         assert!(look(&mut w, &mut a, 33 * S, (0, 0, 0)).is_empty(), "of too few");
     }
 
@@ -358,10 +363,10 @@
     #[test]
     fn notices_carry_what_the_mib_says() {
         let (mut w, mut a) = (Watch::new(0.1), account());
-        a.node(0, ServerId(0), "s", EndpointState::Active);
+        a.node_state(0, ServerId(0), "s", EndpointState::Active);
         look(&mut w, &mut a, 0, (0, 0, 0));
-        a.node(0, ServerId(0), "s", EndpointState::Draining);
-        a.retired(0, ServerId(0));
+        a.node_state(0, ServerId(0), "s", EndpointState::Draining);
+        a.node_removed(0, ServerId(0));
         let books = a.snapshot(0);
         for notice in w.look(&Figures { books, list_overdue: 1, denied: 1, descriptors: (99, 100) }) {
             let named = w.module.notification_of(&notice.oid).unwrap();
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use curlewdeck_accounting::{Account, End};
+use curlewdeck_accounting::{QueryEnd, RequestLedger};
 
 use crate::api::Outcome;
 
@@ -114,23 +114,24 @@
     }
 
     /// Takes over the books' figures: each of these counters is written here alone.
-    pub fn view(&self, account: &Account) {
-        let queries = |end: End| account.sum(|c| c.of(end));
+    pub fn view(&self, account: &RequestLedger) {
+        let queries = |end: QueryEnd| account.sum(|c| c.ended_with(end));
         let attempts = account.attempts();
-        let passed = attempts.of(Outcome::Success);
-        let (stale, dropped) = (attempts.of(Outcome::NotSent), attempts.of(Outcome::Cancelled));
+        let passed = attempts.ended_with(Outcome::Success);
+        let (stale, dropped) =
+            (attempts.ended_with(Outcome::NotSent), attempts.ended_with(Outcome::Cancelled));
         for (counter, count) in [
-            (&self.queries_taken, account.sum(|c| c.taken)),
-            (&self.answers_whole, queries(End::WholeInTime) + queries(End::WholeLate)),
-            (&self.answers_partial, queries(End::Partial)),
-            (&self.queries_refused, queries(End::Refused)),
-            (&self.queries_failed, queries(End::Failed)),
-            (&self.clients_gone, queries(End::Gone)),
+            (&self.queries_taken, account.sum(|c| c.accepted)),
+            (&self.answers_whole, queries(QueryEnd::CompleteInTime) + queries(QueryEnd::CompleteLate)),
+            (&self.answers_partial, queries(QueryEnd::Partial)),
+            (&self.queries_refused, queries(QueryEnd::Rejected)),
+            (&self.queries_failed, queries(QueryEnd::Failed)),
+            (&self.clients_gone, queries(QueryEnd::ClientDisconnected)),
             (&self.attempts_sent, attempts.started),
             (&self.attempts_passed, passed),
             (&self.attempts_stale, stale),
             (&self.attempts_dropped, dropped),
-            (&self.attempts_failed, attempts.all_ended() - passed - stale - dropped),
+            (&self.attempts_failed, attempts.total_ended() - passed - stale - dropped),
         ] {
             counter.store(count, Ordering::Relaxed);
         }
--- a/src/mib.rs
+++ b/src/mib.rs
@@ -3,7 +3,7 @@
 //! The MIB stands below 32473, the enterprise number that RFC 5612 sets aside for examples; an operator with a number of
 //! its own changes [`ROOT`] and writes the MIB anew with `curlewdeck mib`.
 
-use curlewdeck_accounting::{End, Snapshot, OUTCOMES, QUANTILES};
+use curlewdeck_accounting::{LedgerSnapshot, QueryEnd, ATTEMPT_OUTCOMES, LATENCY_QUANTILES};
 use curlewdeck_snmp::registry::{Group, Module, Notification, Object, Syntax, Table};
 use curlewdeck_snmp::tree::Value;
 use curlewdeck_snmp::Oid;
@@ -252,7 +252,7 @@
 /// a group where it stands somehow.
 pub fn objects(
     counters: &Counters,
-    books: &Snapshot,
+    books: &LedgerSnapshot,
     begun: Nanos,
     standing: Option<&Standing>,
 ) -> Vec<(Oid, Value)> {
@@ -269,7 +269,7 @@
     let general = [
         Value::Ticks(0),
         gauge(open),
-        gauge(books.attempts.out()),
+        gauge(books.attempts.in_flight()),
         Value::Counter64(books.nodes_evicted),
         Value::Counter64(books.nodes_unlisted),
     ];
@@ -304,25 +304,25 @@
     for (index, class) in (1..).zip(&books.classes) {
         let row = [
             Value::Text(class.name.clone().into_bytes()),
-            Value::Counter64(class.taken),
+            Value::Counter64(class.accepted),
             gauge(class.open()),
-            Value::Counter64(class.full),
-            Value::Counter64(class.asked),
-            Value::Counter64(class.earned),
-            Value::Counter32(class.taken as u32),
+            Value::Counter64(class.queue_full),
+            Value::Counter64(class.value_requested),
+            Value::Counter64(class.value_served),
+            Value::Counter32(class.accepted as u32),
             Value::Counter64(class.latency_sum_ms),
         ];
         (2..).zip(row).for_each(|(column, value)| cell(1, column, &[index], value));
-        for (kind, count) in (1..=End::ALL.len() as u32).zip(class.ended) {
+        for (kind, count) in (1..=QueryEnd::ALL.len() as u32).zip(class.ended) {
             cell(2, 2, &[index, kind], Value::Counter64(count));
             cell(2, 3, &[index, kind], Value::Counter32(count as u32));
         }
-        for (share, ms) in QUANTILES.iter().zip(class.latency_ms.into_iter().flatten()) {
+        for (share, ms) in LATENCY_QUANTILES.iter().zip(class.latency_ms.into_iter().flatten()) {
             cell(3, 2, &[index, *share], gauge(ms));
         }
     }
     for node in &books.nodes {
-        let phase = match node.phase {
+        let phase = match node.state {
             EndpointState::Active => 1,
             EndpointState::Draining => 2,
             EndpointState::Removed => 3,
@@ -330,16 +330,16 @@
         let row = [
             Value::Text(node.name.clone().into_bytes()),
             Value::Integer(phase),
-            Value::Ticks(ticks(begun, node.since)),
+            Value::Ticks(ticks(begun, node.state_since)),
             Value::Ticks(ticks(begun, node.created)),
             Value::Counter64(node.drains),
             Value::Counter64(node.attempts.started),
-            Value::Counter64(node.attempts.repeats),
-            Value::Counter64(node.attempts.copies),
-            gauge(node.attempts.out()),
+            Value::Counter64(node.attempts.retries),
+            Value::Counter64(node.attempts.hedges),
+            gauge(node.attempts.in_flight()),
         ];
         (2..).zip(row).for_each(|(column, value)| cell(4, column, &[node.index], value));
-        for (kind, count) in (1..=OUTCOMES.len() as u32).zip(node.attempts.ended) {
+        for (kind, count) in (1..=ATTEMPT_OUTCOMES.len() as u32).zip(node.attempts.ended) {
             cell(5, 2, &[node.index, kind], Value::Counter64(count));
         }
     }
@@ -356,16 +356,19 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use curlewdeck_accounting::nodes::NodeBounds;
-    use curlewdeck_accounting::Account;
+    use curlewdeck_accounting::node_table::NodeBounds;
+    use curlewdeck_accounting::RequestLedger;
 
-    fn books() -> Snapshot {
+    fn books() -> LedgerSnapshot {
         let text = crate::config::Config::read(include_str!("../examples/config.json"), |_| None).unwrap();
-        let mut account =
-            Account::new(&text.info.settings.classes, &text.info.classes, NodeBounds { rows: 4, keep: 1 });
-        account.taken(0, crate::api::QueryId(1), crate::api::ClassId(0));
-        account.answered(5_000_000, crate::api::QueryId(1), true, 1.0);
-        account.node(0, crate::api::ServerId(0), "s", EndpointState::Active);
+        let mut account = RequestLedger::new(
+            &text.info.settings.classes,
+            &text.info.classes,
+            NodeBounds { max_rows: 4, retention: 1 },
+        );
+        account.query_accepted(0, crate::api::QueryId(1), crate::api::ClassId(0));
+        account.query_answered(5_000_000, crate::api::QueryId(1), true, 1.0);
+        account.node_state(0, crate::api::ServerId(0), "s", EndpointState::Active);
         account.snapshot(0)
     }
 
@@ -401,7 +404,7 @@
         fn named(kinds: &[(&'static str, i32)]) -> Vec<&'static str> {
             kinds.iter().map(|k| k.0).collect()
         }
-        assert_eq!(named(ENDS), End::ALL.map(End::name));
-        assert_eq!(named(KINDS), OUTCOMES.map(|o| o.1));
+        assert_eq!(named(ENDS), QueryEnd::ALL.map(QueryEnd::name));
+        assert_eq!(named(KINDS), ATTEMPT_OUTCOMES.map(|o| o.1));
     }
 }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use curlewdeck_accounting::figures::{self, Beside, Figures};
-use curlewdeck_accounting::nodes::NodeBounds;
+use curlewdeck_accounting::node_table::NodeBounds;
+use curlewdeck_accounting::process_stats::{self, ProcessGauges, ProcessStats};
 use curlewdeck_accounting::saved::Saved;
-use curlewdeck_accounting::{Account, End, Snapshot};
+use curlewdeck_accounting::{LedgerSnapshot, QueryEnd, RequestLedger};
 use may::sync::mpsc::{Receiver, Sender};
 
 use crate::api::{
@@ -36,7 +36,7 @@
     /// What the settings say now.
     info: Arc<Mutex<Arc<Info>>>,
     /// The figures of the last moment at which they were made.
-    figures: Arc<Mutex<Arc<Figures>>>,
+    figures: Arc<Mutex<Arc<ProcessStats>>>,
     /// The clock of all deadlines.
     pub clock: Clock,
     /// Counters.
@@ -82,17 +82,17 @@
     }
 
     /// The figures of a moment a short while ago, without waiting for the core.
-    pub fn figures(&self) -> Arc<Figures> {
+    pub fn figures(&self) -> Arc<ProcessStats> {
         lock(&self.figures).clone()
     }
 
     /// All figures of one moment, handed over once the core comes to it.
-    pub fn accounts(&self, take: impl FnOnce(Snapshot) + Send + 'static) {
+    pub fn accounts(&self, take: impl FnOnce(LedgerSnapshot) + Send + 'static) {
         self.mail.send(Msg::Accounts(Box::new(take)));
     }
 
     /// The same for a thread that waits; none if the core does not come to it within this. Not called from a coroutine.
-    pub fn accounts_within(&self, within: Duration) -> Option<Snapshot> {
+    pub fn accounts_within(&self, within: Duration) -> Option<LedgerSnapshot> {
         self.wait_for(within, Msg::Accounts)
     }
 
@@ -222,7 +222,7 @@
         DiscoveryMode::Push => Nanos::MAX,
     };
     let heard = parts.clock.now();
-    let mut account = Account::new(&parts.info.settings.classes, &parts.info.classes, parts.nodes);
+    let mut account = RequestLedger::new(&parts.info.settings.classes, &parts.info.classes, parts.nodes);
     if let Some(saved) = &parts.restored {
         account.restore(saved);
         core.counters.view(&account);
@@ -268,7 +268,7 @@
 struct Actor {
     engine: Engine,
     /// The one table of truth; the counters of queries and attempts are a view of it.
-    account: Account,
+    account: RequestLedger,
     core: Core,
     discovery: Sender<DiscoveryMsg>,
     start_node: StartNode,
@@ -316,14 +316,14 @@
         let (known, excluded) = (self.engine.listed_servers(), self.engine.excluded_servers());
         let counters = &self.core.counters;
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let beside = Beside {
-            attempts: count(&counters.attempts_written),
-            known,
-            excluded,
+        let beside = ProcessGauges {
+            attempts_written: count(&counters.attempts_written),
+            nodes_known: known,
+            nodes_excluded: excluded,
             reloads_ok: count(&counters.reloads_ok),
             reloads_failed: count(&counters.reloads_failed),
         };
-        let made = Arc::new(figures::figures(&self.account, self.restored.as_ref(), beside));
+        let made = Arc::new(process_stats::process_stats(&self.account, self.restored.as_ref(), beside));
         *lock(&self.core.figures) = made;
         Some(self.figures_at)
     }
@@ -343,7 +343,7 @@
                     Ok(()) => {
                         log::debug!(target: REQUEST, "{name} taken as query {}", id.0);
                         self.wait_for_list();
-                        self.account.taken(now, id, class);
+                        self.account.query_accepted(now, id, class);
                         self.replies.insert(id, reply);
                     }
                     Err(why) => {
@@ -352,8 +352,8 @@
                             RejectReason::QueueFull => self.core.turned_away(class),
                             // Refused as any other; it was late before it could be taken.
                             RejectReason::DeadlinePassed => {
-                                self.account.taken(now, id, class);
-                                self.account.ended(id, End::Refused);
+                                self.account.query_accepted(now, id, class);
+                                self.account.query_ended(id, QueryEnd::Rejected);
                             }
                             _ => {}
                         }
@@ -364,7 +364,7 @@
             Msg::Gone(id) => {
                 if self.replies.remove(&id).is_some() {
                     log::debug!(target: REQUEST, "query {} ends: its client has left", id.0);
-                    self.account.ended(id, End::Gone);
+                    self.account.query_ended(id, QueryEnd::ClientDisconnected);
                     self.engine.client_disconnected(id);
                 }
             }
@@ -393,7 +393,7 @@
             }
             Msg::Reset(info) => {
                 let info = self.engine.update_settings(*info);
-                self.account.extend(&info.settings.classes, &info.classes);
+                self.account.add_classes(&info.settings.classes, &info.classes);
                 *lock(&self.core.info) = Arc::new(info.clone());
             }
             Msg::Ending(by) => self.engine.shut_down_by(by),
@@ -416,7 +416,7 @@
     /// Queries that were turned away before they came here.
     fn take_over_full(&mut self) {
         for (class, &full) in lock(&self.core.full).iter().enumerate() {
-            self.account.full(ClassId(class), full);
+            self.account.queries_rejected_queue_full(ClassId(class), full);
         }
     }
 
@@ -436,7 +436,7 @@
             let named = |id: &ServerId| news.members.iter().any(|m| m.0.name == self.engine.server_name(*id));
             for (&id, node) in self.nodes.iter().filter(|(id, _)| !named(id)) {
                 node.shut();
-                self.account.node(now, id, "", EndpointState::Removed);
+                self.account.node_state(now, id, "", EndpointState::Removed);
             }
         }
         let members: Vec<_> = news.members.iter().map(|m| m.0.clone()).collect();
@@ -447,12 +447,12 @@
                     if let Some(node) = self.nodes.get(&id) {
                         node.shut();
                     }
-                    self.account.node(now, id, &member.name, EndpointState::Removed);
+                    self.account.node_state(now, id, &member.name, EndpointState::Removed);
                 }
                 continue;
             }
             let id = self.engine.intern(&member.name);
-            self.account.node(now, id, &member.name, member.state);
+            self.account.node_state(now, id, &member.name, member.state);
             let (start, lease) = (&mut self.start_node, &self.lease);
             let node = self.nodes.entry(id).or_insert_with(|| {
                 let gate = Gate::under(lease.clone());
@@ -490,7 +490,7 @@
         for command in self.engine.run(now) {
             match command {
                 Command::RecordAttempt(AttemptEvent::Started { server, number, hedge: copy }) => {
-                    self.account.started(server, number, copy);
+                    self.account.attempt_started(server, number, copy);
                 }
                 Command::RecordAttempt(AttemptEvent::Ended { server, outcome }) => {
                     self.account.attempt_ended(server, outcome)
@@ -507,7 +507,7 @@
                     self.tell_node(server, NodeMsg::Drop(attempt));
                 }
                 Command::ForgetServer { server } => {
-                    self.account.retired(now, server);
+                    self.account.node_removed(now, server);
                     if let Some(node) = self.nodes.remove(&server) {
                         tell(&node.mail, NodeMsg::Retire);
                     }
@@ -517,10 +517,12 @@
                 Command::FinishQuery { query, outcome } => {
                     match &outcome {
                         QueryOutcome::Answered { complete, coverage, .. } => {
-                            self.account.answered(now, query, *complete, *coverage);
+                            self.account.query_answered(now, query, *complete, *coverage);
                         }
-                        QueryOutcome::Rejected { .. } => drop(self.account.ended(query, End::Refused)),
-                        QueryOutcome::Failed => drop(self.account.ended(query, End::Failed)),
+                        QueryOutcome::Rejected { .. } => {
+                            drop(self.account.query_ended(query, QueryEnd::Rejected))
+                        }
+                        QueryOutcome::Failed => drop(self.account.query_ended(query, QueryEnd::Failed)),
                     }
                     // Whoever has the answer finds it counted.
                     self.core.counters.view(&self.account);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 
 use curlewdeck_accounting::saved::Saved;
-use curlewdeck_accounting::Snapshot;
+use curlewdeck_accounting::LedgerSnapshot;
 use curlewdeck_membership::{CallEnd, CallId};
 use may::sync::mpsc::{channel, Receiver, Sender};
 
@@ -44,7 +44,7 @@
     /// The alarm has rung.
     Rung,
     /// Somebody wants to see the accounts.
-    Accounts(Box<dyn FnOnce(Snapshot) + Send>),
+    Accounts(Box<dyn FnOnce(LedgerSnapshot) + Send>),
     /// Somebody wants what of them outlives the process.
     Save(Box<dyn FnOnce(Saved) + Send>),
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -5,13 +5,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use curlewdeck_accounting::nodes::NodeBounds;
-use curlewdeck_accounting::{worth, End, Snapshot, OUTCOMES};
+use curlewdeck_accounting::node_table::NodeBounds;
+use curlewdeck_accounting::{query_value, LedgerSnapshot, QueryEnd, ATTEMPT_OUTCOMES};
 use curlewdeck_lifecycle::{Called, Closing, Finish, Lifecycle, Spans};
 use curlewdeck_listener::Inherited;
 use may::sync::mpsc::Sender;
 
 use crate::alerts::{self, Stopping};
+use crate::api::EndpointState;
 use crate::config::{Config, ConfigError, Edge, NodeProtocol};
 use crate::control::{self, Operated, Operations};
 use crate::counters::Counters;
@@ -147,7 +148,7 @@
     let kept = keep.as_ref().map(|k| k.kept());
     let parts = coordinator::Parts {
         restored: kept.as_ref().map(|k| k.books.clone()),
-        nodes: NodeBounds { rows: limits.node_rows, keep: nanos(limits.node_row_keep) },
+        nodes: NodeBounds { max_rows: limits.node_rows, retention: nanos(limits.node_row_keep) },
         figures_every: config.control.map(|_| nanos(limits.figures_every)),
         started: memory.as_ref().map(Memory::forgetting),
         engine,
@@ -298,8 +299,17 @@
 /// The core comes to what it is asked within this, or is so busy that its figures have to wait.
 const ACCOUNTS: Duration = Duration::from_secs(2);
 
+/// The word of the report for the state of a data node: those who read reports rely on it.
+fn state_word(state: EndpointState) -> &'static str {
+    match state {
+        EndpointState::Active => "In",
+        EndpointState::Draining => "Draining",
+        EndpointState::Removed => "Out",
+    }
+}
+
 /// A snapshot as lines of text.
-pub fn report(snapshot: &Snapshot) -> String {
+pub fn report(snapshot: &LedgerSnapshot) -> String {
     let mut text = String::new();
     let line = |text: &mut String, words: String| {
         text.push_str(&words);
@@ -307,19 +317,26 @@
     };
     for class in &snapshot.classes {
         let ends: Vec<String> =
-            End::ALL.iter().zip(class.ended).map(|(end, n)| format!("{}={n}", end.name())).collect();
+            QueryEnd::ALL.iter().zip(class.ended).map(|(end, n)| format!("{}={n}", end.name())).collect();
         let latency =
             class.latency_ms.map(|l| format!(" p50_ms={} p99_ms={}", l[0], l[3])).unwrap_or_default();
         let (open, ends) = (class.open(), ends.join(" "));
-        let (asked, earned) = (class.asked as f64 / worth::ONE, class.earned as f64 / worth::ONE);
-        let head = format!("class {} taken={} open={open} full={}", class.name, class.taken, class.full);
+        let (asked, earned) = (
+            class.value_requested as f64 / query_value::MILLIONTHS,
+            class.value_served as f64 / query_value::MILLIONTHS,
+        );
+        let head =
+            format!("class {} taken={} open={open} full={}", class.name, class.accepted, class.queue_full);
         line(&mut text, format!("{head} {ends} asked={asked} earned={earned}{latency}"));
     }
     for node in &snapshot.nodes {
         let a = &node.attempts;
-        let ends: Vec<String> = OUTCOMES.iter().zip(a.ended).map(|(o, n)| format!("{}={n}", o.1)).collect();
-        let head = format!("node {} {} {:?} drains={}", node.index, node.name, node.phase, node.drains);
-        let sent = format!("started={} repeats={} copies={} out={}", a.started, a.repeats, a.copies, a.out());
+        let ends: Vec<String> =
+            ATTEMPT_OUTCOMES.iter().zip(a.ended).map(|(o, n)| format!("{}={n}", o.1)).collect();
+        let state = state_word(node.state);
+        let head = format!("node {} {} {state} drains={}", node.index, node.name, node.drains);
+        let sent =
+            format!("started={} repeats={} copies={} out={}", a.started, a.retries, a.hedges, a.in_flight());
         line(&mut text, format!("{head} {sent} {}", ends.join(" ")));
     }
     text
@@ -364,7 +381,7 @@
     }
 
     /// All figures of one moment; none if the core does not come to it in time. Not called from a coroutine.
-    pub fn accounts(&self) -> Option<Snapshot> {
+    pub fn accounts(&self) -> Option<LedgerSnapshot> {
         self.core.accounts_within(ACCOUNTS)
     }
 
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -375,7 +375,7 @@
     fleet.ask_past_the_grace(told);
     let copies = || -> u64 {
         let books = fleet.coordinator.accounts().expect("the core answers");
-        books.nodes.iter().map(|node| node.attempts.copies).sum()
+        books.nodes.iter().map(|node| node.attempts.hedges).sum()
     };
     until("two copies", || {
         // First sends keep pace: copies stay under a tenth of them.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -63,7 +63,7 @@
     let in_service = || {
         let books = coordinator.accounts().unwrap();
         assert_eq!((books.nodes_unlisted, books.nodes_evicted), (0, 0));
-        books.nodes.iter().filter(|n| n.phase == EndpointState::Active).count()
+        books.nodes.iter().filter(|n| n.state == EndpointState::Active).count()
     };
     until("all data nodes", || in_service() == NODES as usize);
 }
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -139,7 +139,7 @@
 
 fn phase(coordinator: &Coordinator, name: &str) -> EndpointState {
     let books = coordinator.accounts().expect("the core answers");
-    books.nodes.iter().find(|node| node.name == name).map_or(EndpointState::Removed, |node| node.phase)
+    books.nodes.iter().find(|node| node.name == name).map_or(EndpointState::Removed, |node| node.state)
 }
 
 /// Where a whole list comes that leaves out one that drains.
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -3,13 +3,13 @@
 mod harness;
 
 use curlewdeck::api::{EndpointState, Outcome};
-use curlewdeck_accounting::{ClassRow, End, Snapshot};
+use curlewdeck_accounting::{ClassRow, LedgerSnapshot, QueryEnd};
 use harness::stand_in::{DataNode, Discovery, NodeReply};
 use harness::{change, member, query, ready, until, Bed};
 
 const CLASSES: [&str; 3] = ["tag-lookup", "plaza-ranking", "monthly-settle"];
 
-fn books(coordinator: &curlewdeck::startup::Coordinator) -> Snapshot {
+fn books(coordinator: &curlewdeck::startup::Coordinator) -> LedgerSnapshot {
     let snapshot = coordinator.accounts().expect("the core answers");
     assert_eq!(snapshot.check(), Ok(()));
     snapshot
@@ -46,28 +46,30 @@
         }
     }
     // Calls that were still on their way when their query ended.
-    until("all attempts have ended", || books(&coordinator).attempts.out() == 0);
+    until("all attempts have ended", || books(&coordinator).attempts.in_flight() == 0);
     let s = books(&coordinator);
     for (class, name) in CLASSES.iter().enumerate() {
         let row: &ClassRow = &s.classes[class];
-        assert_eq!((row.name.as_str(), row.taken, row.open()), (*name, 6, 0));
-        let whole = row.of(End::WholeInTime) + row.of(End::WholeLate);
-        let others = row.of(End::Refused) + row.of(End::Failed) + row.of(End::Gone);
-        assert_eq!([whole, row.of(End::Partial), others], seen[class], "{name}");
-        assert_eq!(row.latency_ms.is_some(), whole + row.of(End::Partial) > 0);
+        assert_eq!((row.name.as_str(), row.accepted, row.open()), (*name, 6, 0));
+        let whole = row.ended_with(QueryEnd::CompleteInTime) + row.ended_with(QueryEnd::CompleteLate);
+        let others = row.ended_with(QueryEnd::Rejected)
+            + row.ended_with(QueryEnd::Failed)
+            + row.ended_with(QueryEnd::ClientDisconnected);
+        assert_eq!([whole, row.ended_with(QueryEnd::Partial), others], seen[class], "{name}");
+        assert_eq!(row.latency_ms.is_some(), whole + row.ended_with(QueryEnd::Partial) > 0);
     }
     assert!(seen[0][2] > 0 && seen[1][1] > 0, "nothing failed or was partial: {seen:?}");
     for (row, node) in s.nodes.iter().zip(&nodes) {
         let reached = row.attempts.started
-            - row.attempts.of(Outcome::NotSent)
-            - row.attempts.of(Outcome::ConnectFailed);
+            - row.attempts.ended_with(Outcome::NotSent)
+            - row.attempts.ended_with(Outcome::ConnectFailed);
         assert_eq!(reached, node.parts().len() as u64, "node {}", row.name);
-        assert_eq!((row.phase, row.drains), (EndpointState::Active, 0));
+        assert_eq!((row.state, row.drains), (EndpointState::Active, 0));
     }
-    assert!(s.nodes[1].attempts.of(Outcome::ServerError) > 0);
+    assert!(s.nodes[1].attempts.ended_with(Outcome::ServerError) > 0);
     let counters = &coordinator.core.counters;
     let all: std::collections::BTreeMap<_, _> = counters.all().into_iter().collect();
-    assert_eq!(all["cdQueriesTaken"], s.sum(|c| c.taken));
+    assert_eq!(all["cdQueriesTaken"], s.sum(|c| c.accepted));
     assert_eq!(all["cdAttemptsSent"], s.attempts.started);
     let report = coordinator.report();
     assert!(report.contains("class tag-lookup taken=6 open=0"), "{report}");
@@ -75,11 +77,11 @@
     // A drain and an end are seen, and the row stays for a while.
     change(&coordinator, &discovery, "s1", "draining");
     assert_eq!(
-        (books(&coordinator).nodes[1].phase, books(&coordinator).nodes[1].drains),
+        (books(&coordinator).nodes[1].state, books(&coordinator).nodes[1].drains),
         (EndpointState::Draining, 1)
     );
     change(&coordinator, &discovery, "s1", "removed");
-    until("the core forgets the node", || books(&coordinator).nodes[1].gone.is_some());
+    until("the core forgets the node", || books(&coordinator).nodes[1].removed_at.is_some());
     assert_eq!(books(&coordinator).nodes[1].attempts, s.nodes[1].attempts);
 }
 
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -98,7 +98,7 @@
         query(coordinator.listen, class, &[0, 3]).unwrap();
     }
     harness::until("all attempts have ended", || {
-        coordinator.accounts().is_some_and(|b| b.attempts.out() == 0)
+        coordinator.accounts().is_some_and(|b| b.attempts.in_flight() == 0)
     });
     let agent = coordinator.snmp.unwrap();
     let mut noc = Session::new(Security::User(User::read_all(&users).unwrap().remove(0)), 1, 7);
