--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -15,7 +15,7 @@
     Action, ClassId, EndpointRecord, EndpointState, EndpointUpdateKind, Event, KeyId, Nanos, Outcome, PartId,
     QueryId, ServerId, SettingsError, ShardId, ZoneId,
 };
-use crate::settings::Info;
+use crate::settings::Deployment;
 use crate::Policy;
 
 /// An attempt, numbered by the engine for its life.
@@ -386,7 +386,7 @@
 /// The core of one coordinator.
 pub struct Engine {
     policy: Policy,
-    info: Info,
+    info: Deployment,
     /// How long after a query's time the engine itself ends it.
     backstop: Nanos,
     now: Nanos,
@@ -419,7 +419,12 @@
     ///
     /// # Errors
     /// Settings that cannot be used are named.
-    pub fn new(info: Info, seed: u64, backstop: Nanos, name_rest: Nanos) -> Result<Self, SettingsError> {
+    pub fn new(
+        info: Deployment,
+        seed: u64,
+        backstop: Nanos,
+        name_rest: Nanos,
+    ) -> Result<Self, SettingsError> {
         Ok(Self {
             policy: Policy::new(info.settings.clone(), seed)?,
             info,
@@ -447,7 +452,7 @@
     }
 
     /// Takes over what the settings say now. Queries that are open go on under the rules they came under.
-    pub fn update_settings(&mut self, info: Info) -> &Info {
+    pub fn update_settings(&mut self, info: Deployment) -> &Deployment {
         self.info = info.carried_over_from(&self.info);
         self.policy.update_settings(self.info.settings.clone());
         &self.info
@@ -501,7 +506,7 @@
         let shards: HashSet<ShardId> = request.parts.iter().map(|p| p.0).collect();
         let sum: f64 = request.parts.iter().map(|p| p.1).sum();
         let weights = request.parts.iter().all(|p| p.1 > 0.0) && (sum - 1.0).abs() <= ROUNDING;
-        let known = shards.iter().all(|s| self.info.ranges == 0 || s.0 < self.info.ranges);
+        let known = shards.iter().all(|s| self.info.shards == 0 || s.0 < self.info.shards);
         if shards.is_empty() || shards.len() != request.parts.len() || !known || !weights {
             return Err(RejectReason::InvalidParts);
         }
@@ -610,7 +615,7 @@
             if known.started_at.replace(endpoint.started_at) != Some(endpoint.started_at) {
                 anew.push(endpoint.partition_group);
             }
-            let zone = endpoint.zone.as_ref().and_then(|z| self.info.zones.iter().position(|n| n == z));
+            let zone = endpoint.zone.as_ref().and_then(|z| self.info.zone_names.iter().position(|n| n == z));
             entries.push(EndpointRecord {
                 server,
                 partition_group: endpoint.partition_group,
@@ -622,7 +627,7 @@
         }
         self.events.push(Event::EndpointsUpdated { kind, records: entries });
         self.retire();
-        let shards = (0..self.info.ranges).map(ShardId);
+        let shards = (0..self.info.shards).map(ShardId);
         shards.filter(|&s| anew.iter().any(|&group| self.group_holds(group, s))).collect()
     }
 
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -11,7 +11,7 @@
 }
 
 /// Settings with so many attempts for a part.
-fn info(attempts: u32) -> Info {
+fn info(attempts: u32) -> Deployment {
     let class = |name: &str| {
         format!(
             r#"{{"name":"{name}","aim_ns":500000000,"deadline_ns":2000000000,"effect":"idempotent","importance":1,"late_worth":0.3}}"#
@@ -187,10 +187,13 @@
             }
             11 => drop(engine.update_endpoints(EndpointUpdateKind::Delta, &[])),
             15 => {
-                let before = engine.info.classes.len();
+                let before = engine.info.class_names.len();
                 let info = engine.update_settings(info(1 + pick as u32 % 3));
-                assert!(info.classes.len() >= before && info.classes.len() <= 9, "classes are found again");
-                self.classes = ["a", "b", "c"].map(|name| info.class(name).unwrap().0);
+                assert!(
+                    info.class_names.len() >= before && info.class_names.len() <= 9,
+                    "classes are found again"
+                );
+                self.classes = ["a", "b", "c"].map(|name| info.class_named(name).unwrap().0);
             }
             _ => return self.pass(engine, pick as Nanos % 300 * MS),
         }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -9,31 +9,31 @@
 
 /// The settings, with the names that the wire uses for classes, tenants and zones.
 #[derive(Debug, Clone)]
-pub struct Info {
+pub struct Deployment {
     /// What the module is told.
     pub settings: Settings,
     /// Names of the classes, in the order of [`Settings::classes`].
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// Names of the tenants.
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// Names of the zones.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// How many shards there are; 0 where that is not told.
-    pub ranges: u32,
+    pub shards: u32,
     /// Figures for connections to data nodes.
     pub connections: Connections,
 }
 
-impl Info {
+impl Deployment {
     /// The class of this name that new queries are of.
-    pub fn class(&self, name: &str) -> Option<ClassId> {
-        let open = |i: &usize| !self.settings.classes[*i].retired && self.classes[*i] == name;
-        (0..self.classes.len()).find(open).map(ClassId)
+    pub fn class_named(&self, name: &str) -> Option<ClassId> {
+        let open = |i: &usize| !self.settings.classes[*i].retired && self.class_names[*i] == name;
+        (0..self.class_names.len()).find(open).map(ClassId)
     }
 
     /// The class that new queries are of where this one was meant: it may have other rules by now.
-    pub fn now(&self, class: ClassId) -> ClassId {
-        self.classes.get(class.0).and_then(|name| self.class(name)).unwrap_or(class)
+    pub fn current_class(&self, class: ClassId) -> ClassId {
+        self.class_names.get(class.0).and_then(|name| self.class_named(name)).unwrap_or(class)
     }
 
     /// The same for a process beside which so many others may serve in its place: what a cold data node may be sent
@@ -48,8 +48,8 @@
     #[must_use]
     pub fn carried_over_from(self, before: &Self) -> Self {
         let (settings, classes) =
-            self.settings.carried_over_from(&before.settings, (&before.classes, &self.classes));
-        Self { settings, classes, ..before.clone() }
+            self.settings.carried_over_from(&before.settings, (&before.class_names, &self.class_names));
+        Self { settings, class_names: classes, ..before.clone() }
     }
 }
 
@@ -171,7 +171,7 @@
 ///
 /// # Errors
 /// Says what is missing or out of place.
-pub fn read(text: &str) -> Result<Info, String> {
+pub fn read(text: &str) -> Result<Deployment, String> {
     let info: WireInfo =
         serde_json::from_str(text).map_err(|e| format!("settings are not as expected: {e}"))?;
     let mut classes = Vec::new();
@@ -220,12 +220,12 @@
         clients_mark_retries: info.client_habits.is_some_and(|h| h.marks_retry),
         connection_idle_timeout: info.limits.conn_idle_ns,
     };
-    Ok(Info {
+    Ok(Deployment {
         settings,
-        classes: info.classes.into_iter().map(|c| c.name).collect(),
-        tenants: info.realms.into_iter().map(|r| r.name).collect(),
-        zones: info.zones,
-        ranges: info.domain.ranges,
+        class_names: info.classes.into_iter().map(|c| c.name).collect(),
+        tenant_names: info.realms.into_iter().map(|r| r.name).collect(),
+        zone_names: info.zones,
+        shards: info.domain.ranges,
         connections: Connections {
             idle: info.limits.conn_idle_ns.unwrap_or(DEFAULT_IDLE),
             connect_timeout: info.limits.connect_timeout_ns.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 /// Settings of these classes, each with one of a few rules.
-fn info(classes: &[(u8, u8)]) -> Info {
+fn info(classes: &[(u8, u8)]) -> Deployment {
     let class = |&(name, rules): &(u8, u8)| {
         let effect = ["idempotent", "deduplicated", "at_most_once"][usize::from(rules % 3)];
         format!(
@@ -43,7 +43,7 @@
     let info = read(&serde_json::to_string_pretty(&value).unwrap()).unwrap();
     assert_eq!(info.settings.check(), Ok(()));
     assert_eq!(
-        (info.settings.coordinators, info.settings.layout.partition_groups, info.ranges),
+        (info.settings.coordinators, info.settings.layout.partition_groups, info.shards),
         (1024, 1024, 4096)
     );
     assert_eq!(info.settings.slow_start_sharers(), 1024.0);
@@ -58,7 +58,7 @@
     fn an_index_keeps_its_rules(
         swaps in proptest::collection::vec(proptest::collection::btree_map(0..4_u8, 0..4_u8, 1..4), 1..12),
     ) {
-        let mut now: Option<Info> = None;
+        let mut now: Option<Deployment> = None;
         for swap in swaps {
             let wanted = info(&swap.clone().into_iter().collect::<Vec<_>>());
             let next = match &now {
@@ -66,16 +66,16 @@
                 None => wanted.clone(),
             };
             prop_assert!(next.settings.check().is_ok());
-            prop_assert_eq!(next.classes.len(), next.settings.classes.len());
-            prop_assert!(next.classes.len() <= 16, "the same rules are found again");
+            prop_assert_eq!(next.class_names.len(), next.settings.classes.len());
+            prop_assert!(next.class_names.len() <= 16, "the same rules are found again");
             for (i, before) in now.iter().flat_map(|n| n.settings.classes.iter().enumerate()) {
                 let retired = next.settings.classes[i].retired;
                 prop_assert_eq!(&next.settings.classes[i], &Class { retired, ..before.clone() });
-                prop_assert_eq!(&next.classes[i], &now.as_ref().unwrap().classes[i]);
+                prop_assert_eq!(&next.class_names[i], &now.as_ref().unwrap().class_names[i]);
             }
             for name in 0..4 {
                 let name = format!("c{name}");
-                let rules = |info: &Info| info.class(&name).map(|c| info.settings.classes[c.0].clone());
+                let rules = |info: &Deployment| info.class_named(&name).map(|c| info.settings.classes[c.0].clone());
                 prop_assert_eq!(rules(&next), rules(&wanted));
             }
             prop_assert_eq!(next.settings.shortest_latency_objective(), wanted.settings.shortest_latency_objective());
--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -15,7 +15,7 @@
 use crate::api::{EndpointState, Nanos};
 use crate::limits::Limits;
 use crate::mib;
-use crate::net::coordinator::Core;
+use crate::net::coordinator::CoreHandle;
 use crate::runtime::nanos;
 use crate::snmp::SnmpConfig;
 
@@ -169,8 +169,8 @@
     std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count)
 }
 
-struct Teller {
-    core: Core,
+struct AlertNotifier {
+    core: CoreHandle,
     watch: Watch,
     notifier: Notifier,
     socket: UdpSocket,
@@ -178,11 +178,11 @@
     sockets: usize,
 }
 
-impl Teller {
+impl AlertNotifier {
     fn figures(&self) -> Option<Figures> {
         let counters = &self.core.counters;
         Some(Figures {
-            books: self.core.accounts_within(BOOKS)?,
+            books: self.core.ledger_snapshot_within(BOOKS)?,
             list_overdue: counters.list_overdue.load(Ordering::Relaxed),
             denied: counters.snmp_denied.load(Ordering::Relaxed),
             descriptors: (descriptors(), self.sockets),
@@ -248,7 +248,7 @@
 /// There is no socket.
 pub fn start(
     config: &SnmpConfig,
-    core: Core,
+    core: CoreHandle,
     limits: &Limits,
     sockets: usize,
 ) -> Result<Option<Stopping>, String> {
@@ -276,7 +276,7 @@
     let notifier =
         Notifier::new(bounds, config.notify.iter().map(target).collect(), fastrand::i32(1..i32::MAX));
     let watch = Watch::new(config.refusal_share);
-    let teller = Teller { core, watch, notifier, socket, begun, sockets };
+    let teller = AlertNotifier { core, watch, notifier, socket, begun, sockets };
     let stopping = Stopping::default();
     let heard = stopping.clone();
     // A thread: as a coroutine with a time-out on its reads it was seen to miss two waits for the core of three.
@@ -298,7 +298,7 @@
         let text = crate::config::Config::read(include_str!("../examples/config.json"), |_| None).unwrap();
         RequestLedger::new(
             &text.info.settings.classes,
-            &text.info.classes,
+            &text.info.class_names,
             NodeBounds { max_rows: 4, retention: S },
         )
     }
--- a/src/bin/curlewdeck-simulator-adapter/host.rs
+++ b/src/bin/curlewdeck-simulator-adapter/host.rs
@@ -8,7 +8,7 @@
     Action, ClassId, EndpointRecord, EndpointUpdateKind, Event, KeyId, PartId, QueryId, ServerId, ShardId,
     TenantId, ZoneId,
 };
-use curlewdeck::settings::{self, Info};
+use curlewdeck::settings::{self, Deployment};
 use curlewdeck::Policy;
 
 use crate::subscriber::Subscriber;
@@ -186,7 +186,8 @@
         let mixer: u32 = f.number("mixer")?;
         let salt: u64 = f.number("salt")?;
         let read = settings::read(f.rest("info")?).map_err(|e| format!("enlist: {e}"))?;
-        let Info { settings, classes, tenants, zones, .. } = read;
+        let Deployment { settings, class_names: classes, tenant_names: tenants, zone_names: zones, .. } =
+            read;
         let second_step = settings.classes.iter().map(|c| c.second_phase_parts > 0).collect();
         let subscriber = Subscriber::new(&settings, salt, self.clock.unwrap_or(0));
         let policy = Policy::new(settings, salt).map_err(|e| format!("enlist: {e}"))?;
--- a/src/config.rs
+++ b/src/config.rs
@@ -10,12 +10,12 @@
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
 
-use crate::frontend::aggregation::DeskConfig;
-use crate::frontend::features::OgcConfig;
+use crate::frontend::aggregation::AggregationConfig;
+use crate::frontend::features::FeaturesConfig;
 use crate::limits::{Limits, Platform};
-use crate::net::endpoints::MembershipUpdate;
+use crate::net::endpoints::DiscoveryUpdate;
 use crate::replication::config::GroupConfig;
-use crate::settings::{self, Info};
+use crate::settings::{self, Deployment};
 use crate::snapshot_store::StateConfig;
 use crate::snmp::SnmpConfig;
 
@@ -62,7 +62,7 @@
     seed: String,
     control: Option<SocketAddr>,
     limits: PlatformLimits,
-    known: Option<MembershipUpdate>,
+    known: Option<DiscoveryUpdate>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -108,9 +108,9 @@
     /// The whole file but for the list: a later one may lack no key of it.
     pub document: Value,
     /// The list as it was last held.
-    pub known: Option<MembershipUpdate>,
+    pub known: Option<DiscoveryUpdate>,
     /// The settings.
-    pub info: Info,
+    pub info: Deployment,
 }
 
 impl Config {
@@ -272,9 +272,9 @@
     #[serde(default)]
     pub nodes: Nodes,
     /// The front for feature queries.
-    pub ogc: Option<OgcConfig>,
+    pub ogc: Option<FeaturesConfig>,
     /// The front for desks.
-    pub desk: Option<DeskConfig>,
+    pub desk: Option<AggregationConfig>,
     /// The folder of what outlives the process.
     pub state: Option<StateConfig>,
     /// The management agent.
@@ -315,7 +315,7 @@
     ///
     /// # Errors
     /// Names the section and the fault.
-    pub fn check_settings(&self, info: &Info) -> Result<(), String> {
+    pub fn check_settings(&self, info: &Deployment) -> Result<(), String> {
         if let Some(ogc) = &self.ogc {
             ogc.check(info)?;
         }
@@ -329,7 +329,7 @@
     ///
     /// # Errors
     /// Names the section and the fault.
-    pub fn check(&self, info: &Info) -> Result<(), String> {
+    pub fn check(&self, info: &Deployment) -> Result<(), String> {
         self.check_settings(info)?;
         self.check_fronts()?;
         self.check_state()?;
--- a/src/control.rs
+++ b/src/control.rs
@@ -17,7 +17,7 @@
 use crate::runtime::{lock, nanos, thread, Clock, SMALL_STACK};
 
 /// What the calls come to.
-pub trait Operated: Send + Sync + 'static {
+pub trait OperatorCommands: Send + Sync + 'static {
     /// Whether clients are taken; else why not, in a word.
     fn ready(&self) -> Result<(), &'static str>;
     /// The figures of one moment, a line each.
@@ -37,14 +37,14 @@
 /// The calls of those who run the coordinator.
 pub struct Operations<T>(pub T);
 
-impl<T: Operated> Calls for Operations<T> {
+impl<T: OperatorCommands> Calls for Operations<T> {
     fn answer(&self, request: &Request) -> Reply {
         operate(&self.0, &request.method, &request.path)
     }
 }
 
-fn operate(operated: &dyn Operated, method: &str, path: &str) -> Reply {
-    type Call = fn(&dyn Operated) -> Result<String, &'static str>;
+fn operate(operated: &dyn OperatorCommands, method: &str, path: &str) -> Reply {
+    type Call = fn(&dyn OperatorCommands) -> Result<String, &'static str>;
     let (allowed, call): (&str, Call) = match path {
         "/ops/readiness" => ("GET", |o| o.ready().map(|()| "yes\n".into())),
         "/ops/stats" => ("GET", |o| Ok(o.figures())),
--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -25,18 +25,18 @@
 use crate::config::cursor_keys;
 use crate::counters::Counters;
 use crate::engine::{QueryOutcome, QueryRequest, RejectReason, ResponseValidator};
-use crate::frontend::http_server::{Answer, Front, Reply, Served};
+use crate::frontend::http_server::{Answer, Frontend, Reply, Served};
 use crate::frontend::problem::{problem, retry_after, unix_now, unserved, valid_until, PROBLEM};
 use crate::limits::Limits;
-use crate::net::coordinator::{Core, Started};
+use crate::net::coordinator::{CoreHandle, Started};
 use crate::net::http::{self, BadMessage, Request};
 use crate::runtime::lock;
-use crate::settings::Info;
+use crate::settings::Deployment;
 
 /// What the edge's file says of this front.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DeskConfig {
+pub struct AggregationConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// The file of the keys that seal cursors, the first one for new ones; without it a key is made at the start,
@@ -75,13 +75,13 @@
     pub scale: u8,
 }
 
-impl DeskConfig {
+impl AggregationConfig {
     /// The class of each set.
     ///
     /// # Errors
     /// Names the set and what is wrong with it.
-    pub fn check(&self, info: &Info) -> Result<Vec<ClassId>, String> {
-        if info.ranges == 0 {
+    pub fn check(&self, info: &Deployment) -> Result<Vec<ClassId>, String> {
+        if info.shards == 0 {
             return Err("desk: the settings name no tag ranges".into());
         }
         if self.cursor_life_s == 0 {
@@ -107,7 +107,7 @@
 }
 
 impl SetConfig {
-    fn check(&self, info: &Info) -> Result<ClassId, String> {
+    fn check(&self, info: &Deployment) -> Result<ClassId, String> {
         if self.id.is_empty() || http::encode(&self.id) != self.id || self.id.contains(',') {
             return Err("its id cannot stand in a path".into());
         }
@@ -118,7 +118,8 @@
         if let Some(m) = self.measures.iter().find(|m| m.scale > MAX_SCALE) {
             return Err(format!("measure '{}': the scale is at most {MAX_SCALE}", m.name));
         }
-        let class = info.class(&self.class).ok_or_else(|| format!("there is no class '{}'", self.class))?;
+        let class =
+            info.class_named(&self.class).ok_or_else(|| format!("there is no class '{}'", self.class))?;
         match info.settings.classes[class.0].second_phase_parts {
             0 => Ok(class),
             _ => Err(format!("the class '{}' has a second step, whose answer is not mergeable", self.class)),
@@ -165,8 +166,8 @@
 const FILTER_BYTES: usize = 256;
 
 /// The front.
-pub struct Desk {
-    core: Core,
+pub struct AggregationFrontend {
+    core: CoreHandle,
     limits: Arc<Limits>,
     memory: Memory,
     keys: Keys,
@@ -208,14 +209,14 @@
     wait: Duration,
 }
 
-impl Desk {
+impl AggregationFrontend {
     /// The front of these sets.
     ///
     /// # Errors
-    /// As [`DeskConfig::check`] and [`DeskConfig::keys`].
+    /// As [`AggregationConfig::check`] and [`AggregationConfig::keys`].
     pub fn new(
-        config: &DeskConfig,
-        core: Core,
+        config: &AggregationConfig,
+        core: CoreHandle,
         limits: Arc<Limits>,
         memory: Memory,
         seed: u64,
@@ -235,12 +236,12 @@
     fn sets(&self) -> Json {
         let set = |(s, class): &(SetConfig, ClassId)| {
             let info = self.core.info();
-            let floor = info.settings.classes[info.now(*class).0].min_coverage;
+            let floor = info.settings.classes[info.current_class(*class).0].min_coverage;
             let measures: Vec<Json> =
                 s.measures.iter().map(|m| json!({"name": m.name, "scale": m.scale})).collect();
             json!({"id": s.id, "title": s.title, "class": s.class, "leastShare": floor, "measures": measures})
         };
-        json!({"sets": self.sets.iter().map(set).collect::<Vec<_>>(), "ranges": self.core.info().ranges})
+        json!({"sets": self.sets.iter().map(set).collect::<Vec<_>>(), "ranges": self.core.info().shards})
     }
 
     fn route(&self, request: &Request) -> Result<Option<Asked>, Reply> {
@@ -310,7 +311,7 @@
             limit,
             filter: body.filter,
         };
-        let ranges = self.core.info().ranges;
+        let ranges = self.core.info().shards;
         let merging = match &body.cursor {
             None => Merging::new(query, ranges),
             Some(_) if !query.paged() => {
@@ -321,13 +322,17 @@
                 Merging::resume(query, cursor.map_err(|why| at_field("cursor", &why.to_string()))?)
             }
         };
-        Ok(Asked { merging: Arc::new(Mutex::new(merging)), class: self.core.info().now(*class), wait })
+        Ok(Asked {
+            merging: Arc::new(Mutex::new(merging)),
+            class: self.core.info().current_class(*class),
+            wait,
+        })
     }
 
     /// Hands a query to the core: a part for each range, each with its own text.
     fn ask(&self, asked: Asked, out: Answer) -> Served {
         let Asked { merging, class, wait } = asked;
-        let ranges = self.core.info().ranges;
+        let ranges = self.core.info().shards;
         let share = 1.0 / f64::from(ranges);
         let texts = {
             let merging = lock(&merging);
@@ -362,7 +367,7 @@
             core: self.core.clone(),
             piece: self.limits.desk_piece,
         };
-        Served::Later(self.core.ask(ask, Box::new(move |ended| end.reply(ended, out))))
+        Served::Later(self.core.submit(ask, Box::new(move |ended| end.reply(ended, out))))
     }
 }
 
@@ -373,7 +378,7 @@
     memory: Memory,
     keys: Keys,
     cursor_life: u64,
-    core: Core,
+    core: CoreHandle,
     piece: usize,
 }
 
@@ -420,7 +425,7 @@
 
     /// The answer to a query that has none, with what was wrong with the values that came.
     fn unserved(&self, ended: &Result<QueryOutcome, RejectReason>) -> Option<Reply> {
-        let reply = unserved(ended, self.core.full_hold_off())?;
+        let reply = unserved(ended, self.core.queue_full_retry_after())?;
         let merging = lock(&self.merging);
         let seen = merging.refused().next().map(|(range, unfit)| format!("tag range {range}: {unfit}"));
         match (ended, seen) {
@@ -435,7 +440,7 @@
         match fault {
             // What is missing may be back soon: a row that is too large stays.
             Fault::Below(cover) if cover.missing.values().all(|r| r.word() != "row-too-large") => {
-                retry_after(problem(503, &fault.to_string()), self.core.full_hold_off())
+                retry_after(problem(503, &fault.to_string()), self.core.queue_full_retry_after())
             }
             Fault::Below(_) => problem(502, &fault.to_string()),
             Fault::Overflow | Fault::Unfit(_) => problem(500, &fault.to_string()),
@@ -443,7 +448,7 @@
     }
 }
 
-impl Front for Desk {
+impl Frontend for AggregationFrontend {
     fn serve(&self, request: Request, out: Answer) -> Served {
         Counters::add(&self.core.counters.desk_requests);
         match self.route(&request) {
--- a/src/frontend/request_reader.rs
+++ b/src/frontend/arrival_times.rs
@@ -10,7 +10,7 @@
 
 /// Bytes of a connection, and when they came.
 #[derive(Debug, Default)]
-pub struct Arrivals {
+pub struct ArrivalTimes {
     /// All bytes so far.
     came: u64,
     /// Bytes up to here came then; the oldest first, and only those that are held.
@@ -23,7 +23,7 @@
     at: Nanos,
 }
 
-impl Arrivals {
+impl ArrivalTimes {
     /// So many bytes have come.
     pub fn came(&mut self, bytes: usize, now: Nanos) {
         self.came += bytes as u64;
--- a/src/frontend/request_reader/tests.rs
+++ b/src/frontend/arrival_times/tests.rs
@@ -5,7 +5,7 @@
 /// Guards the time of requests that were sent ahead: each counts from its own last byte, however late its turn comes.
 #[test]
 fn each_request_counts_from_its_last_byte() {
-    let mut arrivals = Arrivals::default();
+    let mut arrivals = ArrivalTimes::default();
     arrivals.came(100, 10 * MS);
     arrivals.came(40, 200 * MS);
     arrivals.came(60, 500 * MS);
@@ -19,7 +19,7 @@
 /// Two in one read, and one whose last byte begins the next read.
 #[test]
 fn requests_may_be_cut_anywhere() {
-    let mut arrivals = Arrivals::default();
+    let mut arrivals = ArrivalTimes::default();
     arrivals.came(150, 10 * MS);
     assert_eq!(arrivals.taken(100, 20 * MS), 10 * MS);
     assert_eq!(arrivals.taken(50, 20 * MS), 10 * MS);
@@ -31,7 +31,7 @@
 /// Guards against a mark for each byte of a client that sends them one by one.
 #[test]
 fn bytes_that_come_together_share_a_mark() {
-    let mut arrivals = Arrivals::default();
+    let mut arrivals = ArrivalTimes::default();
     (0..10_000).for_each(|n| arrivals.came(1, n * MS / 100));
     assert!(arrivals.marks.len() <= 21, "{}", arrivals.marks.len());
     assert_eq!(arrivals.taken(0, 100 * MS), 95 * MS);
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -22,18 +22,18 @@
 use crate::counters::Counters;
 use crate::engine::{ClientLiveness, QueryOutcome, QueryRequest, RejectReason, ResponseValidator, Row};
 use crate::frontend::feature_pages::{by_id, by_offset, check_ids, Range};
-use crate::frontend::http_server::{Answer, Front, Reply, Served};
+use crate::frontend::http_server::{Answer, Frontend, Reply, Served};
 use crate::frontend::problem::{problem, unix_now, unserved, valid_until};
 use crate::limits::Limits;
-use crate::net::coordinator::Core;
+use crate::net::coordinator::CoreHandle;
 use crate::net::features::{self, Cursor};
 use crate::net::http::{self, BadMessage, Request};
-use crate::settings::Info;
+use crate::settings::Deployment;
 
 /// What the edge's file says of this front.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OgcConfig {
+pub struct FeaturesConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// What the pages' links begin with; `http://` and the request's host where it is not given.
@@ -53,14 +53,14 @@
     pub collections: Vec<CollectionConfig>,
 }
 
-impl OgcConfig {
+impl FeaturesConfig {
     /// The collections with their classes.
     ///
     /// # Errors
     /// A collection's class is not in the settings, or has a second step; or an id cannot stand in a path.
-    pub fn check(&self, info: &Info) -> Result<Vec<(CollectionConfig, ClassId)>, String> {
+    pub fn check(&self, info: &Deployment) -> Result<Vec<(CollectionConfig, ClassId)>, String> {
         let ids: BTreeSet<&str> = self.collections.iter().map(|c| c.id.as_str()).collect();
-        if ids.len() != self.collections.len() || info.ranges == 0 {
+        if ids.len() != self.collections.len() || info.shards == 0 {
             return Err("ogc: each collection needs an id of its own, and the settings tag ranges".into());
         }
         self.collections.iter().map(|c| Ok((c.clone(), class_of(c, info)?))).collect()
@@ -97,8 +97,8 @@
 const FID_BYTES: usize = 256;
 
 /// The front.
-pub struct Ogc {
-    core: Core,
+pub struct FeaturesFrontend {
+    core: CoreHandle,
     limits: Arc<Limits>,
     base: Option<String>,
     collections: Vec<(CollectionConfig, ClassId)>,
@@ -200,13 +200,18 @@
     }
 }
 
-impl Ogc {
+impl FeaturesFrontend {
     /// The front of these collections.
     ///
     /// # Errors
-    /// As [`OgcConfig::check`].
-    pub fn new(config: &OgcConfig, core: Core, limits: Arc<Limits>, seed: u64) -> Result<Self, String> {
-        let (ranges, collections) = (core.info().ranges, config.check(&core.info())?);
+    /// As [`FeaturesConfig::check`].
+    pub fn new(
+        config: &FeaturesConfig,
+        core: CoreHandle,
+        limits: Arc<Limits>,
+        seed: u64,
+    ) -> Result<Self, String> {
+        let (ranges, collections) = (core.info().shards, config.check(&core.info())?);
         let by_id = match config.by_id {
             true => Some(Sealed {
                 keys: Arc::new(cursor_keys(config.cursor_keys.as_deref())?),
@@ -388,7 +393,7 @@
 
     /// Hands a feature query to the core: a part for each of these ranges.
     fn ask(&self, at: usize, parts: Parts, asker: Asker, reply: crate::net::messages::Reply) -> Served {
-        let class = self.core.info().now(self.collections[at].1);
+        let class = self.core.info().current_class(self.collections[at].1);
         let ranges: Vec<u32> = (parts.from.0..self.ranges).collect();
         let share = 1.0 / ranges.len() as f64;
         let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -403,7 +408,7 @@
             validator: parts.accept,
             client: asker.client,
         };
-        Served::Later(self.core.ask(ask, reply))
+        Served::Later(self.core.submit(ask, reply))
     }
 
     fn items(&self, base: String, at: usize, filter: Filter, out: Answer) -> Served {
@@ -416,7 +421,7 @@
             }
             At::Ids(reached, _) => Parts::by_id(&own, reached, filter.limit),
         };
-        let (hold_off, ranges) = (self.core.full_hold_off(), self.ranges);
+        let (hold_off, ranges) = (self.core.queue_full_retry_after(), self.ranges);
         let seal = self.by_id.clone().map(|sealed| Seal { sealed, digest: filter.digest(id) });
         let asker = Asker::of(&out);
         let reply = Box::new(move |ended| {
@@ -432,7 +437,7 @@
         let path = format!("/collections/{}/items/{}", self.collections[at].0.id, http::encode(fid));
         let collection = format!("/collections/{}", self.collections[at].0.id);
         let text = path.clone();
-        let hold_off = self.core.full_hold_off();
+        let hold_off = self.core.queue_full_retry_after();
         let asker = Asker::of(&out);
         let reply = Box::new(move |ended| {
             out.send(match unserved(&ended, hold_off) {
@@ -504,12 +509,12 @@
     }
 }
 
-fn class_of(collection: &CollectionConfig, info: &Info) -> Result<ClassId, String> {
+fn class_of(collection: &CollectionConfig, info: &Deployment) -> Result<ClassId, String> {
     let id = &collection.id;
     if id.is_empty() || http::encode(id) != *id || id.contains(',') {
         return Err(format!("ogc: the collection id '{id}' cannot stand in a path"));
     }
-    let class = info.class(&collection.class);
+    let class = info.class_named(&collection.class);
     let class = class.ok_or_else(|| format!("ogc: {id}: there is no class '{}'", collection.class))?;
     if info.settings.classes[class.0].second_phase_parts > 0 {
         return Err(format!("ogc: {id}: the class '{}' has a second step", collection.class));
@@ -614,7 +619,7 @@
     Reply { status: 200, kind: GEOJSON, more: String::new(), body }.with("Link", &links)
 }
 
-impl Front for Ogc {
+impl Frontend for FeaturesFrontend {
     fn serve(&self, request: Request, out: Answer) -> Served {
         Counters::add(&self.core.counters.ogc_requests);
         let wanted = match request.method.as_str() {
--- a/src/frontend/http_server.rs
+++ b/src/frontend/http_server.rs
@@ -19,9 +19,9 @@
 use crate::counters::Counters;
 use crate::engine;
 use crate::frontend::accept::AcceptErrors;
-use crate::frontend::request_reader::Arrivals;
+use crate::frontend::arrival_times::ArrivalTimes;
 use crate::limits::Limits;
-use crate::net::coordinator::Core;
+use crate::net::coordinator::CoreHandle;
 use crate::net::http::{self, BadMessage, Request, RequestReader};
 use crate::net::log_limit::LogLimit;
 use crate::net::messages::REQUEST;
@@ -135,7 +135,7 @@
     }
 
     /// Why no new clients are wanted, in a word; nothing if they are.
-    pub fn why_not(&self, core: &Core) -> Option<&'static str> {
+    pub fn why_not(&self, core: &CoreHandle) -> Option<&'static str> {
         self.lifecycle().why_not().or_else(|| (!core.ready()).then_some("no data node is known yet"))
     }
 
@@ -213,7 +213,7 @@
 }
 
 /// What a front makes of a request.
-pub trait Front: Send + Sync + 'static {
+pub trait Frontend: Send + Sync + 'static {
     /// Answers through `answer`, at once or once the core has ended the query.
     fn serve(&self, request: Request, answer: Answer) -> Served;
 
@@ -356,7 +356,7 @@
 #[derive(Clone)]
 pub struct Shared {
     /// The core.
-    pub core: Core,
+    pub core: CoreHandle,
     /// Limits.
     pub limits: Arc<Limits>,
     /// The state of the process.
@@ -371,7 +371,7 @@
 ///
 /// # Errors
 /// The address cannot be listened at.
-pub fn listen(addr: SocketAddr, front: Arc<dyn Front>, shared: Shared) -> io::Result<SocketAddr> {
+pub fn listen(addr: SocketAddr, front: Arc<dyn Frontend>, shared: Shared) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(addr)?;
     let local = listener.local_addr()?;
     let mut errors = AcceptErrors::new("front", nanos(shared.limits.no_socket_log));
@@ -398,7 +398,7 @@
 /// The socket is of no use, or there is no thread.
 pub fn listen_inherited(
     inherited: Inherited,
-    front: Arc<dyn Front>,
+    front: Arc<dyn Frontend>,
     shared: Shared,
 ) -> io::Result<SocketAddr> {
     let local = inherited.local_addr()?;
@@ -456,7 +456,7 @@
 /// Between two looks for a place.
 const EVICTION_PAUSE: Duration = Duration::from_millis(1);
 
-fn accept(stream: may::net::TcpStream, front: &Arc<dyn Front>, shared: &Shared) {
+fn accept(stream: may::net::TcpStream, front: &Arc<dyn Frontend>, shared: &Shared) {
     let counters = &shared.core.counters;
     let Some(permit) = admit(shared) else {
         Counters::add(&counters.clients_refused);
@@ -520,7 +520,7 @@
 struct Client {
     key: u64,
     connection: Arc<ClientConnection>,
-    front: Arc<dyn Front>,
+    front: Arc<dyn Frontend>,
     shared: Shared,
 }
 
@@ -562,7 +562,7 @@
     /// still be sending. `answered` tells of answers written, and whether the connection stays open.
     fn read(&self, buf: &mut [u8], writer: &Sender<Out>, answered: &Receiver<bool>) -> bool {
         let limits = &self.shared.limits;
-        let (mut requests, mut arrivals) = (RequestReader::default(), Arrivals::default());
+        let (mut requests, mut arrivals) = (RequestReader::default(), ArrivalTimes::default());
         let mut query: Option<QueryId> = None;
         let (mut pending, mut full, mut more) = (false, false, false);
         // When the request that is being read began; the first one begins with the connection.
@@ -645,7 +645,7 @@
         if let (true, Some(id), Err(_)) = (pending, query, answered.try_recv()) {
             log::debug!(target: REQUEST, "connection {}: its client has left query {}", self.key, id.0);
             self.log_unanswered(&format!("query {} is open", id.0));
-            self.shared.core.gone(id);
+            self.shared.core.client_disconnected(id);
         } else if requests.begun() {
             self.log_unanswered(&format!("{} bytes of a request had come", requests.held()));
         }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -2,9 +2,9 @@
 
 pub mod accept;
 pub mod aggregation;
+pub mod arrival_times;
 pub mod feature_pages;
 pub mod features;
 pub mod http_server;
 pub mod platform;
 pub mod problem;
-pub mod request_reader;
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -8,9 +8,9 @@
 use crate::api::{Nanos, ShardId};
 use crate::counters::Counters;
 use crate::engine::{ClientLiveness, QueryOutcome, QueryRequest, RejectReason, ResponseValidator};
-use crate::frontend::http_server::{Answer, Front, Reply, Served, Service};
+use crate::frontend::http_server::{Answer, Frontend, Reply, Served, Service};
 use crate::limits::Limits;
-use crate::net::coordinator::Core;
+use crate::net::coordinator::CoreHandle;
 use crate::net::http::{BadMessage, Request};
 use crate::runtime::nanos;
 
@@ -20,7 +20,7 @@
 /// The front of the platform's protocol.
 pub struct Platform {
     /// The core.
-    pub core: Core,
+    pub core: CoreHandle,
     /// Limits.
     pub limits: Arc<Limits>,
     /// The state of the process.
@@ -98,7 +98,7 @@
     fn ask(&self, request: &Request, asked_at: Nanos) -> Result<QueryRequest, Reply> {
         let class = request.path.split('/').nth(1).unwrap_or("");
         let info = self.core.info();
-        let class = info.class(class).ok_or_else(|| Reply::text(404, "unknown class"))?;
+        let class = info.class_named(class).ok_or_else(|| Reply::text(404, "unknown class"))?;
         if request.method != "POST" {
             return Err(Reply::text(405, "queries are sent by POST").with("Allow", "POST"));
         }
@@ -139,7 +139,7 @@
     }
 }
 
-impl Front for Platform {
+impl Frontend for Platform {
     fn serve(&self, request: Request, out: Answer) -> Served {
         if request.path == HEALTH {
             out.send(self.health(&request.method));
@@ -148,9 +148,9 @@
         match self.ask(&request, out.asked_at()) {
             Ok(ask) => {
                 let ask = QueryRequest { client: out.client(), ..ask };
-                let hold_off = self.core.full_hold_off();
+                let hold_off = self.core.queue_full_retry_after();
                 let reply = Box::new(move |ended| out.send(answer(ended, hold_off)));
-                Served::Later(self.core.ask(ask, reply))
+                Served::Later(self.core.submit(ask, reply))
             }
             Err(reply) => {
                 Counters::add(&self.core.counters.bad_requests);
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -9,7 +9,7 @@
 use crate::engine::{QueryOutcome, RejectReason};
 use crate::frontend::http_server::Reply;
 use crate::limits::Limits;
-use crate::net::coordinator::Core;
+use crate::net::coordinator::CoreHandle;
 use crate::net::http;
 use crate::runtime::nanos;
 
@@ -53,7 +53,13 @@
 
 /// Until when a query asked at `asked_at` may take: the class's deadline, or less if its client or the limits say so, less
 /// the way of the answer.
-pub fn valid_until(core: &Core, limits: &Limits, class: ClassId, wait: Duration, asked_at: Nanos) -> Nanos {
+pub fn valid_until(
+    core: &CoreHandle,
+    limits: &Limits,
+    class: ClassId,
+    wait: Duration,
+    asked_at: Nanos,
+) -> Nanos {
     let deadline = core.info().settings.classes[class.0].deadline;
     let wait = deadline.min(nanos(wait)).saturating_sub(nanos(limits.answer_margin));
     asked_at.saturating_add(wait)
--- a/src/main.rs
+++ b/src/main.rs
@@ -119,7 +119,7 @@
     let state = |on| if on { "on" } else { "off" };
     println!(
         "the configuration can be used: {} classes, feature front {}, desk front {}, management agent {}",
-        config.info.classes.len(),
+        config.info.class_names.len(),
         state(edge.ogc.is_some()),
         state(edge.desk.is_some()),
         state(edge.snmp.is_some())
--- a/src/net/connection_pool.rs
+++ b/src/net/connection_pool.rs
@@ -13,7 +13,7 @@
 
 /// A connection, numbered for the life of its data node's actor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// What happens to the connections.
 #[derive(Debug, Clone, PartialEq)]
@@ -31,27 +31,27 @@
     /// A probe is to be sent.
     Probe,
     /// A connection is up.
-    Up(LinkId),
+    Up(ConnectionId),
     /// A connection did not come up.
-    DialFailed(LinkId),
+    DialFailed(ConnectionId),
     /// A connection was not even tried: this process holds as many as it may.
-    NoSocket(LinkId),
+    NoSocket(ConnectionId),
     /// The frame last given was written whole.
-    Written(LinkId),
+    Written(ConnectionId),
     /// These of the frame last given were left out of it: they never run.
-    LeftOut(LinkId, Vec<AttemptId>),
+    LeftOut(ConnectionId, Vec<AttemptId>),
     /// The frame last given was a probe, and it was not written.
-    ProbeLeftOut(LinkId),
+    ProbeLeftOut(ConnectionId),
     /// The frame last given could not be written whole; whether some of it was, and may have been read.
-    WriteFailed(LinkId, bool),
+    WriteFailed(ConnectionId, bool),
     /// A frame has come.
-    Frame(LinkId, Reply),
+    Frame(ConnectionId, Reply),
     /// Part of a frame has come.
-    Begun(LinkId),
+    Begun(ConnectionId),
     /// What has come cannot be read: the connection is of no more use, its data node may be.
-    Spoilt(LinkId),
+    Spoilt(ConnectionId),
     /// Nothing more will come.
-    ReadEnded(LinkId),
+    ReadEnded(ConnectionId),
     /// Time has passed.
     Tick,
 }
@@ -60,11 +60,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Open a connection: ends in `Up`, `DialFailed` or `NoSocket`.
-    Dial(LinkId),
+    Dial(ConnectionId),
     /// Write a frame: ends in `Written` or `WriteFailed`.
-    Write(LinkId, Frame),
+    Write(ConnectionId, Frame),
     /// Close a connection: it ends in `ReadEnded`.
-    Shut(LinkId),
+    Shut(ConnectionId),
     /// An attempt has ended.
     End(AttemptId, Outcome, Option<Value>),
     /// A probe has ended.
@@ -73,7 +73,7 @@
 
 /// Figures of the connections.
 #[derive(Debug, Clone, Copy)]
-pub struct LinkLimits {
+pub struct PoolLimits {
     /// Parts that one connection carries.
     pub multiplex: usize,
     /// A connection idle for this long is not used any more.
@@ -176,9 +176,9 @@
 
 /// The connections to one data node.
 #[derive(Debug)]
-pub struct Links {
-    limits: LinkLimits,
-    links: BTreeMap<LinkId, Link>,
+pub struct ConnectionPool {
+    limits: PoolLimits,
+    links: BTreeMap<ConnectionId, Link>,
     takes_new: bool,
     /// The address that new connections go to.
     address: u64,
@@ -189,9 +189,9 @@
     outputs: Vec<Output>,
 }
 
-impl Links {
+impl ConnectionPool {
     /// No connection yet; nothing is sent before [`Input::TakesNew`].
-    pub fn new(limits: LinkLimits) -> Self {
+    pub fn new(limits: PoolLimits) -> Self {
         Self {
             limits,
             links: BTreeMap::new(),
@@ -302,7 +302,8 @@
     /// Closes connections to an earlier address once they are at rest.
     fn close_outdated(&mut self) {
         let outdated = |l: &Link| l.state == State::Up && l.address != self.address && l.at_rest();
-        let over: Vec<LinkId> = self.links.iter().filter(|(_, l)| outdated(l)).map(|(&id, _)| id).collect();
+        let over: Vec<ConnectionId> =
+            self.links.iter().filter(|(_, l)| outdated(l)).map(|(&id, _)| id).collect();
         over.into_iter().for_each(|id| self.broken(id));
     }
 
@@ -319,7 +320,7 @@
 
     /// A connection with room for so many parts: an open one, one that is being opened, or a new one. None where that
     /// would have to be a new one, and there was no socket for one a moment ago.
-    fn choose(&mut self, parts: usize) -> Option<LinkId> {
+    fn choose(&mut self, parts: usize) -> Option<ConnectionId> {
         let (most, idle, now) = (self.limits.multiplex, self.limits.idle, self.now);
         let room = |l: &Link| l.address == self.address && l.parts() + parts <= most.max(parts);
         let silence = self.limits.silence;
@@ -334,7 +335,7 @@
         if self.now < self.no_socket_until {
             return None;
         }
-        let id = LinkId(self.next);
+        let id = ConnectionId(self.next);
         self.next += 1;
         let link = Link {
             state: State::Dialing,
@@ -356,7 +357,7 @@
         Some(id)
     }
 
-    fn put(&mut self, id: LinkId, item: Item) {
+    fn put(&mut self, id: ConnectionId, item: Item) {
         if let Some(link) = self.links.get_mut(&id) {
             link.waiting.push_back(item);
         }
@@ -373,7 +374,7 @@
     }
 
     /// Hands the next frame to a connection that has none to write.
-    fn pump(&mut self, id: LinkId) {
+    fn pump(&mut self, id: ConnectionId) {
         let Some(link) = self.links.get_mut(&id).filter(|l| l.state == State::Up) else { return };
         while link.writing.is_none() {
             let Some(item) = link.waiting.pop_front() else { return };
@@ -441,13 +442,13 @@
         }
     }
 
-    fn dial_failed(&mut self, id: LinkId) {
+    fn dial_failed(&mut self, id: ConnectionId) {
         let Some(link) = self.links.remove(&id) else { return };
         self.fail_waiting(link.waiting);
     }
 
     /// This process has no socket for a connection: for a moment, no other one is tried.
-    fn no_socket(&mut self, id: LinkId) {
+    fn no_socket(&mut self, id: ConnectionId) {
         let Some(link) = self.links.remove(&id) else { return };
         self.no_socket_until = self.now.saturating_add(self.limits.no_socket_pause);
         link.waiting.into_iter().for_each(|item| self.place_without_socket(item));
@@ -479,7 +480,7 @@
         }
     }
 
-    fn written(&mut self, id: LinkId) {
+    fn written(&mut self, id: ConnectionId) {
         let Some(link) = self.links.get_mut(&id) else { return };
         link.used = self.now;
         if let Some(Item::Call(call, _)) = link.writing.take() {
@@ -502,7 +503,7 @@
     }
 
     /// What is left out on a connection to an earlier address goes over one to the new address.
-    fn left_out(&mut self, id: LinkId, attempts: &[AttemptId]) {
+    fn left_out(&mut self, id: ConnectionId, attempts: &[AttemptId]) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let outdated = link.address != self.address;
         let Some(Item::Call(call, moved)) = &mut link.writing else { return };
@@ -518,7 +519,7 @@
     }
 
     /// The probe last handed out is the last of those that are waited for, unless its time is over.
-    fn probe_left_out(&mut self, id: LinkId) {
+    fn probe_left_out(&mut self, id: ConnectionId) {
         if self.links.get_mut(&id).and_then(|l| l.probes.pop_back()).is_some() {
             self.refuse(Item::Probe);
         }
@@ -526,7 +527,7 @@
 
     /// What was not begun goes over another connection. What was cut off in its frame is told as one that may have run,
     /// though it should not have: its first bytes may have been read, and a part that may not be repeated is lost then.
-    fn write_failed(&mut self, id: LinkId, begun: bool) {
+    fn write_failed(&mut self, id: ConnectionId, begun: bool) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let (lost, mut unsent) = (link.lost(), VecDeque::new());
         match link.writing.take() {
@@ -539,7 +540,7 @@
     }
 
     /// A connection is of no more use: all that was written may have run, what waits has not.
-    fn broken(&mut self, id: LinkId) {
+    fn broken(&mut self, id: ConnectionId) {
         let Some(link) = self.links.get_mut(&id) else { return };
         if link.state != State::Closing {
             link.state = State::Closing;
@@ -554,7 +555,7 @@
         self.forget(id);
     }
 
-    fn spoilt(&mut self, id: LinkId) {
+    fn spoilt(&mut self, id: ConnectionId) {
         if let Some(link) = self.links.get_mut(&id) {
             link.spoilt |= link.state == State::Up;
         }
@@ -573,14 +574,14 @@
         }
     }
 
-    fn forget(&mut self, id: LinkId) {
+    fn forget(&mut self, id: ConnectionId) {
         let over = |l: &Link| l.state == State::Closing && l.read_ended && l.writing.is_none();
         if self.links.get(&id).is_some_and(over) {
             self.links.remove(&id);
         }
     }
 
-    fn frame(&mut self, id: LinkId, reply: Reply) {
+    fn frame(&mut self, id: ConnectionId, reply: Reply) {
         let most = self.limits.past;
         let Some(link) = self.links.get_mut(&id).filter(|l| l.state == State::Up) else { return };
         link.used = self.now;
@@ -622,14 +623,14 @@
 
     /// A part written at `written` is answered: the data node is alive, so what is out on connections that
     /// have been silent since before then is lost. Of another of its addresses that says nothing.
-    fn overtake(&mut self, by: LinkId, written: Nanos) {
+    fn overtake(&mut self, by: ConnectionId, written: Nanos) {
         let (now, least) = (self.now, self.limits.silence);
         let address = self.links.get(&by).map(|l| l.address);
         let dead = |l: &Link| {
             let older = l.out.iter().any(|o| o.2 < written);
             l.state == State::Up && Some(l.address) == address && older && l.silent(now, least)
         };
-        let dead: Vec<LinkId> =
+        let dead: Vec<ConnectionId> =
             self.links.iter().filter(|(&id, l)| id != by && dead(l)).map(|(&id, _)| id).collect();
         dead.into_iter().for_each(|id| self.spoilt(id));
     }
@@ -649,7 +650,8 @@
     fn close_idle(&mut self, least: Nanos) {
         let now = self.now;
         let rested = |l: &Link| l.state == State::Up && l.at_rest() && now.saturating_sub(l.used) >= least;
-        let old: Vec<LinkId> = self.links.iter().filter(|(_, l)| rested(l)).map(|(&id, _)| id).collect();
+        let old: Vec<ConnectionId> =
+            self.links.iter().filter(|(_, l)| rested(l)).map(|(&id, _)| id).collect();
         old.into_iter().for_each(|id| self.broken(id));
     }
 }
--- a/src/net/connection_pool/tests.rs
+++ b/src/net/connection_pool/tests.rs
@@ -12,8 +12,8 @@
 const SILENCE: Nanos = 100;
 const NO_SOCKET_PAUSE: Nanos = 20;
 
-fn links() -> Links {
-    Links::new(LinkLimits {
+fn links() -> ConnectionPool {
+    ConnectionPool::new(PoolLimits {
         multiplex: MULTIPLEX,
         idle: IDLE,
         probe: PROBE,
@@ -45,8 +45,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum At {
     Waiting,
-    Handed(LinkId),
-    Written(LinkId),
+    Handed(ConnectionId),
+    Written(ConnectionId),
     Over,
 }
 
@@ -54,13 +54,13 @@
 #[derive(Default)]
 struct Model {
     attempts: Vec<(At, Nanos)>,
-    dialing: Vec<LinkId>,
-    up: Vec<LinkId>,
-    shut: Vec<LinkId>,
-    writing: Vec<(LinkId, Vec<u64>)>,
+    dialing: Vec<ConnectionId>,
+    up: Vec<ConnectionId>,
+    shut: Vec<ConnectionId>,
+    writing: Vec<(ConnectionId, Vec<u64>)>,
     /// Connections to the present address, and those of `writing` that have a probe.
-    current: Vec<LinkId>,
-    probing: Vec<LinkId>,
+    current: Vec<ConnectionId>,
+    probing: Vec<ConnectionId>,
     takes_new: bool,
     now: Nanos,
     no_socket_until: Nanos,
@@ -68,7 +68,7 @@
 }
 
 impl Model {
-    fn step(&mut self, links: &mut Links, input: Input) {
+    fn step(&mut self, links: &mut ConnectionPool, input: Input) {
         match &input {
             Input::Probe => self.probes += 1,
             Input::TakesNew(yes) => self.takes_new = *yes,
@@ -93,7 +93,7 @@
         assert!(most.max().unwrap_or(0) <= MULTIPLEX, "more parts than a connection carries");
     }
 
-    fn left_out(&mut self, id: LinkId, left: &[AttemptId]) {
+    fn left_out(&mut self, id: ConnectionId, left: &[AttemptId]) {
         for (_, parts) in self.writing.iter_mut().filter(|w| w.0 == id) {
             for part in parts.extract_if(.., |p| left.contains(&AttemptId(*p))) {
                 let attempt = &mut self.attempts[part as usize];
@@ -104,7 +104,7 @@
         }
     }
 
-    fn end_write(&mut self, id: LinkId, whole: bool) {
+    fn end_write(&mut self, id: ConnectionId, whole: bool) {
         self.probing.retain(|&p| p != id);
         let at = self.writing.iter().position(|w| w.0 == id).unwrap();
         for part in self.writing.remove(at).1 {
@@ -164,8 +164,8 @@
         }
     }
 
-    fn random(&mut self, links: &mut Links, kind: u8, pick: usize) {
-        let one = |all: &[LinkId]| all.get(pick % all.len().max(1)).copied();
+    fn random(&mut self, links: &mut ConnectionPool, kind: u8, pick: usize) {
+        let one = |all: &[ConnectionId]| all.get(pick % all.len().max(1)).copied();
         let open: Vec<u64> =
             (0..).zip(&self.attempts).filter(|(_, a)| a.0 != At::Over).map(|(n, _)| n).collect();
         match kind {
@@ -239,7 +239,12 @@
         }
     }
 
-    fn dialled(&mut self, links: &mut Links, id: Option<LinkId>, how: fn(LinkId) -> Input) {
+    fn dialled(
+        &mut self,
+        links: &mut ConnectionPool,
+        id: Option<ConnectionId>,
+        how: fn(ConnectionId) -> Input,
+    ) {
         let Some(id) = id else { return };
         self.dialing.retain(|&d| d != id);
         if how(id) == Input::Up(id) {
@@ -248,7 +253,7 @@
         self.step(links, how(id));
     }
 
-    fn written(&mut self, links: &mut Links, pick: usize) {
+    fn written(&mut self, links: &mut ConnectionPool, pick: usize) {
         let Some((id, parts)) = self.writing.get(pick % self.writing.len().max(1)) else { return };
         let (id, left) = (*id, parts.iter().take(1).map(|p| AttemptId(*p)).collect());
         if pick.is_multiple_of(5) {
@@ -263,7 +268,7 @@
     }
 
     /// Everything breaks: what is open must end now.
-    fn end(&mut self, links: &mut Links) {
+    fn end(&mut self, links: &mut ConnectionPool) {
         for _ in 0..1000 {
             if let Some(&id) = self.dialing.first() {
                 self.dialled(links, Some(id), Input::DialFailed);
@@ -310,30 +315,30 @@
     let mut links = links();
     links.step(0, Input::TakesNew(true));
     links.step(0, Input::Call(vec![part(0, WAIT)]));
-    links.step(0, Input::Up(LinkId(0)));
-    links.step(0, Input::Written(LinkId(0)));
-    links.step(1, Input::Frame(LinkId(0), answer(0)));
+    links.step(0, Input::Up(ConnectionId(0)));
+    links.step(0, Input::Written(ConnectionId(0)));
+    links.step(1, Input::Frame(ConnectionId(0), answer(0)));
     let early = links.step(IDLE, Input::Call(vec![part(1, 2 * IDLE)]));
-    assert!(matches!(early[..], [Output::Write(LinkId(0), _)]), "{early:?}");
-    links.step(IDLE, Input::Written(LinkId(0)));
-    links.step(IDLE, Input::Frame(LinkId(0), answer(1)));
+    assert!(matches!(early[..], [Output::Write(ConnectionId(0), _)]), "{early:?}");
+    links.step(IDLE, Input::Written(ConnectionId(0)));
+    links.step(IDLE, Input::Frame(ConnectionId(0), answer(1)));
     let late = links.step(2 * IDLE, Input::Call(vec![part(2, 3 * IDLE)]));
-    assert_eq!(late, [Output::Dial(LinkId(1))]);
-    assert_eq!(links.step(2 * IDLE, Input::Tick), [Output::Shut(LinkId(0))]);
+    assert_eq!(late, [Output::Dial(ConnectionId(1))]);
+    assert_eq!(links.step(2 * IDLE, Input::Tick), [Output::Shut(ConnectionId(0))]);
 }
 
 /// A connection with these parts written, the first answered.
-fn used(written: u64) -> Links {
+fn used(written: u64) -> ConnectionPool {
     let mut links = links();
     links.step(0, Input::TakesNew(true));
     links.step(0, Input::Call(vec![part(0, WAIT)]));
-    links.step(0, Input::Up(LinkId(0)));
-    links.step(0, Input::Written(LinkId(0)));
+    links.step(0, Input::Up(ConnectionId(0)));
+    links.step(0, Input::Written(ConnectionId(0)));
     for id in 1..written {
         links.step(0, Input::Call(vec![part(id, WAIT)]));
-        links.step(0, Input::Written(LinkId(0)));
+        links.step(0, Input::Written(ConnectionId(0)));
     }
-    let ended = links.step(1, Input::Frame(LinkId(0), answer(0)));
+    let ended = links.step(1, Input::Frame(ConnectionId(0), answer(0)));
     assert!(matches!(ended[..], [Output::End(AttemptId(0), Outcome::Success, _)]), "{ended:?}");
     links
 }
@@ -345,17 +350,17 @@
     let mut links = used(2);
     links.step(1, Input::Call(vec![part(2, WAIT)]));
     links.step(1, Input::Call(vec![part(3, WAIT)]));
-    let outputs = links.step(2, Input::Frame(LinkId(0), answer(99)));
+    let outputs = links.step(2, Input::Frame(ConnectionId(0), answer(99)));
     let expected = [
-        Output::Shut(LinkId(0)),
+        Output::Shut(ConnectionId(0)),
         Output::End(AttemptId(1), Outcome::MalformedResponse, None),
-        Output::Dial(LinkId(1)),
+        Output::Dial(ConnectionId(1)),
     ];
     assert_eq!(outputs, expected);
-    assert_eq!(links.step(3, Input::WriteFailed(LinkId(0), false)), []);
-    let moved = links.step(4, Input::Up(LinkId(1)));
-    assert!(matches!(moved[..], [Output::Write(LinkId(1), _)]), "{moved:?}");
-    assert_eq!(links.links[&LinkId(1)].parts(), 2);
+    assert_eq!(links.step(3, Input::WriteFailed(ConnectionId(0), false)), []);
+    let moved = links.step(4, Input::Up(ConnectionId(1)));
+    assert!(matches!(moved[..], [Output::Write(ConnectionId(1), _)]), "{moved:?}");
+    assert_eq!(links.links[&ConnectionId(1)].parts(), 2);
 }
 
 /// Guards against taking a kept connection that was reset unseen for a data node that cannot be reached,
@@ -364,11 +369,11 @@
 fn what_was_not_written_goes_over_one_more_connection() {
     let mut links = used(1);
     links.step(2, Input::Call(vec![part(1, WAIT)]));
-    let moved = [Output::Shut(LinkId(0)), Output::Dial(LinkId(1))];
-    assert_eq!(links.step(2, Input::WriteFailed(LinkId(0), false)), moved);
-    links.step(3, Input::Up(LinkId(1)));
-    let ended = [Output::Shut(LinkId(1)), Output::End(AttemptId(1), Outcome::ConnectFailed, None)];
-    assert_eq!(links.step(3, Input::WriteFailed(LinkId(1), false)), ended);
+    let moved = [Output::Shut(ConnectionId(0)), Output::Dial(ConnectionId(1))];
+    assert_eq!(links.step(2, Input::WriteFailed(ConnectionId(0), false)), moved);
+    links.step(3, Input::Up(ConnectionId(1)));
+    let ended = [Output::Shut(ConnectionId(1)), Output::End(AttemptId(1), Outcome::ConnectFailed, None)];
+    assert_eq!(links.step(3, Input::WriteFailed(ConnectionId(1), false)), ended);
 }
 
 /// Guards a part that may not be repeated: once its first byte may have been read it goes over no other connection, and
@@ -377,10 +382,10 @@
 fn what_was_begun_is_not_sent_again() {
     let mut links = used(1);
     links.step(2, Input::Call(vec![part(1, WAIT), part(2, WAIT)]));
-    let left = links.step(2, Input::LeftOut(LinkId(0), vec![AttemptId(2)]));
+    let left = links.step(2, Input::LeftOut(ConnectionId(0), vec![AttemptId(2)]));
     assert_eq!(left, [Output::End(AttemptId(2), Outcome::NotSent, None)]);
-    let ended = [Output::End(AttemptId(1), Outcome::ConnectionReset, None), Output::Shut(LinkId(0))];
-    assert_eq!(links.step(2, Input::WriteFailed(LinkId(0), true)), ended);
+    let ended = [Output::End(AttemptId(1), Outcome::ConnectionReset, None), Output::Shut(ConnectionId(0))];
+    assert_eq!(links.step(2, Input::WriteFailed(ConnectionId(0), true)), ended);
 }
 
 /// Guards against taking a late answer to a part that was given up for an unknown one.
@@ -388,10 +393,10 @@
 fn a_late_answer_is_dropped_and_its_connection_kept() {
     let mut links = used(3);
     links.step(1, Input::Drop(AttemptId(1)));
-    links.step(1, Input::Written(LinkId(0)));
-    assert_eq!(links.step(2, Input::Begun(LinkId(0))), []);
-    assert_eq!(links.step(2, Input::Frame(LinkId(0), answer(1))), []);
-    let ended = links.step(3, Input::Frame(LinkId(0), answer(2)));
+    links.step(1, Input::Written(ConnectionId(0)));
+    assert_eq!(links.step(2, Input::Begun(ConnectionId(0))), []);
+    assert_eq!(links.step(2, Input::Frame(ConnectionId(0), answer(1))), []);
+    let ended = links.step(3, Input::Frame(ConnectionId(0), answer(2)));
     assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Success, _)]), "{ended:?}");
 }
 
@@ -401,14 +406,14 @@
 fn a_silent_connection_gets_nothing_new() {
     let mut links = used(2);
     links.step(1, Input::Call(vec![part(2, WAIT)]));
-    links.step(1, Input::Written(LinkId(0)));
+    links.step(1, Input::Written(ConnectionId(0)));
     let dialled = links.step(1 + SILENCE, Input::Call(vec![part(3, WAIT)]));
-    assert_eq!(dialled, [Output::Dial(LinkId(1))]);
-    links.step(150, Input::Up(LinkId(1)));
-    links.step(150, Input::Written(LinkId(1)));
-    let ended = links.step(160, Input::Frame(LinkId(1), answer(3)));
+    assert_eq!(dialled, [Output::Dial(ConnectionId(1))]);
+    links.step(150, Input::Up(ConnectionId(1)));
+    links.step(150, Input::Written(ConnectionId(1)));
+    let ended = links.step(160, Input::Frame(ConnectionId(1), answer(3)));
     let lost = |id| Output::End(AttemptId(id), Outcome::MalformedResponse, None);
-    assert_eq!(ended[1..], [Output::Shut(LinkId(0)), lost(1), lost(2)], "{ended:?}");
+    assert_eq!(ended[1..], [Output::Shut(ConnectionId(0)), lost(1), lost(2)], "{ended:?}");
 }
 
 /// Guards against work for a query that has its answer: a data node that takes a new connection up late would read
@@ -419,12 +424,12 @@
     links.step(0, Input::TakesNew(true));
     links.step(0, Input::Call(vec![part(0, WAIT)]));
     links.step(0, Input::Call(vec![part(1, WAIT)]));
-    links.step(1, Input::Up(LinkId(0)));
-    links.step(1, Input::Written(LinkId(0)));
+    links.step(1, Input::Up(ConnectionId(0)));
+    links.step(1, Input::Written(ConnectionId(0)));
     // The other's frame is handed out, and no word yet that it is written.
     let kept = links.step(2, Input::Drop(AttemptId(0)));
     assert_eq!(kept, [], "another part is out");
-    assert!(links.step(3, Input::Drop(AttemptId(1))).contains(&Output::Shut(LinkId(0))));
+    assert!(links.step(3, Input::Drop(AttemptId(1))).contains(&Output::Shut(ConnectionId(0))));
 }
 
 /// Guards against holding the process's own lack of sockets against a data node: a hundred coordinators that did
@@ -432,13 +437,13 @@
 #[test]
 fn a_lack_of_sockets_is_no_fault_of_the_data_node() {
     let mut links = used(2);
-    assert_eq!(links.step(1 + SILENCE, Input::Call(vec![part(2, WAIT)])), [Output::Dial(LinkId(1))]);
-    let sent = links.step(1 + SILENCE, Input::NoSocket(LinkId(1)));
-    assert!(matches!(sent[..], [Output::Write(LinkId(0), _)]), "{sent:?}");
+    assert_eq!(links.step(1 + SILENCE, Input::Call(vec![part(2, WAIT)])), [Output::Dial(ConnectionId(1))]);
+    let sent = links.step(1 + SILENCE, Input::NoSocket(ConnectionId(1)));
+    assert!(matches!(sent[..], [Output::Write(ConnectionId(0), _)]), "{sent:?}");
     let mut links = self::links();
     links.step(0, Input::TakesNew(true));
     links.step(0, Input::Call(vec![part(0, WAIT)]));
-    let ended = links.step(0, Input::NoSocket(LinkId(0)));
+    let ended = links.step(0, Input::NoSocket(ConnectionId(0)));
     assert_eq!(ended, [Output::End(AttemptId(0), Outcome::NotSent, None)]);
     assert_eq!(links.count(), 0);
 }
@@ -449,8 +454,8 @@
 fn a_lack_of_sockets_is_found_once_in_a_moment() {
     let mut links = links();
     links.step(0, Input::TakesNew(true));
-    assert_eq!(links.step(0, Input::Call(vec![part(0, WAIT)])), [Output::Dial(LinkId(0))]);
-    links.step(0, Input::NoSocket(LinkId(0)));
+    assert_eq!(links.step(0, Input::Call(vec![part(0, WAIT)])), [Output::Dial(ConnectionId(0))]);
+    links.step(0, Input::NoSocket(ConnectionId(0)));
     for id in 1..100 {
         let ended = links.step(NO_SOCKET_PAUSE - 1, Input::Call(vec![part(id, WAIT)]));
         assert_eq!(ended, [Output::End(AttemptId(id), Outcome::NotSent, None)]);
@@ -458,7 +463,7 @@
     assert_eq!(links.step(NO_SOCKET_PAUSE - 1, Input::Probe), [Output::Probed(Outcome::ConnectFailed)]);
     assert_eq!(links.count(), 0);
     let tried = links.step(NO_SOCKET_PAUSE, Input::Call(vec![part(100, WAIT)]));
-    assert_eq!(tried, [Output::Dial(LinkId(1))]);
+    assert_eq!(tried, [Output::Dial(ConnectionId(1))]);
 }
 
 /// Guards the parts of that moment where a connection is open, though silent: they go over it, as long as it has room.
@@ -466,10 +471,10 @@
 fn in_a_lack_of_sockets_open_connections_are_filled() {
     let (mut links, now) = (used(2), 1 + SILENCE);
     links.step(now, Input::Call(vec![part(2, WAIT)]));
-    links.step(now, Input::NoSocket(LinkId(1)));
-    links.step(now, Input::Written(LinkId(0)));
+    links.step(now, Input::NoSocket(ConnectionId(1)));
+    links.step(now, Input::Written(ConnectionId(0)));
     let sent = links.step(now, Input::Call(vec![part(3, WAIT)]));
-    assert!(matches!(sent[..], [Output::Write(LinkId(0), _)]), "{sent:?}");
+    assert!(matches!(sent[..], [Output::Write(ConnectionId(0), _)]), "{sent:?}");
     let full = links.step(now, Input::Call(vec![part(4, WAIT)]));
     assert_eq!(full, [Output::End(AttemptId(4), Outcome::NotSent, None)]);
 }
@@ -480,25 +485,25 @@
     let mut links = used(2);
     links.step(1 + SILENCE, Input::Call(vec![part(2, WAIT)]));
     let outputs = links.step(1 + SILENCE, Input::Drop(AttemptId(1)));
-    assert!(outputs.contains(&Output::Shut(LinkId(0))), "{outputs:?}");
+    assert!(outputs.contains(&Output::Shut(ConnectionId(0))), "{outputs:?}");
     // A part given up early says nothing of its connection.
     let mut links = used(2);
     let outputs = links.step(SILENCE / 2, Input::Drop(AttemptId(1)));
-    assert!(matches!(outputs[..], [Output::Write(LinkId(0), _)]), "{outputs:?}");
+    assert!(matches!(outputs[..], [Output::Write(ConnectionId(0), _)]), "{outputs:?}");
 }
 
 /// Guards against going on with a connection that brings more than belongs to its answers.
 #[test]
 fn what_comes_unasked_at_rest_closes_the_connection() {
     for unasked in [
-        Input::Begun(LinkId(0)),
-        Input::Frame(LinkId(0), answer(0)),
-        Input::Frame(LinkId(0), Reply::Probed(Outcome::Success)),
+        Input::Begun(ConnectionId(0)),
+        Input::Frame(ConnectionId(0), answer(0)),
+        Input::Frame(ConnectionId(0), Reply::Probed(Outcome::Success)),
     ] {
-        assert_eq!(used(1).step(2, unasked), [Output::Shut(LinkId(0))]);
+        assert_eq!(used(1).step(2, unasked), [Output::Shut(ConnectionId(0))]);
     }
     // A second copy costs no other part.
-    assert_eq!(used(2).step(2, Input::Frame(LinkId(0), answer(0))), []);
+    assert_eq!(used(2).step(2, Input::Frame(ConnectionId(0), answer(0))), []);
 }
 
 /// Guards the drain rule for calls and probes that wait behind a dial or a write: they end at once, since neither may
@@ -512,19 +517,22 @@
     links.step(0, Input::Probe);
     let ended = links.step(0, Input::TakesNew(false));
     assert_eq!(ended, [stale(0), Output::Probed(Outcome::NotSent)]);
-    assert_eq!(links.step(0, Input::Up(LinkId(0))), []);
+    assert_eq!(links.step(0, Input::Up(ConnectionId(0))), []);
     assert_eq!(links.step(0, Input::Probe), [Output::Probed(Outcome::NotSent)]);
     // What is being written is not ended here: its first byte may be out.
     let mut links = used(1);
     links.step(2, Input::Call(vec![part(1, WAIT)]));
     links.step(2, Input::Call(vec![part(2, WAIT)]));
     assert_eq!(links.step(2, Input::TakesNew(false)), [stale(2)]);
-    assert_eq!(links.step(2, Input::LeftOut(LinkId(0), vec![AttemptId(1)])), [stale(1)]);
+    assert_eq!(links.step(2, Input::LeftOut(ConnectionId(0), vec![AttemptId(1)])), [stale(1)]);
     // And what was not begun on a connection that breaks is not given another.
     let mut links = used(1);
     links.step(2, Input::Call(vec![part(1, WAIT)]));
     links.step(2, Input::TakesNew(false));
-    assert_eq!(links.step(2, Input::WriteFailed(LinkId(0), false)), [Output::Shut(LinkId(0)), stale(1)]);
+    assert_eq!(
+        links.step(2, Input::WriteFailed(ConnectionId(0), false)),
+        [Output::Shut(ConnectionId(0)), stale(1)]
+    );
 }
 
 /// Guards a probe whose turn to be written came after nothing new was taken any more: it ends, and once.
@@ -532,13 +540,13 @@
 fn a_probe_that_is_left_out_ends_once() {
     let mut links = used(1);
     links.step(2, Input::Probe);
-    assert_eq!(links.step(2, Input::ProbeLeftOut(LinkId(0))), [Output::Probed(Outcome::NotSent)]);
-    assert_eq!(links.step(2, Input::Written(LinkId(0))), []);
+    assert_eq!(links.step(2, Input::ProbeLeftOut(ConnectionId(0))), [Output::Probed(Outcome::NotSent)]);
+    assert_eq!(links.step(2, Input::Written(ConnectionId(0))), []);
     assert_eq!(links.step(2 + PROBE, Input::Tick), []);
     let mut links = used(1);
     links.step(2, Input::Probe);
     assert_eq!(links.step(2 + PROBE, Input::Tick), [Output::Probed(Outcome::TimedOut)]);
-    assert_eq!(links.step(2 + PROBE, Input::ProbeLeftOut(LinkId(0))), []);
+    assert_eq!(links.step(2 + PROBE, Input::ProbeLeftOut(ConnectionId(0))), []);
 }
 
 /// Guards a data node that moves: what is out where it was may end there, all else goes over a new connection, and the
@@ -549,17 +557,20 @@
     links.step(2, Input::Call(vec![part(3, WAIT)]));
     assert_eq!(links.step(2, Input::AddressChanged), []);
     let dialled = links.step(2, Input::Call(vec![part(4, WAIT)]));
-    assert_eq!(dialled, [Output::Dial(LinkId(1))]);
+    assert_eq!(dialled, [Output::Dial(ConnectionId(1))]);
     // Its turn to be written came after the move.
-    assert_eq!(links.step(2, Input::LeftOut(LinkId(0), vec![AttemptId(3)])), []);
-    assert_eq!(links.step(2, Input::Written(LinkId(0))), []);
-    let sent = links.step(3, Input::Up(LinkId(1)));
-    assert!(matches!(sent[..], [Output::Write(LinkId(1), _)]), "{sent:?}");
-    links.step(3, Input::Written(LinkId(1)));
-    assert_eq!(links.links[&LinkId(1)].parts(), 2);
-    links.step(4, Input::Frame(LinkId(0), answer(1)));
-    let last = links.step(4, Input::Frame(LinkId(0), answer(2)));
-    assert!(matches!(last[..], [Output::End(AttemptId(2), Outcome::Success, _), Output::Shut(LinkId(0))]));
+    assert_eq!(links.step(2, Input::LeftOut(ConnectionId(0), vec![AttemptId(3)])), []);
+    assert_eq!(links.step(2, Input::Written(ConnectionId(0))), []);
+    let sent = links.step(3, Input::Up(ConnectionId(1)));
+    assert!(matches!(sent[..], [Output::Write(ConnectionId(1), _)]), "{sent:?}");
+    links.step(3, Input::Written(ConnectionId(1)));
+    assert_eq!(links.links[&ConnectionId(1)].parts(), 2);
+    links.step(4, Input::Frame(ConnectionId(0), answer(1)));
+    let last = links.step(4, Input::Frame(ConnectionId(0), answer(2)));
+    assert!(matches!(
+        last[..],
+        [Output::End(AttemptId(2), Outcome::Success, _), Output::Shut(ConnectionId(0))]
+    ));
 }
 
 /// Guards what waits for a connection to an address that its data node has left: it waits for one to the new address,
@@ -570,14 +581,14 @@
     links.step(0, Input::TakesNew(true));
     links.step(0, Input::Call(vec![part(0, WAIT)]));
     links.step(0, Input::Probe);
-    assert_eq!(links.step(1, Input::AddressChanged), [Output::Dial(LinkId(1))]);
-    assert_eq!(links.step(2, Input::Up(LinkId(0))), [Output::Shut(LinkId(0))]);
-    let sent = links.step(2, Input::Up(LinkId(1)));
-    assert!(matches!(sent[..], [Output::Write(LinkId(1), _)]), "{sent:?}");
+    assert_eq!(links.step(1, Input::AddressChanged), [Output::Dial(ConnectionId(1))]);
+    assert_eq!(links.step(2, Input::Up(ConnectionId(0))), [Output::Shut(ConnectionId(0))]);
+    let sent = links.step(2, Input::Up(ConnectionId(1)));
+    assert!(matches!(sent[..], [Output::Write(ConnectionId(1), _)]), "{sent:?}");
     let mut links = used(2);
     links.step(2, Input::AddressChanged);
     links.step(2, Input::Call(vec![part(2, WAIT)]));
-    let ended = links.step(2, Input::NoSocket(LinkId(1)));
+    let ended = links.step(2, Input::NoSocket(ConnectionId(1)));
     assert_eq!(ended, [Output::End(AttemptId(2), Outcome::NotSent, None)]);
 }
 
@@ -588,8 +599,8 @@
     links.step(2, Input::AddressChanged);
     let now = 2 + SILENCE;
     links.step(now, Input::Call(vec![part(2, now + WAIT)]));
-    links.step(now, Input::Up(LinkId(1)));
-    links.step(now, Input::Written(LinkId(1)));
-    let ended = links.step(now, Input::Frame(LinkId(1), answer(2)));
+    links.step(now, Input::Up(ConnectionId(1)));
+    links.step(now, Input::Written(ConnectionId(1)));
+    let ended = links.step(now, Input::Frame(ConnectionId(1), answer(2)));
     assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Success, _)]), "{ended:?}");
 }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -17,16 +17,18 @@
 };
 use crate::counters::Counters;
 use crate::engine::{AttemptEvent, Command, Engine, QueryOutcome, QueryRequest, RejectReason};
-use crate::net::endpoint_list_lease::ListLease;
-use crate::net::endpoints::ListNews;
-use crate::net::messages::{CoreMail, DiscoveryMsg, Gate, Msg, NodeMsg, Reply, REQUEST};
+use crate::net::endpoint_list_lease::EndpointListLease;
+use crate::net::endpoints::EndpointUpdate;
+use crate::net::messages::{
+    CoreMailbox, CoreMessage, DiscoveryMessage, DrainGate, NodeMessage, Reply, REQUEST,
+};
 use crate::runtime::{lock, spawn_vital, Alarm, Clock};
-use crate::settings::Info;
+use crate::settings::Deployment;
 
 /// What the fronts see of the core.
 #[derive(Clone)]
-pub struct Core {
-    mail: CoreMail,
+pub struct CoreHandle {
+    mail: CoreMailbox,
     next: Arc<AtomicU64>,
     backlog: Arc<AtomicUsize>,
     most: usize,
@@ -34,7 +36,7 @@
     /// By class: queries turned away over the limit, which the accounts take over.
     full: Arc<Mutex<Vec<u64>>>,
     /// What the settings say now.
-    info: Arc<Mutex<Arc<Info>>>,
+    info: Arc<Mutex<Arc<Deployment>>>,
     /// The figures of the last moment at which they were made.
     figures: Arc<Mutex<Arc<ProcessStats>>>,
     /// The clock of all deadlines.
@@ -43,21 +45,21 @@
     pub counters: Arc<Counters>,
 }
 
-impl Core {
+impl CoreHandle {
     /// Hands in a query. `reply` is called once, unless the query is told gone first.
-    pub fn ask(&self, ask: QueryRequest, reply: Reply) -> QueryId {
+    pub fn submit(&self, request: QueryRequest, reply: Reply) -> QueryId {
         let id = QueryId(self.next.fetch_add(1, Ordering::Relaxed));
         if self.backlog.fetch_add(1, Ordering::AcqRel) >= self.most {
             self.backlog.fetch_sub(1, Ordering::AcqRel);
-            self.turned_away(ask.class);
+            self.count_queue_full(request.class);
             reply(Err(RejectReason::QueueFull));
         } else {
-            self.mail.send(Msg::Ask(id, ask, reply));
+            self.mail.send(CoreMessage::Submit(id, request, reply));
         }
         id
     }
 
-    fn turned_away(&self, class: ClassId) {
+    fn count_queue_full(&self, class: ClassId) {
         Counters::add(&self.counters.queries_full);
         let mut full = lock(&self.full);
         if full.len() <= class.0 {
@@ -67,46 +69,46 @@
     }
 
     /// What the settings say now.
-    pub fn info(&self) -> Arc<Info> {
+    pub fn info(&self) -> Arc<Deployment> {
         lock(&self.info).clone()
     }
 
     /// Takes over what the settings say from now on; queries that are open keep the rules they came under.
-    pub fn reset(&self, info: Info) {
-        self.mail.send(Msg::Reset(Box::new(info)));
+    pub fn update_settings(&self, info: Deployment) {
+        self.mail.send(CoreMessage::UpdateSettings(Box::new(info)));
     }
 
     /// The process ends: all is answered by then, what is held included.
-    pub fn ending(&self, by: Nanos) {
-        self.mail.send(Msg::Ending(by));
+    pub fn shut_down_by(&self, by: Nanos) {
+        self.mail.send(CoreMessage::ShutDownBy(by));
     }
 
     /// The figures of a moment a short while ago, without waiting for the core.
-    pub fn figures(&self) -> Arc<ProcessStats> {
+    pub fn process_stats(&self) -> Arc<ProcessStats> {
         lock(&self.figures).clone()
     }
 
     /// All figures of one moment, handed over once the core comes to it.
-    pub fn accounts(&self, take: impl FnOnce(LedgerSnapshot) + Send + 'static) {
-        self.mail.send(Msg::Accounts(Box::new(take)));
+    pub fn ledger_snapshot(&self, take: impl FnOnce(LedgerSnapshot) + Send + 'static) {
+        self.mail.send(CoreMessage::SnapshotLedger(Box::new(take)));
     }
 
     /// The same for a thread that waits; none if the core does not come to it within this. Not called from a coroutine.
-    pub fn accounts_within(&self, within: Duration) -> Option<LedgerSnapshot> {
-        self.wait_for(within, Msg::Accounts)
+    pub fn ledger_snapshot_within(&self, within: Duration) -> Option<LedgerSnapshot> {
+        self.wait_for(within, CoreMessage::SnapshotLedger)
     }
 
     /// What of the accounts outlives the process; none if the core does not come to it in time. Not called from a
     /// coroutine.
-    pub fn saved(&self) -> Option<Saved> {
-        self.wait_for(SAVED, Msg::Save)
+    pub fn saved_ledger(&self) -> Option<Saved> {
+        self.wait_for(SAVED, CoreMessage::SaveLedger)
     }
 
     /// Asks the core for something, and waits.
     fn wait_for<T: Send + 'static>(
         &self,
         within: Duration,
-        message: impl FnOnce(Box<dyn FnOnce(T) + Send>) -> Msg,
+        message: impl FnOnce(Box<dyn FnOnce(T) + Send>) -> CoreMessage,
     ) -> Option<T> {
         let (told, given) = std::sync::mpsc::channel();
         // Nobody waits any more after the time-out.
@@ -115,8 +117,8 @@
     }
 
     /// The client of a query has left.
-    pub fn gone(&self, id: QueryId) {
-        self.mail.send(Msg::Gone(id));
+    pub fn client_disconnected(&self, id: QueryId) {
+        self.mail.send(CoreMessage::ClientDisconnected(id));
     }
 
     /// Whether queries can be served: some data node is in service.
@@ -125,7 +127,7 @@
     }
 
     /// How long a client turned away over the limit should stay away.
-    pub fn full_hold_off(&self) -> Nanos {
+    pub fn queue_full_retry_after(&self) -> Nanos {
         let settings = &self.info().settings;
         settings.max_retry_after.unwrap_or(0).min(settings.shortest_latency_objective() / 4)
     }
@@ -135,11 +137,11 @@
 const SAVED: Duration = Duration::from_secs(2);
 
 /// What the core's actor is made of.
-pub struct Parts {
+pub struct CoreConfig {
     /// The engine.
     pub engine: Engine,
     /// What the settings say.
-    pub info: Arc<Info>,
+    pub info: Arc<Deployment>,
     /// Figures are made anew this often at most; none are made where nobody fetches them.
     pub figures_every: Option<Nanos>,
     /// The clock.
@@ -151,7 +153,7 @@
     /// Stack of the actor.
     pub stack_words: usize,
     /// Until when the list may be used.
-    pub lease: ListLease,
+    pub lease: EndpointListLease,
     /// Bounds of the accounts' table of nodes.
     pub nodes: NodeBounds,
     /// What an earlier process had booked.
@@ -164,29 +166,29 @@
 pub type Started = Box<dyn Fn(&[ShardId]) + Send>;
 
 /// Starts the actor of a data node; new work is looked at against the gate right before it goes out.
-pub type StartNode = Box<dyn FnMut(ServerId, Gate) -> Sender<NodeMsg> + Send>;
+pub type StartNode = Box<dyn FnMut(ServerId, DrainGate) -> Sender<NodeMessage> + Send>;
 
 /// A data node's actor, as the core knows it.
 struct Node {
-    mail: Sender<NodeMsg>,
-    gate: Gate,
+    mail: Sender<NodeMessage>,
+    gate: DrainGate,
 }
 
 impl Node {
     /// Follows the list: where it is, and whether it may be sent anything new.
     fn follow(&self, phase: EndpointState, address: SocketAddr) {
         self.gate.move_to(address);
-        tell(&self.mail, NodeMsg::Address(address));
+        tell(&self.mail, NodeMessage::Address(address));
         match phase {
-            EndpointState::Active => drop(self.gate.set(true)),
+            EndpointState::Active => drop(self.gate.set_open(true)),
             EndpointState::Draining | EndpointState::Removed => self.shut(),
         }
     }
 
     /// Nothing new is sent from now on, and what waits ends at once.
     fn shut(&self) {
-        if self.gate.set(false) {
-            tell(&self.mail, NodeMsg::GateShut);
+        if self.gate.set_open(false) {
+            tell(&self.mail, NodeMessage::GateClosed);
         }
     }
 }
@@ -196,39 +198,40 @@
 /// # Errors
 /// There is no thread for its alarm.
 pub fn start(
-    parts: Parts,
-    mail: CoreMail,
-    inbox: Receiver<Msg>,
-    known: ListNews,
-    discovery: Sender<DiscoveryMsg>,
+    config: CoreConfig,
+    mail: CoreMailbox,
+    inbox: Receiver<CoreMessage>,
+    known: EndpointUpdate,
+    discovery: Sender<DiscoveryMessage>,
     start_node: StartNode,
-) -> std::io::Result<Core> {
+) -> std::io::Result<CoreHandle> {
     let rings = mail.clone();
-    let alarm = Alarm::start(parts.clock, move || rings.send(Msg::Rung))?;
-    let core = Core {
+    let alarm = Alarm::start(config.clock, move || rings.send(CoreMessage::TimerFired))?;
+    let core = CoreHandle {
         mail,
         next: Arc::default(),
         backlog: Arc::default(),
-        most: parts.backlog,
+        most: config.backlog,
         ready: Arc::default(),
         full: Arc::default(),
-        info: Arc::new(Mutex::new(parts.info.clone())),
+        info: Arc::new(Mutex::new(config.info.clone())),
         figures: Arc::default(),
-        clock: parts.clock,
-        counters: parts.counters.clone(),
+        clock: config.clock,
+        counters: config.counters.clone(),
     };
-    let must_ask_in = match parts.info.settings.discovery {
+    let must_ask_in = match config.info.settings.discovery {
         DiscoveryMode::Poll { poll_interval_max: must_ask_in } => must_ask_in,
         DiscoveryMode::Push => Nanos::MAX,
     };
-    let heard = parts.clock.now();
-    let mut account = RequestLedger::new(&parts.info.settings.classes, &parts.info.classes, parts.nodes);
-    if let Some(saved) = &parts.restored {
+    let heard = config.clock.now();
+    let mut account =
+        RequestLedger::new(&config.info.settings.classes, &config.info.class_names, config.nodes);
+    if let Some(saved) = &config.restored {
         account.restore(saved);
         core.counters.view(&account);
     }
     let mut actor = Actor {
-        engine: parts.engine,
+        engine: config.engine,
         account,
         core: core.clone(),
         discovery,
@@ -239,14 +242,14 @@
         must_ask_in,
         heard,
         list: ListStanding::Unconfirmed,
-        lease: parts.lease,
-        started: parts.started,
-        restored: parts.restored,
-        figures_every: parts.figures_every,
+        lease: config.lease,
+        started: config.started,
+        restored: config.restored,
+        figures_every: config.figures_every,
         figures_at: 0,
     };
-    spawn_vital("core", parts.stack_words, move || {
-        actor.take(Msg::List(known, None));
+    spawn_vital("core", config.stack_words, move || {
+        actor.take(CoreMessage::EndpointsUpdated(known, None));
         actor.run(&inbox);
     });
     Ok(core)
@@ -269,8 +272,8 @@
     engine: Engine,
     /// The one table of truth; the counters of queries and attempts are a view of it.
     account: RequestLedger,
-    core: Core,
-    discovery: Sender<DiscoveryMsg>,
+    core: CoreHandle,
+    discovery: Sender<DiscoveryMessage>,
     start_node: StartNode,
     alarm: Alarm,
     nodes: HashMap<ServerId, Node>,
@@ -279,7 +282,7 @@
     /// When the list was last heard of.
     heard: Nanos,
     list: ListStanding,
-    lease: ListLease,
+    lease: EndpointListLease,
     started: Option<Started>,
     restored: Option<Saved>,
     figures_every: Option<Nanos>,
@@ -288,7 +291,7 @@
 }
 
 impl Actor {
-    fn run(&mut self, inbox: &Receiver<Msg>) {
+    fn run(&mut self, inbox: &Receiver<CoreMessage>) {
         loop {
             self.act();
             let figures_at = self.publish();
@@ -328,18 +331,18 @@
         Some(self.figures_at)
     }
 
-    fn take(&mut self, message: Msg) {
+    fn take(&mut self, message: CoreMessage) {
         let now = self.core.clock.now();
         match message {
-            Msg::Ask(id, ask, reply) => {
+            CoreMessage::Submit(id, request, reply) => {
                 self.core.backlog.fetch_sub(1, Ordering::AcqRel);
-                let class = ask.class;
+                let class = request.class;
                 let name = if log::log_enabled!(target: REQUEST, log::Level::Debug) {
-                    ask.name.clone()
+                    request.name.clone()
                 } else {
                     String::new()
                 };
-                match self.engine.submit(now, id, ask) {
+                match self.engine.submit(now, id, request) {
                     Ok(()) => {
                         log::debug!(target: REQUEST, "{name} taken as query {}", id.0);
                         self.wait_for_list();
@@ -349,7 +352,7 @@
                     Err(why) => {
                         log::debug!(target: REQUEST, "{name} not taken: {why:?}");
                         match why {
-                            RejectReason::QueueFull => self.core.turned_away(class),
+                            RejectReason::QueueFull => self.core.count_queue_full(class),
                             // Refused as any other; it was late before it could be taken.
                             RejectReason::DeadlinePassed => {
                                 self.account.query_accepted(now, id, class);
@@ -361,44 +364,44 @@
                     }
                 }
             }
-            Msg::Gone(id) => {
+            CoreMessage::ClientDisconnected(id) => {
                 if self.replies.remove(&id).is_some() {
                     log::debug!(target: REQUEST, "query {} ends: its client has left", id.0);
                     self.account.query_ended(id, QueryEnd::ClientDisconnected);
                     self.engine.client_disconnected(id);
                 }
             }
-            Msg::List(news, on_the_way) => {
+            CoreMessage::EndpointsUpdated(news, on_the_way) => {
                 self.take_list(news);
                 drop(on_the_way);
             }
             // Seen before the next commands are carried out.
-            Msg::ListExpired => {}
-            Msg::Ended(id, outcome, value) => {
+            CoreMessage::EndpointListExpired => {}
+            CoreMessage::AttemptEnded(id, outcome, value) => {
                 log::debug!(target: REQUEST, "attempt {} ended: {outcome:?}", id.0);
                 let counted = self.engine.attempt_ended(now, id, outcome, value);
                 if counted != outcome {
                     Counters::add(&self.core.counters.values_unfit);
                 }
             }
-            Msg::Save(take) => {
+            CoreMessage::SaveLedger(take) => {
                 self.take_over_full();
                 take(self.account.save());
             }
-            Msg::Accounts(take) => {
+            CoreMessage::SnapshotLedger(take) => {
                 self.take_over_full();
                 let snapshot = self.account.snapshot(now);
                 debug_assert_eq!(snapshot.check(), Ok(()));
                 take(snapshot);
             }
-            Msg::Reset(info) => {
+            CoreMessage::UpdateSettings(info) => {
                 let info = self.engine.update_settings(*info);
-                self.account.add_classes(&info.settings.classes, &info.classes);
+                self.account.add_classes(&info.settings.classes, &info.class_names);
                 *lock(&self.core.info) = Arc::new(info.clone());
             }
-            Msg::Ending(by) => self.engine.shut_down_by(by),
-            Msg::Rung => self.alarm.rung(),
-            Msg::Probed(server, outcome) => self.engine.health_checked(now, server, outcome),
+            CoreMessage::ShutDownBy(by) => self.engine.shut_down_by(by),
+            CoreMessage::TimerFired => self.alarm.rung(),
+            CoreMessage::HealthChecked(server, outcome) => self.engine.health_checked(now, server, outcome),
         }
     }
 
@@ -408,7 +411,7 @@
             return;
         }
         self.list = ListStanding::Awaited;
-        if self.discovery.send(DiscoveryMsg::QueryWaiting).is_err() {
+        if self.discovery.send(DiscoveryMessage::QueryWaiting).is_err() {
             log::error!("the actor of discovery has ended");
         }
     }
@@ -420,7 +423,7 @@
         }
     }
 
-    fn take_list(&mut self, news: ListNews) {
+    fn take_list(&mut self, news: EndpointUpdate) {
         let now = self.core.clock.now();
         if now.saturating_sub(self.heard) > self.must_ask_in {
             log::warn!("the list was silent for longer than the settings allow");
@@ -433,14 +436,15 @@
             ListStanding::InForce
         };
         if news.kind.is_complete() {
-            let named = |id: &ServerId| news.members.iter().any(|m| m.0.name == self.engine.server_name(*id));
+            let named =
+                |id: &ServerId| news.endpoints.iter().any(|m| m.0.name == self.engine.server_name(*id));
             for (&id, node) in self.nodes.iter().filter(|(id, _)| !named(id)) {
                 node.shut();
                 self.account.node_state(now, id, "", EndpointState::Removed);
             }
         }
-        let members: Vec<_> = news.members.iter().map(|m| m.0.clone()).collect();
-        for (member, addr) in &news.members {
+        let members: Vec<_> = news.endpoints.iter().map(|m| m.0.clone()).collect();
+        for (member, addr) in &news.endpoints {
             if member.state == EndpointState::Removed {
                 // One that is not known needs no actor to be gone.
                 if let Some(id) = self.engine.server_id(&member.name) {
@@ -455,7 +459,7 @@
             self.account.node_state(now, id, &member.name, member.state);
             let (start, lease) = (&mut self.start_node, &self.lease);
             let node = self.nodes.entry(id).or_insert_with(|| {
-                let gate = Gate::under(lease.clone());
+                let gate = DrainGate::under(lease.clone());
                 Node { mail: start(id, gate.clone()), gate }
             });
             node.follow(member.state, *addr);
@@ -475,12 +479,12 @@
 
     /// Nothing is sent by a list whose lease has ended; what waits at the data nodes' actors ends at once.
     fn follow_lease(&mut self, now: Nanos) {
-        if self.list != ListStanding::InForce || self.lease.holds(now) {
+        if self.list != ListStanding::InForce || self.lease.is_valid(now) {
             return;
         }
         self.list = ListStanding::Expired;
         self.engine.endpoint_list_expired();
-        self.nodes.values().for_each(|node| tell(&node.mail, NodeMsg::GateShut));
+        self.nodes.values().for_each(|node| tell(&node.mail, NodeMessage::GateClosed));
     }
 
     fn act(&mut self) {
@@ -499,21 +503,23 @@
                     for d in &call {
                         log::debug!(target: REQUEST, "{} attempt {} to node {}", d.part.name, d.attempt.0, server.0);
                     }
-                    self.tell_node(server, NodeMsg::Call(call));
+                    self.tell_node(server, NodeMessage::Call(call));
                 }
                 Command::CancelAttempt { server, attempt } => {
                     log::debug!(target: REQUEST, "attempt {} given up at node {}", attempt.0, server.0);
                     given_up = true;
-                    self.tell_node(server, NodeMsg::Drop(attempt));
+                    self.tell_node(server, NodeMessage::CancelAttempt(attempt));
                 }
                 Command::ForgetServer { server } => {
                     self.account.node_removed(now, server);
                     if let Some(node) = self.nodes.remove(&server) {
-                        tell(&node.mail, NodeMsg::Retire);
+                        tell(&node.mail, NodeMessage::Remove);
                     }
                 }
-                Command::CheckHealth { server } => self.tell_node(server, NodeMsg::Probe),
-                Command::CloseIdleConnections { server } => self.tell_node(server, NodeMsg::CloseIdle),
+                Command::CheckHealth { server } => self.tell_node(server, NodeMessage::CheckHealth),
+                Command::CloseIdleConnections { server } => {
+                    self.tell_node(server, NodeMessage::CloseIdleConnections)
+                }
                 Command::FinishQuery { query, outcome } => {
                     match &outcome {
                         QueryOutcome::Answered { complete, coverage, .. } => {
@@ -540,7 +546,7 @@
         answers.into_iter().for_each(|(reply, outcome)| reply(Ok(outcome)));
     }
 
-    fn tell_node(&self, server: ServerId, message: NodeMsg) {
+    fn tell_node(&self, server: ServerId, message: NodeMessage) {
         if let Some(node) = self.nodes.get(&server) {
             tell(&node.mail, message);
         }
@@ -551,7 +557,7 @@
 /// woken: one worker runs them all. As many again, since a frame that is being written goes first.
 const HOPS: usize = 4;
 
-fn tell(mail: &Sender<NodeMsg>, message: NodeMsg) {
+fn tell(mail: &Sender<NodeMessage>, message: NodeMessage) {
     if mail.send(message).is_err() {
         log::error!("a data node's actor has ended");
     }
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -11,10 +11,10 @@
 
 use crate::limits::Limits;
 use crate::net::dial_error::is_own_lack;
-use crate::net::endpoints::{LineError, MembershipUpdate, Objects, WatchEvent};
+use crate::net::endpoints::{DiscoveryUpdate, LineError, Objects, WatchEvent};
 use crate::net::http::{self, Chunks};
-use crate::net::messages::{CallError, DiscoveryMsg};
-use crate::net::pending_updates::{Followed, Freshness};
+use crate::net::messages::{CallError, DiscoveryMessage};
+use crate::net::pending_updates::{PendingUpdates, WatchedConnection};
 use crate::runtime::Stream;
 
 const READ: usize = 4096;
@@ -30,9 +30,9 @@
     pub(super) id: CallId,
     pub(super) request: Request,
     pub(super) address: SocketAddr,
-    pub(super) actor: Sender<DiscoveryMsg>,
+    pub(super) actor: Sender<DiscoveryMessage>,
     pub(super) limits: Arc<Limits>,
-    pub(super) freshness: Freshness,
+    pub(super) freshness: PendingUpdates,
 }
 
 impl Call {
@@ -41,7 +41,7 @@
         self.talk().err().unwrap_or_else(watch_ended)
     }
 
-    fn tell(&self, message: DiscoveryMsg) {
+    fn tell(&self, message: DiscoveryMessage) {
         // The actor outlives its calls.
         let _ = self.actor.send(message);
     }
@@ -68,7 +68,7 @@
                 why: format!("no connection: {e}"),
             })?;
         let stream = Arc::new(stream);
-        self.tell(DiscoveryMsg::Up(self.id, stream.clone()));
+        self.tell(DiscoveryMessage::Up(self.id, stream.clone()));
         let followed = self.freshness.follow(stream.clone());
         Ok(Connection { stream, followed })
     }
@@ -77,10 +77,10 @@
     fn snapshot(&self, connection: &Connection) -> Result<(u64, bool), CallError> {
         let (head, held) = self.ask(connection, PATH)?;
         let (body, ended) = self.body(connection, &head, held)?;
-        let read = MembershipUpdate::read(&body).map_err(unreadable)?;
-        let update = MembershipUpdate { complete: true, ..read };
+        let read = DiscoveryUpdate::read(&body).map_err(unreadable)?;
+        let update = DiscoveryUpdate { complete: true, ..read };
         let version = update.version;
-        self.tell(DiscoveryMsg::Update(self.id, update, self.freshness.news()));
+        self.tell(DiscoveryMessage::Update(self.id, update, self.freshness.news()));
         Ok((version, !ended && head.keep_alive()))
     }
 
@@ -177,9 +177,11 @@
         while let Some(event) = objects.next(self.limits.discovery_object).map_err(unreadable)? {
             match event {
                 WatchEvent::Update(update) => {
-                    self.tell(DiscoveryMsg::Update(self.id, update, self.freshness.news()));
+                    self.tell(DiscoveryMessage::Update(self.id, update, self.freshness.news()));
+                }
+                WatchEvent::Heartbeat => {
+                    self.tell(DiscoveryMessage::Heartbeat(self.id, self.freshness.news()))
                 }
-                WatchEvent::Heartbeat => self.tell(DiscoveryMsg::Heartbeat(self.id, self.freshness.news())),
                 WatchEvent::Unreadable(error) => lost = lost.and(Err(unreadable(error))),
             }
         }
@@ -190,7 +192,7 @@
 /// A connection that is shut with its last use, and looked at for unread news up to then.
 struct Connection {
     stream: Arc<Stream>,
-    followed: Arc<Followed>,
+    followed: Arc<WatchedConnection>,
 }
 
 impl Connection {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -20,11 +20,11 @@
 use crate::api::{self, EndpointUpdateKind, Nanos};
 use crate::counters::Counters;
 use crate::limits::Limits;
-use crate::net::endpoint_list_lease::ListLease;
-use crate::net::endpoints::{ListNews, ListedMember, MembershipUpdate};
+use crate::net::endpoint_list_lease::EndpointListLease;
+use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate, ListedEndpoint};
 use crate::net::log_limit::LogLimit;
-use crate::net::messages::{CallError, CoreMail, DiscoveryMsg, Msg};
-use crate::net::pending_updates::{Freshness, OnTheWay};
+use crate::net::messages::{CallError, CoreMailbox, CoreMessage, DiscoveryMessage};
+use crate::net::pending_updates::{PendingUpdate, PendingUpdates};
 use crate::runtime::{nanos, spawn_told, spawn_vital, Alarm, Clock, Stream};
 
 use call::Call;
@@ -33,7 +33,7 @@
 /// What the actor of discovery needs of the process.
 pub struct DiscoveryContext {
     /// The core's mailbox.
-    pub core: CoreMail,
+    pub core: CoreMailbox,
     /// The process's limits.
     pub limits: Arc<Limits>,
     /// Counters.
@@ -41,9 +41,9 @@
     /// The clock.
     pub clock: Clock,
     /// How fresh the list is.
-    pub freshness: Freshness,
+    pub freshness: PendingUpdates,
     /// Until when it may be used.
-    pub lease: ListLease,
+    pub lease: EndpointListLease,
 }
 
 /// How one coordinator subscribes to discovery.
@@ -57,18 +57,21 @@
     /// For random numbers.
     pub seed: u64,
     /// The list as it was held before the start.
-    pub known: Option<MembershipUpdate>,
+    pub known: Option<DiscoveryUpdate>,
 }
 
 /// Starts the actor; returns its mailbox, and the list from before the start as the core takes it.
 ///
 /// # Errors
 /// There is no thread for its alarm.
-pub fn start(plan: DiscoveryPlan, context: DiscoveryContext) -> io::Result<(Sender<DiscoveryMsg>, ListNews)> {
+pub fn start(
+    plan: DiscoveryPlan,
+    context: DiscoveryContext,
+) -> io::Result<(Sender<DiscoveryMessage>, EndpointUpdate)> {
     let (mail, inbox) = channel();
     let rings = mail.clone();
     // The actor outlives its alarm.
-    let alarm = Alarm::start(context.clock, move || drop(rings.send(DiscoveryMsg::TimePassed)))?;
+    let alarm = Alarm::start(context.clock, move || drop(rings.send(DiscoveryMessage::TimePassed)))?;
     let limits = &context.limits;
     let spans = Spans { hedge: nanos(limits.discovery_hedge), silence: nanos(limits.discovery_silence) };
     let pacing = Pacing::new(plan.discovery, plan.coordinators, spans, plan.seed);
@@ -81,9 +84,11 @@
         plan.coordinators
     );
     let mut table = MembershipTable::default();
-    let known = plan.known.map(|known| ListNews::in_force(table.apply(known.into())));
-    let known =
-        ListNews { kind: EndpointUpdateKind::Unconfirmed, ..known.unwrap_or_else(ListNews::unchanged) };
+    let known = plan.known.map(|known| EndpointUpdate::in_force(table.apply(known.into())));
+    let known = EndpointUpdate {
+        kind: EndpointUpdateKind::Unconfirmed,
+        ..known.unwrap_or_else(EndpointUpdate::unchanged)
+    };
     let words = limits.stack_words;
     let actor = Actor {
         address: plan.address,
@@ -105,7 +110,7 @@
 const MILLI: Nanos = 1_000_000;
 
 /// How many data nodes an update names in each state, and the names of the first that are not in service.
-fn summary(update: &Update<ListedMember>) -> String {
+fn summary(update: &Update<ListedEndpoint>) -> String {
     const NAMED: usize = 8;
     let of =
         |state: State| update.lines.iter().filter(move |line| line.state == state).map(|l| l.uid.as_str());
@@ -123,7 +128,7 @@
 struct Actor {
     address: SocketAddr,
     subscription: Subscription,
-    table: MembershipTable<ListedMember>,
+    table: MembershipTable<ListedEndpoint>,
     /// Connections of the calls that are open.
     streams: HashMap<CallId, Arc<Stream>>,
     calls: CallLog,
@@ -134,51 +139,53 @@
     /// When the list's lease has ended, while it has not begun anew.
     expired_at: Option<Nanos>,
     alarm: Alarm,
-    own: Sender<DiscoveryMsg>,
+    own: Sender<DiscoveryMessage>,
     context: DiscoveryContext,
 }
 
 impl Actor {
-    fn run(mut self, inbox: &Receiver<DiscoveryMsg>) {
+    fn run(mut self, inbox: &Receiver<DiscoveryMessage>) {
         self.step(Event::TimePassed);
         while let Ok(message) = inbox.recv() {
             self.take(message);
         }
     }
 
-    fn take(&mut self, message: DiscoveryMsg) {
+    fn take(&mut self, message: DiscoveryMessage) {
         match message {
-            DiscoveryMsg::TimePassed => {
+            DiscoveryMessage::TimePassed => {
                 self.alarm.rung();
                 self.step(Event::TimePassed);
             }
-            DiscoveryMsg::QueryWaiting => self.step(Event::QueryWaiting),
-            DiscoveryMsg::ReloadBegins => self.step(Event::ReloadBegins),
-            DiscoveryMsg::ReloadSettled => self.step(Event::ReloadSettled),
-            DiscoveryMsg::Moved(address) => {
+            DiscoveryMessage::QueryWaiting => self.step(Event::QueryWaiting),
+            DiscoveryMessage::ReloadBegins => self.step(Event::ReloadBegins),
+            DiscoveryMessage::ReloadSettled => self.step(Event::ReloadSettled),
+            DiscoveryMessage::Moved(address) => {
                 log::info!("the list is asked for at {address} from now on");
                 self.address = address;
                 self.step(Event::ServiceMoved);
             }
-            DiscoveryMsg::Up(call, stream) if self.subscription.hears(call) => {
+            DiscoveryMessage::Up(call, stream) if self.subscription.hears(call) => {
                 self.streams.insert(call, stream);
             }
-            DiscoveryMsg::Up(_, stream) => stream.shut(),
-            DiscoveryMsg::Heartbeat(call, on_the_way) if self.subscription.hears(call) => {
+            DiscoveryMessage::Up(_, stream) => stream.shut(),
+            DiscoveryMessage::Heartbeat(call, on_the_way) if self.subscription.hears(call) => {
                 self.calls.heard(call, "nothing has changed", self.now());
                 self.step(Event::Heartbeat(call));
-                self.context.core.send(Msg::List(ListNews::unchanged(), Some(on_the_way)));
+                self.context
+                    .core
+                    .send(CoreMessage::EndpointsUpdated(EndpointUpdate::unchanged(), Some(on_the_way)));
             }
-            DiscoveryMsg::Update(call, update, on_the_way) if self.subscription.hears(call) => {
+            DiscoveryMessage::Update(call, update, on_the_way) if self.subscription.hears(call) => {
                 self.told(call, update, on_the_way);
             }
-            DiscoveryMsg::Ended(call, error) if self.subscription.hears(call) => self.ended(call, &error),
+            DiscoveryMessage::Ended(call, error) if self.subscription.hears(call) => self.ended(call, &error),
             // Of a call that was given up.
-            DiscoveryMsg::Heartbeat(..) | DiscoveryMsg::Update(..) | DiscoveryMsg::Ended(..) => {}
+            DiscoveryMessage::Heartbeat(..) | DiscoveryMessage::Update(..) | DiscoveryMessage::Ended(..) => {}
         }
     }
 
-    fn told(&mut self, call: CallId, update: MembershipUpdate, on_the_way: OnTheWay) {
+    fn told(&mut self, call: CallId, update: DiscoveryUpdate, on_the_way: PendingUpdate) {
         self.log_bad_lines(&update);
         let version = update.version;
         let in_force = self.table.apply(update.into());
@@ -189,7 +196,9 @@
         }
         // The lease first: the core looks at it when it takes the news.
         self.step(Event::Told(call, version));
-        self.context.core.send(Msg::List(ListNews::in_force(in_force), Some(on_the_way)));
+        self.context
+            .core
+            .send(CoreMessage::EndpointsUpdated(EndpointUpdate::in_force(in_force), Some(on_the_way)));
     }
 
     fn ended(&mut self, call: CallId, error: &CallError) {
@@ -209,7 +218,7 @@
         }
     }
 
-    fn log_bad_lines(&mut self, update: &MembershipUpdate) {
+    fn log_bad_lines(&mut self, update: &DiscoveryUpdate) {
         let now = self.now();
         let due = update
             .unreadable_lines()
@@ -224,7 +233,7 @@
     fn step(&mut self, event: Event) {
         let now = self.now();
         let commands = self.subscription.step(now, event);
-        self.context.lease.set(self.subscription.usable_until());
+        self.context.lease.set_end(self.subscription.usable_until());
         self.log_renewal(now);
         for command in commands {
             match command {
@@ -232,14 +241,16 @@
                 Command::Abandon(call, why) => self.abandon(call, why),
                 Command::UseUnconfirmedList => {
                     log::warn!("the list from before the start is used: discovery has not confirmed it");
-                    self.context.core.send(Msg::List(ListNews::unchanged(), None));
+                    self.context.core.send(CoreMessage::EndpointsUpdated(EndpointUpdate::unchanged(), None));
+                }
+                Command::ListRestored => {
+                    self.context.core.send(CoreMessage::EndpointsUpdated(EndpointUpdate::unchanged(), None))
                 }
-                Command::ListRestored => self.context.core.send(Msg::List(ListNews::unchanged(), None)),
                 Command::ListExpired => {
                     log::warn!("the list may not be used any more: its news is overdue");
                     Counters::add(&self.context.counters.list_expired);
                     self.expired_at = Some(now);
-                    self.context.core.send(Msg::ListExpired);
+                    self.context.core.send(CoreMessage::EndpointListExpired);
                 }
             }
         }
@@ -269,7 +280,7 @@
                 why: "its coroutine has failed, or could not be started".to_string(),
             };
             // The actor outlives its calls.
-            let _ = own.send(DiscoveryMsg::Ended(id, error.unwrap_or_else(failed)));
+            let _ = own.send(DiscoveryMessage::Ended(id, error.unwrap_or_else(failed)));
         };
         spawn_told("discovery call", self.context.limits.core_stack_words, move || call.run(), ended);
     }
--- a/src/net/endpoint_list_lease.rs
+++ b/src/net/endpoint_list_lease.rs
@@ -8,16 +8,16 @@
 
 /// The end of the list's lease; clones share it. At first it has not begun.
 #[derive(Debug, Clone, Default)]
-pub struct ListLease(Arc<AtomicU64>);
+pub struct EndpointListLease(Arc<AtomicU64>);
 
-impl ListLease {
+impl EndpointListLease {
     /// It ends then.
-    pub fn set(&self, until: Nanos) {
+    pub fn set_end(&self, until: Nanos) {
         self.0.store(until, Ordering::Release);
     }
 
     /// Whether the list may be used now.
-    pub fn holds(&self, now: Nanos) -> bool {
+    pub fn is_valid(&self, now: Nanos) -> bool {
         now < self.0.load(Ordering::Acquire)
     }
 }
--- a/src/net/endpoints.rs
+++ b/src/net/endpoints.rs
@@ -16,13 +16,13 @@
 mod objects;
 
 pub use fault::{LineError, LineFault};
-pub use line::{MemberEntry, MemberLine};
+pub use line::{EndpointEntry, EndpointLine};
 pub use objects::{Objects, WatchEvent};
 
 /// A snapshot of the membership or a delta to it, as discovery writes it. A line that cannot be read costs that line
 /// only.
 #[derive(Debug, Clone, Deserialize)]
-pub struct MembershipUpdate {
+pub struct DiscoveryUpdate {
     /// Its version.
     #[serde(rename = "rev", deserialize_with = "version")]
     pub version: u64,
@@ -31,7 +31,7 @@
     pub complete: bool,
     /// Its lines, in their order.
     #[serde(rename = "targets", default, deserialize_with = "lines")]
-    pub lines: Vec<MemberLine>,
+    pub lines: Vec<EndpointLine>,
 }
 
 fn version<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
@@ -43,12 +43,12 @@
     Ok(Option::deserialize(deserializer)?.unwrap_or(false))
 }
 
-fn lines<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<MemberLine>, D::Error> {
+fn lines<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<EndpointLine>, D::Error> {
     let lines: Vec<Box<RawValue>> = Option::deserialize(deserializer)?.unwrap_or_default();
-    Ok(lines.iter().map(|line| MemberLine::read(line.get())).collect())
+    Ok(lines.iter().map(|line| EndpointLine::read(line.get())).collect())
 }
 
-impl MembershipUpdate {
+impl DiscoveryUpdate {
     /// Reads an object. Bytes that are no text cost the line in whose name they stand.
     ///
     /// # Errors
@@ -63,17 +63,17 @@
 
     /// Why lines of it cannot be used as a whole, in the order of the lines: none for an update that can.
     pub fn unreadable_lines(&self) -> impl Iterator<Item = &LineError> {
-        self.lines.iter().filter_map(MemberLine::error)
+        self.lines.iter().filter_map(EndpointLine::error)
     }
 }
 
 /// A data node as the core knows it, and its address.
-pub type ListedMember = (Endpoint, SocketAddr);
+pub type ListedEndpoint = (Endpoint, SocketAddr);
 
-impl From<MembershipUpdate> for Update<ListedMember> {
+impl From<DiscoveryUpdate> for Update<ListedEndpoint> {
     /// For the table of what is in force. Each data node is named once: of lines of the same one the last counts, see
     /// [`Merged`].
-    fn from(update: MembershipUpdate) -> Self {
+    fn from(update: DiscoveryUpdate) -> Self {
         let mut merged = Merged::default();
         update.lines.into_iter().for_each(|line| merged.add(line));
         let lines = merged.lines.into_iter().filter_map(table_line).collect();
@@ -82,16 +82,16 @@
 }
 
 /// A line for the table; none where it is not known which data node it is of.
-fn table_line(line: MemberLine) -> Option<Line<ListedMember>> {
+fn table_line(line: EndpointLine) -> Option<Line<ListedEndpoint>> {
     match line {
-        MemberLine::Whole(entry) => {
+        EndpointLine::Whole(entry) => {
             let (uid, state, boot) = (entry.uid.clone(), entry.state, entry.boot_ms);
             Some(Line { uid, state, boot: Some(boot), member: Some(member(entry)) })
         }
-        MemberLine::Partial { uid, state, boot_ms, .. } => {
+        EndpointLine::Partial { uid, state, boot_ms, .. } => {
             Some(Line { uid, state, boot: boot_ms, member: None })
         }
-        MemberLine::Unreadable(_) => None,
+        EndpointLine::Unreadable(_) => None,
     }
 }
 
@@ -103,17 +103,17 @@
 /// rests until the next snapshot or change, which breaks no rule.
 #[derive(Default)]
 struct Merged {
-    lines: Vec<MemberLine>,
+    lines: Vec<EndpointLine>,
     /// Where in `lines` a data node stands.
     places: HashMap<String, usize>,
 }
 
 impl Merged {
-    fn add(&mut self, line: MemberLine) {
+    fn add(&mut self, line: EndpointLine) {
         let uid = match &line {
-            MemberLine::Whole(entry) => &entry.uid,
-            MemberLine::Partial { uid, .. } => uid,
-            MemberLine::Unreadable(_) => return,
+            EndpointLine::Whole(entry) => &entry.uid,
+            EndpointLine::Partial { uid, .. } => uid,
+            EndpointLine::Unreadable(_) => return,
         };
         match self.places.get(uid) {
             Some(&place) => {
@@ -129,67 +129,67 @@
 }
 
 /// What two lines of the same data node say together.
-fn later(earlier: &MemberLine, line: MemberLine) -> MemberLine {
+fn later(earlier: &EndpointLine, line: EndpointLine) -> EndpointLine {
     match (earlier, line) {
         // It cannot open a gate, and says nothing else.
-        (_, MemberLine::Partial { state: State::Up, .. }) => earlier.clone(),
-        (MemberLine::Whole(before), MemberLine::Partial { state, .. }) => {
-            MemberLine::Whole(MemberEntry { state, ..before.clone() })
+        (_, EndpointLine::Partial { state: State::Up, .. }) => earlier.clone(),
+        (EndpointLine::Whole(before), EndpointLine::Partial { state, .. }) => {
+            EndpointLine::Whole(EndpointEntry { state, ..before.clone() })
         }
-        (_, MemberLine::Whole(entry)) if entry.state == State::Up && !reopens(earlier, &entry) => {
-            MemberLine::Whole(MemberEntry { state: state_of(earlier), ..entry })
+        (_, EndpointLine::Whole(entry)) if entry.state == State::Up && !reopens(earlier, &entry) => {
+            EndpointLine::Whole(EndpointEntry { state: state_of(earlier), ..entry })
         }
         (_, line) => line,
     }
 }
 
 /// Whether a line of a data node that is up may follow an earlier one of the same object.
-fn reopens(earlier: &MemberLine, entry: &MemberEntry) -> bool {
+fn reopens(earlier: &EndpointLine, entry: &EndpointEntry) -> bool {
     let started = match earlier {
-        MemberLine::Whole(before) => Some(before.boot_ms),
-        MemberLine::Partial { boot_ms, .. } => *boot_ms,
-        MemberLine::Unreadable(_) => None,
+        EndpointLine::Whole(before) => Some(before.boot_ms),
+        EndpointLine::Partial { boot_ms, .. } => *boot_ms,
+        EndpointLine::Unreadable(_) => None,
     };
     state_of(earlier) == State::Up || started.is_some_and(|started| entry.boot_ms > started)
 }
 
-fn state_of(line: &MemberLine) -> State {
+fn state_of(line: &EndpointLine) -> State {
     match line {
-        MemberLine::Whole(entry) => entry.state,
-        MemberLine::Partial { state, .. } => *state,
-        MemberLine::Unreadable(_) => State::Draining,
+        EndpointLine::Whole(entry) => entry.state,
+        EndpointLine::Partial { state, .. } => *state,
+        EndpointLine::Unreadable(_) => State::Draining,
     }
 }
 
 /// An update ready for the core.
 #[derive(Debug, Clone)]
-pub struct ListNews {
+pub struct EndpointUpdate {
     /// Full, a change, or the news that there is none.
     pub kind: EndpointUpdateKind,
     /// Its lines, with the address of each.
-    pub members: Vec<ListedMember>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
-impl ListNews {
+impl EndpointUpdate {
     /// The news that nothing has changed: the list that is held is in force.
     pub fn unchanged() -> Self {
-        Self { kind: EndpointUpdateKind::Delta, members: Vec::new() }
+        Self { kind: EndpointUpdateKind::Delta, endpoints: Vec::new() }
     }
 
     /// What the core is to take over.
-    pub fn in_force(update: Update<ListedMember>) -> Self {
+    pub fn in_force(update: Update<ListedEndpoint>) -> Self {
         let kind = if update.complete { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
-        let listed = |line: Line<ListedMember>| {
+        let listed = |line: Line<ListedEndpoint>| {
             let (member, address) = line.member?;
             Some((Endpoint { state: phase(line.state), ..member }, address))
         };
-        Self { kind, members: update.lines.into_iter().filter_map(listed).collect() }
+        Self { kind, endpoints: update.lines.into_iter().filter_map(listed).collect() }
     }
 }
 
 const MILLI: u64 = 1_000_000;
 
-fn member(entry: MemberEntry) -> ListedMember {
+fn member(entry: EndpointEntry) -> ListedEndpoint {
     let member = Endpoint {
         name: entry.uid,
         partition_group: entry.cell,
--- a/src/net/endpoints/line.rs
+++ b/src/net/endpoints/line.rs
@@ -22,7 +22,7 @@
 
 /// A line of which all that is needed can be read.
 #[derive(Debug, Clone, PartialEq)]
-pub struct MemberEntry {
+pub struct EndpointEntry {
     /// The data node's name.
     pub uid: String,
     /// Its address.
@@ -41,9 +41,9 @@
 
 /// A line, as far as it can be read.
 #[derive(Debug, Clone, PartialEq)]
-pub enum MemberLine {
+pub enum EndpointLine {
     /// All that is needed.
-    Whole(MemberEntry),
+    Whole(EndpointEntry),
     /// Name and state only: enough to shut the data node's gate, and too little to open it.
     Partial {
         /// The data node's name.
@@ -59,7 +59,7 @@
     Unreadable(LineError),
 }
 
-impl MemberLine {
+impl EndpointLine {
     /// Reads a line's text.
     pub fn read(text: &str) -> Self {
         let Ok(fields) = serde_json::from_str::<Fields>(text) else {
@@ -93,12 +93,12 @@
         uid.filter(named).ok_or_else(|| self.error(LineFault::Uid, "uid"))
     }
 
-    fn line(&self, uid: String) -> MemberLine {
+    fn line(&self, uid: String) -> EndpointLine {
         let (state, boot_ms) = (self.state(), self.boot_ms());
         let (state_read, boot_read) = (state.as_ref().ok().copied(), boot_ms.as_ref().ok().copied());
         match self.entry(&uid, state, boot_ms) {
-            Ok(entry) => MemberLine::Whole(entry),
-            Err(reason) => MemberLine::Partial {
+            Ok(entry) => EndpointLine::Whole(entry),
+            Err(reason) => EndpointLine::Partial {
                 state: state_read.unwrap_or(State::Draining),
                 boot_ms: boot_read,
                 reason: reason.at(&uid),
@@ -112,8 +112,8 @@
         uid: &str,
         state: Result<State, LineError>,
         boot_ms: Result<u64, LineError>,
-    ) -> Result<MemberEntry, LineError> {
-        Ok(MemberEntry {
+    ) -> Result<EndpointEntry, LineError> {
+        Ok(EndpointEntry {
             uid: uid.to_string(),
             state: state?,
             endpoint: self.required(LineFault::Endpoint, "endpoint", address)?,
--- a/src/net/endpoints/objects.rs
+++ b/src/net/endpoints/objects.rs
@@ -1,13 +1,13 @@
 //! The stream of a watch, taken apart into objects and empty lines as its bytes come (pure).
 
 use super::fault::{LineError, LineFault};
-use super::MembershipUpdate;
+use super::DiscoveryUpdate;
 
 /// What a watch says next.
 #[derive(Debug, Clone)]
 pub enum WatchEvent {
     /// A change to the membership, or all of it.
-    Update(MembershipUpdate),
+    Update(DiscoveryUpdate),
     /// An empty line: nothing has changed.
     Heartbeat,
     /// What came cannot be read, and news may be lost with it; what follows on later lines can be.
@@ -126,7 +126,7 @@
     }
 
     fn object(&mut self) -> WatchEvent {
-        let read = MembershipUpdate::read(&self.held[..self.scanned]);
+        let read = DiscoveryUpdate::read(&self.held[..self.scanned]);
         self.forget();
         self.tail = true;
         read.map_or_else(WatchEvent::Unreadable, WatchEvent::Update)
--- a/src/net/endpoints/tests.rs
+++ b/src/net/endpoints/tests.rs
@@ -58,8 +58,8 @@
     format!("{{{}}}", fields.join(","))
 }
 
-fn entry() -> MemberEntry {
-    MemberEntry {
+fn entry() -> EndpointEntry {
+    EndpointEntry {
         uid: "s-1".to_string(),
         endpoint: "127.0.0.1:9000".parse().unwrap(),
         zone: Some("a".to_string()),
@@ -70,20 +70,20 @@
     }
 }
 
-fn update(lines: &[&str]) -> MembershipUpdate {
+fn update(lines: &[&str]) -> DiscoveryUpdate {
     let text = format!(r#"{{"rev":41,"all":false,"targets":[{}]}}"#, lines.join(","));
-    MembershipUpdate::read(text.as_bytes()).unwrap()
+    DiscoveryUpdate::read(text.as_bytes()).unwrap()
 }
 
 type Named<'a> = Vec<(&'a str, EndpointState)>;
 
 /// An update's lines for the table of what is in force.
-fn table(update: MembershipUpdate) -> Update<ListedMember> {
+fn table(update: DiscoveryUpdate) -> Update<ListedEndpoint> {
     update.into()
 }
 
 /// Name and phase of the lines for the table, and the same of those that are known in part.
-fn phases(update: &Update<ListedMember>) -> (Named<'_>, Named<'_>) {
+fn phases(update: &Update<ListedEndpoint>) -> (Named<'_>, Named<'_>) {
     let of = |whole: bool| {
         let lines = update.lines.iter().filter(move |line| line.member.is_some() == whole);
         lines.map(|line| (line.uid.as_str(), phase(line.state))).collect()
@@ -97,37 +97,37 @@
 #[test]
 fn a_line_is_whole_without_optional_fields_and_with_numbers_in_any_form() {
     let same = entry();
-    let whole: &[(&[(&str, &str)], MemberEntry)] = &[
+    let whole: &[(&[(&str, &str)], EndpointEntry)] = &[
         (&[], same.clone()),
-        (&[("az", "null")], MemberEntry { zone: None, ..same.clone() }),
-        (&[("az", "")], MemberEntry { zone: None, ..same.clone() }),
-        (&[("az", "5")], MemberEntry { zone: None, ..same.clone() }),
+        (&[("az", "null")], EndpointEntry { zone: None, ..same.clone() }),
+        (&[("az", "")], EndpointEntry { zone: None, ..same.clone() }),
+        (&[("az", "5")], EndpointEntry { zone: None, ..same.clone() }),
         (&[("model", "null")], same.clone()),
         (&[("model", "")], same.clone()),
-        (&[("boot_ms", "null")], MemberEntry { boot_ms: 0, ..same.clone() }),
-        (&[("boot_ms", "")], MemberEntry { boot_ms: 0, ..same.clone() }),
+        (&[("boot_ms", "null")], EndpointEntry { boot_ms: 0, ..same.clone() }),
+        (&[("boot_ms", "")], EndpointEntry { boot_ms: 0, ..same.clone() }),
         (&[("boot_ms", "7.0")], same.clone()),
         (&[("boot_ms", "7e0")], same.clone()),
         (&[("pod_group", "3.0")], same.clone()),
         (&[("capacity_hint", "2e0")], same.clone()),
         (&[("capacity_hint", "2")], same.clone()),
-        (&[("capacity_hint", "0")], MemberEntry { capacity: 0.0, ..same.clone() }),
-        (&[("capacity_hint", "")], MemberEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", "null")], MemberEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", "-1")], MemberEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", "1e999")], MemberEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", r#""2""#)], MemberEntry { capacity: 1.0, ..same.clone() }),
+        (&[("capacity_hint", "0")], EndpointEntry { capacity: 0.0, ..same.clone() }),
+        (&[("capacity_hint", "")], EndpointEntry { capacity: 1.0, ..same.clone() }),
+        (&[("capacity_hint", "null")], EndpointEntry { capacity: 1.0, ..same.clone() }),
+        (&[("capacity_hint", "-1")], EndpointEntry { capacity: 1.0, ..same.clone() }),
+        (&[("capacity_hint", "1e999")], EndpointEntry { capacity: 1.0, ..same.clone() }),
+        (&[("capacity_hint", r#""2""#)], EndpointEntry { capacity: 1.0, ..same.clone() }),
         (&[("extra", r#"{"a":[1,"\ud800",1e999]}"#)], same.clone()),
         (
             &[("endpoint", r#""[::1]:9""#)],
-            MemberEntry { endpoint: "[::1]:9".parse().unwrap(), ..same.clone() },
+            EndpointEntry { endpoint: "[::1]:9".parse().unwrap(), ..same.clone() },
         ),
-        (&[("state", r#""removed""#)], MemberEntry { state: MemberState::Removed, ..same.clone() }),
-        (&[("state", r#""resting""#)], MemberEntry { state: MemberState::Draining, ..same.clone() }),
+        (&[("state", r#""removed""#)], EndpointEntry { state: MemberState::Removed, ..same.clone() }),
+        (&[("state", r#""resting""#)], EndpointEntry { state: MemberState::Draining, ..same.clone() }),
     ];
     for (changes, expected) in whole {
         let text = line_with(changes);
-        assert_eq!(MemberLine::read(&text), MemberLine::Whole(expected.clone()), "{text}");
+        assert_eq!(EndpointLine::read(&text), EndpointLine::Whole(expected.clone()), "{text}");
     }
 }
 
@@ -156,8 +156,8 @@
             [("up", MemberState::Up), ("draining", MemberState::Draining), ("removed", MemberState::Removed)]
         {
             let text = line_with(&[("state", &format!("{word:?}")), (key, value)]);
-            match MemberLine::read(&text) {
-                MemberLine::Partial { uid, state, boot_ms, reason } => {
+            match EndpointLine::read(&text) {
+                EndpointLine::Partial { uid, state, boot_ms, reason } => {
                     assert_eq!((uid.as_str(), state, reason.fault()), ("s-1", said, fault), "{text}");
                     assert_eq!(boot_ms, (fault != Started).then_some(7), "{text}");
                 }
@@ -167,8 +167,8 @@
     }
     for value in ["null", "", "5", "[]", r#""\ud800""#] {
         let text = line_with(&[("state", value)]);
-        match MemberLine::read(&text) {
-            MemberLine::Partial { uid, state, reason, .. } => {
+        match EndpointLine::read(&text) {
+            EndpointLine::Partial { uid, state, reason, .. } => {
                 let expected = ("s-1", MemberState::Draining, State);
                 assert_eq!((uid.as_str(), state, reason.fault()), expected, "{text}");
             }
@@ -184,7 +184,7 @@
     let lines = names.map(|name| line_with(&[("uid", name)]));
     let no_lines = ["null", "5", "[]", r#""s-1""#].map(str::to_string);
     for text in lines.iter().chain(&no_lines) {
-        assert!(matches!(MemberLine::read(text), MemberLine::Unreadable(_)), "{text}");
+        assert!(matches!(EndpointLine::read(text), EndpointLine::Unreadable(_)), "{text}");
     }
 }
 
@@ -192,14 +192,14 @@
 #[test]
 fn a_field_that_is_given_twice_counts_as_unreadable() {
     let twice = |field: &str| line_with(&[]).replacen('{', &format!("{{{field},"), 1);
-    let line = |field: &str| MemberLine::read(&twice(field));
-    assert!(matches!(line(r#""uid":"s-2""#), MemberLine::Unreadable(_)));
+    let line = |field: &str| EndpointLine::read(&twice(field));
+    assert!(matches!(line(r#""uid":"s-2""#), EndpointLine::Unreadable(_)));
     assert!(matches!(
         line(r#""state":"draining""#),
-        MemberLine::Partial { state: MemberState::Draining, .. }
+        EndpointLine::Partial { state: MemberState::Draining, .. }
     ));
-    assert!(matches!(line(r#""endpoint":"127.0.0.1:1""#), MemberLine::Partial { .. }));
-    assert_eq!(line(r#""az":"b""#), MemberLine::Whole(MemberEntry { zone: None, ..entry() }));
+    assert!(matches!(line(r#""endpoint":"127.0.0.1:1""#), EndpointLine::Partial { .. }));
+    assert_eq!(line(r#""az":"b""#), EndpointLine::Whole(EndpointEntry { zone: None, ..entry() }));
 }
 
 /// Guards against what a peer wrote being logged without a bound or as it is.
@@ -209,18 +209,19 @@
     for (key, value) in [("endpoint", long.as_str()), ("uid", &long), ("state", &long), ("uid", "null")] {
         for second in ["null", &long] {
             let text = line_with(&[("pod_group", second), (key, value)]);
-            if let Some(error) = MemberLine::read(&text).error() {
+            if let Some(error) = EndpointLine::read(&text).error() {
                 let said = error.to_string();
                 assert!(said.len() < 200, "{} bytes", said.len());
                 assert!(said.chars().all(|c| c.is_ascii() && !c.is_ascii_control()), "{said}");
             }
         }
     }
-    let said = |changes: &[(&str, &str)]| MemberLine::read(&line_with(changes)).error().unwrap().to_string();
+    let said =
+        |changes: &[(&str, &str)]| EndpointLine::read(&line_with(changes)).error().unwrap().to_string();
     assert_eq!(said(&[("endpoint", "null")]), "data node 's-1': endpoint is no address: null");
     assert_eq!(said(&[("pod_group", "")]), "data node 's-1': pod_group is no cell: missing");
     assert_eq!(said(&[("uid", "5")]), "uid is no name: 5");
-    let object = MembershipUpdate::read(format!(r#"{{"rev":1,"targets":{long}}}"#).as_bytes()).unwrap_err();
+    let object = DiscoveryUpdate::read(format!(r#"{{"rev":1,"targets":{long}}}"#).as_bytes()).unwrap_err();
     assert!(object.to_string().len() < 200);
 }
 
@@ -252,7 +253,7 @@
     // Bytes that are no text at all.
     let text =
         [br#"{"rev":1,"targets":[{"uid":"s-"#, &b"\xff\xfe"[..], br#"","state":"up"},"#, good.as_bytes()];
-    let update = MembershipUpdate::read(&[&text.concat()[..], b"]}"].concat()).unwrap();
+    let update = DiscoveryUpdate::read(&[&text.concat()[..], b"]}"].concat()).unwrap();
     assert_eq!(update.unreadable_lines().count(), 1);
     assert_eq!(phases(&table(update)).0, [("s-1", EndpointState::Draining)]);
 }
@@ -260,7 +261,7 @@
 /// What is known of an object as a whole.
 #[test]
 fn an_object_needs_a_version_and_a_list() {
-    let read = |text: &str| MembershipUpdate::read(text.as_bytes());
+    let read = |text: &str| DiscoveryUpdate::read(text.as_bytes());
     for text in [
         r#"{"rev":41}"#,
         r#"{"rev":41.0,"all":null,"targets":null,"more":1e999}"#,
--- a/src/net/feature_node.rs
+++ b/src/net/feature_node.rs
@@ -18,7 +18,7 @@
 use crate::engine::{AttemptId, CancellationToken, Dispatch, Value};
 use crate::net::features::{self, Names, RangeQuery};
 use crate::net::http;
-use crate::net::messages::{Gate, Msg, NodeMsg};
+use crate::net::messages::{CoreMessage, DrainGate, NodeMessage};
 use crate::net::node::NodeContext;
 use crate::runtime::{nanos, spawn, spawn_vital, Stream, Unwritten};
 
@@ -29,7 +29,7 @@
 type Rested = (Arc<Stream>, Instant);
 
 /// Starts the actor; returns its mailbox. The server is told the range in a parameter of `names`.
-pub fn start(id: ServerId, gate: Gate, context: NodeContext, names: Arc<Names>) -> Sender<NodeMsg> {
+pub fn start(id: ServerId, gate: DrainGate, context: NodeContext, names: Arc<Names>) -> Sender<NodeMessage> {
     let (mail, inbox) = channel();
     let (own, words) = (mail.clone(), context.limits.stack_words);
     spawn_vital("feature node", words, move || {
@@ -60,18 +60,18 @@
     id: ServerId,
     context: NodeContext,
     names: Arc<Names>,
-    own: Sender<NodeMsg>,
+    own: Sender<NodeMessage>,
     addr: Option<SocketAddr>,
-    gate: Gate,
+    gate: DrainGate,
     jobs: HashMap<AttemptId, Arc<Job>>,
     rested: Vec<Rested>,
 }
 
 impl FeatureNode {
-    fn run(mut self, inbox: &Receiver<NodeMsg>) {
+    fn run(mut self, inbox: &Receiver<NodeMessage>) {
         loop {
             match inbox.recv_timeout(LOOK) {
-                Ok(NodeMsg::Retire) => return,
+                Ok(NodeMessage::Remove) => return,
                 Ok(message) => self.take(message),
                 Err(RecvTimeoutError::Timeout) => self.prune(),
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -79,17 +79,17 @@
         }
     }
 
-    fn take(&mut self, message: NodeMsg) {
+    fn take(&mut self, message: NodeMessage) {
         match message {
-            NodeMsg::Address(addr) => {
+            NodeMessage::Address(addr) => {
                 if self.addr.replace(addr).is_some_and(|old| old != addr) {
                     self.rested.clear();
                     self.end_unconnected();
                 }
             }
-            NodeMsg::GateShut => self.end_unconnected(),
-            NodeMsg::Call(call) => call.into_iter().for_each(|d| self.fetch(d)),
-            NodeMsg::Drop(attempt) => {
+            NodeMessage::GateClosed => self.end_unconnected(),
+            NodeMessage::Call(call) => call.into_iter().for_each(|d| self.fetch(d)),
+            NodeMessage::CancelAttempt(attempt) => {
                 if let Some(job) = self.jobs.get(&attempt) {
                     job.dropped.store(true, Ordering::Release);
                     if let Ok(Some(stream)) = job.stream.lock().as_deref() {
@@ -97,14 +97,17 @@
                     }
                 }
             }
-            NodeMsg::Probe => self.probe(),
-            NodeMsg::CloseIdle => self.rested.clear(),
-            NodeMsg::Rested(attempt, stream) => {
+            NodeMessage::CheckHealth => self.probe(),
+            NodeMessage::CloseIdleConnections => self.rested.clear(),
+            NodeMessage::ConnectionIdle(attempt, stream) => {
                 let here = self.jobs.remove(&attempt).is_some_and(|job| Some(job.addr) == self.addr);
                 self.rested.extend(stream.filter(|_| here).map(|s| (s, Instant::now())));
             }
             // Only actors that speak frames send these.
-            NodeMsg::Link(_) | NodeMsg::Read(..) | NodeMsg::Up(..) | NodeMsg::Retire => {}
+            NodeMessage::Connection(_)
+            | NodeMessage::Read(..)
+            | NodeMessage::ConnectionUp(..)
+            | NodeMessage::Remove => {}
         }
     }
 
@@ -112,7 +115,7 @@
     fn end_unconnected(&self) {
         for (&attempt, job) in &self.jobs {
             if job.unconnected.swap(false, Ordering::AcqRel) {
-                self.context.core.send(Msg::Ended(attempt, Outcome::NotSent, None));
+                self.context.core.send(CoreMessage::AttemptEnded(attempt, Outcome::NotSent, None));
             }
         }
     }
@@ -134,7 +137,7 @@
         let attempt = dispatch.attempt;
         let full = self.jobs.len() >= self.context.limits.node_backlog;
         let Some(addr) = self.addr.filter(|_| !full) else {
-            return self.context.core.send(Msg::Ended(attempt, Outcome::NotSent, None));
+            return self.context.core.send(CoreMessage::AttemptEnded(attempt, Outcome::NotSent, None));
         };
         let job = Arc::new(Job::new(addr));
         self.jobs.insert(attempt, job.clone());
@@ -152,21 +155,21 @@
         let started = spawn("feature fetch", self.context.limits.core_stack_words, move || {
             let core = fetch.context.core.clone();
             let (outcome, value, stream) = fetch.run(&dispatch, rested);
-            core.send(Msg::Ended(attempt, outcome, value));
+            core.send(CoreMessage::AttemptEnded(attempt, outcome, value));
             // Nobody is left to be told once the actor has ended.
-            let _ = own.send(NodeMsg::Rested(attempt, stream));
+            let _ = own.send(NodeMessage::ConnectionIdle(attempt, stream));
         });
         if started.is_err() {
             self.jobs.remove(&attempt);
-            self.context.core.send(Msg::Ended(attempt, Outcome::NotSent, None));
+            self.context.core.send(CoreMessage::AttemptEnded(attempt, Outcome::NotSent, None));
         }
     }
 
     /// A feature server is sound when its landing page can be had.
     fn probe(&mut self) {
         let now = self.context.clock.now();
-        if !self.gate.open(now) {
-            return self.context.core.send(Msg::Probed(self.id, Outcome::NotSent));
+        if !self.gate.is_open(now) {
+            return self.context.core.send(CoreMessage::HealthChecked(self.id, Outcome::NotSent));
         }
         Counters::add(&self.context.counters.probes);
         let (id, context, addr) = (self.id, self.context.clone(), self.addr);
@@ -191,10 +194,10 @@
                     Err(outcome) => outcome,
                 }
             };
-            core.send(Msg::Probed(id, addr.map_or(Outcome::ConnectFailed, probe)));
+            core.send(CoreMessage::HealthChecked(id, addr.map_or(Outcome::ConnectFailed, probe)));
         });
         if started.is_err() {
-            self.context.core.send(Msg::Probed(id, Outcome::ConnectFailed));
+            self.context.core.send(CoreMessage::HealthChecked(id, Outcome::ConnectFailed));
         }
     }
 }
@@ -203,7 +206,7 @@
 struct Fetch {
     context: NodeContext,
     names: Arc<Names>,
-    gate: Gate,
+    gate: DrainGate,
     job: Arc<Job>,
     until: Nanos,
     begin_by: Nanos,
@@ -267,7 +270,7 @@
         let now = self.context.clock.now();
         let late = !self.asked && now >= self.begin_by;
         let over = dropped || late || self.left().is_zero();
-        if over || !self.gate.open_at(self.job.addr, now) {
+        if over || !self.gate.is_open_for(self.job.addr, now) {
             return Err(if self.asked { Outcome::ServerError } else { Outcome::NotSent });
         }
         Ok(())
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -12,50 +12,50 @@
 
 use crate::api::{Nanos, Outcome, QueryId, ServerId};
 use crate::engine::{AttemptId, Dispatch, QueryOutcome, QueryRequest, RejectReason, Value};
-use crate::net::connection_pool::{Input, LinkId};
-use crate::net::endpoint_list_lease::ListLease;
-use crate::net::endpoints::{ListNews, MembershipUpdate};
+use crate::net::connection_pool::{ConnectionId, Input};
+use crate::net::endpoint_list_lease::EndpointListLease;
+use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate};
 use crate::net::frame::{self, Frame};
-use crate::net::pending_updates::OnTheWay;
+use crate::net::pending_updates::PendingUpdate;
 use crate::runtime::{lock, Permit, Stream};
-use crate::settings::Info;
+use crate::settings::Deployment;
 
 /// How a query ends, for its front: called once.
 pub type Reply = Box<dyn FnOnce(Result<QueryOutcome, RejectReason>) + Send>;
 
 /// What the core is told.
-pub enum Msg {
+pub enum CoreMessage {
     /// A query.
-    Ask(QueryId, QueryRequest, Reply),
-    /// A query's client has left.
-    Gone(QueryId),
-    /// News of the list, on its way until it is taken.
-    List(ListNews, Option<OnTheWay>),
+    Submit(QueryId, QueryRequest, Reply),
+    /// A query's client has disconnected.
+    ClientDisconnected(QueryId),
+    /// An update of the endpoint list, pending until it is taken.
+    EndpointsUpdated(EndpointUpdate, Option<PendingUpdate>),
     /// The list's lease has ended: nothing is sent by it until there is news.
-    ListExpired,
+    EndpointListExpired,
     /// An attempt has ended.
-    Ended(AttemptId, Outcome, Option<Value>),
-    /// A probe has ended.
-    Probed(ServerId, Outcome),
+    AttemptEnded(AttemptId, Outcome, Option<Value>),
+    /// A health check has ended.
+    HealthChecked(ServerId, Outcome),
     /// The settings have changed.
-    Reset(Box<Info>),
+    UpdateSettings(Box<Deployment>),
     /// The process ends: all is answered by then.
-    Ending(Nanos),
-    /// The alarm has rung.
-    Rung,
-    /// Somebody wants to see the accounts.
-    Accounts(Box<dyn FnOnce(LedgerSnapshot) + Send>),
-    /// Somebody wants what of them outlives the process.
-    Save(Box<dyn FnOnce(Saved) + Send>),
+    ShutDownBy(Nanos),
+    /// The timer has fired.
+    TimerFired,
+    /// Take a snapshot of the request ledger.
+    SnapshotLedger(Box<dyn FnOnce(LedgerSnapshot) + Send>),
+    /// Take what of the request ledger outlives the process.
+    SaveLedger(Box<dyn FnOnce(Saved) + Send>),
 }
 
 /// The core's mailbox.
 #[derive(Clone)]
-pub struct CoreMail(Sender<Msg>);
+pub struct CoreMailbox(Sender<CoreMessage>);
 
-impl CoreMail {
+impl CoreMailbox {
     /// Hands a message in.
-    pub fn send(&self, message: Msg) {
+    pub fn send(&self, message: CoreMessage) {
         if self.0.send(message).is_err() {
             log::error!("the core has ended");
         }
@@ -63,17 +63,17 @@
 }
 
 /// The core's mailbox before its actor runs: data nodes and the list need it first.
-pub fn mailbox() -> (CoreMail, Receiver<Msg>) {
+pub fn mailbox() -> (CoreMailbox, Receiver<CoreMessage>) {
     let (mail, inbox) = channel();
-    (CoreMail(mail), inbox)
+    (CoreMailbox(mail), inbox)
 }
 
 /// Whether a data node may be sent anything new, and at which address. The list's news holds at once, whatever waits
 /// in the mailbox of the data node's actor, and nothing is open once the list's lease has ended.
 #[derive(Debug, Clone, Default)]
-pub struct Gate {
+pub struct DrainGate {
     state: Arc<GateState>,
-    lease: Option<ListLease>,
+    lease: Option<EndpointListLease>,
 }
 
 #[derive(Debug, Default)]
@@ -83,14 +83,14 @@
     address: Mutex<Option<SocketAddr>>,
 }
 
-impl Gate {
+impl DrainGate {
     /// One that is shut, by a list under this lease.
-    pub fn under(lease: ListLease) -> Self {
+    pub fn under(lease: EndpointListLease) -> Self {
         Self { state: Arc::default(), lease: Some(lease) }
     }
 
     /// Opens or shuts it; returns whether the list had it open.
-    pub fn set(&self, open: bool) -> bool {
+    pub fn set_open(&self, open: bool) -> bool {
         self.state.open.swap(open, Ordering::AcqRel)
     }
 
@@ -100,14 +100,14 @@
     }
 
     /// Whether it is open.
-    pub fn open(&self, now: Nanos) -> bool {
+    pub fn is_open(&self, now: Nanos) -> bool {
         let listed = self.state.open.load(Ordering::Acquire);
-        listed && self.lease.as_ref().is_none_or(|lease| lease.holds(now))
+        listed && self.lease.as_ref().is_none_or(|lease| lease.is_valid(now))
     }
 
     /// Whether it is open for connections to this address.
-    pub fn open_at(&self, address: SocketAddr, now: Nanos) -> bool {
-        self.open(now) && lock(&self.state.address).is_none_or(|current| current == address)
+    pub fn is_open_for(&self, address: SocketAddr, now: Nanos) -> bool {
+        self.is_open(now) && lock(&self.state.address).is_none_or(|current| current == address)
     }
 }
 
@@ -117,7 +117,7 @@
 
 /// What the actor of discovery is told.
 #[derive(Debug)]
-pub enum DiscoveryMsg {
+pub enum DiscoveryMessage {
     /// Time has passed.
     TimePassed,
     /// A query waits for the list to be confirmed.
@@ -131,9 +131,9 @@
     /// A call has its connection.
     Up(CallId, Arc<Stream>),
     /// A watch says that nothing has changed.
-    Heartbeat(CallId, OnTheWay),
+    Heartbeat(CallId, PendingUpdate),
     /// A call has told a snapshot or a delta.
-    Update(CallId, MembershipUpdate, OnTheWay),
+    Update(CallId, DiscoveryUpdate, PendingUpdate),
     /// A call has ended.
     Ended(CallId, CallError),
 }
@@ -149,48 +149,48 @@
 
 /// What the core tells the actor of a data node, whichever protocol that speaks.
 #[derive(Debug)]
-pub enum NodeMsg {
+pub enum NodeMessage {
     /// Where it is.
     Address(SocketAddr),
-    /// Its gate was shut: what waits is to go elsewhere at once.
-    GateShut,
+    /// Its drain gate was closed: what is queued is to go elsewhere at once.
+    GateClosed,
     /// Send one call.
     Call(Vec<Dispatch>),
-    /// An attempt is given up.
-    Drop(AttemptId),
-    /// Probe it.
-    Probe,
+    /// An attempt is cancelled.
+    CancelAttempt(AttemptId),
+    /// Check its health.
+    CheckHealth,
     /// Close idle connections.
-    CloseIdle,
-    /// News of a connection.
-    Link(Input),
+    CloseIdleConnections,
+    /// Something has happened to a connection.
+    Connection(Input),
     /// What came on a connection in one piece, and the place in the mailbox that its reader had for it.
-    Read(LinkId, Come, Permit),
+    Read(ConnectionId, ReceivedFrames, Permit),
     /// A connection is up: its stream, and the mailbox of its writer.
-    Up(LinkId, Arc<Stream>, Sender<Frame>),
+    ConnectionUp(ConnectionId, Arc<Stream>, Sender<Frame>),
     /// It has left the list, and nothing of it is out: the actor ends.
-    Retire,
+    Remove,
     /// An attempt's connection, if it can be used again.
-    Rested(AttemptId, Option<Arc<Stream>>),
+    ConnectionIdle(AttemptId, Option<Arc<Stream>>),
 }
 
 /// What came on a connection in one piece: taken together, so that nothing new is sent on one that turns out
 /// to be spoilt.
 #[derive(Debug)]
-pub struct Come {
+pub struct ReceivedFrames {
     /// Whole frames.
     pub frames: Vec<frame::Reply>,
     /// How what follows them looks.
-    pub rest: Rest,
+    pub trailing: TrailingBytes,
 }
 
 /// How what follows the whole frames looks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rest {
+pub enum TrailingBytes {
     /// Nothing follows.
-    Nothing,
+    None,
     /// A frame has begun.
-    Begun,
-    /// It cannot be read.
-    Spoilt,
+    FrameBegun,
+    /// They cannot be read.
+    Malformed,
 }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -1,4 +1,4 @@
-//! The actor of one data node: carries out on sockets what [`Links`] decides.
+//! The actor of one data node: carries out on sockets what [`ConnectionPool`] decides.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -14,12 +14,14 @@
 use crate::api::{Nanos, ServerId};
 use crate::counters::Counters;
 use crate::limits::Limits;
-use crate::net::connection_pool::{Input, LinkId, LinkLimits, Links, Output};
+use crate::net::connection_pool::{ConnectionId, ConnectionPool, Input, Output, PoolLimits};
 use crate::net::dial_error::is_own_lack;
 use crate::net::frame::{self, Current, Frame, FrameLimits};
 use crate::net::log_limit::LogLimit;
-use crate::net::messages::{Come, CoreMail, Gate, Msg, NodeMsg, Rest, REQUEST};
-use crate::net::pending_updates::Freshness;
+use crate::net::messages::{
+    CoreMailbox, CoreMessage, DrainGate, NodeMessage, ReceivedFrames, TrailingBytes, REQUEST,
+};
+use crate::net::pending_updates::PendingUpdates;
 use crate::runtime::{lock, nanos, spawn, spawn_vital, Clock, Permit, Permits, Stream, Unwritten};
 use crate::settings::Connections;
 
@@ -27,7 +29,7 @@
 #[derive(Clone)]
 pub struct NodeContext {
     /// The core's mailbox.
-    pub core: CoreMail,
+    pub core: CoreMailbox,
     /// The process's limits.
     pub limits: Arc<Limits>,
     /// Figures of connections.
@@ -43,7 +45,7 @@
     /// The clock.
     pub clock: Clock,
     /// How fresh the list is.
-    pub freshness: Freshness,
+    pub freshness: PendingUpdates,
 }
 
 /// How often idle connections are looked at, and probes while one is out.
@@ -56,7 +58,7 @@
 const PLACE_PAUSE: Duration = Duration::from_millis(1);
 
 /// Starts the actor; returns its mailbox.
-pub fn start(id: ServerId, gate: Gate, context: NodeContext) -> Sender<NodeMsg> {
+pub fn start(id: ServerId, gate: DrainGate, context: NodeContext) -> Sender<NodeMessage> {
     let (mail, inbox) = channel();
     let own = mail.clone();
     spawn_vital("node", context.limits.stack_words, move || Node::new(id, gate, context, own).run(&inbox));
@@ -65,18 +67,18 @@
 
 struct Node {
     id: ServerId,
-    gate: Gate,
+    gate: DrainGate,
     context: NodeContext,
-    own: Sender<NodeMsg>,
-    links: Links,
+    own: Sender<NodeMessage>,
+    links: ConnectionPool,
     addr: Option<SocketAddr>,
-    open: HashMap<LinkId, (Arc<Stream>, Sender<Frame>)>,
+    open: HashMap<ConnectionId, (Arc<Stream>, Sender<Frame>)>,
 }
 
 impl Node {
-    fn new(id: ServerId, gate: Gate, context: NodeContext, own: Sender<NodeMsg>) -> Self {
+    fn new(id: ServerId, gate: DrainGate, context: NodeContext, own: Sender<NodeMessage>) -> Self {
         let (connections, limits) = (context.connections, &context.limits);
-        let links = Links::new(LinkLimits {
+        let links = ConnectionPool::new(PoolLimits {
             multiplex: connections.multiplex,
             idle: nanos(limits.usable_idle(Duration::from_nanos(connections.idle))),
             probe: nanos(limits.probe),
@@ -88,11 +90,11 @@
         Self { id, gate, context, own, links, addr: None, open: HashMap::new() }
     }
 
-    fn run(mut self, inbox: &Receiver<NodeMsg>) {
+    fn run(mut self, inbox: &Receiver<NodeMessage>) {
         loop {
             let look = if self.links.probing() { LOOK_PROBING } else { LOOK };
             match inbox.recv_timeout(look) {
-                Ok(NodeMsg::Retire) => break,
+                Ok(NodeMessage::Remove) => break,
                 Ok(message) => self.take(message),
                 Err(RecvTimeoutError::Timeout) => {
                     self.step(Input::Tick);
@@ -104,26 +106,26 @@
         self.open.values().for_each(|o| o.0.shut());
     }
 
-    fn take(&mut self, message: NodeMsg) {
+    fn take(&mut self, message: NodeMessage) {
         match message {
-            NodeMsg::Address(addr) => {
+            NodeMessage::Address(addr) => {
                 if self.addr.replace(addr).is_some_and(|old| old != addr) {
                     self.step(Input::AddressChanged);
                 }
             }
-            NodeMsg::GateShut => {
+            NodeMessage::GateClosed => {
                 // It may have been opened again meanwhile.
-                let open = self.gate.open(self.context.clock.now());
+                let open = self.gate.is_open(self.context.clock.now());
                 self.step(Input::TakesNew(open));
             }
-            NodeMsg::Call(call) => self.step(Input::Call(call)),
-            NodeMsg::Drop(id) => self.step(Input::Drop(id)),
-            NodeMsg::Probe => {
+            NodeMessage::Call(call) => self.step(Input::Call(call)),
+            NodeMessage::CancelAttempt(id) => self.step(Input::Drop(id)),
+            NodeMessage::CheckHealth => {
                 Counters::add(&self.context.counters.probes);
                 self.step(Input::Probe);
             }
-            NodeMsg::CloseIdle => self.step(Input::CloseIdle),
-            NodeMsg::Link(input) => {
+            NodeMessage::CloseIdleConnections => self.step(Input::CloseIdle),
+            NodeMessage::Connection(input) => {
                 if let Input::ReadEnded(id) = &input {
                     if self.open.remove(id).is_some() {
                         Counters::add(&self.context.counters.links_broken);
@@ -131,30 +133,30 @@
                 }
                 self.step(input);
             }
-            NodeMsg::Read(id, come, _place) => {
+            NodeMessage::Read(id, come, _place) => {
                 for reply in come.frames {
                     log::debug!(target: REQUEST, "link {} of node {}: {reply} read", id.0, self.id.0);
                     self.step(Input::Frame(id, reply));
                 }
-                match come.rest {
-                    Rest::Nothing => {}
-                    Rest::Begun => self.step(Input::Begun(id)),
-                    Rest::Spoilt => self.step(Input::Spoilt(id)),
+                match come.trailing {
+                    TrailingBytes::None => {}
+                    TrailingBytes::FrameBegun => self.step(Input::Begun(id)),
+                    TrailingBytes::Malformed => self.step(Input::Spoilt(id)),
                 }
             }
-            NodeMsg::Up(id, stream, writer) => {
+            NodeMessage::ConnectionUp(id, stream, writer) => {
                 log::debug!(target: REQUEST, "link {} of node {} is up", id.0, self.id.0);
                 self.open.insert(id, (stream, writer));
                 self.step(Input::Up(id));
             }
             // Only actors of feature servers send the one, and the loop takes the other.
-            NodeMsg::Rested(..) | NodeMsg::Retire => {}
+            NodeMessage::ConnectionIdle(..) | NodeMessage::Remove => {}
         }
     }
 
     fn step(&mut self, input: Input) {
         let now = self.context.clock.now();
-        let mut outputs = VecDeque::from(self.links.step(now, Input::TakesNew(self.gate.open(now))));
+        let mut outputs = VecDeque::from(self.links.step(now, Input::TakesNew(self.gate.is_open(now))));
         outputs.extend(self.links.step(now, input));
         while let Some(output) = outputs.pop_front() {
             match output {
@@ -168,7 +170,7 @@
                     let sent = self.open.get(&id).is_some_and(|o| o.1.send(frame).is_ok());
                     if !sent {
                         // The mailbox outlives the actor's own loop.
-                        let _ = self.own.send(NodeMsg::Link(Input::WriteFailed(id, false)));
+                        let _ = self.own.send(NodeMessage::Connection(Input::WriteFailed(id, false)));
                     }
                 }
                 Output::Shut(id) => {
@@ -178,15 +180,17 @@
                     }
                 }
                 Output::End(attempt, outcome, value) => {
-                    self.context.core.send(Msg::Ended(attempt, outcome, value));
+                    self.context.core.send(CoreMessage::AttemptEnded(attempt, outcome, value));
+                }
+                Output::Probed(outcome) => {
+                    self.context.core.send(CoreMessage::HealthChecked(self.id, outcome))
                 }
-                Output::Probed(outcome) => self.context.core.send(Msg::Probed(self.id, outcome)),
             }
         }
     }
 
     /// Begins to open a connection; returns whether there was a socket for it.
-    fn dial(&mut self, id: LinkId) -> bool {
+    fn dial(&mut self, id: ConnectionId) -> bool {
         let permit = self.context.permits.take();
         let (Some(addr), Some(permit)) = (self.addr, permit) else {
             self.log_no_socket(LogLimit::occurred);
@@ -214,17 +218,17 @@
 }
 
 /// Nobody is left to be told once the actor has ended.
-fn tell(node: &Sender<NodeMsg>, news: Input) {
-    let _ = node.send(NodeMsg::Link(news));
+fn tell(node: &Sender<NodeMessage>, news: Input) {
+    let _ = node.send(NodeMessage::Connection(news));
 }
 
 /// Opens a connection, starts its writer and reads it to its end.
 fn connection(
-    id: LinkId,
+    id: ConnectionId,
     (addr, permit): (SocketAddr, Permit),
-    gate: Gate,
+    gate: DrainGate,
     context: &NodeContext,
-    node: &Sender<NodeMsg>,
+    node: &Sender<NodeMessage>,
 ) {
     let within = Duration::from_nanos(context.connections.connect_timeout);
     let stream = match Stream::dial(&addr, within, Some(permit)) {
@@ -249,7 +253,7 @@
                     freshness.establish(&clock);
                 }
                 let at = clock.now();
-                let mut next = frame.current(at, gate.open_at(addr, at));
+                let mut next = frame.current(at, gate.is_open_for(addr, at));
                 let bytes = next.bytes.take();
                 now.replace(next);
                 bytes
@@ -278,13 +282,13 @@
     if writer.is_err() {
         return tell(node, Input::DialFailed(id));
     }
-    if node.send(NodeMsg::Up(id, stream.clone(), frames)).is_err() {
+    if node.send(NodeMessage::ConnectionUp(id, stream.clone(), frames)).is_err() {
         return; // The actor has ended, and nobody else would close this.
     }
     let places = Permits::new(READS_AHEAD);
     read_frames(&stream, context, |come| {
         // Nobody is left to be told once the actor has ended.
-        let _ = node.send(NodeMsg::Read(id, come, place(&places)));
+        let _ = node.send(NodeMessage::Read(id, come, place(&places)));
     });
     stream.shut();
     tell(node, Input::ReadEnded(id));
@@ -301,14 +305,14 @@
     }
 }
 
-fn read_frames(stream: &Stream, context: &NodeContext, tell: impl Fn(Come)) {
+fn read_frames(stream: &Stream, context: &NodeContext, tell: impl Fn(ReceivedFrames)) {
     let limits = &context.limits;
     let whole = limits.frame_read.max(limits.silence(context.shortest_aim));
     let bounds = FrameLimits { frame: limits.frame, line: limits.frame_line };
     let spoilt = |frames, why| {
         log::warn!("a data node's answers cannot be read: {why}");
         Counters::add(&context.counters.bad_frames);
-        tell(Come { frames, rest: Rest::Spoilt });
+        tell(ReceivedFrames { frames, trailing: TrailingBytes::Malformed });
     };
     let mut held: Vec<u8> = Vec::new();
     let mut buf = vec![0; READ];
@@ -348,8 +352,8 @@
             (false, Some(at)) if taken == 0 => Some(at),
             (false, _) => Some(Instant::now()),
         };
-        let rest = if held.is_empty() { Rest::Nothing } else { Rest::Begun };
-        tell(Come { frames, rest });
+        let rest = if held.is_empty() { TrailingBytes::None } else { TrailingBytes::FrameBegun };
+        tell(ReceivedFrames { frames, trailing: rest });
     }
 }
 
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn context(permits: usize) -> (NodeContext, Receiver<Msg>) {
+fn context(permits: usize) -> (NodeContext, Receiver<CoreMessage>) {
     let (core, told) = messages::mailbox();
     let context = NodeContext {
         core,
@@ -28,7 +28,7 @@
         no_socket_log: Arc::new(Mutex::new(LogLimit::new(Nanos::MAX))),
         counters: Arc::default(),
         clock: Clock::start(),
-        freshness: Freshness::default(),
+        freshness: PendingUpdates::default(),
     };
     (context, told)
 }
@@ -40,21 +40,24 @@
     const PARTS: u64 = 100;
     let (context, told) = context(0);
     let no_socket_log = context.no_socket_log.clone();
-    let gate = Gate::default();
-    gate.set(true);
+    let gate = DrainGate::default();
+    gate.set_open(true);
     let (own, inbox) = channel();
     let node = Node::new(ServerId(1), gate, context, own.clone());
     // All of it waits before the actor takes the first.
-    own.send(NodeMsg::Address("127.0.0.1:9".parse().unwrap())).unwrap();
-    (0..PARTS).for_each(|id| own.send(NodeMsg::Call(vec![part(id)])).unwrap());
-    own.send(NodeMsg::Retire).unwrap();
+    own.send(NodeMessage::Address("127.0.0.1:9".parse().unwrap())).unwrap();
+    (0..PARTS).for_each(|id| own.send(NodeMessage::Call(vec![part(id)])).unwrap());
+    own.send(NodeMessage::Remove).unwrap();
     // After this line none is due, and the tries are counted.
     lock(&no_socket_log).occurred(0);
     node.run(&inbox);
     assert_eq!(lock(&no_socket_log).due(Nanos::MAX), Some(1));
     for id in 0..PARTS {
         let ended = told.try_recv();
-        assert!(matches!(ended, Ok(Msg::Ended(AttemptId(n), Outcome::NotSent, None)) if n == id), "{id}");
+        assert!(
+            matches!(ended, Ok(CoreMessage::AttemptEnded(AttemptId(n), Outcome::NotSent, None)) if n == id),
+            "{id}"
+        );
     }
 }
 
@@ -62,34 +65,44 @@
 /// to be elsewhere by then, neither a call nor a probe is written, and each ends as not sent.
 #[test]
 fn what_was_handed_out_before_the_news_is_not_begun_after_it() {
-    let call = || NodeMsg::Call(vec![part(0)]);
-    let shut: fn(&Gate) = |gate| assert!(gate.set(false));
-    let moved: fn(&Gate) = |gate| gate.move_to("127.0.0.1:9".parse().unwrap());
-    let kinds = [(call(), shut), (call(), moved), (NodeMsg::Probe, shut), (NodeMsg::Probe, moved)];
+    let call = || NodeMessage::Call(vec![part(0)]);
+    let shut: fn(&DrainGate) = |gate| assert!(gate.set_open(false));
+    let moved: fn(&DrainGate) = |gate| gate.move_to("127.0.0.1:9".parse().unwrap());
+    let kinds = [
+        (call(), shut),
+        (call(), moved),
+        (NodeMessage::CheckHealth, shut),
+        (NodeMessage::CheckHealth, moved),
+    ];
     for (work, news) in kinds {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let (context, told) = context(1);
-        let (gate, (own, inbox)) = (Gate::default(), channel());
-        gate.set(true);
+        let (gate, (own, inbox)) = (DrainGate::default(), channel());
+        gate.set_open(true);
         gate.move_to(addr);
         let mut node = Node::new(ServerId(1), gate.clone(), context, own);
-        node.take(NodeMsg::Address(addr));
+        node.take(NodeMessage::Address(addr));
         node.take(work);
-        let Ok(NodeMsg::Up(id, stream, writer)) = inbox.recv() else { panic!("the connection is not up") };
+        let Ok(NodeMessage::ConnectionUp(id, stream, writer)) = inbox.recv() else {
+            panic!("the connection is not up")
+        };
         let (between, handed) = channel();
-        node.take(NodeMsg::Up(id, stream.clone(), between));
+        node.take(NodeMessage::ConnectionUp(id, stream.clone(), between));
         let frame = handed.recv().unwrap();
         news(&gate);
         writer.send(frame).unwrap();
         let mut written = false;
         while !written {
             let word = inbox.recv().unwrap();
-            written = matches!(word, NodeMsg::Link(Input::Written(_)));
+            written = matches!(word, NodeMessage::Connection(Input::Written(_)));
             node.take(word);
         }
         match told.try_recv() {
-            Ok(Msg::Ended(AttemptId(0), Outcome::NotSent, None) | Msg::Probed(_, Outcome::NotSent)) => {}
+            Ok(
+                CoreMessage::AttemptEnded(AttemptId(0), Outcome::NotSent, None)
+                | CoreMessage::HealthChecked(_, Outcome::NotSent),
+            ) => {}
             _ => panic!("it did not end as not sent"),
         }
         stream.shut();
--- a/src/net/pending_updates.rs
+++ b/src/net/pending_updates.rs
@@ -30,22 +30,22 @@
 
 /// What is known of how fresh the list is; clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Freshness(Arc<Shared>);
+pub struct PendingUpdates(Arc<Shared>);
 
 #[derive(Debug, Default)]
 struct Shared {
     /// Connections to discovery that are being read.
-    followed: Mutex<Vec<Weak<Followed>>>,
+    followed: Mutex<Vec<Weak<WatchedConnection>>>,
     /// Pieces of news that were read, and that the core has not taken yet.
     on_the_way: AtomicUsize,
     /// The list was fresh at this time.
     fresh_at: AtomicU64,
 }
 
-impl Freshness {
+impl PendingUpdates {
     /// Looks at this connection, too, for as long as what is returned is held. It is read through that alone.
-    pub fn follow(&self, stream: Arc<Stream>) -> Arc<Followed> {
-        let follows = Arc::new(Followed { stream, reads: AtomicBool::new(false) });
+    pub fn follow(&self, stream: Arc<Stream>) -> Arc<WatchedConnection> {
+        let follows = Arc::new(WatchedConnection { stream, reads: AtomicBool::new(false) });
         let mut followed = lock(&self.0.followed);
         followed.retain(|f| f.strong_count() > 0);
         followed.push(Arc::downgrade(&follows));
@@ -53,9 +53,9 @@
     }
 
     /// A piece of news that has been read: it counts as on its way until what is returned is dropped.
-    pub fn news(&self) -> OnTheWay {
+    pub fn news(&self) -> PendingUpdate {
         self.0.on_the_way.fetch_add(1, Ordering::SeqCst);
-        OnTheWay(self.clone())
+        PendingUpdate(self.clone())
     }
 
     /// Whether the last look is recent enough for something new to begin.
@@ -90,9 +90,9 @@
 
 /// A piece of news that the core has not taken yet.
 #[derive(Debug)]
-pub struct OnTheWay(Freshness);
+pub struct PendingUpdate(PendingUpdates);
 
-impl Drop for OnTheWay {
+impl Drop for PendingUpdate {
     fn drop(&mut self) {
         self.0 .0.on_the_way.fetch_sub(1, Ordering::SeqCst);
     }
@@ -100,13 +100,13 @@
 
 /// A connection to discovery that one coroutine reads.
 #[derive(Debug)]
-pub struct Followed {
+pub struct WatchedConnection {
     stream: Arc<Stream>,
     /// Bytes may have been read whose news is not told yet.
     reads: AtomicBool,
 }
 
-impl Followed {
+impl WatchedConnection {
     /// Waits until there is something to read, for so long at most. The news in what was read before is told by then.
     ///
     /// # Errors
--- a/src/net/pending_updates/tests.rs
+++ b/src/net/pending_updates/tests.rs
@@ -9,7 +9,7 @@
     (Arc::new(Stream::new(listener.accept().unwrap().0, None).unwrap()), peer)
 }
 
-fn waited_in_vain(freshness: &Freshness) -> bool {
+fn waited_in_vain(freshness: &PendingUpdates) -> bool {
     let clock = Clock::start();
     let begun = clock.now();
     freshness.establish(&clock);
@@ -21,7 +21,7 @@
 #[test]
 fn news_is_waited_for_until_it_is_taken() {
     let (stream, mut peer) = connection();
-    let freshness = Freshness::default();
+    let freshness = PendingUpdates::default();
     let followed = freshness.follow(stream.clone());
     assert!(!waited_in_vain(&freshness), "nothing waits");
     let stale = || freshness.0.fresh_at.store(0, Ordering::SeqCst);
@@ -46,7 +46,7 @@
 #[test]
 fn a_connection_without_news_holds_nothing_up() {
     let (stream, peer) = connection();
-    let freshness = Freshness::default();
+    let freshness = PendingUpdates::default();
     let followed = freshness.follow(stream.clone());
     drop(peer);
     stream.wait(Duration::from_secs(10)).unwrap();
@@ -63,7 +63,7 @@
 /// Guards against a look for each frame, and against one that is relied on for too long.
 #[test]
 fn a_look_holds_for_a_bounded_time() {
-    let freshness = Freshness::default();
+    let freshness = PendingUpdates::default();
     let clock = Clock::start();
     freshness.establish(&clock);
     let at = freshness.0.fresh_at.load(Ordering::SeqCst);
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::control;
 use crate::limits::Limits;
-use crate::snapshot_store::Replica;
+use crate::snapshot_store::SnapshotReplica;
 use config::GroupConfig;
 use driver::{Ask, Inbox, Standings};
 
@@ -54,7 +54,7 @@
 
 impl Group {
     /// A copy of the state of the coordinator of that name.
-    pub fn copy_of(&self, name: &str) -> Box<dyn Replica> {
+    pub fn copy_of(&self, name: &str) -> Box<dyn SnapshotReplica> {
         Box::new(StateCopy { inbox: self.inbox.clone(), wait: self.wait, key: format!("state/{name}") })
     }
 }
@@ -71,7 +71,7 @@
 const START: Duration = Duration::from_secs(60);
 const AGAIN: Duration = Duration::from_millis(200);
 
-impl Replica for StateCopy {
+impl SnapshotReplica for StateCopy {
     fn read(&mut self) -> Result<(Option<Vec<u8>>, u64), String> {
         let begun = Instant::now();
         loop {
--- a/src/snapshot_store.rs
+++ b/src/snapshot_store.rs
@@ -12,7 +12,7 @@
 use curlewdeck_snapshot::record::{open, seal, Kind, MOST_BYTES};
 use serde::{Deserialize, Serialize};
 
-use crate::net::coordinator::Core;
+use crate::net::coordinator::CoreHandle;
 use crate::runtime::{lock, nanos};
 
 /// What the edge's file says of the state folder.
@@ -34,7 +34,7 @@
 }
 
 /// A copy that outlives the machine with its disk.
-pub trait Replica: Send + std::fmt::Debug {
+pub trait SnapshotReplica: Send + std::fmt::Debug {
     /// What it holds, and at which version; waits until that is known.
     ///
     /// # Errors
@@ -51,16 +51,16 @@
 /// The copy, and its version where that is known.
 #[derive(Debug)]
 struct Copied {
-    copy: Box<dyn Replica>,
+    copy: Box<dyn SnapshotReplica>,
     version: Option<u64>,
 }
 
 impl Copied {
     /// Reads it anew.
-    fn found(&mut self) -> Result<Option<Kept>, String> {
+    fn found(&mut self) -> Result<Option<SnapshotContents>, String> {
         let (bytes, version) = self.copy.read()?;
         self.version = Some(version);
-        match bytes.map(|bytes| open::<Kept>(KIND, &bytes)).transpose() {
+        match bytes.map(|bytes| open::<SnapshotContents>(KIND, &bytes)).transpose() {
             Ok(kept) => Ok(kept),
             Err(why) => Err(format!("what the group holds is not believed, {why}")),
         }
@@ -83,7 +83,7 @@
 
 /// What is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Kept {
+pub struct SnapshotContents {
     /// How often a process has begun with this folder.
     pub boots: u32,
     /// The management agent's engine id.
@@ -94,11 +94,11 @@
 
 /// The folder of this process.
 #[derive(Debug)]
-pub struct Keep {
+pub struct SnapshotStore {
     folder: PathBuf,
     every: Duration,
     /// As it was found, with this process's boots. Held while a file is written.
-    kept: Mutex<(Kept, Pace)>,
+    kept: Mutex<(SnapshotContents, Pace)>,
     copied: Mutex<Option<Copied>>,
     begun: Instant,
     /// Locked for as long as this process lives: two that count in one folder would write over each other's totals, and
@@ -106,7 +106,7 @@
     _lock: File,
 }
 
-impl Keep {
+impl SnapshotStore {
     /// Reads the folder and counts this start; what is not believed is put aside. Nothing is served before the count is
     /// on the disk, so that no boots come twice.
     ///
@@ -115,7 +115,7 @@
     pub fn load(
         config: &StateConfig,
         engine: Vec<u8>,
-        copy: Option<Box<dyn Replica>>,
+        copy: Option<Box<dyn SnapshotReplica>>,
     ) -> Result<Self, String> {
         let folder = config.folder.clone();
         let wrong = |e: &dyn std::fmt::Display| format!("state folder {}: {e}", folder.display());
@@ -128,8 +128,8 @@
             TryLockError::Error(e) => wrong(&e),
         })?;
         let mut kept = match read(&folder.join(FILE)).map_err(|e| wrong(&e))? {
-            None => Kept::default(),
-            Some(bytes) => match open::<Kept>(KIND, &bytes) {
+            None => SnapshotContents::default(),
+            Some(bytes) => match open::<SnapshotContents>(KIND, &bytes) {
                 Ok(kept) => kept,
                 Err(why) => {
                     let name = put_aside(&folder).map_err(|e| wrong(&e))?;
@@ -137,7 +137,7 @@
                         "{}",
                         wrong(&format!("the books are not believed, {why}: put aside as {name}"))
                     );
-                    Kept::default()
+                    SnapshotContents::default()
                 }
             },
         };
@@ -165,12 +165,12 @@
         Ok(keep)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, (Kept, Pace)> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, (SnapshotContents, Pace)> {
         lock(&self.kept)
     }
 
     /// What was found, with this process's boots.
-    pub fn kept(&self) -> Kept {
+    pub fn kept(&self) -> SnapshotContents {
         self.lock().0.clone()
     }
 
@@ -178,7 +178,7 @@
     ///
     /// # Errors
     /// There is no thread.
-    pub fn start(self: &Arc<Self>, core: Core) -> io::Result<()> {
+    pub fn start(self: &Arc<Self>, core: CoreHandle) -> io::Result<()> {
         let keep = self.clone();
         std::thread::Builder::new().name("keep".into()).spawn(move || loop {
             std::thread::sleep(keep.every);
@@ -188,8 +188,10 @@
     }
 
     /// Writes the books: if their pace allows, or in any case. Blocks.
-    pub fn write_now(&self, core: &Core, in_any_case: bool) {
-        let Some(books) = core.saved() else { return log::warn!("the books were not to be had in time") };
+    pub fn write_now(&self, core: &CoreHandle, in_any_case: bool) {
+        let Some(books) = core.saved_ledger() else {
+            return log::warn!("the books were not to be had in time");
+        };
         let mut held = self.lock();
         let (kept, pace) = &mut *held;
         kept.books = books;
@@ -270,8 +272,8 @@
             StateConfig { folder: self.0.clone(), every_s: 1, copied: false }
         }
 
-        fn load(&self) -> Result<Keep, String> {
-            Keep::load(&self.config(), vec![1, 2, 3, 4, 5], None)
+        fn load(&self) -> Result<SnapshotStore, String> {
+            SnapshotStore::load(&self.config(), vec![1, 2, 3, 4, 5], None)
         }
     }
 
@@ -297,7 +299,7 @@
     /// The bytes, their version, and whether answers are lost.
     type Holding = (Option<Vec<u8>>, u64, bool);
 
-    impl Replica for Held {
+    impl SnapshotReplica for Held {
         fn read(&mut self) -> Result<(Option<Vec<u8>>, u64), String> {
             let held = self.0.lock().unwrap();
             Ok((held.0.clone(), held.1))
@@ -322,12 +324,13 @@
     #[test]
     fn the_copy_outlives_the_folder() {
         let held = Held::default();
-        let load = |folder: &Folder| Keep::load(&folder.config(), vec![7], Some(Box::new(held.clone())));
+        let load =
+            |folder: &Folder| SnapshotStore::load(&folder.config(), vec![7], Some(Box::new(held.clone())));
         let first = Folder::new("copy");
         drop(load(&first).unwrap());
         let lost = load(&first).unwrap();
         assert_eq!(lost.kept().boots, 2);
-        let bytes = seal(KIND, &Kept { boots: 2, ..Kept::default() }).unwrap();
+        let bytes = seal(KIND, &SnapshotContents { boots: 2, ..SnapshotContents::default() }).unwrap();
         held.0.lock().unwrap().2 = true;
         assert!(lost.copy(&bytes, 2).is_err());
         held.0.lock().unwrap().2 = false;
@@ -374,6 +377,6 @@
     #[test]
     fn a_folder_that_is_not_there_is_named() {
         let config = StateConfig { folder: "/nowhere/at/all".into(), every_s: 1, copied: false };
-        assert!(Keep::load(&config, Vec::new(), None).unwrap_err().contains("/nowhere/at/all"));
+        assert!(SnapshotStore::load(&config, Vec::new(), None).unwrap_err().contains("/nowhere/at/all"));
     }
 }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -20,7 +20,7 @@
 use crate::counters::Counters;
 use crate::limits::Limits;
 use crate::mib;
-use crate::net::coordinator::Core;
+use crate::net::coordinator::CoreHandle;
 use crate::replication::driver::Standings;
 use crate::runtime::{nanos, spawn};
 
@@ -164,7 +164,7 @@
 
 struct Served {
     agent: Agent,
-    core: Core,
+    core: CoreHandle,
     counters: Arc<Counters>,
     group: Option<Standings>,
     walkers: Walkers<SocketAddr>,
@@ -176,7 +176,7 @@
     fn tree(&self, time: u32) -> Option<Tree> {
         let (told, figures) = channel();
         // Nobody waits any more after the time-out.
-        self.core.accounts(move |snapshot| drop(told.send(snapshot)));
+        self.core.ledger_snapshot(move |snapshot| drop(told.send(snapshot)));
         let books = figures.recv_timeout(BOOKS).ok()?;
         let standing = self.group.as_ref().map(Standings::now);
         let mut objects = mib::objects(&self.counters, &books, self.begun, standing.as_deref());
@@ -214,7 +214,7 @@
 /// The address cannot be listened at, or the section cannot be used.
 pub fn start(
     config: &SnmpConfig,
-    core: Core,
+    core: CoreHandle,
     counters: Arc<Counters>,
     group: Option<Standings>,
     limits: Arc<Limits>,
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -14,27 +14,27 @@
 use crate::alerts::{self, Stopping};
 use crate::api::EndpointState;
 use crate::config::{Config, ConfigError, Edge, NodeProtocol};
-use crate::control::{self, Operated, Operations};
+use crate::control::{self, Operations, OperatorCommands};
 use crate::counters::Counters;
 use crate::engine::Engine;
-use crate::frontend::aggregation::{Desk, Memory};
-use crate::frontend::features::Ogc;
-use crate::frontend::http_server::{self, Front, Service, Shared};
+use crate::frontend::aggregation::{AggregationFrontend, Memory};
+use crate::frontend::features::FeaturesFrontend;
+use crate::frontend::http_server::{self, Frontend, Service, Shared};
 use crate::frontend::platform::Platform;
 use crate::limits::Limits;
-use crate::net::coordinator::{self, Core};
+use crate::net::coordinator::{self, CoreHandle};
 use crate::net::discovery::{self, DiscoveryContext, DiscoveryPlan};
-use crate::net::endpoint_list_lease::ListLease;
+use crate::net::endpoint_list_lease::EndpointListLease;
 use crate::net::feature_node;
 use crate::net::features::Names;
 use crate::net::log_limit::LogLimit;
-use crate::net::messages::{self, DiscoveryMsg};
+use crate::net::messages::{self, DiscoveryMessage};
 use crate::net::node::{self, NodeContext};
-use crate::net::pending_updates::Freshness;
+use crate::net::pending_updates::PendingUpdates;
 use crate::replication;
 use crate::runtime::{lock, nanos, thread, Clock, Permits, SMALL_STACK};
-use crate::settings::Info;
-use crate::snapshot_store::Keep;
+use crate::settings::Deployment;
+use crate::snapshot_store::SnapshotStore;
 use crate::snmp::{self, SnmpConfig};
 
 /// A coordinator that serves.
@@ -52,11 +52,11 @@
     /// Where clients of the group are answered, if this process is a member of one.
     pub group: Option<SocketAddr>,
     /// The core.
-    pub core: Core,
+    pub core: CoreHandle,
     service: Arc<Service>,
     limits: Arc<Limits>,
-    discovery: Sender<DiscoveryMsg>,
-    keep: Option<Arc<Keep>>,
+    discovery: Sender<DiscoveryMessage>,
+    keep: Option<Arc<SnapshotStore>>,
     /// Tells whoever is to be told that the process ends.
     stopping: Option<Stopping>,
     /// The configuration that was last taken.
@@ -95,7 +95,7 @@
     let (clock, counters) = (Clock::start(), Arc::<Counters>::default());
     let info = Arc::new(config.info.sharing_with(others));
     let engine =
-        Engine::new(Info::clone(&info), config.seed, nanos(limits.backstop), nanos(limits.name_rest))
+        Engine::new(Deployment::clone(&info), config.seed, nanos(limits.backstop), nanos(limits.name_rest))
             .map_err(|e| e.to_string())?;
     let (core_mail, inbox) = messages::mailbox();
     let plan = DiscoveryPlan {
@@ -105,7 +105,7 @@
         seed: config.seed,
         known: config.known,
     };
-    let (freshness, lease) = (Freshness::default(), ListLease::default());
+    let (freshness, lease) = (PendingUpdates::default(), EndpointListLease::default());
     let context = DiscoveryContext {
         core: core_mail.clone(),
         limits: limits.clone(),
@@ -135,18 +135,18 @@
             Box::new(move |id, gate| feature_node::start(id, gate, context.clone(), names.clone()))
         }
     };
-    let memory = edge.desk.as_ref().map(|_| Memory::new(&limits, info.ranges));
+    let memory = edge.desk.as_ref().map(|_| Memory::new(&limits, info.shards));
     let group = edge.group.as_ref().map(|group| replication::start(group, &limits)).transpose()?;
     let keep = match &edge.state {
         Some(state) => {
             let engine = edge.snmp.as_ref().map_or(Ok(Vec::new()), SnmpConfig::engine)?;
             let copy = group.as_ref().filter(|_| state.copied).map(|g| g.copy_of(&config.name));
-            Some(Arc::new(Keep::load(state, engine, copy)?))
+            Some(Arc::new(SnapshotStore::load(state, engine, copy)?))
         }
         None => None,
     };
     let kept = keep.as_ref().map(|k| k.kept());
-    let parts = coordinator::Parts {
+    let parts = coordinator::CoreConfig {
         restored: kept.as_ref().map(|k| k.books.clone()),
         nodes: NodeBounds { max_rows: limits.node_rows, retention: nanos(limits.node_row_keep) },
         figures_every: config.control.map(|_| nanos(limits.figures_every)),
@@ -171,20 +171,20 @@
     let turned_away = Permits::new(limits.turned_away);
     let shared =
         Shared { core: core.clone(), limits: limits.clone(), service: service.clone(), permits, turned_away };
-    let open = |addr, front: Arc<dyn Front>| {
+    let open = |addr, front: Arc<dyn Frontend>| {
         let cannot = |e: io::Error| format!("cannot listen at {addr}: {e}");
         http_server::listen(addr, front, shared.clone()).map_err(cannot)
     };
     let ogc = match &edge.ogc {
         Some(ogc) => {
-            let front = Ogc::new(ogc, core.clone(), limits.clone(), config.seed)?;
+            let front = FeaturesFrontend::new(ogc, core.clone(), limits.clone(), config.seed)?;
             Some(open(ogc.listen, Arc::new(front))?)
         }
         None => None,
     };
     let desk = match (&edge.desk, memory) {
         (Some(desk), Some(memory)) => {
-            let front = Desk::new(desk, core.clone(), limits.clone(), memory, config.seed)?;
+            let front = AggregationFrontend::new(desk, core.clone(), limits.clone(), memory, config.seed)?;
             Some(open(desk.listen, Arc::new(front))?)
         }
         _ => None,
@@ -247,18 +247,18 @@
 
 /// What operators call at the second address.
 struct Operation {
-    core: Core,
+    core: CoreHandle,
     service: Arc<Service>,
     limits: Arc<Limits>,
 }
 
-impl Operated for Operation {
+impl OperatorCommands for Operation {
     fn ready(&self) -> Result<(), &'static str> {
         self.service.why_not(&self.core).map_or(Ok(()), Err)
     }
 
     fn figures(&self) -> String {
-        self.core.figures().text()
+        self.core.process_stats().text()
     }
 
     fn drain(&self) -> Result<(), &'static str> {
@@ -353,28 +353,28 @@
         config.follows(&taken)?;
         self.edge.check_settings(&config.info).map_err(ConfigError::Invalid)?;
         if taken.discovery_in_file != config.discovery_in_file {
-            self.tell_discovery(DiscoveryMsg::Moved(config.discovery_in_file));
+            self.tell_discovery(DiscoveryMessage::Moved(config.discovery_in_file));
         }
         if taken.document["settings"] != config.document["settings"] {
-            self.core.reset(config.info.clone().sharing_with(self.others));
+            self.core.update_settings(config.info.clone().sharing_with(self.others));
         }
         let changed = if taken.document == config.document { Taken::Unchanged } else { Taken::Changed };
         *taken = config;
-        log::info!("the configuration is taken: {} classes", taken.info.classes.len());
+        log::info!("the configuration is taken: {} classes", taken.info.class_names.len());
         Ok(changed)
     }
 
     /// SIGHUP has come, and the configuration is read again from now on.
     pub fn reload_begins(&self) {
-        self.tell_discovery(DiscoveryMsg::ReloadBegins);
+        self.tell_discovery(DiscoveryMessage::ReloadBegins);
     }
 
     /// Nothing of the configuration is read any more.
     pub fn reload_settled(&self) {
-        self.tell_discovery(DiscoveryMsg::ReloadSettled);
+        self.tell_discovery(DiscoveryMessage::ReloadSettled);
     }
 
-    fn tell_discovery(&self, message: DiscoveryMsg) {
+    fn tell_discovery(&self, message: DiscoveryMessage) {
         if self.discovery.send(message).is_err() {
             log::error!("the actor of discovery has ended");
         }
@@ -382,7 +382,7 @@
 
     /// All figures of one moment; none if the core does not come to it in time. Not called from a coroutine.
     pub fn accounts(&self) -> Option<LedgerSnapshot> {
-        self.core.accounts_within(ACCOUNTS)
+        self.core.ledger_snapshot_within(ACCOUNTS)
     }
 
     /// The counters, and the accounts by class and by data node, a line each. Not called from a coroutine.
@@ -406,7 +406,7 @@
             life.term(self.service.now(), finish);
             life.answered_by()
         };
-        self.core.ending(answered_by);
+        self.core.shut_down_by(answered_by);
         while self.service.closing() < Closing::Resting {
             std::thread::sleep(LOOK);
         }
--- a/tests/drain_updates.rs
+++ b/tests/drain_updates.rs
@@ -73,7 +73,7 @@
 /// Where the older list comes from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Older {
-    Replica,
+    SnapshotReplica,
     NewService,
 }
 
@@ -87,10 +87,10 @@
     let written = service.writes().len();
     trial.catalog.set("drains", NodeState::Draining);
     until_written(&service, written);
-    let lagging = if older == Older::Replica { &service } else { &other };
+    let lagging = if older == Older::SnapshotReplica { &service } else { &other };
     lagging.faults(|f| (f.lags_at, f.snapshot_first) = (Some(FIRST_VERSION), true));
     match older {
-        Older::Replica => service.end_connections(),
+        Older::SnapshotReplica => service.end_connections(),
         Older::NewService => trial.move_to(number, &other),
     }
     thread::sleep(ms(4000));
@@ -103,7 +103,8 @@
 /// Guards a node that drains against older news of it; a later start opens it again.
 #[test]
 fn an_older_list_opens_no_node_that_drains() {
-    let kinds = [Older::Replica, Older::NewService].iter().flat_map(|&older| BOTH.map(|way| (older, way)));
+    let kinds =
+        [Older::SnapshotReplica, Older::NewService].iter().flat_map(|&older| BOTH.map(|way| (older, way)));
     all_pass(kinds.collect(), |(older, way)| goes_backwards(older, way));
 }
 
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -116,7 +116,7 @@
 fn whole(coordinator: &Coordinator, class: &str, client: ClientLiveness) -> QueryRequest {
     QueryRequest {
         name: format!("whole-{class}"),
-        class: coordinator.core.info().class(class).unwrap(),
+        class: coordinator.core.info().class_named(class).unwrap(),
         is_retry: false,
         deadline: coordinator.core.clock.now() + 60_000_000_000,
         parts: (0..4).map(|shard| (ShardId(shard), 0.25)).collect(),
@@ -136,11 +136,11 @@
     ready(&coordinator);
     let looks = AtomicUsize::new(0);
     let client = ClientLiveness::new(move || looks.fetch_add(1, Ordering::SeqCst) == 0);
-    coordinator.core.ask(whole(&coordinator, "tag-lookup", client), Box::new(|_| ()));
+    coordinator.core.submit(whole(&coordinator, "tag-lookup", client), Box::new(|_| ()));
     // What is asked after it goes over the same connections behind it.
     let (told, answered) = std::sync::mpsc::channel();
     let next = whole(&coordinator, "plaza-ranking", ClientLiveness::default());
-    coordinator.core.ask(next, Box::new(move |ended| told.send(ended).unwrap()));
+    coordinator.core.submit(next, Box::new(move |ended| told.send(ended).unwrap()));
     assert!(matches!(answered.recv().unwrap(), Ok(QueryOutcome::Answered { complete: true, .. })));
     let parts = a.parts().into_iter().chain(b.parts());
     assert_eq!(parts.filter(|p| p.id.starts_with("whole-tag-lookup")).count(), 1);
@@ -159,7 +159,7 @@
     ready(&coordinator);
     let ask = whole(&coordinator, "plaza-ranking", ClientLiveness::default());
     let (told, answered) = std::sync::mpsc::channel();
-    coordinator.core.ask(
+    coordinator.core.submit(
         ask,
         Box::new(move |ended| {
             // Right when the answer goes out: all that the late one's sockets hold by then.
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -125,7 +125,8 @@
     let kept = || {
         let bytes = std::fs::read(folder.join("books")).unwrap();
         let kind = curlewdeck_snapshot::record::Kind { what: 1, form: 1 };
-        curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::Kept>(kind, &bytes).unwrap()
+        curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::SnapshotContents>(kind, &bytes)
+            .unwrap()
     };
     let total = || kept().books.classes.iter().flat_map(|c| c.ended).sum::<u64>();
     let mut served = 0;
@@ -168,7 +169,8 @@
         let bytes = std::fs::read(folder.join("books")).unwrap();
         let kind = curlewdeck_snapshot::record::Kind { what: 1, form: 1 };
         let kept =
-            curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::Kept>(kind, &bytes).unwrap();
+            curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::SnapshotContents>(kind, &bytes)
+                .unwrap();
         kept.books.classes.iter().flat_map(|c| c.ended).sum::<u64>()
     };
     // Every write goes to this name first, and a folder of it fails all of them.
