--- a/benches/update_to_gate.rs
+++ b/benches/update_to_gate.rs
@@ -18,7 +18,7 @@
 
 use harness::scripted::{chunk, news, Scripted, WATCH};
 use harness::stand_in::{exchange, DataNode, NodeReply, Part};
-use harness::{query_bytes, ready, served, Bed};
+use harness::{query_bytes, ready, served, TestCluster};
 
 /// News that is measured under each load.
 const ROUNDS: u32 = 200;
@@ -143,7 +143,7 @@
 /// A coordinator with two data nodes, and the watch of its list.
 fn coordinator(kept: SocketAddr, drained: SocketAddr) -> (Coordinator, Scripted, TcpStream) {
     let (discovery, addr) = Scripted::new();
-    let coordinator = Bed::default().start(addr, "");
+    let coordinator = TestCluster::default().start(addr, "");
     let (mut watch, _) = discovery.call();
     let whole = news(1, true, &[("a", 0, kept, "up"), ("b", 1, drained, "up")]);
     watch.write_all(&[WATCH, &chunk(&(whole + "\n"))].concat()).unwrap();
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -68,18 +68,18 @@
     }
 }
 
-pub struct Bed {
+pub struct PolicyHarness {
     pub policy: Policy,
     pub now: Nanos,
     next: u64,
 }
 
-impl Bed {
+impl PolicyHarness {
     pub fn new(settings: Settings, servers: u32) -> Self {
-        let mut bed = Self { policy: Policy::new(settings, 7).unwrap(), now: START, next: 0 };
+        let mut harness = Self { policy: Policy::new(settings, 7).unwrap(), now: START, next: 0 };
         let entries = (0..servers).map(|s| entry(s, EndpointState::Active)).collect();
-        bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records: entries }]);
-        bed
+        harness.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records: entries }]);
+        harness
     }
 
     pub fn round(&mut self, events: Vec<Event>) -> Vec<Action> {
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -135,11 +135,11 @@
 fn a_server_that_stands_still_now_and_then_is_left_for_others_where_traffic_is_thin() {
     let mut set = Settings { coordinators: 100, ..settings() };
     set.classes.iter_mut().for_each(|c| c.latency_objective = 300 * MS);
-    let mut bed = Bed::new(set, 4);
+    let mut harness = PolicyHarness::new(set, 4);
     let (mut at_bad, mut all) = (0, 0);
     for _ in 0..120 {
-        bed.now += 1000 * MS;
-        let mut actions = bed.query(0, 1).2;
+        harness.now += 1000 * MS;
+        let mut actions = harness.query(0, 1).2;
         let mut attempt = 0;
         while let Some(&sent) = sends(&actions).first() {
             all += 1;
@@ -147,8 +147,8 @@
             at_bad += usize::from(sent.server.0 == 0);
             let (outcome, latency) =
                 if standing { (Outcome::TimedOut, 200 * MS) } else { (Outcome::Success, 50 * MS) };
-            bed.now += latency;
-            actions = bed.round(vec![bed.ended_after(&sent, attempt, outcome, latency)]);
+            harness.now += latency;
+            actions = harness.round(vec![harness.ended_after(&sent, attempt, outcome, latency)]);
             attempt += 1;
         }
     }
@@ -161,15 +161,16 @@
 #[test]
 fn a_copy_goes_over_an_open_connection_only() {
     for (idle, called_off) in [(30_000 * MS, 0), (50 * MS, 1)] {
-        let mut bed = Bed::new(Settings { connection_idle_timeout: Some(idle), ..settings() }, 2);
+        let mut harness =
+            PolicyHarness::new(Settings { connection_idle_timeout: Some(idle), ..settings() }, 2);
         for _ in 0..12 {
-            let sent = [bed.query(0, 1).2, bed.query(0, 1).2].map(|actions| sends(&actions)[0]);
+            let sent = [harness.query(0, 1).2, harness.query(0, 1).2].map(|actions| sends(&actions)[0]);
             assert_ne!(sent[0].server, sent[1].server);
-            bed.now += 100 * MS;
-            bed.round(sent.map(|s| bed.ended(&s, 0, Outcome::Success)).to_vec());
+            harness.now += 100 * MS;
+            harness.round(sent.map(|s| harness.ended(&s, 0, Outcome::Success)).to_vec());
         }
-        bed.query(0, 1);
-        let later = bed.pass(600 * MS);
+        harness.query(0, 1);
+        let later = harness.pass(600 * MS);
         let cancels = later.iter().filter(|a| matches!(a, Action::CancelAttempt { .. })).count();
         assert_eq!((sends(&later).len(), cancels), (1, called_off), "idle after {idle}");
     }
@@ -180,13 +181,13 @@
 #[test]
 fn a_part_that_was_turned_away_is_tried_again_without_a_charge() {
     let tried_again = |outcome| {
-        let mut bed = Bed::new(Settings { retry_budget: None, ..settings() }, 60);
+        let mut harness = PolicyHarness::new(Settings { retry_budget: None, ..settings() }, 60);
         let mut again = 0;
         for _ in 0..20 {
-            let first = sends(&bed.query(0, 1).2);
-            let ended = first.iter().map(|s| bed.ended_after(s, 0, outcome, MS)).collect();
-            again += sends(&bed.round(ended)).len();
-            bed.now += 10 * MS;
+            let first = sends(&harness.query(0, 1).2);
+            let ended = first.iter().map(|s| harness.ended_after(s, 0, outcome, MS)).collect();
+            again += sends(&harness.round(ended)).len();
+            harness.now += 10 * MS;
         }
         again
     };
@@ -201,17 +202,20 @@
 fn queries_that_cannot_be_paced_are_throttled_by_those_in_time() {
     let turned_away = |servers, parts, latency| {
         // Fifty parts may be out at once at the start.
-        let mut bed = Bed::new(Settings { coordinators: 100, max_open: 200, ..settings() }, servers);
+        let mut harness =
+            PolicyHarness::new(Settings { coordinators: 100, max_open: 200, ..settings() }, servers);
         let mut refused = 0;
         for n in 0..60 {
-            let actions = bed.query(0, parts).2;
+            let actions = harness.query(0, parts).2;
             let at_once = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
             refused += usize::from(n >= 10 && at_once);
-            bed.now += latency;
-            let ended =
-                sends(&actions).iter().map(|s| bed.ended_after(s, 0, Outcome::Success, latency)).collect();
-            bed.round(ended);
-            bed.pass(1500 * MS - latency);
+            harness.now += latency;
+            let ended = sends(&actions)
+                .iter()
+                .map(|s| harness.ended_after(s, 0, Outcome::Success, latency))
+                .collect();
+            harness.round(ended);
+            harness.pass(1500 * MS - latency);
         }
         refused
     };
@@ -226,16 +230,16 @@
 /// pass in which it sends nothing.
 #[test]
 fn a_throttled_coordinator_sends_something_within_four_seconds() {
-    let mut bed = Bed::new(Settings { coordinators: 100, max_open: 200, ..settings() }, 800);
-    let (mut sent_at, mut longest, mut actions) = (bed.now, 0, Vec::new());
+    let mut harness = PolicyHarness::new(Settings { coordinators: 100, max_open: 200, ..settings() }, 800);
+    let (mut sent_at, mut longest, mut actions) = (harness.now, 0, Vec::new());
     // Where the attempts at each part went, in their order.
     let mut tried: std::collections::BTreeMap<PartId, Vec<ServerId>> = Default::default();
     for _ in 0..600 {
-        actions.extend(bed.query(0, 60).2);
-        actions.extend(bed.pass(100 * MS));
+        actions.extend(harness.query(0, 60).2);
+        actions.extend(harness.pass(100 * MS));
         for sent in sends(&actions) {
             tried.entry(sent.part).or_default().push(sent.server);
-            sent_at = bed.now;
+            sent_at = harness.now;
         }
         // None is answered: each ends with its query.
         let ended = actions.iter().filter_map(|action| match action {
@@ -249,8 +253,8 @@
             _ => None,
         });
         let ended = ended.collect();
-        actions = bed.round(ended);
-        longest = longest.max(bed.now - sent_at);
+        actions = harness.round(ended);
+        longest = longest.max(harness.now - sent_at);
     }
     assert!(longest < 4000 * MS, "nothing sent for {} ms", longest / MS);
 }
--- a/crates/core/tests/wall_clock.rs
+++ b/crates/core/tests/wall_clock.rs
@@ -11,30 +11,31 @@
 const COLD: ServerId = ServerId(1);
 
 /// How often a server is sent to in `span`, of two that hold the one shard, beside queries one after the other.
-fn sent_to_the_cold_one(bed: &mut Bed, span: Nanos) -> usize {
-    let (end, mut sent) = (bed.now + span, 0);
-    while bed.now < end {
-        let (_, _, actions) = bed.query(0, 1);
-        bed.now += 50 * MS;
-        let done: Vec<Event> = sends(&actions).iter().map(|s| bed.ended(s, 0, Outcome::Success)).collect();
+fn sent_to_the_cold_one(harness: &mut PolicyHarness, span: Nanos) -> usize {
+    let (end, mut sent) = (harness.now + span, 0);
+    while harness.now < end {
+        let (_, _, actions) = harness.query(0, 1);
+        harness.now += 50 * MS;
+        let done: Vec<Event> =
+            sends(&actions).iter().map(|s| harness.ended(s, 0, Outcome::Success)).collect();
         sent += sends(&actions).iter().filter(|s| s.server == COLD).count();
-        bed.round(done);
+        harness.round(done);
     }
     sent
 }
 
 /// The list's service is heard of every second, without news, for so long.
-fn quiet(bed: &mut Bed, span: Nanos) {
-    let end = bed.now + span;
-    while bed.now < end {
-        bed.pass(SECOND);
-        bed.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: Vec::new() }]);
+fn quiet(harness: &mut PolicyHarness, span: Nanos) {
+    let end = harness.now + span;
+    while harness.now < end {
+        harness.pass(SECOND);
+        harness.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: Vec::new() }]);
     }
 }
 
-fn told(bed: &mut Bed, kind: EndpointUpdateKind, started_at: Nanos) {
+fn told(harness: &mut PolicyHarness, kind: EndpointUpdateKind, started_at: Nanos) {
     let started = EndpointRecord { started_at, ..entry(1, EndpointState::Active) };
-    bed.round(vec![Event::EndpointsUpdated {
+    harness.round(vec![Event::EndpointsUpdated {
         kind,
         records: vec![entry(0, EndpointState::Active), started],
     }]);
@@ -42,23 +43,23 @@
 
 /// What a cold server is sent within the rule's span when its start is told as it is.
 fn honest() -> usize {
-    let mut bed = Bed::new(settings(), 2);
-    bed.warm_up(40);
-    quiet(&mut bed, 10 * SECOND);
-    let now = bed.now;
-    told(&mut bed, EndpointUpdateKind::Delta, now);
-    sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration)
+    let mut harness = PolicyHarness::new(settings(), 2);
+    harness.warm_up(40);
+    quiet(&mut harness, 10 * SECOND);
+    let now = harness.now;
+    told(&mut harness, EndpointUpdateKind::Delta, now);
+    sent_to_the_cold_one(&mut harness, settings().slow_start.overload_duration)
 }
 
 /// What a warm one is sent in that time.
 fn warm() -> usize {
-    let mut bed = Bed::new(settings(), 2);
-    bed.warm_up(40);
-    sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration)
+    let mut harness = PolicyHarness::new(settings(), 2);
+    harness.warm_up(40);
+    sent_to_the_cold_one(&mut harness, settings().slow_start.overload_duration)
 }
 
-fn is_cold(bed: &mut Bed, case: &str) {
-    let (honest, sent) = (honest(), sent_to_the_cold_one(bed, settings().slow_start.overload_duration));
+fn is_cold(harness: &mut PolicyHarness, case: &str) {
+    let (honest, sent) = (honest(), sent_to_the_cold_one(harness, settings().slow_start.overload_duration));
     assert!(sent <= honest + 2, "{case}: {sent} parts, where {honest} go when the start is told as it is");
 }
 
@@ -73,13 +74,13 @@
 fn a_start_told_after_the_wall_clock_went_back_is_a_start_of_now() {
     for back in [2 * SECOND, 5 * SECOND, 20 * SECOND, HOUR] {
         for kind in [EndpointUpdateKind::Delta, EndpointUpdateKind::Snapshot] {
-            let mut bed = Bed::new(settings(), 2);
-            bed.now += 2 * HOUR;
-            bed.warm_up(40);
-            quiet(&mut bed, 30 * SECOND);
-            let now = bed.now;
-            told(&mut bed, kind, now - back);
-            is_cold(&mut bed, &format!("stepped back by {} s, {kind:?}", back / SECOND));
+            let mut harness = PolicyHarness::new(settings(), 2);
+            harness.now += 2 * HOUR;
+            harness.warm_up(40);
+            quiet(&mut harness, 30 * SECOND);
+            let now = harness.now;
+            told(&mut harness, kind, now - back);
+            is_cold(&mut harness, &format!("stepped back by {} s, {kind:?}", back / SECOND));
         }
     }
 }
@@ -87,14 +88,14 @@
 /// The wall clock went forward: the start lies ahead, and the span begins when it is told of, and ends.
 #[test]
 fn a_start_told_after_the_wall_clock_went_forward_is_a_start_of_now_and_ends() {
-    let mut bed = Bed::new(settings(), 2);
-    bed.warm_up(40);
-    quiet(&mut bed, 10 * SECOND);
-    let now = bed.now;
-    told(&mut bed, EndpointUpdateKind::Delta, now + HOUR);
-    is_cold(&mut bed, "stepped forward");
-    quiet(&mut bed, settings().slow_start.warm_up_duration);
-    let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
+    let mut harness = PolicyHarness::new(settings(), 2);
+    harness.warm_up(40);
+    quiet(&mut harness, 10 * SECOND);
+    let now = harness.now;
+    told(&mut harness, EndpointUpdateKind::Delta, now + HOUR);
+    is_cold(&mut harness, "stepped forward");
+    quiet(&mut harness, settings().slow_start.warm_up_duration);
+    let sent = sent_to_the_cold_one(&mut harness, settings().slow_start.overload_duration);
     assert!(sent + 4 >= warm(), "{sent} parts once it is warm, where {} go to a warm one", warm());
 }
 
@@ -102,30 +103,30 @@
 /// earlier time than the first.
 #[test]
 fn a_second_start_with_an_earlier_time_is_a_start() {
-    let mut bed = Bed::new(settings(), 2);
-    bed.now += 2 * HOUR;
-    bed.warm_up(40);
-    let now = bed.now;
-    told(&mut bed, EndpointUpdateKind::Delta, now);
-    quiet(&mut bed, settings().slow_start.warm_up_duration + SECOND);
-    bed.warm_up(40);
-    let now = bed.now;
-    told(&mut bed, EndpointUpdateKind::Delta, now - HOUR);
-    is_cold(&mut bed, "the second start");
+    let mut harness = PolicyHarness::new(settings(), 2);
+    harness.now += 2 * HOUR;
+    harness.warm_up(40);
+    let now = harness.now;
+    told(&mut harness, EndpointUpdateKind::Delta, now);
+    quiet(&mut harness, settings().slow_start.warm_up_duration + SECOND);
+    harness.warm_up(40);
+    let now = harness.now;
+    told(&mut harness, EndpointUpdateKind::Delta, now - HOUR);
+    is_cold(&mut harness, "the second start");
 }
 
 /// The same start told again is no news: a whole list after a broken watch makes nobody cold, and neither does one without
 /// the time.
 #[test]
 fn a_start_that_is_known_is_not_told_anew() {
-    let mut bed = Bed::new(settings(), 2);
-    let start = bed.now;
-    told(&mut bed, EndpointUpdateKind::Delta, start);
-    quiet(&mut bed, settings().slow_start.warm_up_duration + SECOND);
-    bed.warm_up(40);
+    let mut harness = PolicyHarness::new(settings(), 2);
+    let start = harness.now;
+    told(&mut harness, EndpointUpdateKind::Delta, start);
+    quiet(&mut harness, settings().slow_start.warm_up_duration + SECOND);
+    harness.warm_up(40);
     for time in [start, 0, start] {
-        told(&mut bed, EndpointUpdateKind::Snapshot, time);
-        let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
+        told(&mut harness, EndpointUpdateKind::Snapshot, time);
+        let sent = sent_to_the_cold_one(&mut harness, settings().slow_start.overload_duration);
         assert!(sent + 4 >= warm(), "{sent} parts, where {} go to a warm one", warm());
     }
 }
@@ -135,14 +136,14 @@
 #[test]
 fn servers_of_the_first_list_that_started_long_ago_are_warm() {
     for kind in [EndpointUpdateKind::Snapshot, EndpointUpdateKind::Unconfirmed] {
-        let mut bed = Bed::new(settings(), 2);
-        bed.policy = curlewdeck_core::Policy::new(settings(), 7).unwrap();
-        bed.now += 2 * HOUR;
-        let long_ago = bed.now - HOUR;
-        told(&mut bed, kind, long_ago);
-        told(&mut bed, EndpointUpdateKind::Snapshot, long_ago);
-        bed.warm_up(40);
-        let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
+        let mut harness = PolicyHarness::new(settings(), 2);
+        harness.policy = curlewdeck_core::Policy::new(settings(), 7).unwrap();
+        harness.now += 2 * HOUR;
+        let long_ago = harness.now - HOUR;
+        told(&mut harness, kind, long_ago);
+        told(&mut harness, EndpointUpdateKind::Snapshot, long_ago);
+        harness.warm_up(40);
+        let sent = sent_to_the_cold_one(&mut harness, settings().slow_start.overload_duration);
         assert!(sent + 4 >= warm(), "{kind:?}: {sent} parts, where {} go to a warm one", warm());
     }
 }
@@ -151,25 +152,25 @@
 /// restarted meanwhile cannot be told by its time.
 #[test]
 fn a_start_after_an_outage_with_a_step_is_a_start_of_now() {
-    let mut bed = Bed::new(settings(), 2);
-    bed.warm_up(40);
-    quiet(&mut bed, 10 * SECOND);
-    bed.pass(60 * SECOND);
-    bed.policy.wall_clock_stepped();
-    let now = bed.now;
-    told(&mut bed, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
-    is_cold(&mut bed, "an outage and a step");
+    let mut harness = PolicyHarness::new(settings(), 2);
+    harness.warm_up(40);
+    quiet(&mut harness, 10 * SECOND);
+    harness.pass(60 * SECOND);
+    harness.policy.wall_clock_stepped();
+    let now = harness.now;
+    told(&mut harness, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
+    is_cold(&mut harness, "an outage and a step");
 }
 
 /// Without a step, a start in an outage is believed: the server is as warm as it says.
 #[test]
 fn a_start_in_an_outage_is_believed() {
-    let mut bed = Bed::new(settings(), 2);
-    bed.warm_up(40);
-    quiet(&mut bed, 10 * SECOND);
-    bed.pass(60 * SECOND);
-    let now = bed.now;
-    told(&mut bed, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
-    let sent = sent_to_the_cold_one(&mut bed, settings().slow_start.overload_duration);
+    let mut harness = PolicyHarness::new(settings(), 2);
+    harness.warm_up(40);
+    quiet(&mut harness, 10 * SECOND);
+    harness.pass(60 * SECOND);
+    let now = harness.now;
+    told(&mut harness, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
+    let sent = sent_to_the_cold_one(&mut harness, settings().slow_start.overload_duration);
     assert!(sent + 4 >= warm(), "{sent} parts, where {} go to a warm one", warm());
 }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -526,9 +526,11 @@
                             self.account.query_answered(now, query, *complete, *coverage);
                         }
                         QueryOutcome::Rejected { .. } => {
-                            drop(self.account.query_ended(query, QueryEnd::Rejected))
+                            self.account.query_ended(query, QueryEnd::Rejected);
+                        }
+                        QueryOutcome::Failed => {
+                            self.account.query_ended(query, QueryEnd::Failed);
                         }
-                        QueryOutcome::Failed => drop(self.account.query_ended(query, QueryEnd::Failed)),
                     }
                     // Whoever has the answer finds it counted.
                     self.core.counters.view(&self.account);
--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -14,7 +14,7 @@
 
 use harness::scripted::{chunk, list, Scripted, WATCH};
 use harness::stand_in::{read_answer, Answer, DataNode, Discovery, NodeReply, Part};
-use harness::{held_back, member, query, query_bytes, ready, served, start, two, until, Bed};
+use harness::{held_back, member, query, query_bytes, ready, served, start, two, until, TestCluster};
 
 /// Far longer than anything here takes, and an end all the same.
 const LONG: Duration = Duration::from_secs(60);
@@ -139,7 +139,8 @@
     let (discovery, addr) = Scripted::new();
     let known = format!(r#""known":{},"seed""#, list(1, nodes));
     // Aims are long: what waits for the list is not refused for it.
-    let config = Bed::default().config(addr).replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#);
+    let config =
+        TestCluster::default().config(addr).replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#);
     let coordinator = start(&config.replacen(r#""seed""#, &known, 1), "");
     let (call, _) = discovery.call();
     (coordinator, call)
@@ -167,7 +168,8 @@
 fn behind_a_crowd() -> (Coordinator, Discovery, TcpListener, Vec<TcpStream>) {
     let (listener, waiting) = crowded();
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, listener.local_addr().unwrap())]);
-    let coordinator = Bed { cells: 1, in_a_row: 1, ..Bed::default() }.start(discovery.addr, "");
+    let coordinator =
+        TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     (coordinator, discovery, listener, waiting)
 }
@@ -223,7 +225,7 @@
             }
         };
         let (a, b, discovery) = two(fails.clone(), fails);
-        let coordinator = Bed::default().start(discovery.addr, "");
+        let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
         let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
         until("the attempt", || !asked.attempts(&[&a, &b]).is_empty());
@@ -248,7 +250,7 @@
     // How long after the first attempt the second one begins, as it is with a client that stays.
     let hedged_after = {
         let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-        let coordinator = Bed::default().start(discovery.addr, "");
+        let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
         let asked = || Asked::new(coordinator.listen, "tag-lookup", &[0]);
         let mut asked_last = asked();
@@ -267,7 +269,7 @@
     let rounds = [-60, -20, -5, 0, 5, 20].map(|ms: i64| {
         thread::spawn(move || {
             let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-            let coordinator = Bed::default().start(discovery.addr, "");
+            let coordinator = TestCluster::default().start(discovery.addr, "");
             ready(&coordinator);
             let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
             until("the attempt", || !asked.attempts(&[&a, &b]).is_empty());
@@ -297,7 +299,7 @@
     for round in 0..10 {
         let (release, slow) = held_back();
         let (a, b, discovery) = two(slow.clone(), slow);
-        let coordinator = Bed::default().start(discovery.addr, "");
+        let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
         let asked = Asked::new(coordinator.listen, "monthly-settle", &[0, 1, 2, 3]);
         until("the first step", || asked.attempts(&[&a, &b]).len() >= 4);
@@ -320,7 +322,7 @@
 fn a_client_that_ends_its_way_out_has_gone() {
     let _alone = alone();
     let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
     until("the attempt", || !asked.attempts(&[&a, &b]).is_empty());
@@ -359,7 +361,7 @@
             }
         };
         let (a, b, discovery) = two(reply.clone(), reply);
-        let coordinator = Bed::default().start(discovery.addr, "");
+        let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
         let asked = Asked::new(coordinator.listen, class, &[0]);
         assert_eq!(asked.answer().unwrap().status, 200, "{what}");
@@ -402,7 +404,7 @@
     let _alone = alone();
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let first = Asked::new(coordinator.listen, "tag-lookup", &[0]);
     until("the first attempt", || !first.attempts(&[&a, &b]).is_empty());
@@ -423,7 +425,7 @@
     let _alone = alone();
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
@@ -446,7 +448,7 @@
 fn a_request_on_a_new_connection_is_answered_or_never_sent_on() {
     let _alone = alone();
     let (a, b, discovery) = two(served, served);
-    let coordinator = Bed { sockets: 128, ..Bed::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { sockets: 128, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     let addr = coordinator.listen;
     // They hold places, and say nothing.
@@ -491,7 +493,7 @@
         _ => served(part),
     };
     let (_a, _b, discovery) = two(troubled.clone(), troubled);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let addr = coordinator.listen;
     let done = Arc::new(AtomicBool::new(false));
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -16,7 +16,7 @@
 use checker::{Asked, Walk};
 use curlewdeck::startup::Coordinator;
 use harness::stand_in::{exchange, get, post_bytes, read_answer, Answer, DataNode, Discovery, NodeReply};
-use harness::{member, ready, until, Bed};
+use harness::{member, ready, until, TestCluster};
 use serde_json::{json, Value as Json};
 use stand_in::{answer, History, Manner, Row};
 
@@ -127,8 +127,8 @@
             .collect();
         let members = (0..).zip(&nodes).map(|(c, n)| member(&format!("s{c}"), c, n.addr)).collect();
         let discovery = Discovery::start("127.0.0.1:0", members);
-        let bed = Bed { cells: 4, in_a_row: 2, ..Bed::default() };
-        let coordinator = bed.start(discovery.addr, edge);
+        let cluster = TestCluster { cells: 4, in_a_row: 2, ..TestCluster::default() };
+        let coordinator = cluster.start(discovery.addr, edge);
         ready(&coordinator);
         let desk = coordinator.desk.unwrap();
         Self { coordinator, discovery, world, nodes, desk }
@@ -567,8 +567,10 @@
 /// Settings and files that cannot be used are named.
 #[test]
 fn a_bad_section_is_named() {
-    let info =
-        curlewdeck::config::Config::read(&Bed::default().config("127.0.0.1:1".parse().unwrap()), |_| None);
+    let info = curlewdeck::config::Config::read(
+        &TestCluster::default().config("127.0.0.1:1".parse().unwrap()),
+        |_| None,
+    );
     let info = info.unwrap().info;
     for (from, to, why) in [
         ("plaza-ranking", "none", "there is no class 'none'"),
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -16,11 +16,11 @@
 
 use curlewdeck::startup::Coordinator;
 use desk_stand_in::{History, Manner};
-use harness::held_node::HeldNode;
+use harness::stalling_data_node::StallingDataNode;
 use harness::stand_in::{
     exchange, post_bytes, read_answer, store, Answer, Discovery, FeatureServer, Member, NodeReply, Part,
 };
-use harness::{held_back, member, query, query_bytes, ready, served, until, Bed, Program};
+use harness::{held_back, member, query, query_bytes, ready, served, until, Program, TestCluster};
 
 /// A data node that drains may be sent something new for this long after the word.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
@@ -35,16 +35,16 @@
 
 /// One cell with every shard. Nothing is chased or copied, and a connection may take a minute to come up.
 fn patient(discovery: SocketAddr) -> String {
-    config(&Bed { cells: 1, in_a_row: 1, ..Bed::default() }, discovery)
+    config(&TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }, discovery)
 }
 
 /// The same with as many ranges as one data node is sent at once when nothing is known of it.
 fn patient_features(discovery: SocketAddr) -> String {
-    config(&Bed { cells: 1, in_a_row: 1, ranges: RANGES as u32, ..Bed::default() }, discovery)
+    config(&TestCluster { cells: 1, in_a_row: 1, ranges: RANGES as u32, ..TestCluster::default() }, discovery)
 }
 
-fn config(bed: &Bed, discovery: SocketAddr) -> String {
-    let config = bed.config(discovery).replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#);
+fn config(cluster: &TestCluster, discovery: SocketAddr) -> String {
+    let config = cluster.config(discovery).replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#);
     let waits = config.replace(r#""connect_timeout_ns":2000000000"#, r#""connect_timeout_ns":60000000000"#);
     assert_ne!(waits, config);
     // Who has just started is soon warm: what is sent to it then is not what is looked at here.
@@ -180,7 +180,7 @@
 #[test]
 fn what_waits_for_a_connection_goes_elsewhere_at_once() {
     for word in WORDS {
-        let (late, stays) = (HeldNode::unreachable(served), HeldNode::serving(served));
+        let (late, stays) = (StallingDataNode::unreachable(served), StallingDataNode::serving(served));
         let fleet = Fleet::patient(vec![up("late", late.addr)]);
         let waiting = asked(fleet.addr(), "tag-lookup", &[0]);
         until("the dial", || fleet.dials() == 1);
@@ -208,7 +208,7 @@
 /// to the new address, and the old one is closed when it comes up.
 #[test]
 fn what_waits_for_a_connection_to_an_earlier_address_goes_to_the_new_one() {
-    let (old, new) = (HeldNode::unreachable(served), HeldNode::serving(served));
+    let (old, new) = (StallingDataNode::unreachable(served), StallingDataNode::serving(served));
     let fleet = Fleet::patient(vec![up("moves", old.addr)]);
     let waiting = asked(fleet.addr(), "tag-lookup", &[0]);
     until("the dial", || fleet.dials() == 1);
@@ -227,7 +227,7 @@
 #[test]
 fn a_busy_connection_to_an_earlier_address_takes_nothing_new() {
     let release = Arc::new(AtomicBool::new(false));
-    let (old, new) = (HeldNode::serving(holding(&release)), HeldNode::serving(served));
+    let (old, new) = (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(served));
     let fleet = Fleet::patient(vec![up("moves", old.addr)]);
     let held = asked(fleet.addr(), "tag-lookup", &[HELD]);
     until("the held part", || old.arrivals().len() == 1);
@@ -251,7 +251,7 @@
 fn an_address_that_passes_to_another_data_node_keeps_the_two_apart() {
     for word in WORDS {
         let release = Arc::new(AtomicBool::new(false));
-        let node = HeldNode::serving(holding(&release));
+        let node = StallingDataNode::serving(holding(&release));
         let fleet = Fleet::patient(vec![up("first", node.addr)]);
         let held = asked(fleet.addr(), "tag-lookup", &[HELD]);
         until("the held part", || node.arrivals().len() == 1);
@@ -277,7 +277,7 @@
         release.store(true, Ordering::SeqCst);
         answered(held, "the part out at the first");
         // And the drain of the second is its own.
-        let stays = HeldNode::serving(served);
+        let stays = StallingDataNode::serving(served);
         fleet.change(&[up("stays", stays.addr)]);
         let told = fleet.change(&[in_state("draining", "second", node.addr)]);
         fleet.ask_past_the_grace(told);
@@ -291,8 +291,8 @@
 fn a_name_that_is_gone_and_comes_back_is_opened_and_shut_as_any_other() {
     for (part_out, at_once) in [(false, false), (false, true), (true, false), (true, true)] {
         let release = Arc::new(AtomicBool::new(false));
-        let (old, stays) = (HeldNode::serving(holding(&release)), HeldNode::serving(served));
-        let new = HeldNode::serving(served);
+        let (old, stays) = (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(served));
+        let new = StallingDataNode::serving(served);
         let fleet = Fleet::patient(vec![up("back", old.addr)]);
         fleet.ask(1);
         let held = part_out.then(|| asked_within(HELD_FOR, fleet.addr(), "tag-lookup", &[HELD]));
@@ -329,9 +329,9 @@
 // ---- Further attempts. ----
 
 /// A data node whose parts of one shard wait for the test, and end as it says then.
-fn failing_once_released(release: &Arc<AtomicBool>) -> HeldNode {
+fn failing_once_released(release: &Arc<AtomicBool>) -> StallingDataNode {
     let release = release.clone();
-    HeldNode::serving(move |part: &Part| {
+    StallingDataNode::serving(move |part: &Part| {
         if part.shard != HELD {
             return served(part);
         }
@@ -346,7 +346,7 @@
     const RETRIES: usize = 12;
     let release = Arc::new(AtomicBool::new(false));
     let fails = failing_once_released(&release);
-    let (drains, stays) = (HeldNode::serving(served), HeldNode::serving(served));
+    let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
     let fleet = Fleet::patient(vec![up("fails", fails.addr)]);
     let held: Vec<_> = (0..RETRIES).map(|_| asked(fleet.addr(), "tag-lookup", &[HELD])).collect();
     let out = || fails.arrivals().len();
@@ -365,10 +365,11 @@
 #[test]
 fn copies_do_not_go_to_one_that_drains() {
     let release = Arc::new(AtomicBool::new(false));
-    let holds = HeldNode::serving(holding(&release));
-    let (drains, stays) = (HeldNode::serving(served), HeldNode::serving(served));
+    let holds = StallingDataNode::serving(holding(&release));
+    let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
     let members = vec![up("holds", holds.addr), up("drains", drains.addr), up("stays", stays.addr)];
-    let short_aim = |discovery| Bed { cells: 1, in_a_row: 1, ..Bed::default() }.config(discovery);
+    let short_aim =
+        |discovery| TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery);
     let fleet = Fleet::start(short_aim, "", members);
     fleet.ask(TURNS);
     let told = fleet.change(&[in_state("draining", "drains", drains.addr)]);
@@ -392,7 +393,7 @@
 #[test]
 fn the_second_step_does_not_go_to_one_that_drains() {
     let (release, slow) = held_back();
-    let (drains, stays) = (HeldNode::serving(slow.clone()), HeldNode::serving(slow));
+    let (drains, stays) = (StallingDataNode::serving(slow.clone()), StallingDataNode::serving(slow));
     let fleet = Fleet::patient(vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let parts = || drains.arrivals().len() + stays.arrivals().len();
     let mut held = Vec::new();
@@ -433,9 +434,15 @@
 
 /// Calls of many parts, and connections that carry many.
 fn wide(discovery: SocketAddr) -> String {
-    let bed = Bed { cells: 1, in_a_row: 1, ranges: LARGE_PARTS as u32, max_open: 4000, ..Bed::default() };
+    let cluster = TestCluster {
+        cells: 1,
+        in_a_row: 1,
+        ranges: LARGE_PARTS as u32,
+        max_open: 4000,
+        ..TestCluster::default()
+    };
     let calls = format!(r#""batch":{LARGE_PARTS}"#);
-    let config = config(&bed, discovery).replace(r#""batch":1"#, &calls);
+    let config = config(&cluster, discovery).replace(r#""batch":1"#, &calls);
     config.replace(r#""multiplex":32"#, r#""multiplex":1000"#)
 }
 
@@ -452,7 +459,7 @@
 
 /// Returns whether the word came while the frame waited.
 fn crosses_a_full_socket(word: Word) -> bool {
-    let (full, stays) = (HeldNode::unread(served), HeldNode::serving(served));
+    let (full, stays) = (StallingDataNode::unread(served), StallingDataNode::serving(served));
     let fleet = Fleet::start(wide, "", vec![up("full", full.addr)]);
     let addr = fleet.addr();
     let started = || -> usize {
@@ -498,7 +505,7 @@
 /// Guards an older process that ends beside a newer one on the same listener: it hears of drains up to its end.
 #[test]
 fn an_older_process_beside_a_newer_one_hears_of_drains() {
-    let (drains, stays) = (HeldNode::serving(served), HeldNode::serving(served));
+    let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
     let discovery = Discovery::start("127.0.0.1:0", vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = patient(discovery.addr);
@@ -550,7 +557,7 @@
 /// Guards the desk's calls: they are queries of the core as any others.
 #[test]
 fn the_desk_does_not_send_to_one_that_drains() {
-    let (drains, stays) = (HeldNode::serving(desk_value), HeldNode::serving(desk_value));
+    let (drains, stays) = (StallingDataNode::serving(desk_value), StallingDataNode::serving(desk_value));
     let fleet = Fleet::start(patient, DESK, vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let desk = fleet.coordinator.desk.unwrap();
     let ask = || {
@@ -609,7 +616,7 @@
 #[test]
 fn features_that_wait_for_a_connection_are_read_elsewhere_at_once() {
     for word in WORDS.map(Some).into_iter().chain([None]) {
-        let late = HeldNode::unreachable(served);
+        let late = StallingDataNode::unreachable(served);
         let stays = FeatureServer::start(|query| store(query, COUNT, PAGE));
         let fleet = Fleet::start(patient_features, FEATURES, vec![up("late", late.addr)]);
         let waiting = features(fleet.coordinator.ogc.unwrap());
--- a/tests/drain_updates.rs
+++ b/tests/drain_updates.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use harness::catalog::{Spoilt, FIRST_VERSION};
+use harness::catalog::{MalformedLine, FIRST_VERSION};
 use harness::discovery_faults::{AheadAnswer, IndexAnswer};
 use harness::drain_check::{Delivery, News, NodeState};
 use harness::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
@@ -155,7 +155,7 @@
     Snapshot,
 }
 
-fn bad_line(whose: BadLine, place: Within, spoilt: Spoilt, delivery: Delivery) -> Verdict {
+fn bad_line(whose: BadLine, place: Within, spoilt: MalformedLine, delivery: Delivery) -> Verdict {
     let mut trial = Trial::new(&format!("bad line {whose:?} {place:?} {spoilt:?}"), delivery, &NODES);
     let service = trial.service();
     trial.start(&service);
@@ -183,14 +183,14 @@
 #[test]
 fn a_line_that_cannot_be_read_costs_no_other_news() {
     let all = [
-        Spoilt::EndpointNull,
-        Spoilt::EndpointNoAddress,
-        Spoilt::CellMissing,
-        Spoilt::CapacityNull,
-        Spoilt::BootTimeNull,
-        Spoilt::StateNull,
-        Spoilt::UidMissing,
-        Spoilt::NotAnObject,
+        MalformedLine::EndpointNull,
+        MalformedLine::EndpointNoAddress,
+        MalformedLine::CellMissing,
+        MalformedLine::CapacityNull,
+        MalformedLine::BootTimeNull,
+        MalformedLine::StateNull,
+        MalformedLine::UidMissing,
+        MalformedLine::NotAnObject,
     ];
     // One that drains with a state or a uid that cannot be read says nothing.
     let its_own = all.iter().filter(|spoilt| spoilt.says_state()).map(|&spoilt| (BadLine::ItsOwn, spoilt));
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -10,7 +10,7 @@
 
 use curlewdeck::startup::Coordinator;
 use harness::stand_in::{exchange, get, store, Answer, Discovery, FeatureQuery, FeatureReply, FeatureServer};
-use harness::{change, member, ready, until, Bed};
+use harness::{change, member, ready, until, TestCluster};
 use serde_json::Value as Json;
 
 const EDGE: &str = r#"
@@ -30,11 +30,11 @@
 "#;
 const COUNT: usize = 5;
 
-fn start(bed: &Bed, servers: &[&FeatureServer]) -> (Coordinator, Discovery, SocketAddr) {
+fn start(cluster: &TestCluster, servers: &[&FeatureServer]) -> (Coordinator, Discovery, SocketAddr) {
     let members =
         servers.iter().zip(0..).map(|(s, cell)| member(&format!("f{cell}"), cell, s.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", members);
-    let coordinator = bed.start(discovery.addr, EDGE);
+    let coordinator = cluster.start(discovery.addr, EDGE);
     ready(&coordinator);
     until("the watch", || discovery.watches() > 0);
     let ogc = coordinator.ogc.unwrap();
@@ -66,7 +66,7 @@
 #[test]
 fn conformance_requests_are_met() {
     let (a, b) = (sound(), sound());
-    let (_coordinator, _discovery, ogc) = start(&Bed::default(), &[&a, &b]);
+    let (_coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&a, &b]);
     let landing = get(ogc, "/").unwrap();
     assert_eq!((landing.status, landing.header("content-type")), (200, Some("application/json")));
     let landing = json(&landing);
@@ -106,7 +106,7 @@
 #[test]
 fn bad_requests_are_problems() {
     let (a, b) = (sound(), sound());
-    let (_coordinator, _discovery, ogc) = start(&Bed::default(), &[&a, &b]);
+    let (_coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&a, &b]);
     for (target, status) in [
         ("/collections/plazas/items?bbox=1,2,3", 400),
         ("/collections/plazas/items?bbox=1,9,3,4", 400),
@@ -139,7 +139,7 @@
 #[test]
 fn a_box_over_every_range_is_read_page_by_page() {
     let (a, b) = (sound(), sound());
-    let (_coordinator, _discovery, ogc) = start(&Bed::default(), &[&a, &b]);
+    let (_coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&a, &b]);
     let mut target = "/collections/plazas/items?bbox=-180,-90,180,90&limit=3".to_string();
     let mut got = Vec::new();
     loop {
@@ -176,7 +176,7 @@
         store(q, COUNT, 2)
     });
     let good = sound();
-    let (coordinator, _discovery, ogc) = start(&Bed::default(), &[&bad, &good]);
+    let (coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&bad, &good]);
     until("a stall", || {
         let body = json(&get(ogc, "/collections/plazas/items?limit=100").unwrap());
         assert_eq!((ids(&body), &body["complete"]), (all_ids(), &Json::Bool(true)));
@@ -203,7 +203,7 @@
         store(q, COUNT, 2)
     });
     let good = sound();
-    let (coordinator, discovery, ogc) = start(&Bed::default(), &[&draining, &good]);
+    let (coordinator, discovery, ogc) = start(&TestCluster::default(), &[&draining, &good]);
     let asked = std::thread::spawn(move || get(ogc, "/collections/plazas/items?limit=100").unwrap());
     reached.recv().unwrap();
     change(&coordinator, &discovery, "f0", "draining");
@@ -224,8 +224,8 @@
         _ => store(q, COUNT, 2),
     });
     let bad = FeatureServer::start(|_| FeatureReply::Body(500, "{}".to_string()));
-    let bed = Bed { in_a_row: 1, ..Bed::default() };
-    let (coordinator, _discovery, ogc) = start(&bed, &[&good, &bad]);
+    let cluster = TestCluster { in_a_row: 1, ..TestCluster::default() };
+    let (coordinator, _discovery, ogc) = start(&cluster, &[&good, &bad]);
     let body = json(&get(ogc, "/collections/segments/items?limit=100").unwrap());
     assert_eq!((&body["complete"], &body["missingRanges"]), (&Json::Bool(false), &serde_json::json!([1, 3])));
     assert!(ids(&body).iter().all(|id| id.starts_with("0-") || id.starts_with("2-")));
@@ -248,7 +248,8 @@
         _ => store(q, COUNT, 2),
     };
     let (a, b) = (FeatureServer::start(faulty.clone()), FeatureServer::start(faulty));
-    let (coordinator, _discovery, ogc) = start(&Bed { deadline_s: 5, ..Bed::default() }, &[&a, &b]);
+    let (coordinator, _discovery, ogc) =
+        start(&TestCluster { deadline_s: 5, ..TestCluster::default() }, &[&a, &b]);
     const CLIENTS: usize = 8;
     const EACH: usize = 5;
     let clients: Vec<_> = (0..CLIENTS)
@@ -279,7 +280,7 @@
     let members = vec![member("a", 0, a.addr), member("b", 1, b.addr)];
     let discovery = Discovery::start("127.0.0.1:0", members);
     let edge = EDGE.replace("\"features\"", "\"frames\"");
-    let coordinator = Bed::default().start(discovery.addr, &edge);
+    let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
     let body = json(&get(coordinator.ogc.unwrap(), "/collections/plazas/items").unwrap());
     assert_eq!(ids(&body), ["0-0", "1-0", "2-0", "3-0"]);
@@ -293,8 +294,10 @@
     assert!(Edge::read("[ogc]\nlisten = 5\ncollections = []").is_err());
     assert!(Edge::read("[gco]").is_err());
     assert!(Edge::read(include_str!("../deploy/edge.toml")).unwrap().ogc.is_none());
-    let config =
-        curlewdeck::config::Config::read(&Bed::default().config("127.0.0.1:1".parse().unwrap()), |_| None);
+    let config = curlewdeck::config::Config::read(
+        &TestCluster::default().config("127.0.0.1:1".parse().unwrap()),
+        |_| None,
+    );
     let edge = EDGE.replace("plaza-ranking", "monthly-settle");
     let started = curlewdeck::startup::start(config.unwrap(), Edge::read(&edge).unwrap());
     assert!(started.err().unwrap().contains("second step"));
@@ -331,7 +334,7 @@
     let discovery = Discovery::start("127.0.0.1:0", members);
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
     // Each range has one holder.
-    let coordinator = Bed { in_a_row: 1, ..Bed::default() }.start(discovery.addr, &edge);
+    let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, &edge);
     ready(&coordinator);
     let ogc = coordinator.ogc.unwrap();
     let mut target = "/collections/segments/items?limit=5".to_string();
@@ -395,7 +398,7 @@
     let members = vec![member("good", 0, good.addr), member("bad", 1, bad.addr)];
     let discovery = Discovery::start("127.0.0.1:0", members);
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
-    let coordinator = Bed::default().start(discovery.addr, &edge);
+    let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
     let unfit = || coordinator.core.counters.values_unfit.load(Ordering::SeqCst);
     until("a value that does not count", || {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,7 @@
 
 use harness::scripted::{chunk, Scripted, WATCH};
 use harness::stand_in::DataNode;
-use harness::{query, ready, served, until, Bed};
+use harness::{query, ready, served, until, TestCluster};
 
 const NODES: u32 = 1024;
 /// The least that the platform gives.
@@ -22,9 +22,16 @@
 const PIECE: usize = 100;
 
 /// Each shard has one holder.
-fn bed() -> Bed {
+fn cluster() -> TestCluster {
     let sockets = DESCRIPTORS;
-    Bed { cells: NODES, in_a_row: 1, ranges: NODES, discovery: "pushed", sockets, ..Bed::default() }
+    TestCluster {
+        cells: NODES,
+        in_a_row: 1,
+        ranges: NODES,
+        discovery: "pushed",
+        sockets,
+        ..TestCluster::default()
+    }
 }
 
 /// An entry of the list with all that the list's service writes.
@@ -78,7 +85,7 @@
     for chunked in [false, true] {
         let node = DataNode::start(served);
         let (discovery, addr) = Scripted::new();
-        let coordinator = bed().start(addr, "");
+        let coordinator = cluster().start(addr, "");
         // What cannot be read has the whole list asked for.
         let (mut watch, _) = discovery.call();
         watch.write_all(&[WATCH, &chunk("nonsense\n")].concat()).unwrap();
@@ -105,7 +112,7 @@
     let objects: String = (0..NODES).map(|cell| indented(&one(cell))).collect();
     for text in [whole, lines, objects] {
         let (discovery, addr) = Scripted::new();
-        let coordinator = bed().start(addr, "");
+        let coordinator = cluster().start(addr, "");
         let (mut watch, _): (TcpStream, String) = discovery.call();
         watch.write_all(&[WATCH, &chunks(&text)].concat()).unwrap();
         all_known(&coordinator);
@@ -119,7 +126,7 @@
 fn a_large_fleet_is_known_from_the_configuration() {
     let node = DataNode::start(served);
     let (discovery, addr) = Scripted::new();
-    let mut config: Value = serde_json::from_str(&bed().config(addr)).unwrap();
+    let mut config: Value = serde_json::from_str(&cluster().config(addr)).unwrap();
     config["known"] = list(41, true, node.addr);
     let config = Config::read(&indented(&config), |_| None).unwrap();
     assert_eq!(config.platform(0).nodes, NODES as usize);
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -15,7 +15,7 @@
 use curlewdeck::startup::Coordinator;
 use harness::scripted::{asked, chunk, news, Line, Scripted, WATCH};
 use harness::stand_in::{exchange, Answer, DataNode, Part};
-use harness::{held_back, query, query_bytes, ready, served, two, until, Bed, Program};
+use harness::{held_back, query, query_bytes, ready, served, two, until, Program, TestCluster};
 
 /// Far longer than anything here takes, and an end all the same.
 const LONG: Duration = Duration::from_secs(60);
@@ -28,7 +28,7 @@
 
 /// One cell with every shard, whose parts may be out for as long as a test takes: nothing is chased or copied.
 fn patient(discovery: SocketAddr) -> String {
-    let config = Bed { cells: 1, in_a_row: 1, ..Bed::default() }.config(discovery);
+    let config = TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery);
     config.replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#)
 }
 
@@ -231,9 +231,9 @@
     let silent = |(how, ask_in, last_words): (&'static str, u32, &'static str)| {
         let (old, new) = (DataNode::start(served), DataNode::start(served));
         let (discovery, addr) = Scripted::new();
-        let bed = Bed { cells: 1, in_a_row: 1, discovery: how, ..Bed::default() };
+        let cluster = TestCluster { cells: 1, in_a_row: 1, discovery: how, ..TestCluster::default() };
         let asks = |seconds: u32| format!(r#""must_ask_in_ns":{seconds}000000000"#);
-        let config = bed.config(addr).replace(&asks(10), &asks(ask_in));
+        let config = cluster.config(addr).replace(&asks(10), &asks(ask_in));
         assert!(config.contains(&asks(ask_in)));
         let coordinator = harness::start(&config, "");
         let (mut watch, _) = discovery.call();
@@ -289,7 +289,7 @@
     let (a, b, discovery) = two(slow.clone(), slow);
     // An address of its own: no other test's port is in the way at the restart.
     let at = |addr: &str| {
-        Bed::default()
+        TestCluster::default()
             .config(discovery.addr)
             .replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{addr}""#))
     };
--- a/tests/harness/catalog.rs
+++ b/tests/harness/catalog.rs
@@ -24,7 +24,7 @@
 
 /// What is wrong with a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum MalformedLine {
     EndpointNull,
     EndpointNoAddress,
     CellMissing,
@@ -35,7 +35,7 @@
     NotAnObject,
 }
 
-impl Spoilt {
+impl MalformedLine {
     /// Whether the uid and the state can be read all the same.
     pub fn says_state(self) -> bool {
         !matches!(self, Self::StateNull | Self::UidMissing | Self::NotAnObject)
@@ -51,7 +51,7 @@
         }
     }
 
-    fn json(&self, spoilt: Option<Spoilt>) -> String {
+    fn json(&self, spoilt: Option<MalformedLine>) -> String {
         let Self { uid, endpoint, state, boot_ms } = self;
         let state = match state {
             NodeState::Up => "up",
@@ -64,16 +64,18 @@
         let endpoint = format!(r#""{endpoint}""#);
         match spoilt {
             None => text,
-            Some(Spoilt::EndpointNull) => text.replace(&endpoint, "null"),
-            Some(Spoilt::EndpointNoAddress) => text.replace(&endpoint, r#""nowhere""#),
-            Some(Spoilt::CellMissing) => text.replace(r#""pod_group":0,"#, ""),
-            Some(Spoilt::CapacityNull) => text.replace(r#""capacity_hint":1.0"#, r#""capacity_hint":null"#),
-            Some(Spoilt::BootTimeNull) => {
+            Some(MalformedLine::EndpointNull) => text.replace(&endpoint, "null"),
+            Some(MalformedLine::EndpointNoAddress) => text.replace(&endpoint, r#""nowhere""#),
+            Some(MalformedLine::CellMissing) => text.replace(r#""pod_group":0,"#, ""),
+            Some(MalformedLine::CapacityNull) => {
+                text.replace(r#""capacity_hint":1.0"#, r#""capacity_hint":null"#)
+            }
+            Some(MalformedLine::BootTimeNull) => {
                 text.replace(&format!(r#""boot_ms":{boot_ms}"#), r#""boot_ms":null"#)
             }
-            Some(Spoilt::StateNull) => text.replace(&format!(r#""{state}""#), "null"),
-            Some(Spoilt::UidMissing) => text.replace(&format!(r#""uid":"{uid}","#), ""),
-            Some(Spoilt::NotAnObject) => "17".to_string(),
+            Some(MalformedLine::StateNull) => text.replace(&format!(r#""{state}""#), "null"),
+            Some(MalformedLine::UidMissing) => text.replace(&format!(r#""uid":"{uid}","#), ""),
+            Some(MalformedLine::NotAnObject) => "17".to_string(),
         }
     }
 }
@@ -166,7 +168,7 @@
     }
 
     /// The whole list as of a version, written as `shown`; nodes that are removed are left out.
-    pub fn snapshot(&self, version: u64, shown: u64, spoilt: &BTreeMap<String, Spoilt>) -> Text {
+    pub fn snapshot(&self, version: u64, shown: u64, spoilt: &BTreeMap<String, MalformedLine>) -> Text {
         let mut lines = self.lines(0, version);
         lines.retain(|line| line.state != NodeState::Removed);
         let (json, said) = render(shown, true, &lines, spoilt);
@@ -179,7 +181,7 @@
         after: u64,
         version: u64,
         shown: u64,
-        spoilt: &BTreeMap<String, Spoilt>,
+        spoilt: &BTreeMap<String, MalformedLine>,
     ) -> Option<Text> {
         let lines = self.lines(after, version);
         let (json, said) = render(shown, false, &lines, spoilt);
@@ -200,7 +202,7 @@
     shown: u64,
     all: bool,
     lines: &[Line],
-    spoilt: &BTreeMap<String, Spoilt>,
+    spoilt: &BTreeMap<String, MalformedLine>,
 ) -> (String, Vec<(String, Said)>) {
     let of = |line: &Line| spoilt.get(&line.uid).copied();
     let texts: Vec<String> = lines.iter().map(|line| line.json(of(line))).collect();
--- a/tests/harness/discovery_faults.rs
+++ b/tests/harness/discovery_faults.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use super::catalog::Spoilt;
+use super::catalog::MalformedLine;
 
 /// What becomes of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     pub lags_at: Option<u64>,
     /// What is taken off each version in what is written: the service has restarted.
     pub versions_less: u64,
-    pub spoilt: BTreeMap<String, Spoilt>,
+    pub spoilt: BTreeMap<String, MalformedLine>,
     /// Watches that are open say nothing any more; later ones are well.
     pub silent_up_to: u64,
 }
--- a/tests/harness/drain_trial.rs
+++ b/tests/harness/drain_trial.rs
@@ -10,9 +10,9 @@
 use super::catalog::{Catalog, FIRST_VERSION};
 use super::drain_check::{violations, Assignment, CoordinatorLog, Delivery, NodeState, PartBegun, Violation};
 use super::faulty_discovery::FaultyDiscovery;
+use super::load_generator::{coordinator_of, Answered, LoadGenerator};
 use super::stand_in::{lock, DataNode, Part};
-use super::steady_load::{coordinator_of, Answered, SteadyLoad};
-use super::{served, until, Bed, Program};
+use super::{served, until, Program, TestCluster};
 
 /// Clients of each coordinator.
 const CLIENTS: u64 = 2;
@@ -32,7 +32,7 @@
 struct Running {
     /// None once it has been killed.
     program: Option<Program>,
-    load: SteadyLoad,
+    load: LoadGenerator,
     /// From when on it is configured with which service.
     services: Vec<(Instant, Arc<FaultyDiscovery>)>,
 }
@@ -75,7 +75,7 @@
         let catalog = Arc::new(Catalog::new(&lines));
         let name = format!("{} {name}", delivery.name());
         let (running, complaints) = (Vec::new(), Vec::new());
-        let sockets = Bed::default().sockets;
+        let sockets = TestCluster::default().sockets;
         Self { name, delivery, catalog, fleet: 1, sockets, nodes, running, complaints, logs: Vec::new() }
     }
 
@@ -86,9 +86,9 @@
 
     fn config(&self, service: &FaultyDiscovery) -> String {
         let (sockets, discovery) = (self.sockets, self.delivery.name());
-        let bed = Bed { cells: 1, in_a_row: 1, discovery, sockets, ..Bed::default() };
+        let cluster = TestCluster { cells: 1, in_a_row: 1, discovery, sockets, ..TestCluster::default() };
         let fleet = format!(r#""balancers":{}"#, self.fleet);
-        bed.config(service.addr).replace(r#""balancers":1"#, &fleet)
+        cluster.config(service.addr).replace(r#""balancers":1"#, &fleet)
     }
 
     /// Starts a coordinator that knows nothing yet; returns its number.
@@ -108,7 +108,7 @@
         let started = Instant::now();
         let program = Program::start(&config);
         let number = self.running.len();
-        let load = SteadyLoad::start(program.addr, number, CLIENTS);
+        let load = LoadGenerator::start(program.addr, number, CLIENTS);
         let program = Some(program);
         self.running.push(Running { program, load, services: vec![(started, service.clone())] });
         number
--- a/tests/harness/steady_load.rs
+++ b/tests/harness/load_generator.rs
@@ -18,7 +18,7 @@
 }
 
 /// Clients that ask until they are stopped.
-pub struct SteadyLoad {
+pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     answers: Arc<Mutex<Vec<Answered>>>,
     clients: Vec<thread::JoinHandle<()>>,
@@ -32,7 +32,7 @@
 const MOST: u64 = 10_000;
 const SHARDS: u64 = 4;
 
-impl SteadyLoad {
+impl LoadGenerator {
     /// Starts clients whose queries' ids begin with this number.
     pub fn start(addr: SocketAddr, coordinator: usize, clients: u64) -> Self {
         let (stop, answers) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Vec<Answered>>>::default());
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for SteadyLoad {
+impl Drop for LoadGenerator {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
     }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A coordinator on loopback, with stand-ins round it.
+//! A coordinator on loopback, with stand-ins round it: the test harness of the integration tests.
 #![allow(dead_code)]
 
 pub mod catalog;
@@ -7,11 +7,11 @@
 pub mod drain_check;
 pub mod drain_trial;
 pub mod faulty_discovery;
-pub mod held_node;
+pub mod load_generator;
 pub mod scripted;
+pub mod stalling_data_node;
 #[path = "../../examples/toy/stand_in.rs"]
 pub mod stand_in;
-pub mod steady_load;
 
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener};
@@ -28,8 +28,8 @@
 use curlewdeck::startup::{self, Coordinator};
 use stand_in::{exchange, Answer, DataNode, Discovery, Member, NodeReply, Part};
 
-/// What a test bed may differ in. Deadlines are long: nothing here waits for one to pass.
-pub struct Bed {
+/// What a test cluster may differ in. Deadlines are long: nothing here waits for one to pass.
+pub struct TestCluster {
     pub cells: u32,
     pub in_a_row: u32,
     pub ranges: u32,
@@ -39,7 +39,7 @@
     pub sockets: u32,
 }
 
-impl Default for Bed {
+impl Default for TestCluster {
     fn default() -> Self {
         Self {
             cells: 2,
@@ -53,7 +53,7 @@
     }
 }
 
-impl Bed {
+impl TestCluster {
     /// The configuration's text.
     pub fn config(&self, discovery: SocketAddr) -> String {
         let Self { cells, in_a_row, ranges, max_open, deadline_s, discovery: how, sockets } = self;
--- a/tests/harness/held_node.rs
+++ b/tests/harness/stalling_data_node.rs
@@ -42,7 +42,7 @@
 const LOOK: Duration = Duration::from_millis(2);
 
 /// The data node.
-pub struct HeldNode {
+pub struct StallingDataNode {
     /// Where it listens.
     pub addr: SocketAddr,
     listener: TcpListener,
@@ -53,7 +53,7 @@
     reply: Arc<dyn Fn(&Part) -> NodeReply + Send + Sync>,
 }
 
-impl HeldNode {
+impl StallingDataNode {
     /// One that takes no connection yet: they come up later, as the kernel tries again.
     pub fn unreachable(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
         let node = Self::new(reply);
--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -13,7 +13,7 @@
 
 use harness::scripted::{chunk, Scripted, WATCH};
 use harness::stand_in::{self, DataNode, Part};
-use harness::{query, served, Bed};
+use harness::{query, served, TestCluster};
 
 /// Both ways of discovery.
 const WAYS: [&str; 2] = ["on_request", "pushed"];
@@ -124,8 +124,8 @@
     format!(r#"{{"uid":"{uid}","endpoint":null,"pod_group":0,"state":"{state}"}}"#)
 }
 
-fn bed(way: &'static str) -> Bed {
-    Bed { cells: 1, in_a_row: 1, ranges: 1, discovery: way, ..Bed::default() }
+fn cluster(way: &'static str) -> TestCluster {
+    TestCluster { cells: 1, in_a_row: 1, ranges: 1, discovery: way, ..TestCluster::default() }
 }
 
 /// Asks queries, some at once; all are answered.
@@ -191,7 +191,7 @@
         let [good, part, comes] = nodes();
         let (service, addr) =
             Service::start(vec![line("part", part.addr, "up"), line("good", good.addr, "up")]);
-        let coordinator = bed(way).start(addr, "");
+        let coordinator = cluster(way).start(addr, "");
         is_ready(&coordinator);
         are_open(&coordinator, &[&good, &part]);
         let lines = vec![
@@ -220,7 +220,7 @@
             line("drains", drains.addr, "draining").replace('}', r#","boot_ms":null,"extra":[{}]}"#),
         ];
         let (service, addr) = Service::start(lines);
-        let coordinator = bed(way).start(addr, "");
+        let coordinator = cluster(way).start(addr, "");
         is_ready(&coordinator);
         are_open(&coordinator, &[&first, &second]);
         assert!(drains.parts().is_empty(), "{way}");
@@ -237,7 +237,7 @@
         let all =
             vec![line("kept", kept.addr, "up"), line("shut", shut.addr, "up"), line("gone", gone.addr, "up")];
         let (service, addr) = Service::start(all);
-        let coordinator = bed(way).start(addr, "");
+        let coordinator = cluster(way).start(addr, "");
         is_ready(&coordinator);
         are_open(&coordinator, &[&kept, &shut, &gone]);
         let bad = vec![partial("kept", "up"), partial("shut", "draining")];
@@ -264,7 +264,7 @@
         let [drains, stays, _] = nodes();
         let lines = |state: &str| vec![line("drains", drains.addr, state), line("stays", stays.addr, "up")];
         let (service, addr) = Service::start(lines("up"));
-        let coordinator = bed(way).start(addr, "");
+        let coordinator = cluster(way).start(addr, "");
         is_ready(&coordinator);
         are_open(&coordinator, &[&drains, &stays]);
         let delta = update(2, false, &lines("draining")[..1]);
@@ -278,7 +278,7 @@
 /// Guards against a configuration that cannot be used for one line of the list that was held.
 #[test]
 fn a_file_with_a_bad_line_in_the_list_that_was_held_can_be_used() {
-    let text = bed("pushed").config("127.0.0.1:1".parse().unwrap());
+    let text = cluster("pushed").config("127.0.0.1:1".parse().unwrap());
     let lines =
         [partial("part", "up"), "null".to_string(), line("good", "127.0.0.1:2".parse().unwrap(), "up")];
     let known = update(7, true, &lines);
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -14,11 +14,13 @@
 use curlewdeck::limits::{Limits, Platform};
 
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
-use harness::{held_back, member, operate, query, query_bytes, served, two, until, yes, Bed, Program};
+use harness::{
+    held_back, member, operate, query, query_bytes, served, two, until, yes, Program, TestCluster,
+};
 
 /// A configuration with a second address, changed as the test wants.
 fn config(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> String {
-    let mut config: Value = serde_json::from_str(&Bed::default().config(discovery.addr)).unwrap();
+    let mut config: Value = serde_json::from_str(&TestCluster::default().config(discovery.addr)).unwrap();
     config["control"] = json!("127.0.0.1:0");
     change(&mut config);
     config.to_string()
@@ -340,9 +342,10 @@
     let nodes = 60;
     let list = (0..nodes).map(|n| member(&format!("n{n}"), n, node.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", list);
-    let bed = Bed { cells: nodes, in_a_row: 1, ranges: nodes, sockets: 128, ..Bed::default() };
+    let cluster =
+        TestCluster { cells: nodes, in_a_row: 1, ranges: nodes, sockets: 128, ..TestCluster::default() };
     let limits = Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap();
-    let program = Program::start(&bed.config(discovery.addr));
+    let program = Program::start(&cluster.config(discovery.addr));
     let shards: Vec<u32> = (0..nodes).collect();
     let open = asked(program.addr, &query_bytes("plaza-ranking", &shards, "60000m"));
     until("all sockets taken", || node.parts().len() == limits.node_sockets);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -14,12 +14,14 @@
 use curlewdeck::startup::Coordinator;
 
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply, Part};
-use harness::{change, held_back, member, query, query_bytes, ready, served, two, until, Bed, Program};
+use harness::{
+    change, held_back, member, query, query_bytes, ready, served, two, until, Program, TestCluster,
+};
 
 #[test]
 fn a_query_is_answered_whole_with_the_data_nodes_values() {
     let (a, b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let answer = query(coordinator.listen, "tag-lookup", &[3, 0]).unwrap();
     assert_eq!(answer.status, 200);
@@ -34,7 +36,7 @@
 #[test]
 fn the_second_step_follows_the_highest_scores() {
     let (a, b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let answer = query(coordinator.listen, "monthly-settle", &[0, 1, 2, 3]).unwrap();
     assert_eq!(
@@ -59,7 +61,7 @@
     ];
     for fault in faults {
         let (a, b, discovery) = two(move |_| fault(), served);
-        let coordinator = Bed::default().start(discovery.addr, "");
+        let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
         // One part a query: which replica comes first is the module's choice.
         until("a part at the faulty data node", || {
@@ -100,7 +102,7 @@
     ];
     for (n, fault) in faults.into_iter().enumerate() {
         let (a, b, discovery) = two(fault, served);
-        let coordinator = Bed::default().start(discovery.addr, "");
+        let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
         until("a part at the faulty data node", || {
             let answer = exchange(coordinator.listen, &query_bytes("tag-lookup", &[1], "20000m")).unwrap();
@@ -132,7 +134,7 @@
 #[test]
 fn nothing_more_goes_out_for_a_client_that_has_left() {
     let (a, b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let looks = AtomicUsize::new(0);
     let client = ClientLiveness::new(move || looks.fetch_add(1, Ordering::SeqCst) == 0);
@@ -155,7 +157,7 @@
     let list = vec![member("a", 0, a.addr), member("b", 1, late.local_addr().unwrap())];
     let discovery = Discovery::start("127.0.0.1:0", list);
     // Half of the shards are at the late one alone; the class may be answered from the other half.
-    let coordinator = Bed { in_a_row: 1, ..Bed::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     let ask = whole(&coordinator, "plaza-ranking", ClientLiveness::default());
     let (told, answered) = std::sync::mpsc::channel();
@@ -191,7 +193,7 @@
 #[test]
 fn nothing_new_reaches_a_data_node_that_drains() {
     let (a, b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     until("the watch", || discovery.watches() > 0);
     change(&coordinator, &discovery, "a", "draining");
@@ -207,7 +209,7 @@
 #[test]
 fn a_silent_watch_is_asked_for_again() {
     let (_a, _b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     until("the watch", || discovery.watches() == 1);
     discovery.silence(true);
     until("another watch", || discovery.watches() > 1);
@@ -218,7 +220,7 @@
 #[test]
 fn a_list_that_is_pushed_is_watched_unasked() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
-    let coordinator = Bed { discovery: "pushed", ..Bed::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { discovery: "pushed", ..TestCluster::default() }.start(discovery.addr, "");
     until("the watch", || discovery.watches() == 1);
     let a = DataNode::start(served);
     discovery.add(member("a", 0, a.addr));
@@ -228,7 +230,7 @@
 #[test]
 fn health_waits_for_a_data_node() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     until("the watch", || discovery.watches() > 0);
     assert_eq!(get(coordinator.listen, "/_health").unwrap().status, 503);
     let a = DataNode::start(served);
@@ -239,7 +241,7 @@
 #[test]
 fn connections_are_reused() {
     let (a, b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -258,7 +260,7 @@
 #[test]
 fn bad_input_is_answered() {
     let (_a, _b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let post = |path: &str, head: &str, body: &str| {
         let length = body.len();
@@ -297,7 +299,7 @@
 #[test]
 fn a_hidden_request_is_never_passed_on() {
     let (a, b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let hidden = String::from_utf8(query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     for (coding, length) in [("chunked", 5), ("Chunked", 5 + hidden.len()), ("identity", 5), ("", 5)] {
@@ -318,7 +320,7 @@
 fn the_id_of_an_open_request_is_taken() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let (addr, bytes) = (coordinator.listen, query_bytes("tag-lookup", &[1], "60000m"));
     let same = bytes.clone();
@@ -340,8 +342,8 @@
         served(part)
     };
     let (_a, _b, discovery) = two(slow.clone(), slow);
-    let bed = Bed { sockets: 128, ..Bed::default() };
-    let coordinator = bed.start(discovery.addr, "");
+    let cluster = TestCluster { sockets: 128, ..TestCluster::default() };
+    let coordinator = cluster.start(discovery.addr, "");
     ready(&coordinator);
     let addr = coordinator.listen;
     let open = std::thread::spawn(move || query(addr, "tag-lookup", &[3]).unwrap());
@@ -374,7 +376,7 @@
 #[test]
 fn silent_and_endless_clients_are_sent_away() {
     let (_a, _b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let silent = TcpStream::connect(coordinator.listen).unwrap();
     let mut half = TcpStream::connect(coordinator.listen).unwrap();
@@ -391,7 +393,7 @@
 #[test]
 fn queries_over_the_limit_are_refused_with_advice() {
     let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-    let coordinator = Bed { max_open: 4, ..Bed::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { max_open: 4, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     let answer = query(coordinator.listen, "tag-lookup", &[0, 1, 2, 3]).unwrap();
     assert_eq!(answer.status, 503);
@@ -403,7 +405,7 @@
 #[test]
 fn a_query_without_answers_ends_in_time() {
     let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let answer = exchange(coordinator.listen, &query_bytes("tag-lookup", &[0, 1], "1500m")).unwrap();
     assert!(matches!(answer.status, 503 | 504), "{}", answer.status);
@@ -413,7 +415,7 @@
 #[test]
 fn a_client_that_closes_is_gone() {
     let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).unwrap();
@@ -428,7 +430,7 @@
 fn sigterm_finishes_what_is_held() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
-    let program = Program::start(&Bed::default().config(discovery.addr));
+    let program = Program::start(&TestCluster::default().config(discovery.addr));
     let addr = program.addr;
     let idle = TcpStream::connect(addr).unwrap();
     let asked = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
@@ -446,7 +448,7 @@
 #[test]
 fn what_comes_after_sigterm_is_answered_before_the_end() {
     let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-    let program = Program::start(&Bed::default().config(discovery.addr));
+    let program = Program::start(&TestCluster::default().config(discovery.addr));
     let addr = program.addr;
     program.signal("TERM");
     until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
@@ -469,7 +471,7 @@
     let (a, b, first) = two(slow.clone(), slow);
     // With a second address, whose figures tell that a file was turned down.
     let config = |discovery: &Discovery| {
-        Bed::default().config(discovery.addr).replacen('{', r#"{"control":"127.0.0.1:0","#, 1)
+        TestCluster::default().config(discovery.addr).replacen('{', r#"{"control":"127.0.0.1:0","#, 1)
     };
     let mut program = Program::start(&config(&first));
     until("the first watch", || first.watches() == 1);
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -14,7 +14,7 @@
 
 use harness::scripted::{chunk, list, Scripted, WATCH};
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
-use harness::{held_back, member, query_bytes, ready, served, two, until, Bed, Program};
+use harness::{held_back, member, query_bytes, ready, served, two, until, Program, TestCluster};
 
 /// Far longer than anything here takes, and an end all the same.
 const LONG: Duration = Duration::from_secs(60);
@@ -40,7 +40,7 @@
 #[test]
 fn all_that_is_held_at_sigterm_is_answered_before_sigkill() {
     let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-    let config = Bed { deadline_s: 1, ..Bed::default() }.config(discovery.addr);
+    let config = TestCluster { deadline_s: 1, ..TestCluster::default() }.config(discovery.addr);
     let program = Program::start(&config);
     let addr = program.addr;
     let held = ["tag-lookup", "plaza-ranking", "monthly-settle"].map(|class| {
@@ -65,7 +65,8 @@
 fn half_a_request_at_the_end_is_answered_once_it_is_whole() {
     let (_a, _b, discovery) = two(served, served);
     // Connections at rest are closed half a second after SIGTERM then.
-    let program = Program::start(&Bed { deadline_s: 1, ..Bed::default() }.config(discovery.addr));
+    let program =
+        Program::start(&TestCluster { deadline_s: 1, ..TestCluster::default() }.config(discovery.addr));
     let (mut half, mut resting) = (connect(program.addr), connect(program.addr));
     for stream in [&mut half, &mut resting] {
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
@@ -88,7 +89,7 @@
 #[test]
 fn a_request_behind_the_end_of_its_connection_is_not_sent_on() {
     let (a, b, discovery) = two(served, served);
-    let program = Program::start(&Bed::default().config(discovery.addr));
+    let program = Program::start(&TestCluster::default().config(discovery.addr));
     let mut resting = connect(program.addr);
     resting.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     assert_eq!(answer_on(&resting).unwrap().status, 200);
@@ -108,7 +109,7 @@
 #[test]
 fn a_kept_connection_is_served_after_sigterm() {
     let (_a, _b, discovery) = two(served, served);
-    let program = Program::start(&Bed::default().config(discovery.addr));
+    let program = Program::start(&TestCluster::default().config(discovery.addr));
     let mut kept = connect(program.addr);
     kept.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     assert_eq!(answer_on(&kept).unwrap().status, 200);
@@ -124,7 +125,7 @@
 #[test]
 fn an_answer_is_not_lost_to_what_comes_behind_its_request() {
     let (_a, _b, discovery) = two(served, served);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = connect(coordinator.listen);
     let last = String::from_utf8(query_bytes("tag-lookup", &[0], "60000m")).unwrap();
@@ -140,7 +141,7 @@
 fn who_is_turned_away_is_told_and_not_reset() {
     let (release, slow) = held_back();
     let (_a, _b, discovery) = two(slow.clone(), slow);
-    let coordinator = Bed { sockets: 128, ..Bed::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { sockets: 128, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     let addr = coordinator.listen;
     let places =
@@ -171,7 +172,7 @@
 fn a_client_that_sent_ahead_and_left_is_gone() {
     for behind in [1, 2000] {
         let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
-        let coordinator = Bed::default().start(discovery.addr, "");
+        let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
         let parts = || [a.parts(), b.parts()].concat();
         let mut stream = connect(coordinator.listen);
@@ -191,7 +192,7 @@
 fn what_is_sent_ahead_is_answered_in_turn_up_to_a_bound() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = connect(coordinator.listen);
     let one = query_bytes("tag-lookup", &[0], "60000m").len();
@@ -216,7 +217,7 @@
 fn a_query_whose_client_left_while_it_waited_is_not_sent_on() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let ask = || {
         let mut stream = connect(coordinator.listen);
@@ -275,7 +276,7 @@
             served(part)
         };
         let (a, b, discovery) = two(breaks.clone(), breaks);
-        let config = with_effect(Bed::default().config(discovery.addr), &effect);
+        let config = with_effect(TestCluster::default().config(discovery.addr), &effect);
         let program = Program::start(&config);
         let answer = exchange(program.addr, &query_bytes("tag-lookup", &[0], "2000m")).unwrap();
         assert_eq!(answer.status == 200, tries == 2, "{effect}: {}", answer.status);
@@ -289,8 +290,10 @@
 fn a_connection_that_was_closed_at_rest_costs_no_part() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, node.local_addr().unwrap())]);
-    let config =
-        with_effect(Bed { cells: 1, in_a_row: 1, ..Bed::default() }.config(discovery.addr), "at_most_once");
+    let config = with_effect(
+        TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery.addr),
+        "at_most_once",
+    );
     let program = Program::start(&config);
     let addr = program.addr;
     for _ in 0..20 {
@@ -327,7 +330,7 @@
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
         let indented = serde_json::to_string_pretty(&value).unwrap() + "\n";
         let (discovery, addr) = Scripted::new();
-        let coordinator = Bed::default().start(addr, "");
+        let coordinator = TestCluster::default().start(addr, "");
         let (mut watch, target) = discovery.call();
         assert!(target.contains("stream=1"), "{target}");
         let (head, tail) = indented.split_at(indented.len() / 2);
@@ -348,7 +351,7 @@
     for kind in ["nothing", "head only", "half a line", "endless"] {
         let (_a, _b, text) = listed();
         let (discovery, addr) = Scripted::new();
-        let coordinator = Bed::default().start(addr, "");
+        let coordinator = TestCluster::default().start(addr, "");
         let (mut watch, _) = discovery.call();
         let begun = Instant::now();
         let kept = thread::spawn(move || {
@@ -383,7 +386,7 @@
 fn a_move_while_a_call_is_open_leaves_the_call() {
     let (old, addr) = Scripted::new();
     let program_thread = thread::spawn({
-        let config = Bed::default().config(addr);
+        let config = TestCluster::default().config(addr);
         move || Program::start(&config)
     });
     let (mut first, _) = old.call();
@@ -395,7 +398,7 @@
     let (mut open, _) = old.call();
     let c = DataNode::start(served);
     let moved = Discovery::start("127.0.0.1:0", vec![member("c", 0, c.addr), member("d", 1, c.addr)]);
-    program.reload(&Bed::default().config(moved.addr));
+    program.reload(&TestCluster::default().config(moved.addr));
     until("the new watch", || moved.watches() == 1 && moved.lists() == 1);
     // Too late: it is not heard, whether or not its connection still takes it.
     let late = list(9, &[("a", 0, a.addr), ("b", 1, b.addr)]);
@@ -417,9 +420,9 @@
 fn a_list_without_length_ends_with_its_connection_and_not_with_a_reset() {
     let (a, b, text) = listed();
     let first = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
-    let program = Program::start(&Bed::default().config(first.addr));
+    let program = Program::start(&TestCluster::default().config(first.addr));
     let (next, addr) = Scripted::new();
-    program.reload(&Bed::default().config(addr));
+    program.reload(&TestCluster::default().config(addr));
     // Closing with the request unread resets the connection behind what was written.
     let (mut reset, _) = next.listener.accept().unwrap();
     until("the request", || reset.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
@@ -441,8 +444,8 @@
 fn discovery_is_reached_while_idle_clients_hold_all_places() {
     let (a, b, text) = listed();
     let (discovery, addr) = Scripted::new();
-    let bed = Bed { sockets: 128, ..Bed::default() };
-    let coordinator = bed.start(addr, "");
+    let cluster = TestCluster { sockets: 128, ..TestCluster::default() };
+    let coordinator = cluster.start(addr, "");
     let (mut watch, _) = discovery.call();
     watch.write_all(&[WATCH, &chunk(&(text.clone() + "\n"))].concat()).unwrap();
     ready(&coordinator);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -15,14 +15,14 @@
 use serde_json::{json, Value};
 
 use harness::stand_in::{DataNode, Discovery};
-use harness::{member, query, served, until, Bed, Program};
+use harness::{member, query, served, until, Program, TestCluster};
 
 /// What discovery has to tell counts as told so long after SIGHUP.
 const TOLD_AFTER: Duration = Duration::from_secs(4);
 
 /// A configuration with a second address that names this discovery, changed as the test wants.
 fn config(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> String {
-    let mut config: Value = serde_json::from_str(&Bed::default().config(discovery.addr)).unwrap();
+    let mut config: Value = serde_json::from_str(&TestCluster::default().config(discovery.addr)).unwrap();
     config["control"] = json!("127.0.0.1:0");
     change(&mut config);
     config.to_string()
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -18,7 +18,7 @@
 use curlewdeck_testkit::proxy::{Cut, Faults, Proxy};
 
 use harness::stand_in::{read_answer, Answer};
-use harness::{call_bytes, until, Bed};
+use harness::{call_bytes, until, TestCluster};
 
 /// Longer than any call may wait: only a process that stands still takes so long.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -103,7 +103,7 @@
         for n in 0..size {
             let at = group.home(n);
             std::fs::create_dir_all(&at).unwrap();
-            let config = Bed::default().config(nowhere).replace("\"n1\"", &format!("\"n{n}\""));
+            let config = TestCluster::default().config(nowhere).replace("\"n1\"", &format!("\"n{n}\""));
             std::fs::write(at.join("config.json"), config).unwrap();
             let named = |to| group.proxies.get(&(n, to)).map_or(nowhere, Proxy::addr);
             let members: Vec<String> =
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -5,7 +5,7 @@
 use curlewdeck::api::{EndpointState, Outcome};
 use curlewdeck_accounting::{ClassRow, LedgerSnapshot, QueryEnd};
 use harness::stand_in::{DataNode, Discovery, NodeReply};
-use harness::{change, member, query, ready, until, Bed};
+use harness::{change, member, query, ready, until, TestCluster};
 
 const CLASSES: [&str; 3] = ["tag-lookup", "plaza-ranking", "monthly-settle"];
 
@@ -29,7 +29,7 @@
     let members = (0..).zip(&nodes).map(|(cell, n)| member(&format!("s{cell}"), cell, n.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", members);
     // Each shard has one holder: even ones cell 0, odd ones cell 1.
-    let coordinator = Bed { in_a_row: 1, ..Bed::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     // What clients saw: by class, whole, partial and all others.
     let mut seen = [[0u64; 3]; 3];
@@ -98,7 +98,7 @@
     let edge = format!("[state]\nfolder = {folder:?}\nevery_s = 1\n");
     std::fs::write(folder.join("edge.toml"), edge).unwrap();
     // Deadlines are short here, so that the process ends soon after SIGTERM.
-    let config = Bed { deadline_s: 1, ..Bed::default() }.config(discovery.addr);
+    let config = TestCluster { deadline_s: 1, ..TestCluster::default() }.config(discovery.addr);
     std::fs::write(folder.join("config.json"), config).unwrap();
     let start = || -> (Child, std::net::SocketAddr) {
         let mut child = Command::new(env!("CARGO_BIN_EXE_curlewdeck"))
@@ -163,7 +163,7 @@
     let discovery =
         Discovery::start("127.0.0.1:0", vec![member("a", 0, node.addr), member("b", 1, node.addr)]);
     let edge = format!("[state]\nfolder = {folder:?}\nevery_s = 1\n");
-    let coordinator = Bed::default().start(discovery.addr, &edge);
+    let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
     let total = || {
         let bytes = std::fs::read(folder.join("books")).unwrap();
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use harness::stand_in::{DataNode, Discovery, NodeReply};
-use harness::{change, member, query, ready, Bed};
+use harness::{change, member, query, ready, TestCluster};
 use rasn::types::ObjectIdentifier;
 use rasn_snmp::v2::{GetRequest, Pdu, Pdus, VarBind, VarBindValue};
 use rasn_snmp::v2c::Message;
@@ -18,7 +18,7 @@
     let node = DataNode::start(|_| NodeReply::Answer(200, 0, "v".to_string()));
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, node.addr)]);
     let edge = "[snmp]\nlisten = \"127.0.0.1:0\"\ncommunity = \"public\"\n";
-    let coordinator = Bed::default().start(discovery.addr, edge);
+    let coordinator = TestCluster::default().start(discovery.addr, edge);
     ready(&coordinator);
     for _ in 0..3 {
         assert_eq!(query(coordinator.listen, "tag-lookup", &[0]).unwrap().status, 200);
@@ -92,7 +92,7 @@
         "[snmp]\nlisten = \"127.0.0.1:0\"\ncommunity = \"public\"\nusers = {file:?}\n\
         [[snmp.views]]\nof = \"public\"\nexclude = [\"1.3.6.1.4.1.32473.1.3\"]\n"
     );
-    let coordinator = Bed::default().start(discovery.addr, &edge);
+    let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
     for class in ["tag-lookup", "plaza-ranking", "plaza-ranking"] {
         query(coordinator.listen, class, &[0, 3]).unwrap();
@@ -189,7 +189,7 @@
         "[snmp]\nlisten = \"127.0.0.1:0\"\nusers = {file:?}\n\
         [[snmp.notify]]\nto = \"{to}\"\ncommunity = \"c\"\ninform = true\n"
     );
-    let coordinator = Bed::default().start(discovery.addr, &edge);
+    let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
     let module = curlewdeck::mib::module();
     let mut buf = [0; 2048];
--- a/tests/stalled_process.rs
+++ b/tests/stalled_process.rs
@@ -13,7 +13,7 @@
 
 use harness::scripted::{chunk, list, news, Line, Scripted, WATCH};
 use harness::stand_in::{exchange, DataNode, Discovery};
-use harness::{change, member, query_bytes, ready, served, until, Bed, Program};
+use harness::{change, member, query_bytes, ready, served, until, Program, TestCluster};
 
 /// The grace of the drain rule on sockets: once this is over, nothing new may begin.
 const GRACE: Duration = Duration::from_millis(300);
@@ -38,7 +38,7 @@
 
     fn listing(drained: SocketAddr, nodes: &[(&str, u32, SocketAddr)]) -> Self {
         let (discovery, addr) = Scripted::new();
-        let config = Bed::default().config(addr);
+        let config = TestCluster::default().config(addr);
         let starting = thread::spawn(move || Program::start(&config));
         let (mut watch, _) = discovery.call();
         let whole = list(1, nodes);
@@ -257,7 +257,7 @@
     let (sends, drained) = (endless(), DataNode::start(served));
     let list = vec![member("sends", 0, sends), member("drained", 1, drained.addr)];
     let discovery = Discovery::start("127.0.0.1:0", list);
-    let coordinator = Bed::default().start(discovery.addr, "");
+    let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let _clients = Clients::start(coordinator.listen, 8);
     for state in ["draining", "up", "draining", "up", "draining", "up"] {
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use harness::stand_in::{exchange, read_answer, DataNode, Discovery};
-use harness::{call_bytes, held_back, member, query, query_bytes, served, two, until, Bed, Program};
+use harness::{call_bytes, held_back, member, query, query_bytes, served, two, until, Program, TestCluster};
 
 const LONG: Duration = Duration::from_secs(60);
 /// What the program needs for itself, and room for a few clients.
@@ -28,7 +28,8 @@
 fn a_lack_of_descriptors_neither_ends_nor_keeps_busy_the_listener() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
-    let program = Program::start_short_of_descriptors(&Bed::default().config(discovery.addr), DESCRIPTORS);
+    let program =
+        Program::start_short_of_descriptors(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
     let mut open = connect(program.addr);
     open.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     until("the attempt", || a.parts().len() + b.parts().len() > 0);
@@ -53,7 +54,8 @@
 #[test]
 fn a_lack_of_descriptors_costs_no_final_answer() {
     let (a, b, discovery) = two(served, served);
-    let program = Program::start_short_of_descriptors(&Bed::default().config(discovery.addr), DESCRIPTORS);
+    let program =
+        Program::start_short_of_descriptors(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
     let mut clients: Vec<TcpStream> = Vec::new();
     // Clients that were accepted before, until no more are.
     loop {
@@ -93,7 +95,7 @@
     let (release, slow) = held_back();
     let (a, b) = (DataNode::start(slow.clone()), DataNode::start(slow));
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
-    let config = Bed::default().config(discovery.addr);
+    let config = TestCluster::default().config(discovery.addr);
     let config = config.replacen(r#""seed""#, r#""control":"127.0.0.1:0","seed""#, 1);
     let program = Program::start(&config);
     let (mut half, mut whole) = (connect(program.addr), connect(program.addr));
