--- a/src/bin/curlewdeck-simulator-adapter/main.rs
+++ b/src/bin/curlewdeck-simulator-adapter/main.rs
@@ -1,7 +1,8 @@
-//! The adapter: reads the wire on standard input, hosts one module instance for each coordinator and
-//! writes the module's actions on standard output. It decides nothing.
+//! The adapter: reads the wire on standard input, hosts one policy instance for each coordinator and
+//! writes the policy's actions on standard output. It decides nothing.
 
 mod host;
+mod instance;
 mod subscriber;
 mod wire;
 
@@ -37,7 +38,7 @@
         }
         number += 1;
         let text = line.strip_suffix('\n').unwrap_or(&line);
-        let done = host.line(text, &mut reply).map_err(|e| format!("line {number}: {e}"))?;
+        let done = host.take_line(text, &mut reply).map_err(|e| format!("line {number}: {e}"))?;
         if done {
             reply.push_str("yield\n");
             output.write_all(reply.as_bytes()).map_err(|e| format!("standard output: {e}"))?;
--- a/src/bin/curlewdeck-simulator-adapter/wire.rs
+++ b/src/bin/curlewdeck-simulator-adapter/wire.rs
@@ -1,7 +1,29 @@
-//! The wire's field formats.
+//! The simulator's line protocol: the words of its messages and the forms of their fields.
 
 use curlewdeck::api::{EndpointState, Outcome};
 
+/// The reminder for the policy's timer.
+pub const TIMER_REMINDER: &str = "wake";
+/// The reminder for the next call to discovery.
+pub const CALL_REMINDER: &str = "call";
+
+/// The words that begin the simulator's messages.
+pub mod message {
+    pub const BATCH_BEGIN: &str = "mark";
+    pub const BATCH_END: &str = "eob";
+    pub const REGISTER_LIST: &str = "register";
+    pub const ADD_COORDINATOR: &str = "enlist";
+    pub const REMOVE_COORDINATOR: &str = "destroy";
+    pub const QUERY_OR_PART: &str = "inbound";
+    pub const ATTEMPT_ENDED: &str = "closed_attempt";
+    pub const LIST_CHANGED: &str = "backends_changed";
+    pub const CLIENT_DISCONNECTED: &str = "client_gone";
+    pub const REMINDER: &str = "reminder";
+    pub const HEALTH_CHECKED: &str = "pong";
+    pub const RESPONSE_BEGUN: &str = "head_received";
+    pub const PEER_MESSAGE: &str = "inbox";
+}
+
 /// The fields of one line, taken from left to right.
 pub struct Fields<'a> {
     name: &'a str,
--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -334,12 +334,12 @@
         let Asked { merging, class, wait } = asked;
         let ranges = self.core.info().shards;
         let share = 1.0 / f64::from(ranges);
-        let texts = {
+        let part_texts = {
             let merging = lock(&merging);
             (0..ranges).map(|r| merging.text(r).into()).collect()
         };
         let judge = merging.clone();
-        let accept =
+        let validator =
             ResponseValidator::new(move |shard, value| match lock(&judge).offer(shard.0, &value.data) {
                 Ok(()) => true,
                 Err(unfit) => {
@@ -354,8 +354,8 @@
             deadline: valid_until(&self.core, &self.limits, class, wait, out.asked_at()),
             parts: (0..ranges).map(|r| (ShardId(r), share)).collect(),
             text: "".into(),
-            part_texts: texts,
-            validator: accept,
+            part_texts,
+            validator,
             client: out.client(),
         };
         let end = End {
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -546,7 +546,7 @@
     seal: Option<&Seal>,
     ended: Result<QueryOutcome, RejectReason>,
 ) -> Reply {
-    let Ok(QueryOutcome::Answered { complete: whole, rows, .. }) = ended else {
+    let Ok(QueryOutcome::Answered { complete, rows, .. }) = ended else {
         return problem(500, "there is no answer");
     };
     let mut read: Vec<_> = rows.iter().filter_map(read).collect();
@@ -585,7 +585,7 @@
     let tail = json!({
         "numberReturned": texts.len(),
         "timeStamp": stamp,
-        "complete": whole && missing.is_empty(),
+        "complete": complete && missing.is_empty(),
         "missingRanges": missing,
         "links": links,
     });
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -73,9 +73,9 @@
 
 fn answer(ended: Result<QueryOutcome, RejectReason>, full_hold_off: Nanos) -> Reply {
     match ended {
-        Ok(QueryOutcome::Answered { complete: whole, rows, .. }) => {
+        Ok(QueryOutcome::Answered { complete, rows, .. }) => {
             let rows = rows.iter().map(|r| RowOut { id: r.shard.0, data: &r.data }).collect();
-            match serde_json::to_vec(&Served200 { exact: whole, rows }) {
+            match serde_json::to_vec(&Served200 { exact: complete, rows }) {
                 Ok(body) => Reply { status: 200, kind: "application/json", more: String::new(), body },
                 Err(_) => Reply::text(500, "the answer cannot be written"),
             }
