--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,8 +7,5 @@
 pub mod engine;
 pub mod policy;
 pub mod settings;
-mod starts;
-mod state;
-mod window;
 
 pub use policy::Policy;
--- /dev/null
+++ b/crates/core/src/policy/latency_stats.rs
@@ -0,0 +1,57 @@
+//! Quantiles of the latencies of recent parts.
+
+use super::sliding_window::RecentSamples;
+use super::Policy;
+use crate::api::Nanos;
+
+/// The hedge delay is this quantile of recent part latencies.
+const HEDGE_DELAY_QUANTILE: f64 = 0.95;
+/// Samples needed for the hedge delay; half of them for the lower quantiles.
+const MIN_SAMPLES: usize = 20;
+/// Latency samples kept.
+const MAX_SAMPLES: usize = 200;
+/// Age up to which samples count, in longest latency objectives.
+const SAMPLE_AGE_OBJECTIVES: u64 = 10;
+
+/// Recent part latencies, and their quantiles as last refreshed.
+#[derive(Debug)]
+pub(super) struct LatencyStats {
+    samples: RecentSamples,
+    refresh_at: Nanos,
+    /// The quantile for the hedge delay, once there are enough samples.
+    pub(super) tail: Option<Nanos>,
+    /// 0 until there are enough samples.
+    pub(super) median: Nanos,
+    /// 0 until there are enough samples.
+    pub(super) lower_quartile: Nanos,
+}
+
+impl LatencyStats {
+    pub(super) fn new(longest_objective: Nanos) -> Self {
+        let samples = RecentSamples::new(MAX_SAMPLES, max_sample_age(longest_objective));
+        Self { samples, refresh_at: 0, tail: None, median: 0, lower_quartile: 0 }
+    }
+
+    pub(super) fn record(&mut self, now: Nanos, latency: Nanos) {
+        self.samples.add(now, latency);
+    }
+}
+
+/// Age up to which samples count, by the longest latency objective.
+pub(super) fn max_sample_age(longest_objective: Nanos) -> Nanos {
+    longest_objective.saturating_mul(SAMPLE_AGE_OBJECTIVES)
+}
+
+impl Policy {
+    /// Takes the quantiles anew, at most once a tick: a tick may have many rounds.
+    pub(super) fn refresh_latency_quantiles(&mut self) {
+        let (now, latency) = (self.now, &mut self.latency);
+        if now < latency.refresh_at {
+            return;
+        }
+        latency.refresh_at = now + self.settings.tick;
+        latency.tail = latency.samples.quantile(now, HEDGE_DELAY_QUANTILE, MIN_SAMPLES);
+        latency.median = latency.samples.quantile(now, 0.5, MIN_SAMPLES / 2).unwrap_or(0);
+        latency.lower_quartile = latency.samples.quantile(now, 0.25, MIN_SAMPLES / 2).unwrap_or(0);
+    }
+}
--- /dev/null
+++ b/crates/core/src/policy/load_stats.rs
@@ -0,0 +1,117 @@
+//! How much work the coordinator has in flight and how well it is served.
+
+use super::attempt::AttemptKind;
+use super::decay::FailureRatio;
+use super::sliding_window::SlidingCount;
+use super::Policy;
+use crate::api::Nanos;
+
+/// Overload is counted from this ratio of late or failed outcomes on.
+const OVERLOAD_THRESHOLD: f64 = 0.3;
+/// Share of the latest outcome in the overload ratio.
+const OVERLOAD_OUTCOME_WEIGHT: f64 = 1.0 / 16.0;
+/// Window of the counts of sends and ended queries, in longest latency objectives.
+const TRAFFIC_WINDOW_OBJECTIVES: u64 = 4;
+/// Traffic is low where one server gets less than one first send in so many shortest latency objectives.
+const LOW_TRAFFIC_OBJECTIVES: f64 = 2.0;
+
+/// Running figures of one coordinator's load.
+#[derive(Debug)]
+pub(super) struct LoadStats {
+    /// Bound of all attempts in flight.
+    pub(super) in_flight_limit: f64,
+    pub(super) attempts_in_flight: usize,
+    /// Parts of open queries that are not complete.
+    pub(super) open_parts: usize,
+    /// Attempts that servers have completed, since the start.
+    pub(super) completed_attempts: u64,
+    /// Share of late or failed outcomes among the latest.
+    overload_ratio: FailureRatio,
+}
+
+impl LoadStats {
+    pub(super) fn new(in_flight_limit: f64) -> Self {
+        Self {
+            in_flight_limit,
+            attempts_in_flight: 0,
+            open_parts: 0,
+            completed_attempts: 0,
+            overload_ratio: FailureRatio::default(),
+        }
+    }
+
+    /// Whether late and failed outcomes are so many that load is their cause.
+    pub(super) fn is_overloaded(&self) -> bool {
+        self.overload_ratio.get() > OVERLOAD_THRESHOLD
+    }
+
+    pub(super) fn record_outcome(&mut self, timely: bool) {
+        self.overload_ratio.record(!timely, OVERLOAD_OUTCOME_WEIGHT);
+    }
+}
+
+/// Counts over sliding windows: what arrived, was sent and has ended.
+#[derive(Debug)]
+pub(super) struct TrafficCounts {
+    /// Queries and parts that arrived.
+    pub(super) arrivals: SlidingCount,
+    /// Attempts charged to the retry budget.
+    pub(super) charged_attempts: SlidingCount,
+    pub(super) first_attempts: SlidingCount,
+    pub(super) hedges: SlidingCount,
+    pub(super) ended_queries: SlidingCount,
+    /// Queries answered within their latency objective.
+    pub(super) timely_queries: SlidingCount,
+}
+
+impl TrafficCounts {
+    pub(super) fn new(budget_window: Nanos, traffic_window: Nanos) -> Self {
+        Self {
+            arrivals: SlidingCount::new(budget_window),
+            charged_attempts: SlidingCount::new(budget_window),
+            first_attempts: SlidingCount::new(traffic_window),
+            hedges: SlidingCount::new(traffic_window),
+            ended_queries: SlidingCount::new(traffic_window),
+            timely_queries: SlidingCount::new(traffic_window),
+        }
+    }
+
+    pub(super) fn attempt_started(&mut self, kind: AttemptKind, charged: bool, now: Nanos) {
+        match kind {
+            AttemptKind::First => self.first_attempts.add(now),
+            AttemptKind::Hedge => self.hedges.add(now),
+            AttemptKind::Retry => {}
+        }
+        if charged {
+            self.charged_attempts.add(now);
+        }
+    }
+
+    pub(super) fn query_ended(&mut self, timely: bool, now: Nanos) {
+        self.ended_queries.add(now);
+        if timely {
+            self.timely_queries.add(now);
+        }
+    }
+}
+
+/// The window over which traffic is counted, by the longest latency objective.
+pub(super) fn traffic_window(longest_objective: Nanos) -> Nanos {
+    longest_objective.saturating_mul(TRAFFIC_WINDOW_OBJECTIVES)
+}
+
+impl Policy {
+    /// Mean time between this coordinator's first attempts at one server, in nanoseconds.
+    pub(super) fn mean_send_interval(&self) -> f64 {
+        let window = traffic_window(self.settings.longest_latency_objective()) as f64;
+        let from = self.now.saturating_sub(window as Nanos);
+        let sends = self.counts.first_attempts.count_since(from).max(1);
+        window * self.endpoints.active.max(1) as f64 / sends as f64
+    }
+
+    /// Whether single outcomes tell little, because each server is seldom sent to.
+    pub(super) fn is_low_traffic(&self) -> bool {
+        let threshold = LOW_TRAFFIC_OBJECTIVES * self.settings.shortest_latency_objective() as f64;
+        self.mean_send_interval() > threshold
+    }
+}
