--- /dev/null
+++ b/crates/core/tests/client_timeout.rs
@@ -0,0 +1,33 @@
+//! The estimate of the timeouts of clients, by which retries of theirs are recognized.
+
+mod common;
+
+use common::*;
+use curlewdeck_core::api::*;
+
+#[test]
+fn a_client_retry_past_the_latency_objective_is_rejected_at_once() {
+    let mut harness = PolicyHarness::new(settings(), 3);
+    harness.warm_up(40);
+    let (query, actions) = query_with_deadline(&mut harness, 1, 2000 * MS, false);
+    assert!(sends(&actions).is_empty());
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { query: q, .. } if *q == query)));
+}
+
+#[test]
+fn short_timeouts_are_served_where_they_are_usual_or_retries_are_marked() {
+    let mut harness = PolicyHarness::new(settings(), 3);
+    for i in 0..40 {
+        // Every eighth client is patient; the others do not look cut short for it.
+        let valid = if i % 8 == 0 { 4000 * MS } else { 2000 * MS };
+        let (_, actions) = query_with_deadline(&mut harness, 1, valid, false);
+        assert_eq!(sends(&actions).len(), 1, "{i}: {actions:?}");
+        harness.now += 100 * MS;
+        let done = sends(&actions).iter().map(|s| harness.ended(s, 0, Outcome::Success)).collect();
+        harness.round(done);
+    }
+    let mut harness = PolicyHarness::new(Settings { clients_mark_retries: true, ..settings() }, 3);
+    harness.warm_up(40);
+    let (_, actions) = query_with_deadline(&mut harness, 1, 500 * MS, false);
+    assert_eq!(sends(&actions).len(), 1, "a short timeout alone is no retry");
+}
--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -1,13 +1,14 @@
-//! Random steps over the decisions: from the round on in which the list's news come, nothing is sent to a server that is
-//! not up, and none such is probed, whichever way leads there. A round holds several events in any order, as after a
-//! pause of the process: news of the list, ends of attempts, queries.
+//! Random steps over the decisions: from the round on in which an update of the list comes, nothing is sent
+//! to a server that is not up, and none such is health checked, whichever way leads there. A round holds
+//! several events in any order, as after a pause of the process: updates of the list, ends of attempts,
+//! queries.
 
 mod common;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{class, entry, settings, MS, START};
+use common::{class, record, settings, MS, START};
 use curlewdeck_core::api::*;
 use curlewdeck_core::Policy;
 use proptest::prelude::*;
@@ -23,10 +24,10 @@
 enum Step {
     Query { class: usize, parts: u32 },
     End { pick: usize, outcome: Outcome },
-    Change { lines: Vec<(u32, EndpointState)> },
-    Whole { lines: Vec<(u32, EndpointState)> },
-    NoChange,
-    Leave { pick: usize },
+    Delta { records: Vec<(u32, EndpointState)> },
+    Snapshot { records: Vec<(u32, EndpointState)> },
+    EmptyDelta,
+    Disconnect { pick: usize },
 }
 
 /// Several events at one moment, and the time that passes behind them.
@@ -45,22 +46,22 @@
     ]
 }
 
-fn phase() -> impl Strategy<Value = EndpointState> {
+fn state() -> impl Strategy<Value = EndpointState> {
     prop_oneof![2 => Just(EndpointState::Active), 2 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)]
 }
 
-fn lines(most: usize) -> impl Strategy<Value = Vec<(u32, EndpointState)>> {
-    proptest::collection::vec((0..SERVERS, phase()), 0..most)
+fn records(most: usize) -> impl Strategy<Value = Vec<(u32, EndpointState)>> {
+    proptest::collection::vec((0..SERVERS, state()), 0..most)
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         5 => (0..3usize, 1..=SHARDS).prop_map(|(class, parts)| Step::Query { class, parts }),
         8 => (any::<usize>(), outcome()).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        2 => lines(4).prop_map(|lines| Step::Change { lines }),
-        1 => lines(8).prop_map(|lines| Step::Whole { lines }),
-        1 => Just(Step::NoChange),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
+        2 => records(4).prop_map(|records| Step::Delta { records }),
+        1 => records(8).prop_map(|records| Step::Snapshot { records }),
+        1 => Just(Step::EmptyDelta),
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
     ]
 }
 
@@ -70,64 +71,66 @@
 
 /// What was seen over all cases: without each of these the rule was not tried.
 #[derive(Debug, Default)]
-struct Tried {
+struct Exercised {
     sends: u32,
-    repeats: u32,
-    copies: u32,
-    second_steps: u32,
-    probes: u32,
+    retries: u32,
+    hedges: u32,
+    second_phase_attempts: u32,
+    health_checks: u32,
 }
 
 #[derive(Debug)]
 struct Query {
     class: usize,
     shards: Vec<ShardId>,
-    second: bool,
+    is_second_phase: bool,
 }
 
 #[derive(Debug, Default)]
 struct Part {
     attempts: u32,
-    out: BTreeSet<u32>,
-    second: bool,
+    in_flight: BTreeSet<u32>,
+    is_second_phase: bool,
 }
 
-struct World<'a> {
-    set: Settings,
+struct Harness<'a> {
+    settings: Settings,
     policy: Policy,
     now: Nanos,
     wake: Option<Nanos>,
     next: u64,
     queries: BTreeMap<QueryId, Query>,
     parts: BTreeMap<PartId, Part>,
-    /// The servers that are up by the news told so far.
+    /// The servers that are up by the updates so far.
     up: BTreeSet<ServerId>,
-    out: Vec<(PartId, u32, ServerId, Nanos)>,
-    probes: Vec<(ServerId, Nanos)>,
-    tried: &'a RefCell<Tried>,
+    in_flight: Vec<(PartId, u32, ServerId, Nanos)>,
+    health_checks: Vec<(ServerId, Nanos)>,
+    exercised: &'a RefCell<Exercised>,
 }
 
-/// Two steps, partial answers, copies and probes, two zones, and no bound on further attempts but those of the classes.
+/// two phases, partial answers, hedges and health checks, two zones, and no bound on further attempts but
+/// those of the classes.
 fn all_ways() -> Settings {
-    let mut set = settings();
-    set.classes[0].second_phase_parts = 2;
-    set.classes[1] = Class {
+    let mut settings = settings();
+    settings.classes[0].second_phase_parts = 2;
+    settings.classes[1] = Class {
         min_coverage: 0.4,
         complete_coverage: 1.0,
         late_value_ratio: 0.3,
         max_attempts: 4,
         ..class(RetrySafety::Idempotent)
     };
-    set.layout = ShardLayout { partition_groups: CELLS, groups_per_shard: 2, max_batch: 1, call_overhead: 0 };
-    Settings { zones: ZONES, retry_budget: None, connection_idle_timeout: Some(5000 * MS), ..set }
+    settings.layout =
+        ShardLayout { partition_groups: CELLS, groups_per_shard: 2, max_batch: 1, call_overhead: 0 };
+    Settings { zones: ZONES, retry_budget: None, connection_idle_timeout: Some(5000 * MS), ..settings }
 }
 
-impl<'a> World<'a> {
-    fn new(tried: &'a RefCell<Tried>) -> Self {
-        let set = all_ways();
-        let policy = Policy::new(set.clone(), 11).unwrap();
-        let mut world = Self {
-            set,
+impl<'a> Harness<'a> {
+    fn new(exercised: &'a RefCell<Exercised>) -> Self {
+        let settings = all_ways();
+        let policy = Policy::new(settings.clone(), 11).unwrap();
+        let mut harness = Self {
+            settings,
             policy,
             now: START,
             wake: None,
@@ -135,61 +138,61 @@
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
             up: BTreeSet::new(),
-            out: Vec::new(),
-            probes: Vec::new(),
-            tried,
+            in_flight: Vec::new(),
+            health_checks: Vec::new(),
+            exercised,
         };
         let all: Vec<(u32, EndpointState)> = (0..SERVERS).map(|s| (s, EndpointState::Active)).collect();
-        let events = world.events(&Step::Whole { lines: all });
-        world.round(events);
-        world
+        let events = harness.events(&Step::Snapshot { records: all });
+        harness.round(events);
+        harness
     }
 
     /// The model of the list: the last word on a server holds.
-    fn list(&mut self, kind: EndpointUpdateKind, lines: &[(u32, EndpointState)]) -> Event {
+    fn list(&mut self, kind: EndpointUpdateKind, records: &[(u32, EndpointState)]) -> Event {
         if kind == EndpointUpdateKind::Snapshot {
             self.up.clear();
         }
-        for &(server, phase) in lines {
-            match phase {
+        for &(server, state) in records {
+            match state {
                 EndpointState::Active => drop(self.up.insert(ServerId(server))),
                 EndpointState::Draining | EndpointState::Removed => drop(self.up.remove(&ServerId(server))),
             }
         }
-        let line = |&(server, phase): &(u32, EndpointState)| EndpointRecord {
+        let to_record = |&(server, state): &(u32, EndpointState)| EndpointRecord {
             partition_group: server % CELLS,
             zone: Some(ZoneId(server / CELLS % ZONES)),
-            ..entry(server, phase)
+            ..record(server, state)
         };
-        Event::EndpointsUpdated { kind, records: lines.iter().map(line).collect() }
+        Event::EndpointsUpdated { kind, records: records.iter().map(to_record).collect() }
     }
 
     fn events(&mut self, step: &Step) -> Vec<Event> {
         match step {
             Step::Query { class, parts } => self.query(*class, *parts),
-            Step::End { pick, outcome } if !self.out.is_empty() => {
-                let (part, attempt, server, sent) = self.out.swap_remove(pick % self.out.len());
+            Step::End { pick, outcome } if !self.in_flight.is_empty() => {
+                let (part, attempt, server, sent) = self.in_flight.swap_remove(pick % self.in_flight.len());
                 if let Some(p) = self.parts.get_mut(&part) {
-                    p.out.remove(&attempt);
+                    p.in_flight.remove(&attempt);
                 }
                 let latency = self.now - sent;
                 vec![Event::AttemptEnded { part, attempt, server, outcome: *outcome, latency }]
             }
-            Step::End { .. } => self.probed().into_iter().collect(),
-            Step::Change { lines } => vec![self.list(EndpointUpdateKind::Delta, lines)],
-            Step::Whole { lines } => vec![self.list(EndpointUpdateKind::Snapshot, lines)],
-            Step::NoChange => {
+            Step::End { .. } => self.health_checked().into_iter().collect(),
+            Step::Delta { records } => vec![self.list(EndpointUpdateKind::Delta, records)],
+            Step::Snapshot { records } => vec![self.list(EndpointUpdateKind::Snapshot, records)],
+            Step::EmptyDelta => {
                 vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: Vec::new() }]
             }
-            Step::Leave { pick } => {
+            Step::Disconnect { pick } => {
                 let id = self.queries.keys().nth(pick % self.queries.len().max(1)).copied();
                 id.map(|id| (self.queries.remove(&id), Event::ClientDisconnected(id)).1).into_iter().collect()
             }
         }
     }
 
-    fn probed(&mut self) -> Option<Event> {
-        let (server, sent) = self.probes.pop()?;
+    fn health_checked(&mut self) -> Option<Event> {
+        let (server, sent) = self.health_checks.pop()?;
         Some(Event::HealthChecked { server, outcome: Outcome::ConnectFailed, latency: self.now - sent })
     }
 
@@ -197,7 +200,7 @@
         let id = QueryId(self.next);
         self.next += 1;
         let shards: Vec<ShardId> = (0..parts).map(ShardId).collect();
-        self.queries.insert(id, Query { class, shards: shards.clone(), second: false });
+        self.queries.insert(id, Query { class, shards: shards.clone(), is_second_phase: false });
         let mut events = vec![Event::QueryArrived {
             id,
             class: ClassId(class),
@@ -210,13 +213,13 @@
         events
     }
 
-    fn add_parts(&mut self, query: QueryId, shards: &[ShardId], second: bool) -> Vec<Event> {
+    fn add_parts(&mut self, query: QueryId, shards: &[ShardId], is_second_phase: bool) -> Vec<Event> {
         let weight = 1.0 / shards.len() as f64;
         let mut events = Vec::new();
         for &shard in shards {
             let id = PartId(self.next);
             self.next += 1;
-            self.parts.insert(id, Part { second, ..Part::default() });
+            self.parts.insert(id, Part { is_second_phase, ..Part::default() });
             events.push(Event::PartArrived { id, query, shard, weight });
         }
         events
@@ -240,9 +243,9 @@
         match *action {
             Action::StartAttempt { part, server, .. } => self.sent(part, server),
             Action::CheckHealth { server } => {
-                assert!(self.up.contains(&server), "probed one that is not up");
-                self.tried.borrow_mut().probes += 1;
-                self.probes.push((server, self.now));
+                assert!(self.up.contains(&server), "health check of an inactive server");
+                self.exercised.borrow_mut().health_checks += 1;
+                self.health_checks.push((server, self.now));
             }
             Action::CancelAttempt { part, attempt } => return self.cancelled(part, attempt),
             Action::Answer { query, .. } => return self.answered(query),
@@ -257,23 +260,25 @@
     }
 
     fn sent(&mut self, id: PartId, server: ServerId) {
-        assert!(self.up.contains(&server), "sent to one that is not up");
+        assert!(self.up.contains(&server), "sent to an inactive server");
         let Some(part) = self.parts.get_mut(&id) else { panic!("sent what is not known") };
-        let mut tried = self.tried.borrow_mut();
-        tried.sends += 1;
-        tried.repeats += u32::from(part.attempts > 0);
-        tried.copies += u32::from(!part.out.is_empty());
-        tried.second_steps += u32::from(part.second);
-        part.out.insert(part.attempts);
-        self.out.push((id, part.attempts, server, self.now));
+        let mut exercised = self.exercised.borrow_mut();
+        exercised.sends += 1;
+        exercised.retries += u32::from(part.attempts > 0);
+        exercised.hedges += u32::from(!part.in_flight.is_empty());
+        exercised.second_phase_attempts += u32::from(part.is_second_phase);
+        part.in_flight.insert(part.attempts);
+        self.in_flight.push((id, part.attempts, server, self.now));
         part.attempts += 1;
     }
 
     fn cancelled(&mut self, part: PartId, attempt: u32) -> Vec<Event> {
-        let Some(at) = self.out.iter().position(|o| (o.0, o.1) == (part, attempt)) else { return Vec::new() };
-        let (part, attempt, server, sent) = self.out.swap_remove(at);
+        let Some(at) = self.in_flight.iter().position(|o| (o.0, o.1) == (part, attempt)) else {
+            return Vec::new();
+        };
+        let (part, attempt, server, sent) = self.in_flight.swap_remove(at);
         if let Some(p) = self.parts.get_mut(&part) {
-            p.out.remove(&attempt);
+            p.in_flight.remove(&attempt);
         }
         vec![Event::AttemptEnded {
             part,
@@ -285,10 +290,11 @@
     }
 
     fn answered(&mut self, id: QueryId) -> Vec<Event> {
-        let two = |q: &Query| self.set.classes[q.class].second_phase_parts > 0 && !q.second;
+        let has_second_phase =
+            |q: &Query| self.settings.classes[q.class].second_phase_parts > 0 && !q.is_second_phase;
         match self.queries.get_mut(&id) {
-            Some(query) if two(query) => {
-                query.second = true;
+            Some(query) if has_second_phase(query) => {
+                query.is_second_phase = true;
                 let shards = query.shards[..query.shards.len().min(2)].to_vec();
                 self.add_parts(id, &shards, true)
             }
@@ -299,7 +305,7 @@
         }
     }
 
-    /// Time passes: only the module's own timers wake it.
+    /// Time passes: only the policy's own timers wake it.
     fn pass(&mut self, span: Nanos) {
         let end = self.now + span;
         while let Some(at) = self.wake.filter(|&w| w <= end) {
@@ -312,24 +318,30 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_server_that_is_not_up_from_the_round_of_the_news_on() {
-    let tried = RefCell::new(Tried::default());
+fn no_attempt_goes_to_an_inactive_server_from_the_round_of_the_update_on() {
+    let exercised = RefCell::new(Exercised::default());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[37; 32]);
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
     let rounds = proptest::collection::vec(round(), 1..120);
     let result = runner.run(&rounds, |rounds| {
-        let mut world = World::new(&tried);
+        let mut harness = Harness::new(&exercised);
         for (steps, ms) in &rounds {
-            let events: Vec<Event> = steps.iter().flat_map(|step| world.events(step)).collect();
-            world.round(events);
-            world.pass(ms * MS);
+            let events: Vec<Event> = steps.iter().flat_map(|step| harness.events(step)).collect();
+            harness.round(events);
+            harness.pass(ms * MS);
         }
         Ok(())
     });
     result.unwrap();
-    let tried = tried.into_inner();
-    println!("{tried:?}");
-    let all = [tried.sends, tried.repeats, tried.copies, tried.second_steps, tried.probes];
-    assert!(all.iter().all(|&times| times > 50), "{tried:?}");
+    let exercised = exercised.into_inner();
+    println!("{exercised:?}");
+    let all = [
+        exercised.sends,
+        exercised.retries,
+        exercised.hedges,
+        exercised.second_phase_attempts,
+        exercised.health_checks,
+    ];
+    assert!(all.iter().all(|&times| times > 50), "{exercised:?}");
 }
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/policy_invariants.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{entry, settings, MS, START};
+use common::{record, settings, MS, START};
 use curlewdeck_core::api::*;
 use curlewdeck_core::Policy;
 use proptest::prelude::*;
@@ -14,8 +14,8 @@
 enum Step {
     Query { class: usize, parts: u64 },
     End { pick: usize, outcome: Outcome },
-    List { server: u32, phase: EndpointState, restart: bool },
-    Leave { pick: usize },
+    List { server: u32, state: EndpointState, restart: bool },
+    Disconnect { pick: usize },
     Pass { ms: u64 },
 }
 
@@ -29,7 +29,7 @@
     ]
 }
 
-fn phase() -> impl Strategy<Value = EndpointState> {
+fn state() -> impl Strategy<Value = EndpointState> {
     prop_oneof![3 => Just(EndpointState::Active), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)]
 }
 
@@ -37,8 +37,8 @@
     prop_oneof![
         4 => (0..3usize, 0..5u64).prop_map(|(class, parts)| Step::Query { class, parts }),
         8 => (any::<usize>(), outcome()).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        1 => (0..4u32, phase(), any::<bool>()).prop_map(|(server, phase, restart)| Step::List { server, phase, restart }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
+        1 => (0..4u32, state(), any::<bool>()).prop_map(|(server, state, restart)| Step::List { server, state, restart }),
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         4 => (1..400u64).prop_map(|ms| Step::Pass { ms }),
     ]
 }
@@ -54,19 +54,19 @@
     query: QueryId,
     weight: f64,
     attempts: Vec<Attempt>,
-    passed: bool,
+    complete: bool,
 }
 
 #[derive(Debug)]
 struct Query {
     class: usize,
-    valid_until: Nanos,
-    finals: u32,
-    gone: bool,
+    deadline: Nanos,
+    final_answers: u32,
+    disconnected: bool,
 }
 
 /// What the outside sees: it plays the servers and checks every action against the rules.
-struct World {
+struct Harness {
     set: Settings,
     policy: Policy,
     now: Nanos,
@@ -74,17 +74,17 @@
     next: u64,
     queries: BTreeMap<QueryId, Query>,
     parts: BTreeMap<PartId, Part>,
-    listed: BTreeMap<ServerId, bool>,
-    out: Vec<(PartId, u32, ServerId, Nanos)>,
-    taken: Vec<Nanos>,
-    extra: Vec<Nanos>,
+    active: BTreeMap<ServerId, bool>,
+    in_flight: Vec<(PartId, u32, ServerId, Nanos)>,
+    arrivals: Vec<Nanos>,
+    further_attempts: Vec<Nanos>,
     log: Vec<Action>,
 }
 
-impl World {
+impl Harness {
     fn new(set: Settings) -> Self {
         let policy = Policy::new(set.clone(), 11).unwrap();
-        let mut world = Self {
+        let mut harness = Self {
             set,
             policy,
             now: START,
@@ -92,16 +92,16 @@
             next: 0,
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
-            listed: (0..4).map(|s| (ServerId(s), true)).collect(),
-            out: Vec::new(),
-            taken: Vec::new(),
-            extra: Vec::new(),
+            active: (0..4).map(|s| (ServerId(s), true)).collect(),
+            in_flight: Vec::new(),
+            arrivals: Vec::new(),
+            further_attempts: Vec::new(),
             log: Vec::new(),
         };
-        let line = |s| EndpointRecord { zone: Some(ZoneId(s % 3)), ..entry(s, EndpointState::Active) };
-        let entries = (0..4).map(line).collect();
-        world.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records: entries }]);
-        world
+        let to_record = |s| EndpointRecord { zone: Some(ZoneId(s % 3)), ..record(s, EndpointState::Active) };
+        let records = (0..4).map(to_record).collect();
+        harness.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records }]);
+        harness
     }
 
     fn round(&mut self, events: Vec<Event>) {
@@ -114,33 +114,33 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::StartAttempt { part, server, timeout: within } => {
-                self.check_send(*part, *server, *within)
-            }
+            Action::StartAttempt { part, server, timeout } => self.check_send(*part, *server, *timeout),
             Action::CancelAttempt { part, attempt } => {
                 assert!((*attempt as usize) < self.parts[part].attempts.len(), "cancel of nothing sent");
             }
-            Action::Answer { query, complete: whole } => {
+            Action::Answer { query, complete } => {
                 self.close(*query);
                 let class = &self.set.classes[self.queries[query].class];
                 let weight: f64 =
-                    self.parts.values().filter(|p| p.query == *query && p.passed).map(|p| p.weight).sum();
-                assert!(weight >= class.min_coverage - 1e-4, "answer under the floor");
-                assert!(!whole || weight >= class.complete_coverage - 1e-4, "marked whole and is not");
+                    self.parts.values().filter(|p| p.query == *query && p.complete).map(|p| p.weight).sum();
+                assert!(weight >= class.min_coverage - 1e-4, "answer below the least coverage");
+                assert!(!complete || weight >= class.complete_coverage - 1e-4, "marked complete and is not");
             }
             Action::Reject { query, .. } => {
                 self.close(*query);
-                let unsafe_class =
+                let at_most_once =
                     self.set.classes[self.queries[query].class].retry_safety == RetrySafety::AtMostOnce;
-                let unrun = self
+                let never_ran = self
                     .parts
                     .values()
                     .filter(|p| p.query == *query)
                     .all(|p| p.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::never_ran)));
-                assert!(!unsafe_class || unrun, "refused what may have run");
+                assert!(!at_most_once || never_ran, "rejected what may have run");
             }
             Action::Fail { query } => self.close(*query),
-            Action::CheckHealth { .. } => assert!(self.set.may_check_health, "a probe where none is allowed"),
+            Action::CheckHealth { .. } => {
+                assert!(self.set.may_check_health, "a health check where none is allowed")
+            }
             Action::SetTimer { after } => {
                 let at = self.now + after;
                 self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
@@ -151,41 +151,41 @@
 
     fn close(&mut self, query: QueryId) {
         let q = self.queries.get_mut(&query).unwrap();
-        q.finals += 1;
-        assert!(!q.gone && q.finals == 1, "a second final answer");
-        assert!(self.now <= q.valid_until + 20 * MS, "final answer too late");
+        q.final_answers += 1;
+        assert!(!q.disconnected && q.final_answers == 1, "a second final answer");
+        assert!(self.now <= q.deadline + 20 * MS, "final answer too late");
     }
 
-    fn check_send(&mut self, part: PartId, server: ServerId, within: Nanos) {
-        assert!(self.listed[&server], "sent to a server that drains or is gone");
+    fn check_send(&mut self, part: PartId, server: ServerId, timeout: Nanos) {
+        assert!(self.active[&server], "sent to an inactive server");
         let p = self.parts.get_mut(&part).unwrap();
         let q = &self.queries[&p.query];
-        assert!(q.finals == 0 && !q.gone, "sent after the end");
-        assert!(self.now + within <= q.valid_until);
+        assert!(q.final_answers == 0 && !q.disconnected, "sent after the end");
+        assert!(self.now + timeout <= q.deadline);
         let class = &self.set.classes[q.class];
         let may_have_run = p.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran));
         match class.retry_safety {
             RetrySafety::Idempotent => {}
-            RetrySafety::AtMostOnce => assert!(may_have_run.is_none(), "an unsafe part sent twice"),
+            RetrySafety::AtMostOnce => assert!(may_have_run.is_none(), "an at-most-once part sent twice"),
             RetrySafety::Deduplicated => {
                 assert!(
                     may_have_run.is_none_or(|a| self.now <= a.sent + class.retry_window),
-                    "past the window"
+                    "past the retry window"
                 );
             }
         }
         p.attempts.push(Attempt { sent: self.now, outcome: None });
         let number = p.attempts.len() as u32 - 1;
         assert!(p.attempts.len() <= class.max_attempts as usize);
-        self.out.push((part, number, server, self.now));
+        self.in_flight.push((part, number, server, self.now));
         if number > 0 {
-            self.extra.push(self.now);
+            self.further_attempts.push(self.now);
             let budget = self.set.retry_budget.unwrap();
             let from = self.now - budget.window;
             let count = |times: &[Nanos]| times.iter().filter(|&&t| t > from).count() as f64;
             assert!(
-                count(&self.extra) <= budget.base_attempts + budget.ratio * count(&self.taken),
-                "over the budget"
+                count(&self.further_attempts) <= budget.base_attempts + budget.ratio * count(&self.arrivals),
+                "over the retry budget"
             );
         }
     }
@@ -193,35 +193,32 @@
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Query { class, parts } => self.query(class, parts),
-            Step::End { pick, outcome } if !self.out.is_empty() => {
-                let (part, attempt, server, sent) = self.out.swap_remove(pick % self.out.len());
+            Step::End { pick, outcome } if !self.in_flight.is_empty() => {
+                let (part, attempt, server, sent) = self.in_flight.swap_remove(pick % self.in_flight.len());
                 let p = self.parts.get_mut(&part).unwrap();
                 p.attempts[attempt as usize].outcome = Some(outcome);
-                p.passed |= outcome == Outcome::Success;
+                p.complete |= outcome == Outcome::Success;
                 let latency = self.now - sent;
                 self.round(vec![Event::AttemptEnded { part, attempt, server, outcome, latency }]);
             }
             Step::End { .. } => {}
-            Step::List { server, phase, restart } => {
-                self.listed.insert(ServerId(server), phase == EndpointState::Active);
+            Step::List { server, state, restart } => {
+                self.active.insert(ServerId(server), state == EndpointState::Active);
                 let started_at = if restart { self.now } else { 0 };
                 let zone = Some(ZoneId(server % 3));
-                let entries = vec![EndpointRecord { started_at, zone, ..entry(server, phase) }];
-                self.round(vec![Event::EndpointsUpdated {
-                    kind: EndpointUpdateKind::Delta,
-                    records: entries,
-                }]);
+                let records = vec![EndpointRecord { started_at, zone, ..record(server, state) }];
+                self.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records }]);
             }
-            Step::Leave { pick } => {
+            Step::Disconnect { pick } => {
                 let open: Vec<QueryId> = self
                     .queries
                     .iter()
-                    .filter(|(_, q)| q.finals == 0 && !q.gone)
+                    .filter(|(_, q)| q.final_answers == 0 && !q.disconnected)
                     .map(|(&id, _)| id)
                     .collect();
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
-                    self.queries.get_mut(&id).unwrap().gone = true;
+                    self.queries.get_mut(&id).unwrap().disconnected = true;
                     self.round(vec![Event::ClientDisconnected(id)]);
                 }
             }
@@ -232,27 +229,27 @@
     fn query(&mut self, class: usize, parts: u64) {
         let id = QueryId(self.next);
         self.next += 1 + parts;
-        let valid_until = self.now + 3000 * MS;
-        self.queries.insert(id, Query { class, valid_until, finals: 0, gone: false });
-        self.taken.push(self.now);
+        let deadline = self.now + 3000 * MS;
+        self.queries.insert(id, Query { class, deadline, final_answers: 0, disconnected: false });
+        self.arrivals.push(self.now);
         let mut events = vec![Event::QueryArrived {
             id,
             class: ClassId(class),
             tenant: None,
             key: Some(KeyId(parts)),
             is_retry: parts % 2 == 1,
-            deadline: valid_until,
+            deadline,
         }];
         for p in 1..=parts {
             let (part, weight) = (PartId(id.0 + p), 1.0 / parts as f64);
-            self.parts.insert(part, Part { query: id, weight, attempts: Vec::new(), passed: false });
-            self.taken.push(self.now);
+            self.parts.insert(part, Part { query: id, weight, attempts: Vec::new(), complete: false });
+            self.arrivals.push(self.now);
             events.push(Event::PartArrived { id: part, query: id, shard: ShardId(0), weight });
         }
         self.round(events);
     }
 
-    /// Time passes: only the module's own timers wake it.
+    /// Time passes: only the policy's own timers wake it.
     fn pass(&mut self, span: Nanos) {
         let end = self.now + span;
         while let Some(at) = self.wake.filter(|&w| w <= end) {
@@ -265,14 +262,14 @@
 }
 
 fn run(steps: &[Step], set: Settings) -> Vec<Action> {
-    let mut world = World::new(set);
+    let mut harness = Harness::new(set);
     for step in steps {
-        world.step(step);
+        harness.step(step);
     }
-    world.pass(10_000 * MS);
-    let lost = world.queries.values().filter(|q| q.finals == 0 && !q.gone).count();
+    harness.pass(10_000 * MS);
+    let lost = harness.queries.values().filter(|q| q.final_answers == 0 && !q.disconnected).count();
     assert_eq!(lost, 0, "queries without a final answer");
-    world.log
+    harness.log
 }
 
 fn mixed() -> Settings {
@@ -287,17 +284,19 @@
     set
 }
 
-/// Partial answers, late worth, shared calls, a tenth as budget and no probes.
+/// Partial answers, value of late answers, shared calls, a budget of a tenth and no health checks.
 fn partial() -> Settings {
     let mut set = mixed();
-    for (class, (floor, late_worth)) in set.classes.iter_mut().zip([(0.5, 0.1), (1.0, 0.0), (0.6, 0.3)]) {
-        let effect = RetrySafety::Idempotent;
+    for (class, (min_coverage, late_value_ratio)) in
+        set.classes.iter_mut().zip([(0.5, 0.1), (1.0, 0.0), (0.6, 0.3)])
+    {
+        let retry_safety = RetrySafety::Idempotent;
         *class = Class {
-            retry_safety: effect,
-            min_coverage: floor,
+            retry_safety,
+            min_coverage,
             complete_coverage: 1.0,
             partial_value_ratio: Some(0.8),
-            late_value_ratio: late_worth,
+            late_value_ratio,
             ..class.clone()
         };
     }
@@ -307,7 +306,7 @@
     Settings { may_check_health: false, ..set }
 }
 
-fn hold_the_rules(set: fn() -> Settings) {
+fn assert_invariants(set: fn() -> Settings) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[42; 32]);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -320,11 +319,11 @@
 }
 
 #[test]
-fn the_rules_hold_under_arbitrary_events_and_equal_events_give_equal_actions() {
-    hold_the_rules(mixed);
+fn invariants_hold_under_arbitrary_events_and_equal_events_give_equal_actions() {
+    assert_invariants(mixed);
 }
 
 #[test]
-fn the_rules_hold_with_partial_answers_shared_calls_and_a_small_budget() {
-    hold_the_rules(partial);
+fn invariants_hold_with_partial_answers_shared_calls_and_a_small_budget() {
+    assert_invariants(partial);
 }
