--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -59,8 +59,7 @@
 }
 
 impl Policy {
-    /// Sheds queued queries that have no chance or no room, and admits others while the in-flight limit
-    /// allows it.
+    /// Sheds queued queries, and admits others while the in-flight limit allows it.
     pub(super) fn admit(&mut self) {
         if self.review_queue.queued.is_empty() {
             return;
@@ -83,6 +82,7 @@
         }
     }
 
+    /// The queued queries, the first to be admitted first.
     fn admission_order(&self) -> Vec<QueuedQuery> {
         let queued = |&id: &QueryId| {
             let query = &self.queries[&id];
@@ -93,15 +93,16 @@
         order
     }
 
-    /// Ends queued queries, the last in the order of admission first.
+    /// Rejects queued queries that are beyond `max_open`, too late or throttled, the last in the order of
+    /// admission first.
     fn shed(&mut self, order: &[QueuedQuery]) {
         let throttle_ratio = self.throttle_ratio();
-        let most_open = (self.settings.max_open as f64 * SHED_OPEN_RATIO) as usize;
+        let max_open = (self.settings.max_open as f64 * SHED_OPEN_RATIO) as usize;
         let mut open = self.queries.len() + self.load.open_parts;
         for queued in order.iter().rev() {
             let query = &self.queries[&queued.id];
             let is_throttled = self.is_unpaced(query) && query.throttle_draw < throttle_ratio;
-            if open > most_open || self.is_too_late(query) || is_throttled {
+            if open > max_open || self.is_too_late(query) || is_throttled {
                 open = open.saturating_sub(1 + query.parts.len());
                 self.end_unserved(queued.id);
             }
@@ -130,6 +131,7 @@
         self.objective_ends_at(query) < self.now + self.hedge_delay(query.class).min(objective / 2)
     }
 
+    /// What each running query has in flight.
     fn running_loads(&self) -> Vec<RunningLoad> {
         let running = self.queries.values().filter(|query| query.is_running());
         let load = |query: &Query| RunningLoad {
@@ -139,6 +141,7 @@
         running.map(load).collect()
     }
 
+    /// Sends the first attempts of a query, if enough of its parts can be sent.
     fn admit_query(&mut self, id: QueryId) {
         let Some(plan) = self.plan_first_attempts(&self.queries[&id]) else { return };
         for planned in plan {
@@ -153,7 +156,7 @@
     /// than any answer needs.
     fn plan_first_attempts(&self, query: &Query) -> Option<Vec<PlannedAttempt>> {
         let required = if query.awaits_canary() { COVERAGE_TOLERANCE } else { self.required_coverage(query) };
-        let least = required.min(self.settings.classes[query.class.0].min_coverage);
+        let min_coverage = required.min(self.settings.classes[query.class.0].min_coverage);
         let unsent = self.unsent_parts(query);
         let mut batches = self.batch_candidates(&unsent);
         let mut covered = self.completed_coverage(query);
@@ -173,7 +176,7 @@
                 covered += part.weight;
             }
         }
-        let suffices = covered >= least && !query.parts.is_empty();
+        let suffices = covered >= min_coverage && !query.parts.is_empty();
         suffices.then_some(plan)
     }
 
--- a/crates/core/src/policy/concurrency_limit.rs
+++ b/crates/core/src/policy/concurrency_limit.rs
@@ -25,7 +25,7 @@
 /// A limit rises only while more than this share of it is in use.
 const IN_USE_RATIO: f64 = 0.5;
 /// The least pause after a rejection is the shortest latency objective over this.
-pub(super) const PAUSE_OBJECTIVE_DIVISOR: u64 = 4;
+const PAUSE_OBJECTIVE_DIVISOR: u64 = 4;
 
 /// The limit of all attempts in flight at the start.
 pub(super) fn initial_in_flight_limit(max_open: usize) -> f64 {
@@ -43,9 +43,9 @@
     }
 
     /// Lowers the limit, once for all attempts sent before it was last lowered.
-    fn decrease_limit(&mut self, attempt: &InFlightAttempt, factor: f64, least: f64, now: Nanos) {
+    fn decrease_limit(&mut self, attempt: &InFlightAttempt, factor: f64, min_limit: f64, now: Nanos) {
         if attempt.sent_at >= self.limit_decreased_at {
-            self.concurrency_limit = (self.concurrency_limit * factor).max(least);
+            self.concurrency_limit = (self.concurrency_limit * factor).max(min_limit);
             self.limit_decreased_at = now;
         }
     }
@@ -55,6 +55,7 @@
         self.concurrency_limit += step.min(1.0 / self.concurrency_limit);
     }
 
+    /// Whether enough of the limit is in use that a higher one would matter.
     fn uses_limit(&self) -> bool {
         f64::from(self.calls_in_flight() + 1) > self.concurrency_limit * IN_USE_RATIO
     }
@@ -63,14 +64,14 @@
 impl Policy {
     /// Adapts the limit of all attempts in flight to an outcome that has no other known cause than load.
     pub(super) fn adapt_in_flight_limit(&mut self, timely: bool) {
-        self.load.record_outcome(timely);
+        self.load.record_timeliness(timely);
         let limit = self.load.in_flight_limit;
         if timely && (self.load.attempts_in_flight + 1) as f64 > limit * IN_USE_RATIO {
             self.load.in_flight_limit += 1.0 / limit;
         } else if !timely && self.load.is_overloaded() {
             let coordinators = f64::from(self.settings.coordinators);
-            let least = MIN_CONCURRENCY_PER_ENDPOINT * self.endpoints.active as f64 / coordinators;
-            self.load.in_flight_limit = (limit * IN_FLIGHT_LIMIT_DECREASE_FACTOR).max(least.max(1.0));
+            let min_limit = MIN_CONCURRENCY_PER_ENDPOINT * self.endpoints.active as f64 / coordinators;
+            self.load.in_flight_limit = (limit * IN_FLIGHT_LIMIT_DECREASE_FACTOR).max(min_limit.max(1.0));
         }
     }
 
@@ -83,19 +84,19 @@
         late: bool,
     ) {
         // Below 1 where there are many coordinators: one attempt, then a pause.
-        let least = (MIN_CONCURRENCY_PER_ENDPOINT / f64::from(self.settings.coordinators)).min(1.0);
+        let min_limit = (MIN_CONCURRENCY_PER_ENDPOINT / f64::from(self.settings.coordinators)).min(1.0);
         let (now, jitter) = (self.now, self.rng.f64());
-        let pause = self.latency.median.max(self.least_pause()) as f64;
+        let pause = self.latency.median.max(self.min_pause()) as f64;
         let Some(server) = self.endpoints.servers.get_mut(&id) else { return };
         match outcome {
             Outcome::Rejected => {
-                server.decrease_limit(attempt, ENDPOINT_CONCURRENCY_LIMIT_REJECTED_FACTOR, least, now);
+                server.decrease_limit(attempt, ENDPOINT_CONCURRENCY_LIMIT_REJECTED_FACTOR, min_limit, now);
                 let spread_pause = pause / server.concurrency_limit * (0.5 + jitter);
                 server.pause_until(now + spread_pause as Nanos);
             }
             Outcome::ConnectFailed | Outcome::ServerError => {}
             _ if late => {
-                server.decrease_limit(attempt, ENDPOINT_CONCURRENCY_LIMIT_DECREASE_FACTOR, least, now);
+                server.decrease_limit(attempt, ENDPOINT_CONCURRENCY_LIMIT_DECREASE_FACTOR, min_limit, now);
             }
             Outcome::Success if server.uses_limit() => server.increase_limit(),
             _ => {}
@@ -103,7 +104,7 @@
     }
 
     /// The least time without attempts for an endpoint that is paused.
-    pub(super) fn least_pause(&self) -> Nanos {
+    pub(super) fn min_pause(&self) -> Nanos {
         self.settings.shortest_latency_objective() / PAUSE_OBJECTIVE_DIVISOR
     }
 }
--- a/crates/core/src/policy/connection_health.rs
+++ b/crates/core/src/policy/connection_health.rs
@@ -42,7 +42,8 @@
         self.connects.get() > CONNECT_FAILURE_THRESHOLD
     }
 
-    /// Records whether a connection that was opened for the attempt came up; no word on one that was open.
+    /// Records whether a connection that was opened for the attempt came up; one over an open
+    /// connection says nothing.
     pub(super) fn record_connect(&mut self, attempt: &InFlightAttempt, outcome: Outcome) {
         if attempt.connection_idle.is_none() {
             self.connects.record(outcome == Outcome::ConnectFailed, OUTCOME_WEIGHT);
--- a/crates/core/src/policy/coverage.rs
+++ b/crates/core/src/policy/coverage.rs
@@ -55,7 +55,7 @@
     /// Whether the parts that can still complete are too few for any answer.
     pub(super) fn is_unanswerable(&self, query: &Query, is_poison: bool) -> bool {
         let class = &self.settings.classes[query.class.0];
-        let least = if class.min_coverage < class.complete_coverage {
+        let min_coverage = if class.min_coverage < class.complete_coverage {
             class.min_coverage - COVERAGE_TOLERANCE
         } else {
             self.required_coverage(query)
@@ -63,6 +63,6 @@
         let may_complete = |part: &Part| {
             part.complete || part.is_in_flight() || !is_poison && self.may_retry(part, query.class)
         };
-        self.coverage(query, may_complete) < least
+        self.coverage(query, may_complete) < min_coverage
     }
 }
--- a/crates/core/src/policy/hedging.rs
+++ b/crates/core/src/policy/hedging.rs
@@ -54,8 +54,8 @@
     }
 
     fn hedge_budget_left(&mut self) -> bool {
-        let most = HEDGE_BUDGET_RATIO * self.counts.first_attempts.count(self.now) as f64;
-        (self.counts.hedges.count(self.now) + 1) as f64 <= most
+        let max_hedges = HEDGE_BUDGET_RATIO * self.counts.first_attempts.count(self.now) as f64;
+        (self.counts.hedges.count(self.now) + 1) as f64 <= max_hedges
     }
 
     /// Whether a hedge at this server would need a new connection: the hedge may be needless before that
--- a/crates/core/src/policy/load_stats.rs
+++ b/crates/core/src/policy/load_stats.rs
@@ -45,7 +45,7 @@
         self.overload_ratio.get() > OVERLOAD_THRESHOLD
     }
 
-    pub(super) fn record_outcome(&mut self, timely: bool) {
+    pub(super) fn record_timeliness(&mut self, timely: bool) {
         self.overload_ratio.record(!timely, OVERLOAD_OUTCOME_WEIGHT);
     }
 }
@@ -57,6 +57,7 @@
     pub(super) arrivals: SlidingCount,
     /// Attempts charged to the retry budget.
     pub(super) charged_attempts: SlidingCount,
+    /// First attempts at parts.
     pub(super) first_attempts: SlidingCount,
     pub(super) hedges: SlidingCount,
     pub(super) ended_queries: SlidingCount,
--- a/crates/core/src/policy/outcome_attribution.rs
+++ b/crates/core/src/policy/outcome_attribution.rs
@@ -30,7 +30,7 @@
             return self.record_connection_loss(end.server, attempt.class, outcome);
         }
         let timely = outcome == Outcome::Success && !late;
-        if self.endpoints.servers.get(&end.server).is_some_and(|server| server.is_not_suspect(self.now)) {
+        if self.endpoints.servers.get(&end.server).is_some_and(|server| !server.is_suspect(self.now)) {
             self.adapt_in_flight_limit(timely);
         }
         self.adapt_endpoint_limit(end.server, &attempt, outcome, late);
--- a/crates/core/src/policy/outlier_detection.rs
+++ b/crates/core/src/policy/outlier_detection.rs
@@ -15,6 +15,7 @@
 const DEPRIORITIZE_THRESHOLD: f64 = 0.5;
 /// Nothing is sent from this score on while a peer is healthier.
 const EJECTION_THRESHOLD: f64 = 1.5;
+/// The score rises no further.
 const MAX_OUTLIER_SCORE: f64 = 4.0;
 /// Added by a failed or overdue attempt.
 pub(super) const FAILURE_SCORE: f64 = 1.0;
@@ -39,13 +40,14 @@
 const MAX_HALF_LIFE_DOUBLINGS: u32 = 3;
 
 impl Server {
+    /// The scores that an outcome of a class counts for.
     fn scores_of(&mut self, class: ClassId) -> [&mut DecayingScore; 2] {
         [&mut self.outlier_score, &mut self.class_outlier_scores[class.0]]
     }
 
-    /// Whether its score is too low to count for or against it.
-    pub(super) fn is_not_suspect(&self, now: Nanos) -> bool {
-        self.outlier_score.get(now) < DEPRIORITIZE_THRESHOLD
+    /// Whether its outcomes of all classes make it an outlier.
+    pub(super) fn is_suspect(&self, now: Nanos) -> bool {
+        self.outlier_score.get(now) >= DEPRIORITIZE_THRESHOLD
     }
 }
 
@@ -89,8 +91,8 @@
     fn base_half_life(&self) -> Nanos {
         let objective = self.settings.shortest_latency_objective() as f64;
         let warm_up = self.settings.slow_start.warm_up_duration as f64;
-        let most = (MAX_HALF_LIFE_OBJECTIVES * objective).max(MAX_HALF_LIFE_WARM_UP_RATIO * warm_up);
-        (HALF_LIFE_SEND_INTERVALS * self.mean_send_interval()).clamp(objective, most) as Nanos
+        let max_half_life = (MAX_HALF_LIFE_OBJECTIVES * objective).max(MAX_HALF_LIFE_WARM_UP_RATIO * warm_up);
+        (HALF_LIFE_SEND_INTERVALS * self.mean_send_interval()).clamp(objective, max_half_life) as Nanos
     }
 
     /// Records that a connection was lost, with all that was in flight on it. Only after a reset may the
@@ -109,7 +111,7 @@
 
     /// Sends a server nothing for a while.
     pub(super) fn pause_endpoint(&mut self, id: ServerId) {
-        let until = self.now + self.least_pause();
+        let until = self.now + self.min_pause();
         if let Some(server) = self.endpoints.servers.get_mut(&id) {
             server.pause_until(until);
         }
@@ -121,9 +123,10 @@
         let overload_duration = self.settings.slow_start.overload_duration;
         let Some(server) = self.endpoints.servers.get_mut(&id) else { return };
         // A server that stalls now and then has many single successes where it is seldom sent to.
-        let (factor, forgiven) = match low_traffic {
-            true => (SUCCESS_SCORE_FACTOR.sqrt(), LOW_TRAFFIC_FORGIVEN_FAILURES),
-            false => (SUCCESS_SCORE_FACTOR, u32::MAX),
+        let (factor, forgiven) = if low_traffic {
+            (SUCCESS_SCORE_FACTOR.sqrt(), LOW_TRAFFIC_FORGIVEN_FAILURES)
+        } else {
+            (SUCCESS_SCORE_FACTOR, u32::MAX)
         };
         server.consecutive_failures = server.consecutive_failures.saturating_sub(forgiven);
         for score in server.scores_of(class) {
@@ -142,7 +145,7 @@
     /// How many servers in the endpoint list are sent nothing now. One that was ejected or whose zone
     /// degraded a moment ago does not count.
     pub fn excluded_servers(&self) -> usize {
-        let recently = self.now.saturating_sub(self.least_pause());
+        let recently = self.now.saturating_sub(self.min_pause());
         let is_ejected = |server: &Server| {
             server.outlier_score.get(self.now) >= EJECTION_THRESHOLD || self.is_zone_degraded(server.zone)
         };
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -61,42 +61,42 @@
         if self.is_poison_query(id) {
             return;
         }
-        let mut in_sight = self.send_spares(id);
+        let mut attempted_coverage = self.send_spares(id);
         let query = &self.queries[&id];
         let (class, required) = (query.class, self.required_coverage(query));
         for part_id in query.parts.clone() {
             let part = &self.parts[&part_id];
             let has_failed = !part.complete && !part.is_in_flight() && !part.is_unsent();
             if has_failed
-                && in_sight < required
+                && attempted_coverage < required
                 && self.may_retry(part, class)
                 && self.send_to_best_replica(part_id, AttemptKind::Retry, HealthTier::Ejected)
             {
-                in_sight += self.parts[&part_id].weight;
+                attempted_coverage += self.parts[&part_id].weight;
             }
         }
     }
 
-    /// Sends unsent parts where those that are complete or not yet late do not suffice; returns the weight of
-    /// what is complete or in flight then.
+    /// Sends unsent parts where those that are complete or not yet late do not suffice; returns the
+    /// coverage of what is complete or in flight then.
     fn send_spares(&mut self, id: QueryId) -> f64 {
         let query = &self.queries[&id];
-        let awaits_canary = query.awaits_canary() || query.canary && self.review_queue.queued.contains(&id);
+        let holds_back_rest = query.awaits_canary() || query.canary && self.review_queue.queued.contains(&id);
         let required = self.required_coverage(query);
         let late_before = self.now.saturating_sub(self.spare_delay(query.class));
         let is_on_time = |part: &Part| part.in_flight().any(|(_, attempt)| attempt.sent_at > late_before);
-        let mut expected = self.coverage(query, |part| part.complete || is_on_time(part));
-        let mut in_sight = self.coverage(query, |part| part.complete || part.is_in_flight());
+        let mut on_time_coverage = self.coverage(query, |part| part.complete || is_on_time(part));
+        let mut attempted_coverage = self.coverage(query, |part| part.complete || part.is_in_flight());
         for part in self.unsent_parts(query) {
-            if expected < required
-                && !awaits_canary
+            if on_time_coverage < required
+                && !holds_back_rest
                 && self.send_to_best_replica(part, AttemptKind::First, HealthTier::Ejected)
             {
-                expected += self.parts[&part].weight;
-                in_sight += self.parts[&part].weight;
+                on_time_coverage += self.parts[&part].weight;
+                attempted_coverage += self.parts[&part].weight;
             }
         }
-        in_sight
+        attempted_coverage
     }
 
     /// How long a part is in flight before a spare is sent in its place.
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Sends a part to the best replica of at most this tier, if the budget allows it; returns whether it was
-    /// sent.
+    /// Sends a part to the best replica of at most this tier, if the budget allows it; returns whether one
+    /// was found.
     pub(super) fn send_to_best_replica(
         &mut self,
         id: PartId,
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -68,8 +68,8 @@
         let mean_capacity_ratio = (before + after) / 2.0;
         let parts = (PEER_RATE_RATIO * self.completed_per_server(budget)).max(self.one_core_share(budget));
         let earned = rule.overload_multiple * mean_capacity_ratio * parts;
-        let most = (self.settings.burst_allowance() / ENDPOINT_CONCURRENCY_LIMIT_START).max(1.0);
-        Some((budget.parts + earned).min(most))
+        let max_budget = (self.settings.burst_allowance() / ENDPOINT_CONCURRENCY_LIMIT_START).max(1.0);
+        Some((budget.parts + earned).min(max_budget))
     }
 
     /// What a server has completed on average since the budget was counted.
--- a/crates/core/src/policy/zone_health.rs
+++ b/crates/core/src/policy/zone_health.rs
@@ -36,8 +36,8 @@
     /// Whether failures are many in this zone and few in the best one.
     pub(super) fn is_zone_degraded(&self, zone: Option<ZoneId>) -> bool {
         let Some(health) = zone.and_then(|zone| self.zones.get(zone.0 as usize)) else { return false };
-        let best = self.zones.iter().map(|zone| zone.failures.get()).fold(1.0, f64::min);
-        health.failures.stands_out(best, ZONE_FAILURE_THRESHOLD)
+        let best_ratio = self.zones.iter().map(|zone| zone.failures.get()).fold(1.0, f64::min);
+        health.failures.stands_out(best_ratio, ZONE_FAILURE_THRESHOLD)
     }
 
     /// Checks the health of a server in each degraded zone, which gets few parts that could show its
