--- a/src/config.rs
+++ b/src/config.rs
@@ -133,7 +133,7 @@
         if let Some(object) = document.as_object_mut() {
             object.remove("known");
         }
-        let info = settings::read(file.settings.get())?;
+        let info = settings::read(file.settings.get()).map_err(|e| e.to_string())?;
         info.settings.check().map_err(|e| e.to_string())?;
         let address = |name: &str, in_file: Option<SocketAddr>| match variable(name) {
             Some(text) => text.parse().map(Some).map_err(|_| format!("{name}: '{text}' is no address")),
