--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
+use crate::api::Class;
 use proptest::prelude::*;
 
 /// Settings of these classes, each with one of a few rules.
-fn info(classes: &[(u8, u8)]) -> Deployment {
+fn deployment(classes: &[(u8, u8)]) -> Deployment {
     let class = |&(name, rules): &(u8, u8)| {
         let effect = ["idempotent", "deduplicated", "at_most_once"][usize::from(rules % 3)];
         format!(
@@ -20,10 +21,10 @@
     read(&text).unwrap()
 }
 
-/// Guards cold data nodes against two processes that stand in the place of one.
+/// Guards data nodes in slow start against two processes that serve in the place of one.
 #[test]
-fn processes_in_one_place_share_what_a_cold_node_may_be_sent() {
-    let (alone, beside) = (info(&[(0, 0)]), info(&[(0, 0)]).sharing_with(1));
+fn processes_in_one_place_share_the_slow_start_allowance() {
+    let (alone, beside) = (deployment(&[(0, 0)]), deployment(&[(0, 0)]).sharing_with(1));
     assert_eq!((alone.settings.slow_start_sharers(), beside.settings.slow_start_sharers()), (1.0, 2.0));
     assert_eq!(
         beside.carried_over_from(&alone).settings.slow_start_sharers(),
@@ -32,21 +33,45 @@
     );
 }
 
-/// Guards large deployments: the settings of 1,024 coordinators and 1,024 cells, indented, are taken as they are.
+/// Guards large deployments: the settings of 1,024 coordinators and 1,024 partition groups, indented, are accepted.
 #[test]
-fn a_thousand_coordinators_and_cells_are_taken() {
+fn a_thousand_coordinators_and_partition_groups_are_accepted() {
     let text = r#"{"balancers":1024,"classes":[{"name":"c","aim_ns":1000,"deadline_ns":9000,"effect":"idempotent",
         "importance":1}],"domain":{"batch":1,"in_a_row":3,"positions":1024,"ranges":4096},
         "limits":{"max_attempts":3,"max_open":60},"rules":{"cold_ns":1,"cold_share":0.2,"fall_ns":1,
         "tip_multiple":2},"tick_ns":5}"#;
     let value: serde_json::Value = serde_json::from_str(text).unwrap();
-    let info = read(&serde_json::to_string_pretty(&value).unwrap()).unwrap();
-    assert_eq!(info.settings.check(), Ok(()));
+    let deployment = read(&serde_json::to_string_pretty(&value).unwrap()).unwrap();
+    assert_eq!(deployment.settings.check(), Ok(()));
     assert_eq!(
-        (info.settings.coordinators, info.settings.layout.partition_groups, info.shards),
+        (deployment.settings.coordinators, deployment.settings.layout.partition_groups, deployment.shards),
         (1024, 1024, 4096)
     );
-    assert_eq!(info.settings.slow_start_sharers(), 1024.0);
+    assert_eq!(deployment.settings.slow_start_sharers(), 1024.0);
+}
+
+/// Guards the texts that the command line prints.
+#[test]
+fn errors_keep_their_texts() {
+    let error = |text: &str| read(text).unwrap_err().to_string();
+    assert_eq!(
+        error("null"),
+        "settings are not as expected: invalid type: null, expected struct WireInfo at line 1 column 4"
+    );
+    assert_eq!(
+        error("[]"),
+        "settings are not as expected: invalid length 0, expected struct WireInfo with 12 elements at line 1 column 2"
+    );
+    assert_eq!(
+        error(r#"{"client_habits":3}"#),
+        "settings are not as expected: invalid type: integer `3`, expected struct WireHabits at line 1 column 18"
+    );
+    let class = r#"{"name":"c","aim_ns":1,"deadline_ns":2,"effect":"none","importance":1}"#;
+    let text = format!(
+        r#"{{"balancers":1,"classes":[{class}],"domain":{{"batch":1,"in_a_row":1,"positions":1}},"limits":
+        {{"max_attempts":3,"max_open":60}},"rules":{{"cold_ns":1,"cold_share":0.2,"fall_ns":1,"tip_multiple":2}},"tick_ns":5}}"#
+    );
+    assert_eq!(error(&text), "unknown effect 'none'");
 }
 
 proptest! {
@@ -55,12 +80,12 @@
     /// Guards open queries against settings that change: an index means one name and one set of rules for good,
     /// and new queries are of exactly the classes that the last settings name.
     #[test]
-    fn an_index_keeps_its_rules(
-        swaps in proptest::collection::vec(proptest::collection::btree_map(0..4_u8, 0..4_u8, 1..4), 1..12),
+    fn a_class_index_keeps_its_rules_when_settings_change(
+        updates in proptest::collection::vec(proptest::collection::btree_map(0..4_u8, 0..4_u8, 1..4), 1..12),
     ) {
         let mut now: Option<Deployment> = None;
-        for swap in swaps {
-            let wanted = info(&swap.clone().into_iter().collect::<Vec<_>>());
+        for update in updates {
+            let wanted = deployment(&update.into_iter().collect::<Vec<_>>());
             let next = match &now {
                 Some(before) => wanted.clone().carried_over_from(before),
                 None => wanted.clone(),
@@ -75,7 +100,7 @@
             }
             for name in 0..4 {
                 let name = format!("c{name}");
-                let rules = |info: &Deployment| info.class_named(&name).map(|c| info.settings.classes[c.0].clone());
+                let rules = |deployment: &Deployment| deployment.class_named(&name).map(|c| deployment.settings.classes[c.0].clone());
                 prop_assert_eq!(rules(&next), rules(&wanted));
             }
             prop_assert_eq!(next.settings.shortest_latency_objective(), wanted.settings.shortest_latency_objective());
