--- a/crates/membership/src/confirmation.rs
+++ b/crates/membership/src/confirmation.rs
@@ -1,28 +1,28 @@
-//! Whether the list that was held before the start of the process may be used.
+//! Whether the endpoint list from before the start of the process may be used.
 
 use curlewdeck_core::api::Nanos;
 
-use crate::TOLD_AFTER;
+use crate::NOTIFIED_AFTER;
 
 /// Where discovery cannot be heard for this long after the start, the list from before it is used all the same: a
-/// coordinator that serves nobody for good helps nobody.
-const UNCONFIRMED_WAIT: Nanos = 5 * TOLD_AFTER;
+/// coordinator that never serves anybody helps nobody.
+const UNCONFIRMED_WAIT: Nanos = 5 * NOTIFIED_AFTER;
 
-/// How far the list from before the start has been confirmed.
+/// How far the endpoint list from before the start has been confirmed.
 ///
-/// What discovery told to the process before this one counts as told to this one, too, and a list that may miss some of
-/// that is no basis for sending. Neither a call that fails nor one that is late tells anything: discovery may have had the
-/// news, and been within reach, while this process was away.
+/// Changes that the previous process was notified of count for this one too, and a list that may lack some of them is no
+/// basis for sending. A call that fails or is late confirms nothing: discovery may have had changes, and been reachable,
+/// while this process was away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Confirmation {
-    /// Discovery has told nothing since the start.
+    /// Discovery has not been heard since the start.
     Unconfirmed {
         /// When the process started.
         since: Nanos,
     },
     /// Discovery could not be heard for so long that the list is used unconfirmed.
     Assumed,
-    /// Discovery has confirmed the list or told a newer one.
+    /// Discovery has confirmed the list or sent a newer one.
     Confirmed,
 }
 
@@ -37,12 +37,12 @@
         !matches!(self, Self::Unconfirmed { .. })
     }
 
-    /// Discovery has spoken: by a snapshot, a delta, or a heartbeat on a watch from the version that is held.
+    /// Discovery was heard: a snapshot, a delta, or a heartbeat on a watch from the version that is held.
     pub fn confirm(&mut self) {
         *self = Self::Confirmed;
     }
 
-    /// When the list is used unconfirmed, if nothing is heard before.
+    /// When the list is used unconfirmed, if discovery is not heard before.
     pub fn deadline(self) -> Option<Nanos> {
         match self {
             Self::Unconfirmed { since } => Some(since.saturating_add(UNCONFIRMED_WAIT)),
@@ -52,10 +52,10 @@
 
     /// Time has passed. Returns whether the list has become usable just now.
     pub fn expire(&mut self, now: Nanos) -> bool {
-        let due = self.deadline().is_some_and(|deadline| deadline <= now);
-        if due {
+        let is_due = self.deadline().is_some_and(|deadline| deadline <= now);
+        if is_due {
             *self = Self::Assumed;
         }
-        due
+        is_due
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,29 +1,39 @@
-//! Membership of the data nodes as discovery tells it, without I/O or clock.
+//! Membership of the data nodes as service discovery reports it, without I/O or clock.
 //!
-//! [`Subscription`] decides when a call to discovery is begun, kept and given up; [`Confirmation`] decides whether the
-//! list from before the start of the process may be used, and [`Lease`] how long any list may be; [`MembershipTable`]
-//! decides which news about a data node is the newer one. The embedder carries the commands out and reports what has happened.
+//! [`Subscription`] decides when a call to discovery is begun, kept open and abandoned, at the pace that [`Pacing`] sets.
+//! [`Confirmation`] decides whether the endpoint list from before the start of the process may be used, and [`Lease`] for
+//! how long any list may be used. [`MembershipTable`] decides which update of a data node is the newer one. The embedder
+//! carries the commands out and reports what has happened.
 
+mod call;
 mod confirmation;
 mod lease;
 mod pacing;
 mod subscription;
 mod table;
 
+pub use call::{CallEnd, CallId, Request};
 pub use confirmation::Confirmation;
 pub use lease::Lease;
 pub use pacing::{Pacing, Spans};
-pub use subscription::{Abandoned, CallEnd, CallId, Command, Event, Request, Subscription};
+pub use subscription::{Abandoned, Command, Event, Subscription};
 pub use table::{Line, MembershipTable, State, Update};
 
 use curlewdeck_core::api::Nanos;
 
-/// A change is in force for the coordinator at the latest this long after discovery had it and could be reached.
-pub const TOLD_AFTER: Nanos = 6_000_000_000;
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// The most between the beginnings of two calls while none is answered: the rest of [`TOLD_AFTER`] is the later one's.
-pub const CALL_GAP: Nanos = TOLD_AFTER / 5 * 3;
+/// A coordinator counts as notified of a change at the latest this long after discovery had it and could be reached.
+pub const NOTIFIED_AFTER: Nanos = 6 * SECOND;
 
-/// How long a call may go unanswered, and a watch silent, before it is given up. Two calls are open at most, one
+/// The most between the beginnings of two calls while none is answered: the rest of [`NOTIFIED_AFTER`] is the later
+/// one's.
+pub const CALL_GAP: Nanos = NOTIFIED_AFTER / 5 * 3;
+
+/// How long a call may go unanswered, and a watch silent, before it is abandoned. Two calls are open at most, one
 /// [`CALL_GAP`] after the other, so that a slow service is still heard.
 pub const CALL_LIFETIME: Nanos = 2 * CALL_GAP;
+
+#[doc(hidden)]
+pub use self::NOTIFIED_AFTER as TOLD_AFTER;
--- a/crates/membership/src/pacing.rs
+++ b/crates/membership/src/pacing.rs
@@ -3,53 +3,59 @@
 use curlewdeck_core::api::{DiscoveryMode, Nanos};
 use fastrand::Rng;
 
-use crate::subscription::CallEnd;
-use crate::CALL_GAP;
-
-/// So many calls the service answers at least within the time in which each coordinator has to ask.
-const CALLS_SERVED: Nanos = 200;
-/// A spread of first calls below this share of that time is not worth a pause.
-const SPREAD_WORTH: Nanos = 20;
-/// The first pause after a failed call is this share of that time at most.
-const FIRST_PAUSE: Nanos = 13;
-/// A pause doubles with each failure in a row, so many times.
-const DOUBLINGS: u32 = 3;
-/// An agent on the own machine is asked again within this, whatever failed: what it has counts at once. The pause doubles
-/// with each failure in a row, so many times, and more often where what the agent says cannot be read.
-const AGENT_PAUSE: Nanos = 40_000_000;
-/// See there.
-const AGENT_DOUBLINGS: u32 = 2;
-/// See there.
-const UNREADABLE_DOUBLINGS: u32 = 5;
-/// An agent answers at once: one that has not in this long is asked anew.
-const AGENT_ANSWER: Nanos = 500_000_000;
-/// Pauses of few coordinators, and those after a move of the service: several calls may fail before one has to be
+use crate::call::CallEnd;
+use crate::{CALL_GAP, MILLISECOND};
+
+/// The service answers at least this many calls within the longest poll interval.
+const CALLS_PER_POLL_INTERVAL: Nanos = 200;
+/// First calls are spread only where that takes more than this fraction (1/n) of the longest poll interval.
+const MIN_SPREAD_DIVISOR: Nanos = 20;
+/// The first backoff after a failed call is at most this fraction (1/n) of the longest poll interval.
+const FIRST_BACKOFF_DIVISOR: Nanos = 13;
+/// A backoff doubles with each failure in a row, up to this many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+
+/// The first backoff from a local agent: short, since changes that it has count at once.
+const AGENT_FIRST_BACKOFF: Nanos = 40 * MILLISECOND;
+/// As [`MAX_BACKOFF_DOUBLINGS`], from a local agent.
+const AGENT_MAX_BACKOFF_DOUBLINGS: u32 = 2;
+/// The same where what the agent sends cannot be read: another call will seldom help.
+const AGENT_MAX_UNREADABLE_DOUBLINGS: u32 = 5;
+/// The share (1/n) of a backoff from a local agent that is jitter.
+const AGENT_JITTER_DIVISOR: Nanos = 4;
+/// A local agent answers at once: one that has not after this long is called again.
+const AGENT_HEDGE_DELAY: Nanos = 500 * MILLISECOND;
+
+/// The longest backoff of a small fleet, and after a move of the service: several calls may fail before one has to be
 /// answered.
-const SHORT_PAUSE: Nanos = 600_000_000;
-/// The same of a call that is not answered: a service that is merely busy has answered by then.
-const HEDGE_OF_FEW: Nanos = 2_200_000_000;
-/// The same after a move, whose news is in force sooner.
-const HEDGE_AFTER_MOVE: Nanos = 1_800_000_000;
-/// A watch that was sound is opened anew within this, or within the spread of many coordinators: it may have ended
-/// instead of telling.
-const WATCH_END_PAUSE: Nanos = 150_000_000;
-/// After a failure of this machine's own, which says nothing of the service, a call begins anew within this.
-const LOCAL_PAUSE: Nanos = 200_000_000;
-/// A watch that lasted for this long was sound: the next call does not back off.
-const SOUND_WATCH: Nanos = 500_000_000;
-/// So many watches in a row may be shorter and are opened anew at once all the same.
-const SHORT_WATCHES: u32 = 3;
+const SHORT_BACKOFF: Nanos = 600 * MILLISECOND;
+/// The longest hedge delay of a small fleet: a service that is merely busy has answered by then.
+const SMALL_FLEET_HEDGE_DELAY: Nanos = 2_200 * MILLISECOND;
+/// The longest hedge delay after a move of the service, whose changes count sooner.
+const MOVED_HEDGE_DELAY: Nanos = 1_800 * MILLISECOND;
+/// A stable watch that has ended is reopened within this, or within the spread of a large fleet: it may have ended instead
+/// of sending a change.
+const REOPEN_DELAY: Nanos = 150 * MILLISECOND;
+/// The longest backoff after a failure of this machine, which says nothing of the service.
+const LOCAL_FAILURE_BACKOFF: Nanos = 200 * MILLISECOND;
+/// A jittered backoff is at least this fraction (1/n) of its maximum.
+const MIN_JITTERED_DIVISOR: Nanos = 3;
+
+/// A watch that lasted this long was stable: the next call does not back off.
+const STABLE_WATCH_DURATION: Nanos = 500 * MILLISECOND;
+/// This many shorter watches in a row are reopened without backoff all the same.
+const MAX_SHORT_WATCHES: u32 = 3;
 
 /// Spans of calls that the process's limits give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Spans {
-    /// A call that is not answered within this gets a second one beside it.
+    /// A call that is not answered within this is hedged by a second one.
     pub hedge: Nanos,
-    /// A watch without a whole line for this long is suspect.
+    /// A watch without a complete line for this long is hedged by a second call.
     pub silence: Nanos,
 }
 
-/// The pace of calls to discovery of one coordinator.
+/// The pace of one coordinator's calls to discovery.
 #[derive(Debug)]
 pub struct Pacing {
     discovery: DiscoveryMode,
@@ -58,14 +64,14 @@
     rng: Rng,
     /// Calls that failed in a row.
     failures: u32,
-    /// A sound watch has just ended.
-    sound_watch: bool,
+    /// A stable watch has just ended.
+    stable_watch_ended: bool,
     /// Watches in a row that were short.
     short_watches: u32,
 }
 
 impl Pacing {
-    /// The pace under `discovery`, beside so many coordinators.
+    /// The pace under `discovery`, beside this many coordinators in all.
     pub fn new(discovery: DiscoveryMode, coordinators: u32, spans: Spans, seed: u64) -> Self {
         Self {
             discovery,
@@ -73,7 +79,7 @@
             spans,
             rng: Rng::with_seed(seed),
             failures: 0,
-            sound_watch: false,
+            stable_watch_ended: false,
             short_watches: 0,
         }
     }
@@ -88,115 +94,112 @@
         self.spans
     }
 
-    /// One service answers all coordinators in turn, and works on for those that wait no longer. So the calls of each
-    /// are spread over what a call of each other takes there.
-    fn spread(&self, must_ask_in: Nanos) -> Nanos {
+    /// The time over which calls are spread. One service answers all coordinators in turn, and works on for those that
+    /// have stopped waiting: each coordinator leaves it time for a call of every other one.
+    fn spread(&self, poll_interval_max: Nanos) -> Nanos {
         let others = Nanos::from(self.coordinators.saturating_sub(1));
-        (must_ask_in / CALLS_SERVED).saturating_mul(others).min(must_ask_in / 2)
+        let call = poll_interval_max / CALLS_PER_POLL_INTERVAL;
+        call.saturating_mul(others).min(poll_interval_max / 2)
     }
 
     /// How long after the start the first call begins: all coordinators may have started at once.
     pub fn first_pause(&mut self) -> Nanos {
-        let DiscoveryMode::Poll { poll_interval_max: must_ask_in } = self.discovery else { return 0 };
-        let spread = self.spread(must_ask_in);
-        if spread <= must_ask_in / SPREAD_WORTH {
+        let DiscoveryMode::Poll { poll_interval_max } = self.discovery else { return 0 };
+        let spread = self.spread(poll_interval_max);
+        if spread <= poll_interval_max / MIN_SPREAD_DIVISOR {
             return 0;
         }
-        self.share_of(spread)
+        self.random_share(spread)
     }
 
-    /// A watch or a call has been answered, and stood for `lasted` since.
-    pub fn stood(&mut self, lasted: Nanos) {
-        if lasted >= SOUND_WATCH {
+    /// A call was answered, and has been heard for `duration` since.
+    pub fn watch_lasted(&mut self, duration: Nanos) {
+        if duration >= STABLE_WATCH_DURATION {
             self.short_watches = 0;
         }
     }
 
-    /// A watch has ended that stood for `lasted`. One that was short may have ended instead of telling; several in a row
-    /// come from a service that keeps none.
-    pub fn watch_ended(&mut self, lasted: Nanos) {
-        self.stood(lasted);
-        self.sound_watch = self.short_watches < SHORT_WATCHES;
+    /// A watch has ended after `duration`. One that was short may have ended instead of sending a change; several in a row
+    /// come from a service that keeps none open.
+    pub fn watch_ended(&mut self, duration: Nanos) {
+        self.watch_lasted(duration);
+        self.stable_watch_ended = self.short_watches < MAX_SHORT_WATCHES;
         self.short_watches = self.short_watches.saturating_add(1);
-        if self.sound_watch {
+        if self.stable_watch_ended {
             self.failures = 0;
         }
     }
 
-    /// How long after a call or a watch has ended so the next one begins. `gone` is the time since discovery was last heard
-    /// or called, and `urgent` tells that an answer is wanted soon.
+    /// How long after a call or a watch has ended in this way the next call begins. `since_contact` is the time since
+    /// discovery was last heard or called, and `urgent` tells that an answer is needed soon.
     ///
-    /// A service that was reached has worked for the call and may be worn out by more of them: pauses double. Where nobody
-    /// answered, few coordinators call again soon.
-    pub fn pause(&mut self, gone: Nanos, urgent: bool, end: CallEnd) -> Nanos {
+    /// A service that was reached has worked for the call and may be overloaded by more of them: backoffs double. Where
+    /// nobody answered, a small fleet calls again soon.
+    pub fn pause(&mut self, since_contact: Nanos, urgent: bool, end: CallEnd) -> Nanos {
         if end == CallEnd::LocalFailure {
-            return self.jittered(LOCAL_PAUSE);
+            return self.jittered(LOCAL_FAILURE_BACKOFF);
         }
-        let (failures, sound_watch_ended) = (self.failures, std::mem::take(&mut self.sound_watch));
-        if !sound_watch_ended {
+        let failures = self.failures;
+        let stable_watch_ended = std::mem::take(&mut self.stable_watch_ended);
+        if !stable_watch_ended {
             self.failures = self.failures.saturating_add(1);
         }
-        let DiscoveryMode::Poll { poll_interval_max: must_ask_in } = self.discovery else {
-            return if sound_watch_ended {
-                0
-            } else {
-                self.agent_pause(failures, end == CallEnd::Unreadable)
-            };
-        };
-        let spread = self.spread(must_ask_in);
-        let first = (must_ask_in / FIRST_PAUSE).max(spread);
-        let left = CALL_GAP.saturating_sub(gone);
-        let most = (first << failures.min(DOUBLINGS)).min(left);
-        match end {
-            CallEnd::WatchEnded | CallEnd::Broken | CallEnd::Truncated | CallEnd::Complete
-                if sound_watch_ended =>
-            {
-                self.share_of(WATCH_END_PAUSE.max(spread).min(left))
-            }
-            CallEnd::Unreachable | CallEnd::Unanswered if urgent || self.coordinators_are_few() => {
-                self.jittered(most.min(SHORT_PAUSE.max(spread)))
+        match self.discovery {
+            DiscoveryMode::Push if stable_watch_ended => 0,
+            DiscoveryMode::Push => self.agent_backoff(failures, end),
+            DiscoveryMode::Poll { poll_interval_max } => {
+                let spread = self.spread(poll_interval_max);
+                let left = CALL_GAP.saturating_sub(since_contact);
+                if stable_watch_ended && end.may_have_been_watch() {
+                    return self.random_share(REOPEN_DELAY.max(spread).min(left));
+                }
+                let first_backoff = (poll_interval_max / FIRST_BACKOFF_DIVISOR).max(spread);
+                let backoff = (first_backoff << failures.min(MAX_BACKOFF_DOUBLINGS)).min(left);
+                let is_short = end.was_not_served() && (urgent || self.coordinators_are_few());
+                self.jittered(if is_short { backoff.min(SHORT_BACKOFF.max(spread)) } else { backoff })
             }
-            _ => self.jittered(most),
         }
     }
 
-    /// What an agent has counts at once; where it cannot be read, another call will seldom help.
-    fn agent_pause(&mut self, failures: u32, unreadable: bool) -> Nanos {
-        let most = if unreadable { UNREADABLE_DOUBLINGS } else { AGENT_DOUBLINGS };
-        let pause = AGENT_PAUSE << failures.min(most);
-        pause - self.share_of(pause / 4)
+    fn agent_backoff(&mut self, failures: u32, end: CallEnd) -> Nanos {
+        let max_doublings = match end {
+            CallEnd::Unreadable => AGENT_MAX_UNREADABLE_DOUBLINGS,
+            _ => AGENT_MAX_BACKOFF_DOUBLINGS,
+        };
+        let backoff = AGENT_FIRST_BACKOFF << failures.min(max_doublings);
+        backoff - self.random_share(backoff / AGENT_JITTER_DIVISOR)
     }
 
-    /// How long a call may go unanswered before another one begins; `beside` tells that one beside it is not answered
-    /// either, so that a slow service is to be given time, and `moved` that the service has moved just now.
-    pub fn hedge_after(&mut self, moved: bool, beside: bool) -> Nanos {
+    /// How long a call may go unanswered before it is hedged. `moved` tells that the service has moved just now, and
+    /// `beside_unanswered` that another call is not answered either, so that a slow service is to be given time.
+    pub fn hedge_delay(&mut self, moved: bool, beside_unanswered: bool) -> Nanos {
         let least = self.spans.hedge.min(CALL_GAP);
-        let hedge = least + self.share_of(CALL_GAP - least);
+        let delay = least + self.random_share(CALL_GAP - least);
         match self.discovery {
-            _ if beside => hedge,
-            DiscoveryMode::Push => AGENT_ANSWER,
-            DiscoveryMode::Poll { .. } if moved => hedge.min(HEDGE_AFTER_MOVE),
-            DiscoveryMode::Poll { .. } if self.coordinators_are_few() => hedge.min(HEDGE_OF_FEW),
-            DiscoveryMode::Poll { .. } => hedge,
+            _ if beside_unanswered => delay,
+            DiscoveryMode::Push => AGENT_HEDGE_DELAY,
+            DiscoveryMode::Poll { .. } if moved => delay.min(MOVED_HEDGE_DELAY),
+            DiscoveryMode::Poll { .. } if self.coordinators_are_few() => delay.min(SMALL_FLEET_HEDGE_DELAY),
+            DiscoveryMode::Poll { .. } => delay,
         }
     }
 
-    /// Whether the calls of all of them at once are no load.
+    /// Whether the fleet is so small that the calls of all its coordinators at once are no load.
     pub fn coordinators_are_few(&self) -> bool {
         match self.discovery {
-            DiscoveryMode::Poll { poll_interval_max: must_ask_in } => self.spread(must_ask_in) <= SHORT_PAUSE,
+            DiscoveryMode::Poll { poll_interval_max } => self.spread(poll_interval_max) <= SHORT_BACKOFF,
             DiscoveryMode::Push => true,
         }
     }
 
     /// Between a third of a span and all of it.
     fn jittered(&mut self, most: Nanos) -> Nanos {
-        let least = most / 3;
-        least + self.share_of(most - least)
+        let least = most / MIN_JITTERED_DIVISOR;
+        least + self.random_share(most - least)
     }
 
     /// A random share of a span.
-    fn share_of(&mut self, span: Nanos) -> Nanos {
+    fn random_share(&mut self, span: Nanos) -> Nanos {
         (span as f64 * self.rng.f64()) as Nanos
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,23 +1,23 @@
-//! Which news about a data node is the newer one.
+//! Which update of a data node is the newer one.
 //!
-//! Versions are compared for each data node, never for the list as a whole: a replica of discovery may lag, an answer
-//! may come late, and a service that has restarted may count from the beginning. News that takes a data node out of
-//! service holds whatever its version. A data node that was taken out returns only by news that is not older than that,
-//! or by a later start of its process.
+//! Versions are compared for each data node, never for the list as a whole: a replica of discovery may lag, a response may
+//! come late, and a service that has restarted may count from the beginning. An update that takes a data node out of
+//! service holds whatever its version. A data node that was taken out returns only by an update that is not older than
+//! that, or by a later start of its process.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Data nodes that have left are remembered up to this number, the latest ones.
-const MOST_DEPARTED: usize = 4096;
+/// Removed data nodes are remembered up to this number, the latest ones.
+const MAX_REMOVED: usize = 4096;
 
 /// What discovery says of a data node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// In service.
     Up,
-    /// It completes what it holds and wants nothing new.
+    /// It completes what is in flight to it, and accepts nothing new.
     Draining,
-    /// It has left.
+    /// It has left the list.
     Removed,
 }
 
@@ -28,9 +28,9 @@
     pub uid: String,
     /// Its state.
     pub state: State,
-    /// When its process started; nothing where that could not be read.
+    /// When its process started; none where that could not be read.
     pub boot: Option<u64>,
-    /// What else the line says; nothing where that could not be read.
+    /// What else the line says; none where that could not be read.
     pub member: Option<M>,
 }
 
@@ -39,144 +39,155 @@
 pub struct Update<M> {
     /// Its version.
     pub version: u64,
-    /// Whether it names all data nodes: what is missing has left.
+    /// Whether it names all data nodes: those that are missing have left.
     pub complete: bool,
-    /// Its lines. Where a data node has several, they count in their order.
+    /// Its lines. Where a data node has several, they are applied in their order.
     pub lines: Vec<Line<M>>,
 }
 
+/// What is in force for a data node.
 #[derive(Debug, Clone)]
-struct Known<M> {
+struct Row<M> {
     state: State,
-    /// The version of the news that gave it this state.
+    /// The version of the update that gave it this state.
     version: u64,
+    /// When its process started.
     boot: u64,
     member: Option<M>,
-    /// Its place among those that have left.
-    departed: Option<u64>,
+    /// The number of its removal, while it is removed.
+    removal: Option<u64>,
 }
 
-/// The data nodes as all news so far has them.
+impl<M> Row<M> {
+    /// Applies a line about a data node that is known, unless that is outdated.
+    fn apply(&mut self, version: u64, state: State, boot: Option<u64>, member: Option<M>) {
+        let boot = boot.unwrap_or(self.boot);
+        let restarted = boot > self.boot;
+        let is_older = version < self.version;
+        let is_of_earlier_process = is_older && boot < self.boot;
+        let returns = state == State::Up && self.state != State::Up;
+        if is_of_earlier_process || (returns && is_older && !restarted) {
+            return;
+        }
+        self.version = self.version_with(version, state, restarted);
+        self.state = state;
+        self.boot = boot.max(self.boot);
+        if member.is_some() && (!is_older || restarted || self.member.is_none()) {
+            self.member = member;
+        }
+    }
+
+    /// The version of the state that is in force once a line has been applied: that of the line where it puts the data node
+    /// into service, takes it out, or is of a later process; else the latest.
+    fn version_with(&self, version: u64, state: State, restarted: bool) -> u64 {
+        match (state, self.state) {
+            (State::Up, State::Up) => self.version.max(version),
+            (State::Up, _) | (_, State::Up) => version,
+            _ if restarted => version,
+            _ => self.version.max(version),
+        }
+    }
+
+    /// The data node is missing from a snapshot of this version; returns whether that removes it.
+    fn remove(&mut self, version: u64) -> bool {
+        self.version = if self.state == State::Up { version } else { self.version.max(version) };
+        let is_new = self.state != State::Removed;
+        self.state = State::Removed;
+        is_new
+    }
+}
+
+/// The data nodes as all updates so far have them.
 #[derive(Debug, Clone)]
 pub struct MembershipTable<M> {
-    known: HashMap<String, Known<M>>,
-    /// Those that have left, by the order in which they did.
-    departed: BTreeMap<u64, String>,
-    departures: u64,
+    rows: HashMap<String, Row<M>>,
+    /// Removed data nodes, by the numbers of their removals.
+    removed: BTreeMap<u64, String>,
+    removals: u64,
 }
 
 impl<M> Default for MembershipTable<M> {
     fn default() -> Self {
-        Self { known: HashMap::new(), departed: BTreeMap::new(), departures: 0 }
+        Self { rows: HashMap::new(), removed: BTreeMap::new(), removals: 0 }
     }
 }
 
 impl<M: Clone> MembershipTable<M> {
-    /// Takes a snapshot or a delta over; returns it as it holds beside all that was told before. A line that older news
-    /// may not change keeps the state that is in force, and one that cannot be used is left out.
+    /// Applies a snapshot or a delta; returns it as it holds beside all updates before it. A line that is older than what is
+    /// in force is replaced by that, and one that cannot be used is left out.
     pub fn apply(&mut self, update: Update<M>) -> Update<M> {
         let Update { version, complete, lines } = update;
         let named: Vec<String> = lines.iter().map(|line| line.uid.clone()).collect();
-        lines.into_iter().for_each(|line| self.take(version, line));
+        lines.into_iter().for_each(|line| self.apply_line(version, line));
         if complete {
-            self.depart_unnamed(version, &named);
+            self.remove_missing(version, &named);
         }
         let lines = named.into_iter().filter_map(|uid| self.line(uid)).collect();
         Update { version, complete, lines }
     }
 
-    /// How many data nodes it remembers, those that have left included.
+    /// How many data nodes it remembers, removed ones included.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.rows.len()
     }
 
     /// Whether it knows of none.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.rows.is_empty()
     }
 
     /// The line that is in force for a data node; none where all that could be read of it is its name.
     fn line(&self, uid: String) -> Option<Line<M>> {
-        let known = self.known.get(&uid)?;
-        let usable = known.member.is_some() || known.state == State::Removed;
-        usable.then(|| Line { uid, state: known.state, boot: Some(known.boot), member: known.member.clone() })
+        let row = self.rows.get(&uid)?;
+        let usable = row.member.is_some() || row.state == State::Removed;
+        usable.then(|| Line { uid, state: row.state, boot: Some(row.boot), member: row.member.clone() })
     }
 
-    fn take(&mut self, version: u64, line: Line<M>) {
+    fn apply_line(&mut self, version: u64, line: Line<M>) {
         let Line { uid, state, boot, member } = line;
         if member.is_none() && state == State::Up {
             // Too little to put a data node into service.
             return;
         }
-        let Some(known) = self.known.get_mut(&uid) else {
-            let known = Known { state, version, boot: boot.unwrap_or(0), member, departed: None };
-            self.known.insert(uid.clone(), known);
-            return self.note_departure(&uid);
-        };
-        let boot = boot.unwrap_or(known.boot);
-        let restarted = boot > known.boot;
-        let older = version < known.version;
-        if older && boot < known.boot {
-            // Of a process before the present one.
-            return;
-        }
-        match (state, known.state) {
-            (State::Up, State::Up) => {
-                known.version = known.version.max(version);
-            }
-            (State::Up, State::Draining | State::Removed) => {
-                if older && !restarted {
-                    return;
-                }
-                known.version = version;
+        match self.rows.get_mut(&uid) {
+            Some(row) => row.apply(version, state, boot, member),
+            None => {
+                let row = Row { state, version, boot: boot.unwrap_or(0), member, removal: None };
+                self.rows.insert(uid.clone(), row);
             }
-            (State::Draining | State::Removed, State::Up) => known.version = version,
-            (State::Draining | State::Removed, State::Draining | State::Removed) => {
-                known.version = if restarted { version } else { known.version.max(version) };
-            }
-        }
-        known.state = state;
-        known.boot = boot.max(known.boot);
-        if member.is_some() && (!older || restarted || known.member.is_none()) {
-            known.member = member;
         }
-        self.note_departure(&uid);
+        self.track_removal(&uid);
     }
 
-    /// Data nodes that a snapshot does not name have left by its version, those that had left before included.
-    fn depart_unnamed(&mut self, version: u64, named: &[String]) {
+    /// Data nodes that a snapshot does not name are removed by its version, those that were removed before included.
+    fn remove_missing(&mut self, version: u64, named: &[String]) {
         let named: HashSet<&str> = named.iter().map(String::as_str).collect();
-        let mut leaving = Vec::new();
-        for (uid, known) in self.known.iter_mut().filter(|(uid, _)| !named.contains(uid.as_str())) {
-            known.version = if known.state == State::Up { version } else { known.version.max(version) };
-            if known.state != State::Removed {
-                known.state = State::Removed;
-                leaving.push(uid.clone());
-            }
-        }
-        // In a fixed order, so that the same news leaves the same memory.
-        leaving.sort_unstable();
-        leaving.iter().for_each(|uid| self.note_departure(uid));
+        let missing = self.rows.iter_mut().filter(|(uid, _)| !named.contains(uid.as_str()));
+        let mut removed: Vec<String> =
+            missing.filter_map(|(uid, row)| row.remove(version).then(|| uid.clone())).collect();
+        // In a fixed order, so that the same updates leave the same rows.
+        removed.sort_unstable();
+        removed.iter().for_each(|uid| self.track_removal(uid));
     }
 
-    /// Keeps the order of departures, and forgets the earliest of too many.
-    fn note_departure(&mut self, uid: &str) {
-        let Some(known) = self.known.get_mut(uid) else { return };
-        match (known.state, known.departed) {
+    /// Keeps the order of removals after a change of a row, and forgets the earliest of too many.
+    fn track_removal(&mut self, uid: &str) {
+        let Some(row) = self.rows.get_mut(uid) else { return };
+        match (row.state, row.removal) {
             (State::Removed, None) => {
-                self.departures += 1;
-                known.departed = Some(self.departures);
-                self.departed.insert(self.departures, uid.to_string());
+                self.removals += 1;
+                row.removal = Some(self.removals);
+                self.removed.insert(self.removals, uid.to_string());
             }
-            (State::Up | State::Draining, Some(place)) => {
-                known.departed = None;
-                self.departed.remove(&place);
+            (State::Up | State::Draining, Some(removal)) => {
+                row.removal = None;
+                self.removed.remove(&removal);
             }
             _ => {}
         }
-        while self.departed.len() > MOST_DEPARTED {
-            if let Some((_, earliest)) = self.departed.pop_first() {
-                self.known.remove(&earliest);
+        while self.removed.len() > MAX_REMOVED {
+            if let Some((_, earliest)) = self.removed.pop_first() {
+                self.rows.remove(&earliest);
             }
         }
     }
--- /dev/null
+++ b/crates/membership/tests/subscription/notification_rule.rs
@@ -0,0 +1,264 @@
+//! Whole subscriptions against a model of all clauses of the notification rule, over random conditions of discovery.
+
+use curlewdeck_core::api::Nanos;
+use curlewdeck_membership::{CallEnd, CallId, Command, Event, Request, Subscription, NOTIFIED_AFTER};
+use fastrand::Rng;
+use proptest::prelude::*;
+
+use super::{subscription, MS, POLL, START, STEP};
+
+/// A change that a watch may have ended instead of sending counts this long after its end.
+const WATCH_END_NOTIFIED_AFTER: Nanos = 2000 * MS;
+const HEARTBEAT: Nanos = 2000 * MS;
+/// A busy service rejects a call after this long at most.
+const REJECTED_WITHIN: Nanos = 2000 * MS;
+const NEVER: Nanos = Nanos::MAX;
+
+/// What discovery does from a moment on, for a while.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum Condition {
+    /// Calls are answered after this long.
+    Healthy { answer: Nanos },
+    /// It rejects each call after a wait. With many callers it is crowded and reachable; the calls of a few are no load, so
+    /// it is down.
+    Busy,
+    /// It is reachable, and answers no call. Watches fall silent.
+    Hung,
+    /// It refuses connections, and has ended those that were open.
+    Down,
+}
+
+/// Discovery and one coordinator, with what that counts as notified of.
+struct Model {
+    /// Whether the calls of all coordinators are no load.
+    fleet_is_small: bool,
+    subscription: Subscription,
+    rng: Rng,
+    now: Nanos,
+    condition: Condition,
+    version: u64,
+    /// When discovery had each version: the first is 1.
+    changed_at: Vec<Nanos>,
+    /// The latest version that the coordinator was sent.
+    received: u64,
+    /// A version that a watch ended instead of sending, and when it counts.
+    unsent_by_watch: Option<(u64, Nanos)>,
+    /// The latest version that the coordinator counts as notified of, received or not.
+    notified: u64,
+    /// Since when discovery is reachable.
+    reachable_since: Option<Nanos>,
+    /// Discovery was not heard for so long after the start that the list from before it is used: the one exception.
+    unconfirmed: bool,
+    open: Vec<OpenCall>,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct OpenCall {
+    id: CallId,
+    since: u64,
+    /// When it is answered, or ends.
+    due: Nanos,
+    answered: bool,
+}
+
+impl Model {
+    fn new(coordinators: u32, seed: u64) -> Self {
+        Self {
+            fleet_is_small: coordinators <= 3,
+            subscription: subscription(POLL, coordinators, Some(1), seed),
+            rng: Rng::with_seed(seed),
+            now: START,
+            condition: Condition::Healthy { answer: 100 * MS },
+            version: 1,
+            changed_at: vec![START],
+            received: 1,
+            unsent_by_watch: None,
+            notified: 1,
+            reachable_since: Some(0),
+            unconfirmed: false,
+            open: Vec::new(),
+        }
+    }
+
+    fn step(&mut self, event: Event) {
+        if let Event::Ended(id, _) = event {
+            self.open.retain(|call| call.id != id);
+        }
+        for command in self.subscription.step(self.now, event) {
+            match command {
+                Command::Begin(id, request) => {
+                    let since = match request {
+                        Request::Snapshot => 0,
+                        Request::Watch { since } => since,
+                    };
+                    let due = self.due();
+                    self.open.push(OpenCall { id, since, due, answered: false });
+                }
+                Command::Abandon(id, _) => self.open.retain(|call| call.id != id),
+                Command::UseUnconfirmedList => self.unconfirmed = true,
+                Command::ListExpired | Command::ListRestored => {}
+            }
+        }
+    }
+
+    /// When a call that begins now is answered, or ends.
+    fn due(&mut self) -> Nanos {
+        self.now
+            + match self.condition {
+                Condition::Healthy { answer } => answer,
+                Condition::Busy => self.rng.u64(1..=REJECTED_WITHIN / MS) * MS,
+                Condition::Hung => NEVER - self.now,
+                Condition::Down => STEP,
+            }
+    }
+
+    fn set_condition(&mut self, condition: Condition) {
+        let down = |condition| match condition {
+            Condition::Down => true,
+            Condition::Busy => self.fleet_is_small,
+            Condition::Healthy { .. } | Condition::Hung => false,
+        };
+        let (was_down, is_down) = (down(self.condition), down(condition));
+        self.condition = condition;
+        self.reachable_since = match (was_down, is_down) {
+            (_, true) => None,
+            (true, false) => Some(self.now),
+            (false, false) => self.reachable_since,
+        };
+        match condition {
+            _ if is_down => {
+                for call in std::mem::take(&mut self.open) {
+                    let end = if call.answered { CallEnd::Broken } else { CallEnd::Unanswered };
+                    self.step(Event::Ended(call.id, end));
+                }
+            }
+            Condition::Hung => self.open.iter_mut().for_each(|call| call.due = NEVER),
+            Condition::Healthy { .. } | Condition::Busy | Condition::Down => {}
+        }
+    }
+
+    /// A change, which the open watch sends, or ends instead of sending.
+    fn change(&mut self, ends_watch: bool) {
+        self.version += 1;
+        self.changed_at.push(self.now);
+        let watch = self.open.iter().copied().find(|call| call.answered && call.due != NEVER);
+        let Some(watch) = watch else { return };
+        if ends_watch {
+            self.unsent_by_watch = Some((self.version, self.now + WATCH_END_NOTIFIED_AFTER));
+            self.step(Event::Ended(watch.id, CallEnd::WatchEnded));
+        } else {
+            self.send_on(watch.id);
+        }
+    }
+
+    fn send_on(&mut self, id: CallId) {
+        let Some(call) = self.open.iter_mut().find(|call| call.id == id) else { return };
+        let changed = call.since != self.version;
+        (call.since, call.answered, call.due) = (self.version, true, self.now + HEARTBEAT);
+        (self.received, self.unconfirmed) = (self.version, false);
+        let event = if changed { Event::Told(id, self.version) } else { Event::Heartbeat(id) };
+        self.step(event);
+    }
+
+    /// Lets a step of time pass, with what is due on calls and watches.
+    fn pass(&mut self) {
+        self.now += STEP;
+        self.step(Event::TimePassed);
+        let due: Vec<OpenCall> = self.open.iter().copied().filter(|call| call.due <= self.now).collect();
+        for call in due {
+            match self.condition {
+                Condition::Healthy { .. } => self.send_on(call.id),
+                Condition::Busy if call.answered => self.send_on(call.id),
+                Condition::Busy => self.step(Event::Ended(call.id, CallEnd::Busy)),
+                Condition::Down => self.step(Event::Ended(call.id, CallEnd::Unreachable)),
+                Condition::Hung => {}
+            }
+        }
+    }
+
+    /// Whether the coordinator counts as notified of a change that it did not receive. Once a change counts, it does for
+    /// good.
+    fn misses_a_change(&mut self) -> bool {
+        let now = self.now;
+        let by_watch = self.unsent_by_watch.filter(|&(_, at)| at <= now).map(|(version, _)| version);
+        let counts_by_time =
+            |&at: &Nanos| self.reachable_since.is_some_and(|since| since.max(at) + NOTIFIED_AFTER <= now);
+        let by_time = self.changed_at.iter().rposition(counts_by_time).map(|place| place as u64 + 1);
+        let counts = by_watch.into_iter().chain(by_time).max();
+        self.notified = self.notified.max(counts.unwrap_or(0));
+        self.notified > self.received && !self.unconfirmed
+    }
+}
+
+fn any_condition() -> impl Strategy<Value = Condition> {
+    prop_oneof![
+        (1_u64..8000).prop_map(|ms| Condition::Healthy { answer: ms * MS }),
+        Just(Condition::Busy),
+        Just(Condition::Hung),
+        Just(Condition::Down),
+    ]
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(300))]
+
+    /// Whatever discovery goes through, no list is used that lacks a change which counts.
+    #[test]
+    fn no_list_is_used_that_lacks_a_change_which_counts(
+        spans in proptest::collection::vec((any_condition(), 100_u64..12_000), 1..8),
+        changes in proptest::collection::vec((0_u64..60_000, any::<bool>()), 1..10),
+        coordinators in prop_oneof![Just(1_u32), Just(3), Just(30), Just(300)],
+        seed in any::<u64>(),
+    ) {
+        let mut model = Model::new(coordinators, seed);
+        let mut at = START + 2000 * MS;
+        let mut conditions: Vec<(Nanos, Condition)> = Vec::new();
+        for (condition, lasts) in spans {
+            conditions.push((at, condition));
+            at += lasts * MS;
+        }
+        let mut changes: Vec<(Nanos, bool)> = changes.into_iter().map(|(ms, ends)| (START + ms * MS, ends)).collect();
+        changes.sort_unstable();
+        while model.now < START + 70_000 * MS {
+            model.pass();
+            while conditions.first().is_some_and(|c| c.0 <= model.now) {
+                let (_, condition) = conditions.remove(0);
+                model.set_condition(condition);
+            }
+            while changes.first().is_some_and(|c| c.0 <= model.now) {
+                let (_, ends) = changes.remove(0);
+                model.change(ends);
+            }
+            let missed = model.misses_a_change();
+            prop_assert!(
+                !(missed && model.subscription.usable(model.now)),
+                "a change counts, and the list without it is used, {} ms after the start",
+                (model.now - START) / MS
+            );
+        }
+    }
+
+    /// The other side: the list can be used while discovery is heard, and while it is unreachable.
+    #[test]
+    fn a_list_is_used_while_discovery_is_heard_or_unreachable(
+        lasts in 100_u64..40_000,
+        coordinators in prop_oneof![Just(1_u32), Just(3), Just(30), Just(300)],
+        seed in any::<u64>(),
+    ) {
+        let mut model = Model::new(coordinators, seed);
+        while model.now < START + 8000 * MS {
+            model.pass();
+        }
+        model.set_condition(Condition::Down);
+        let until = model.now + lasts * MS;
+        while model.now < until {
+            model.pass();
+            prop_assert!(model.subscription.usable(model.now), "out of reach for {} ms", (model.now + lasts * MS - until) / MS);
+        }
+        model.set_condition(Condition::Healthy { answer: 100 * MS });
+        while model.now < until + NOTIFIED_AFTER {
+            model.pass();
+            prop_assert!(model.subscription.usable(model.now), "back for {} ms", (model.now - until) / MS);
+        }
+    }
+}
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which news about a data node holds, whatever the order in which it comes.
+//! Which update of a data node is in force, whatever the order in which updates come.
 
 use curlewdeck_membership::{Line, MembershipTable, State, Update};
 use proptest::prelude::*;
@@ -15,57 +15,61 @@
     Update { version, complete: true, lines }
 }
 
-/// The state that an update leaves one data node in, as the embedder is told; nothing where it is not named.
-fn told(table: &mut MembershipTable<u64>, update: Update<u64>, uid: &str) -> Option<State> {
+/// The state that an update leaves one data node in, as the embedder sees it; none where it is not named.
+fn state_after(table: &mut MembershipTable<u64>, update: Update<u64>, uid: &str) -> Option<State> {
     table.apply(update).lines.iter().find(|line| line.uid == uid).map(|line| line.state)
 }
 
-/// Guards a data node that drains against an older snapshot or delta that still has it up: a lagging replica, or an answer
-/// that comes late.
+/// Guards a data node that drains against an older snapshot or delta that still has it up: a lagging replica, or a late
+/// response.
 #[test]
-fn older_news_does_not_put_a_draining_node_back_into_service() {
+fn an_older_update_does_not_return_a_draining_node_to_service() {
     for older in [snapshot(40, vec![line("a", State::Up, 7)]), delta(40, vec![line("a", State::Up, 7)])] {
         let mut table = MembershipTable::default();
         table.apply(snapshot(39, vec![line("a", State::Up, 7)]));
         table.apply(delta(41, vec![line("a", State::Draining, 7)]));
-        assert_eq!(told(&mut table, older, "a"), Some(State::Draining));
+        assert_eq!(state_after(&mut table, older, "a"), Some(State::Draining));
         let newer = delta(42, vec![line("a", State::Up, 7)]);
-        assert_eq!(told(&mut table, newer, "a"), Some(State::Up));
+        assert_eq!(state_after(&mut table, newer, "a"), Some(State::Up));
     }
 }
 
-/// Guards a data node that has left, by word or by absence, against the same; the process's later start brings it back.
+/// Guards a data node that was removed, by a line or by its absence, against the same; a later start of its process
+/// returns it to service.
 #[test]
-fn older_news_does_not_bring_back_a_node_that_left_but_a_later_start_does() {
+fn a_removed_node_returns_by_a_later_start_but_not_by_an_older_update() {
     for leaves in [delta(41, vec![line("a", State::Removed, 7)]), snapshot(41, vec![line("b", State::Up, 7)])]
     {
         let mut table = MembershipTable::default();
         table.apply(snapshot(39, vec![line("a", State::Up, 7)]));
         table.apply(leaves);
         let older = snapshot(40, vec![line("a", State::Up, 7), line("b", State::Up, 7)]);
-        assert_ne!(told(&mut table, older, "a"), Some(State::Up));
+        assert_ne!(state_after(&mut table, older, "a"), Some(State::Up));
         let restarted = delta(40, vec![line("a", State::Up, 8)]);
-        assert_eq!(told(&mut table, restarted, "a"), Some(State::Up));
+        assert_eq!(state_after(&mut table, restarted, "a"), Some(State::Up));
     }
 }
 
-/// Guards drains told by a service that has restarted and counts from the beginning, and by the absence from its list.
+/// Guards drains and removals by a service that has restarted and counts from the beginning.
 #[test]
 fn a_service_with_lower_versions_takes_nodes_out_of_service() {
     let mut table = MembershipTable::default();
     table.apply(snapshot(41, vec![line("a", State::Up, 7), line("b", State::Up, 7)]));
-    assert_eq!(told(&mut table, delta(3, vec![line("a", State::Draining, 7)]), "a"), Some(State::Draining));
+    assert_eq!(
+        state_after(&mut table, delta(3, vec![line("a", State::Draining, 7)]), "a"),
+        Some(State::Draining)
+    );
     table.apply(snapshot(4, vec![line("a", State::Draining, 7)]));
-    assert_ne!(told(&mut table, delta(3, vec![line("b", State::Up, 7)]), "b"), Some(State::Up));
-    assert_eq!(told(&mut table, delta(5, vec![line("b", State::Up, 7)]), "b"), Some(State::Up));
+    assert_ne!(state_after(&mut table, delta(3, vec![line("b", State::Up, 7)]), "b"), Some(State::Up));
+    assert_eq!(state_after(&mut table, delta(5, vec![line("b", State::Up, 7)]), "b"), Some(State::Up));
 }
 
-/// Guards a data node that has restarted against late news of its process before.
+/// Guards a data node that has restarted against late updates of its earlier process.
 #[test]
-fn news_of_an_earlier_process_is_dropped() {
+fn an_older_update_of_an_earlier_process_is_ignored() {
     let mut table = MembershipTable::default();
     table.apply(delta(40, vec![line("a", State::Up, 8)]));
-    assert_eq!(told(&mut table, delta(39, vec![line("a", State::Draining, 7)]), "a"), Some(State::Up));
+    assert_eq!(state_after(&mut table, delta(39, vec![line("a", State::Draining, 7)]), "a"), Some(State::Up));
 }
 
 /// Guards a line of which only name and state could be read: it takes its data node out of service as it was known, and
@@ -84,9 +88,9 @@
     }
 }
 
-/// Guards the memory of data nodes that have left.
+/// Guards the memory that removed data nodes take.
 #[test]
-fn departed_nodes_are_forgotten_in_the_end() {
+fn the_earliest_removed_nodes_are_forgotten() {
     let mut table = MembershipTable::default();
     for version in 0..20_000 {
         let uid = format!("node-{version}");
@@ -100,10 +104,10 @@
 }
 
 proptest! {
-    /// The rule by itself: once a data node was taken out of service, only news that is not older, or a later start, puts
-    /// it back; and news that takes it out holds at once, unless it is older and of an earlier process.
+    /// Once a data node was taken out of service, only an update that is not older, or a later start, returns it; and an
+    /// update that takes it out holds at once, unless it is older and of an earlier process.
     #[test]
-    fn a_node_out_of_service_returns_by_newer_news_only(
+    fn a_node_out_of_service_returns_by_a_newer_update_only(
         steps in proptest::collection::vec((0_u64..12, any::<bool>(), any_state(), 0_u64..3, any::<bool>()), 1..60)
     ) {
         let mut table = MembershipTable::default();
@@ -113,7 +117,7 @@
         for (version, complete, said, boot, named) in steps {
             let lines = if named { vec![line("a", said, boot)] } else { Vec::new() };
             let before = state;
-            let now = told(&mut table, Update { version, complete, lines }, "a");
+            let now = state_after(&mut table, Update { version, complete, lines }, "a");
             let in_force = if named || complete { now.or(Some(State::Removed)).filter(|_| before.is_some() || named) } else { before };
             let takes_out = named && said != State::Up || !named && complete && before.is_some();
             let of_earlier_process = named && before.is_some() && version < version_of_state && boot < latest_boot;
