--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -1,73 +1,83 @@
-//! One client connection: what of a request is held on it, and when it may be closed.
+//! One client connection: what of a request has been read on it, and when it may be closed.
 //!
-//! Its reader, its writer and those who close it go by this state alone: whoever reads takes note of what came in the
-//! same step, and whoever closes looks at that first. So no request is served whose answer could not be written, and
-//! none is cut off that has begun.
+//! Its reader, its writer and those who close it go by this state alone: whoever reads records what came in the same step,
+//! and whoever closes looks at that first. So no request is served whose response could not be written, and none that has
+//! begun is cut off.
 
 use crate::Time;
 
-/// The machine.
+/// The state of one client connection.
 #[derive(Debug, Clone)]
 pub struct Connection {
-    /// Since when nothing is owed on it: its last answer, or its beginning.
-    since: Time,
-    /// A whole request has come on it.
-    asked: bool,
-    /// The beginning of a request is held.
-    part: bool,
+    /// Since when no response is owed on it: its last response, or its beginning.
+    idle_since: Time,
+    /// A complete request has come on it.
+    has_served: bool,
+    /// The beginning of a request has been read.
+    has_partial_request: bool,
     /// A request is read and not answered.
-    request: bool,
+    has_pending_request: bool,
     /// Since when nothing more is served on it.
-    ended: Option<Time>,
-    /// It has been shut for another to have its place.
+    ended_at: Option<Time>,
+    /// It was closed to make room for another one.
     evicted: bool,
 }
 
 impl Connection {
-    /// One that was accepted now.
+    /// A connection that was accepted now.
     pub fn new(now: Time) -> Self {
-        Self { since: now, asked: false, part: false, request: false, ended: None, evicted: false }
+        Self {
+            idle_since: now,
+            has_served: false,
+            has_partial_request: false,
+            has_pending_request: false,
+            ended_at: None,
+            evicted: false,
+        }
     }
 
-    /// Bytes were read, or requests taken out of them: whether the beginning of one is held.
+    /// Bytes were read, or requests taken out of them: whether the beginning of a request is left.
     pub fn part(&mut self, held: bool) {
-        self.part = held;
+        self.has_partial_request = held;
     }
 
     /// A request has been read; returns whether it is to be answered.
     pub fn request(&mut self) -> bool {
-        self.request = self.ended.is_none();
-        self.asked |= self.request;
-        self.request
+        self.has_pending_request = self.ended_at.is_none();
+        self.has_served |= self.has_pending_request;
+        self.has_pending_request
     }
 
-    /// The request is answered, or nobody waits for its answer.
+    /// The request is answered, or nobody waits for its response.
     pub fn answered(&mut self, now: Time) {
-        (self.request, self.since) = (false, now);
+        self.has_pending_request = false;
+        self.idle_since = now;
     }
 
-    /// Ends it, unless a request is held, its beginning (where `halves` are not ended, too) or `unread` bytes. Returns
-    /// whether it has ended.
+    /// Ends it, unless a request is pending, the beginning of one has been read (where `halves` are not ended, too) or
+    /// `unread` bytes wait. Returns whether it has ended.
     pub fn end(&mut self, now: Time, unread: bool, halves: bool) -> bool {
-        if self.ended.is_none() && !self.request && (halves || !self.part) && !unread {
-            self.ended = Some(now);
+        let partial_request_counts = self.has_partial_request && !halves;
+        if self.ended_at.is_none() && !self.has_pending_request && !partial_request_counts && !unread {
+            self.ended_at = Some(now);
         }
-        self.ended.is_some()
+        self.ended_at.is_some()
     }
 
-    /// Ends it for another to have its place: the beginning of a request is no reason to stay. Returns whether it has.
+    /// Ends it to make room for another one: the beginning of a request does not keep it open. Returns whether it has
+    /// ended.
     pub fn evict(&mut self, now: Time, unread: bool) -> bool {
-        if self.request || unread && self.ended.is_none() {
+        if self.has_pending_request || unread && self.ended_at.is_none() {
             return false;
         }
-        self.ended.get_or_insert(now);
+        self.ended_at.get_or_insert(now);
         self.evicted = true;
         true
     }
 
     /// Since when nothing more is served on it.
     pub fn ended(&self) -> Option<Time> {
-        self.ended
+        self.ended_at
     }
 
     /// Whether it has been evicted.
@@ -77,17 +87,17 @@
 
     /// Whether a request is read and not answered.
     pub fn busy(&self) -> bool {
-        self.request
+        self.has_pending_request
     }
 
-    /// Whether a whole request has come on it.
+    /// Whether a complete request has come on it.
     pub fn asked(&self) -> bool {
-        self.asked
+        self.has_served
     }
 
-    /// For how long nothing has been owed on it.
+    /// For how long no response has been owed on it.
     pub fn rested(&self, now: Time) -> Time {
-        now.saturating_sub(self.since)
+        now.saturating_sub(self.idle_since)
     }
 }
 
--- a/crates/lifecycle/src/connection/tests.rs
+++ b/crates/lifecycle/src/connection/tests.rs
@@ -5,45 +5,46 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     /// Guards requests against those who close connections, in whatever order they come: none that has begun is cut off
-    /// but by an eviction or where halves are ended, none is served after the end, and none that is being served is ended.
+    /// but by an eviction or where partial requests are ended, none is served after the end, and none is ended while it is
+    /// served.
     #[test]
-    fn nothing_is_served_after_the_end_nor_ended_while_it_is_served(
+    fn no_request_is_served_after_the_end_or_ended_while_it_is_served(
         steps in proptest::collection::vec((0..6_u8, any::<bool>(), 0..5_u64), 0..60),
     ) {
-        let mut machine = Connection::new(0);
-        // The model: the beginning of a request, a request that is served, the end, and since when it rests.
-        let (mut now, mut part, mut served, mut ended, mut since) = (0, false, false, None, 0);
+        let mut connection = Connection::new(0);
+        // The model: a partial request, a pending one, the end, and since when it is idle.
+        let (mut now, mut partial, mut pending, mut ended, mut idle_since) = (0, false, false, None, 0);
         for (step, flag, wait) in steps {
             now += wait;
             match step {
                 0 => {
-                    part = flag;
-                    machine.part(flag);
+                    partial = flag;
+                    connection.part(flag);
                 }
-                1 if !served => {
-                    served = ended.is_none();
-                    prop_assert_eq!(machine.request(), served);
+                1 if !pending => {
+                    pending = ended.is_none();
+                    prop_assert_eq!(connection.request(), pending);
                 }
-                2 if served => {
-                    (served, since) = (false, now);
-                    machine.answered(now);
+                2 if pending => {
+                    (pending, idle_since) = (false, now);
+                    connection.answered(now);
                 }
                 3 => {
                     let halves = wait % 2 == 1;
-                    let may = ended.is_some() || !(part && !halves || served || flag);
+                    let may = ended.is_some() || !(partial && !halves || pending || flag);
                     ended = ended.or(may.then_some(now));
-                    prop_assert_eq!(machine.end(now, flag, halves), may);
+                    prop_assert_eq!(connection.end(now, flag, halves), may);
                 }
                 4 => {
-                    let may = !served && (!flag || ended.is_some());
+                    let may = !pending && (!flag || ended.is_some());
                     ended = ended.or(may.then_some(now));
-                    prop_assert_eq!(machine.evict(now, flag), may);
-                    prop_assert!(machine.evicted() || !may);
+                    prop_assert_eq!(connection.evict(now, flag), may);
+                    prop_assert!(connection.evicted() || !may);
                 }
                 _ => {}
             }
-            prop_assert_eq!((machine.busy(), machine.ended()), (served, ended));
-            prop_assert_eq!(machine.rested(now), now - since);
+            prop_assert_eq!((connection.busy(), connection.ended()), (pending, ended));
+            prop_assert_eq!(connection.rested(now), now - idle_since);
         }
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,33 +1,33 @@
-//! The life of one process: starting, serving, drained by an operator, finishing after SIGTERM.
+//! The lifecycle of one process: starting, serving, drained by an operator, finishing after SIGTERM.
 //!
-//! Everything that others ask of it follows from its state and the time: what health and readiness say, whether
-//! new connections are accepted, which client connections are closed. Times are the embedder's, in any unit that
-//! only grows. A process that finishes never serves again.
+//! From its state and the time follow what health and readiness checks are answered, whether new connections are accepted,
+//! and which client connections are closed. Times are the embedder's, in any unit, and never run backwards. A process that
+//! finishes never serves again.
 
 pub mod connection;
 pub mod reload;
 
-/// A moment, or a span between two, in the embedder's unit.
+/// A point in time or a span, in the embedder's unit.
 pub type Time = u64;
 
-/// The spans that the machine goes by.
+/// When the connections of a drained process are closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Spans {
-    /// Drained: for so long after the call the front still sends new clients, so connections are kept.
+    /// For this long after the start of a drain the load balancer still sends new clients, so connections are kept open.
     pub drain_notice: Time,
-    /// Drained: after so long connections at rest are closed. Before that only answers close theirs, since a client
-    /// that is answered is not writing, while one at rest may be.
+    /// This long after the start of a drain idle connections are closed, too. Before that only responses close theirs:
+    /// a client that gets a response is not writing, while an idle one may be.
     pub drain_rest: Time,
-    /// The listener outlives the process, and others accept from it: one that finishes leaves it to them at once.
+    /// The listener outlives the process, and others accept from it: a process that finishes leaves it to them at once.
     pub shared_listener: bool,
 }
 
 /// How a process finishes, in spans from SIGTERM on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finish {
-    /// For so long all goes on as before, since new clients still come.
+    /// For this long all goes on as before, since new clients still come.
     pub accept: Time,
-    /// All is answered within this.
+    /// All requests are answered within this.
     pub answered: Time,
 }
 
@@ -36,25 +36,25 @@
 pub enum Closing {
     /// None.
     None,
-    /// Those that get an answer, with it.
+    /// Those that get a response, after it.
     Answered,
-    /// Those at rest too, now.
+    /// Idle ones too, now.
     Resting,
 }
 
-/// What an operator's call comes to.
+/// What an operator's command or SIGTERM has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Called {
-    /// It is so from now on.
+    /// The state changed.
     Changed,
-    /// It was so already.
+    /// The process was in that state already.
     Already,
-    /// It cannot be: the process finishes.
+    /// Nothing can be changed any more: the process finishes.
     Finishing,
 }
 
 impl Called {
-    /// Whether the caller is told yes.
+    /// Whether the state is now the one that the caller wanted.
     pub fn yes(self) -> bool {
         self != Self::Finishing
     }
@@ -62,17 +62,19 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Clients are not yet listened for.
+    /// The process does not listen for clients yet.
     Starting,
     Serving,
-    Drained(Time),
+    Drained {
+        since: Time,
+    },
     Finishing {
         accept_until: Time,
         answered_by: Time,
     },
 }
 
-/// The machine.
+/// The state machine of one process.
 #[derive(Debug, Clone)]
 pub struct Lifecycle {
     spans: Spans,
@@ -82,72 +84,74 @@
 }
 
 impl Lifecycle {
-    /// A process that starts.
+    /// A process that is starting.
     pub fn new(spans: Spans) -> Self {
         Self { spans, state: State::Starting, changes: 0 }
     }
 
-    fn to(&mut self, state: State) -> Called {
-        (self.state, self.changes) = (state, self.changes + 1);
+    fn change_to(&mut self, state: State) -> Called {
+        self.state = state;
+        self.changes += 1;
         Called::Changed
     }
 
-    /// Clients are listened for from now on. One that was drained before stays so.
+    /// The process listens for clients from now on. One that was drained before stays drained.
     pub fn listening(&mut self) {
         if self.state == State::Starting {
-            self.to(State::Serving);
+            self.change_to(State::Serving);
         }
     }
 
-    /// An operator empties it. A process that finishes is being emptied already.
+    /// An operator starts a drain. A process that finishes is being drained already.
     pub fn drain_start(&mut self, now: Time) -> Called {
         match self.state {
-            State::Starting | State::Serving => self.to(State::Drained(now)),
-            State::Drained(_) | State::Finishing { .. } => Called::Already,
+            State::Starting | State::Serving => self.change_to(State::Drained { since: now }),
+            State::Drained { .. } | State::Finishing { .. } => Called::Already,
         }
     }
 
-    /// An operator has it take clients again.
+    /// An operator ends a drain: the process accepts clients again.
     pub fn drain_stop(&mut self) -> Called {
         match self.state {
-            State::Drained(_) => self.to(State::Serving),
+            State::Drained { .. } => self.change_to(State::Serving),
             State::Starting | State::Serving => Called::Already,
             State::Finishing { .. } => Called::Finishing,
         }
     }
 
-    /// SIGTERM has come. Only the first counts.
+    /// SIGTERM has come. Only the first one counts.
     pub fn term(&mut self, now: Time, finish: Finish) -> Called {
-        let (accept_until, answered_by) =
-            (now.saturating_add(finish.accept), now.saturating_add(finish.answered));
         match self.state {
             State::Finishing { .. } => Called::Already,
-            _ => self.to(State::Finishing { accept_until, answered_by }),
+            State::Starting | State::Serving | State::Drained { .. } => self.change_to(State::Finishing {
+                accept_until: now.saturating_add(finish.accept),
+                answered_by: now.saturating_add(finish.answered),
+            }),
         }
     }
 
-    /// Whether new clients are wanted: what health says, as far as it depends on this.
+    /// Whether new clients are accepted: what health checks are answered, as far as it depends on this.
     pub fn wants_clients(&self) -> bool {
         self.state == State::Serving
     }
 
-    /// Why they are not, in a word.
+    /// Why new clients are not accepted, in a word that health checks are answered.
     pub fn why_not(&self) -> Option<&'static str> {
         match self.state {
             State::Starting => Some("starting"),
             State::Serving => None,
-            State::Drained(_) => Some("drained"),
+            State::Drained { .. } => Some("drained"),
             State::Finishing { .. } => Some("draining"),
         }
     }
 
-    /// Whether SIGTERM has come. Before that connections are accepted, also by one that is drained: they come from a
-    /// front that has not noticed yet, and refusing them would lose what they ask.
+    /// Whether SIGTERM has come. Before that connections are accepted, also by a drained process: they come from a load
+    /// balancer that has not noticed yet, and refusing them would lose their requests.
     pub fn finishing(&self) -> bool {
         matches!(self.state, State::Finishing { .. })
     }
 
-    /// By when all must be answered, whatever time clients give; `Time::MAX` unless it finishes.
+    /// By when all requests must be answered, whatever their deadlines; `Time::MAX` unless the process finishes.
     pub fn answered_by(&self) -> Time {
         match self.state {
             State::Finishing { answered_by, .. } => answered_by,
@@ -155,21 +159,21 @@
         }
     }
 
-    /// Which connections are to be closed at this time.
+    /// Which connections are to be closed now.
     pub fn closing(&self, now: Time) -> Closing {
         let Spans { drain_notice, drain_rest, shared_listener } = self.spans;
-        let after = |since: Time, span: Time| now >= since.saturating_add(span);
+        let is_after = |since: Time, span: Time| now >= since.saturating_add(span);
         match self.state {
-            State::Drained(since) if after(since, drain_rest) => Closing::Resting,
-            State::Drained(since) if after(since, drain_notice) => Closing::Answered,
+            State::Drained { since } if is_after(since, drain_rest) => Closing::Resting,
+            State::Drained { since } if is_after(since, drain_notice) => Closing::Answered,
             State::Finishing { accept_until, .. } if now >= accept_until => Closing::Resting,
-            // Whoever is answered now finds the other process at the same address.
+            // A client that gets its response now finds another process at the same address.
             State::Finishing { .. } if shared_listener => Closing::Answered,
             _ => Closing::None,
         }
     }
 
-    /// How often the state has changed: whoever acts on one state ends with it.
+    /// How often the state has changed: whoever acts on a state stops once this has changed.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/lifecycle/src/reload/tests.rs
+++ b/crates/lifecycle/src/reload/tests.rs
@@ -5,30 +5,30 @@
     RetryPolicy { window: 4000, first_pause: 50, longest_pause: 800, patience: 1500, given_up: 2 };
 
 /// The next read and when it begins, from `now` on.
-fn read(machine: &mut Reloads, now: Time) -> (ReadId, Time) {
-    match machine.next(now) {
+fn read(reloads: &mut Reloads, now: Time) -> (ReadId, Time) {
+    match reloads.next(now) {
         Step::Read(id) => (id, now),
-        Step::Wait(Some(due)) => read(machine, due),
+        Step::Wait(Some(due)) => read(reloads, due),
         other => panic!("{other:?} at {now}"),
     }
 }
 
-fn ended(machine: &mut Reloads, id: ReadId, outcome: Outcome, now: Time) -> Verdict {
-    let returned = machine.returned(id).expect("a read under way");
-    machine.ended(returned, outcome, now)
+fn ended(reloads: &mut Reloads, id: ReadId, outcome: Outcome, now: Time) -> Verdict {
+    let returned = reloads.returned(id).expect("a read under way");
+    reloads.ended(returned, outcome, now)
 }
 
-/// Guards the times of the repeats: soon, further and further apart, and none after the window.
+/// Guards the times of the retries: soon, further and further apart, and none after the window.
 #[test]
-fn a_failure_that_may_pass_is_tried_again_within_the_window() {
-    let mut machine = Reloads::new(POLICY);
-    machine.signal(1000);
+fn a_transient_failure_is_retried_within_the_window() {
+    let mut reloads = Reloads::new(POLICY);
+    reloads.signal(1000);
     let (mut now, mut times, mut verdicts) = (1000, Vec::new(), Vec::new());
     loop {
-        match machine.next(now) {
+        match reloads.next(now) {
             Step::Read(id) => {
                 times.push(now - 1000);
-                verdicts.push(ended(&mut machine, id, Outcome::Transient, now));
+                verdicts.push(ended(&mut reloads, id, Outcome::Transient, now));
             }
             Step::Wait(Some(due)) => now = due,
             Step::Wait(None) => break,
@@ -41,16 +41,16 @@
     assert_eq!(verdicts[8], Verdict::NoLongerRepeated);
 }
 
-/// Guards the count of files: one that a repeat takes just before its own signal comes is counted once, and each signal
+/// Guards the count of files: one that a retry accepts just before its own signal comes is counted once, and each signal
 /// after that counts again.
 #[test]
-fn a_file_taken_ahead_of_its_signal_is_counted_once() {
-    let mut machine = Reloads::new(POLICY);
+fn a_file_accepted_ahead_of_its_signal_is_counted_once() {
+    let mut reloads = Reloads::new(POLICY);
     let mut reload = |now: Time, outcomes: &[Outcome]| -> Vec<Verdict> {
-        machine.signal(now);
+        reloads.signal(now);
         let mut take = |outcome: &Outcome| {
-            let (id, at) = read(&mut machine, now);
-            ended(&mut machine, id, *outcome, at)
+            let (id, at) = read(&mut reloads, now);
+            ended(&mut reloads, id, *outcome, at)
         };
         outcomes.iter().map(&mut take).collect()
     };
@@ -65,55 +65,55 @@
     assert_eq!(reload(9000, &[Outcome::Unchanged]), [Verdict::Taken]);
 }
 
-/// Guards a newer signal: it ends the pause of an older one's repeats at once, and a read that does not end after a
-/// while, whose result is then of no use.
+/// Guards a newer signal: it ends the pause of an older one's retries at once, and after a while a read that does not end,
+/// whose result is then not used.
 #[test]
-fn a_newer_signal_waits_for_no_pause_and_for_no_read_for_long() {
-    let mut machine = Reloads::new(POLICY);
-    machine.signal(0);
-    let (first, _) = read(&mut machine, 0);
-    ended(&mut machine, first, Outcome::Transient, 0);
-    assert_eq!(machine.next(10), Step::Wait(Some(50)));
-    machine.signal(10);
-    let hangs = read(&mut machine, 10);
+fn a_newer_signal_ends_a_pause_at_once_and_a_hung_read_after_a_while() {
+    let mut reloads = Reloads::new(POLICY);
+    reloads.signal(0);
+    let (first, _) = read(&mut reloads, 0);
+    ended(&mut reloads, first, Outcome::Transient, 0);
+    assert_eq!(reloads.next(10), Step::Wait(Some(50)));
+    reloads.signal(10);
+    let hangs = read(&mut reloads, 10);
     assert_eq!(hangs.1, 10);
-    machine.signal(300);
-    machine.signal(900);
-    assert_eq!(machine.next(1000), Step::Wait(Some(1800)));
-    assert_eq!(machine.next(1800), Step::GiveUp(Verdict::TurnedDown));
-    let (second, at) = read(&mut machine, 1800);
+    reloads.signal(300);
+    reloads.signal(900);
+    assert_eq!(reloads.next(1000), Step::Wait(Some(1800)));
+    assert_eq!(reloads.next(1800), Step::GiveUp(Verdict::TurnedDown));
+    let (second, at) = read(&mut reloads, 1800);
     assert_eq!(at, 1800);
-    assert!(machine.returned(hangs.0).is_none());
-    assert_eq!(ended(&mut machine, second, Outcome::Changed, 1801), Verdict::Taken);
-    assert_eq!(machine.next(1801), Step::Wait(None));
+    assert!(reloads.returned(hangs.0).is_none());
+    assert_eq!(ended(&mut reloads, second, Outcome::Changed, 1801), Verdict::Taken);
+    assert_eq!(reloads.next(1801), Step::Wait(None));
 }
 
 /// Guards the bound of reads that do not end: beyond it, a signal waits until one of them has ended.
 #[test]
-fn reads_that_do_not_end_are_given_up_up_to_a_bound() {
-    let mut machine = Reloads::new(POLICY);
+fn hung_reads_are_abandoned_up_to_a_bound() {
+    let mut reloads = Reloads::new(POLICY);
     let mut hang = Vec::new();
     for turn in 0..3 {
-        machine.signal(turn * 2000);
+        reloads.signal(turn * 2000);
         if turn > 0 {
-            assert_eq!(machine.next(turn * 2000 + 1500), Step::GiveUp(Verdict::TurnedDown));
+            assert_eq!(reloads.next(turn * 2000 + 1500), Step::GiveUp(Verdict::TurnedDown));
         }
-        hang.push(read(&mut machine, turn * 2000 + 1500).0);
+        hang.push(read(&mut reloads, turn * 2000 + 1500).0);
     }
-    machine.signal(9000);
-    assert_eq!(machine.next(20_000), Step::Wait(None));
-    assert!(machine.returned(hang[0]).is_none());
-    assert_eq!(machine.next(20_000), Step::GiveUp(Verdict::TurnedDown));
+    reloads.signal(9000);
+    assert_eq!(reloads.next(20_000), Step::Wait(None));
+    assert!(reloads.returned(hang[0]).is_none());
+    assert_eq!(reloads.next(20_000), Step::GiveUp(Verdict::TurnedDown));
 }
 
-/// More steps than the machine can take to come to rest.
+/// More steps than the reloads can take to settle.
 const MOST_STEPS: u32 = 100;
 
 /// What the random steps do.
 #[derive(Debug, Clone, Copy)]
 enum Act {
     Signal,
-    /// One of the reads that were begun ends: the one under way, or one that was given up.
+    /// One of the reads that were begun ends: the one in progress, or one that was abandoned.
     End(usize, Outcome),
     Pass(Time),
 }
@@ -136,10 +136,10 @@
     ]
 }
 
-/// What was seen of the machine: a small model of what its users rely on.
+/// What was seen of the reloads: a small model of what their users rely on.
 #[derive(Default)]
 struct Model {
-    /// Reads that have not ended, those that were given up included.
+    /// Reads that have not ended, abandoned ones included.
     running: Vec<ReadId>,
     /// The one whose result will be used, and whether it is the first of its signal.
     current: Option<(ReadId, bool)>,
@@ -147,22 +147,22 @@
     unread: Option<Time>,
     last_signal: Time,
     signals: u32,
-    turned_down: u32,
-    taken: u32,
+    rejected: u32,
+    accepted: u32,
     /// The last result of the current sequence, none before its first one.
     result: Option<Outcome>,
 }
 
 impl Model {
     /// Carries out every step that is due.
-    fn carry_out(&mut self, machine: &mut Reloads, now: Time) -> Result<(), TestCaseError> {
+    fn carry_out(&mut self, reloads: &mut Reloads, now: Time) -> Result<(), TestCaseError> {
         loop {
-            match machine.next(now) {
+            match reloads.next(now) {
                 Step::Read(id) => {
                     prop_assert!(self.current.is_none(), "two reads whose results count");
                     let first = self.unread.take().is_some();
                     if !first {
-                        prop_assert_eq!(self.result, Some(Outcome::Transient), "repeated without a cause");
+                        prop_assert_eq!(self.result, Some(Outcome::Transient), "retried without a cause");
                     }
                     self.result = self.result.filter(|_| !first);
                     self.current = Some((id, first));
@@ -174,7 +174,7 @@
                     let (_, first) = self.current.take().expect("a read under way");
                     let expected = if first { Verdict::TurnedDown } else { Verdict::NoLongerRepeated };
                     prop_assert_eq!(verdict, expected);
-                    self.turned_down += u32::from(first);
+                    self.rejected += u32::from(first);
                     // Whatever it failed for, a signal waits.
                     self.result = None;
                 }
@@ -193,31 +193,31 @@
 
     fn end(
         &mut self,
-        machine: &mut Reloads,
+        reloads: &mut Reloads,
         id: ReadId,
         outcome: Outcome,
         now: Time,
     ) -> Result<(), TestCaseError> {
         self.running.retain(|r| *r != id);
-        let Some(returned) = machine.returned(id) else {
+        let Some(returned) = reloads.returned(id) else {
             prop_assert!(self.current.is_none_or(|(current, _)| current != id), "a result was lost");
             return Ok(());
         };
         let (current, first) = self.current.take().expect("a read under way");
         prop_assert_eq!(current, id, "an old result was used");
         self.result = Some(outcome);
-        let verdict = machine.ended(returned, outcome, now);
+        let verdict = reloads.ended(returned, outcome, now);
         let good = matches!(outcome, Outcome::Changed | Outcome::Unchanged);
         match verdict {
-            Verdict::Taken => self.taken += 1,
+            Verdict::Taken => self.accepted += 1,
             Verdict::TakenBefore => prop_assert!(first && outcome == Outcome::Unchanged),
-            Verdict::TurnedDown => self.turned_down += 1,
+            Verdict::TurnedDown => self.rejected += 1,
             Verdict::WillRepeat => prop_assert!(!first && outcome == Outcome::Transient),
             Verdict::NoLongerRepeated => prop_assert!(!first),
         }
         prop_assert_eq!(good, matches!(verdict, Verdict::Taken | Verdict::TakenBefore));
         prop_assert_eq!(first && !good, verdict == Verdict::TurnedDown);
-        prop_assert!(self.turned_down <= self.signals);
+        prop_assert!(self.rejected <= self.signals);
         Ok(())
     }
 }
@@ -226,51 +226,51 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     /// Guards what reloads rely on, whatever comes in whatever order: each signal is read for, at once or within the
-    /// patience; nothing is repeated but what may pass, and not after the window; one file turned down is one count; and
+    /// policy's wait; only transient failures are retried, and not after the window; one rejected file is one count; and
     /// in the end the file that the last signal found holds.
     #[test]
-    fn every_signal_is_read_for_and_the_last_file_holds(acts in proptest::collection::vec(acts(), 0..60)) {
-        let (mut machine, mut model, mut now) = (Reloads::new(POLICY), Model::default(), 0);
+    fn each_signal_causes_a_read_and_the_last_file_holds(acts in proptest::collection::vec(acts(), 0..60)) {
+        let (mut reloads, mut model, mut now) = (Reloads::new(POLICY), Model::default(), 0);
         for act in acts {
             match act {
                 Act::Signal => {
-                    machine.signal(now);
+                    reloads.signal(now);
                     model.signals += 1;
                     model.last_signal = now;
                     model.unread = model.unread.or(Some(now));
                 }
                 Act::End(which, outcome) => {
                     if let Some(&id) = model.running.iter().rev().nth(which) {
-                        model.end(&mut machine, id, outcome, now)?;
+                        model.end(&mut reloads, id, outcome, now)?;
                     }
                 }
                 Act::Pass(span) => {
-                    // Not past what the machine waits for: it is asked on time.
-                    now = match machine.next(now) {
+                    // Not past what the reloads wait for: the next step is taken on time.
+                    now = match reloads.next(now) {
                         Step::Wait(Some(until)) => until.min(now + span),
                         _ => now + span,
                     };
                 }
             }
-            model.carry_out(&mut machine, now)?;
+            model.carry_out(&mut reloads, now)?;
         }
-        // From here on every read ends, and fails for a cause that may pass: the machine comes to rest in time.
+        // From here on every read ends in a transient failure: the reloads settle in time.
         let begun = now;
         for step in 0.. {
-            prop_assert!(step < MOST_STEPS, "it does not come to rest");
+            prop_assert!(step < MOST_STEPS, "it does not settle");
             if let Some(&id) = model.running.first() {
-                model.end(&mut machine, id, Outcome::Transient, now)?;
-                model.carry_out(&mut machine, now)?;
+                model.end(&mut reloads, id, Outcome::Transient, now)?;
+                model.carry_out(&mut reloads, now)?;
                 continue;
             }
-            match machine.next(now) {
+            match reloads.next(now) {
                 Step::Wait(Some(until)) => now = until,
                 step => {
                     prop_assert_eq!(step, Step::Wait(None));
                     break;
                 }
             }
-            model.carry_out(&mut machine, now)?;
+            model.carry_out(&mut reloads, now)?;
         }
         prop_assert!(model.unread.is_none() && model.current.is_none());
         prop_assert!(now <= begun.max(model.last_signal + POLICY.window));
--- a/crates/lifecycle/src/tests.rs
+++ b/crates/lifecycle/src/tests.rs
@@ -7,54 +7,54 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards what operators rely on, whatever they call in whatever order and whenever SIGTERM comes.
+    /// Guards what operators rely on, whatever commands they give in whatever order and whenever SIGTERM comes.
     #[test]
-    fn the_last_word_counts_until_the_end(
+    fn the_last_command_holds_until_the_process_finishes(
         shared in any::<bool>(),
         calls in proptest::collection::vec((any::<u8>(), 0..40_u64), 0..30),
     ) {
-        let mut machine = Lifecycle::new(Spans { shared_listener: shared, ..SPANS });
-        // The model: whether it listens, and since when it is drained or ends.
-        let (mut now, mut open, mut drained, mut ended) = (0, false, None::<Time>, None::<Time>);
+        let mut lifecycle = Lifecycle::new(Spans { shared_listener: shared, ..SPANS });
+        // The model: whether it listens, and since when it is drained or finishes.
+        let (mut now, mut listens, mut drained, mut finishing) = (0, false, None::<Time>, None::<Time>);
         for (call, wait) in calls {
             now += wait;
             let (called, changed) = match call % 4 {
                 0 => {
-                    machine.listening();
-                    open = true;
+                    lifecycle.listening();
+                    listens = true;
                     (Called::Already, false)
                 }
                 1 => {
-                    let fresh = drained.is_none() && ended.is_none();
+                    let is_first = drained.is_none() && finishing.is_none();
                     drained = drained.or(Some(now));
-                    (machine.drain_start(now), fresh)
+                    (lifecycle.drain_start(now), is_first)
                 }
                 2 => {
-                    let changed = drained.take().is_some() && ended.is_none();
-                    open |= changed;
-                    (machine.drain_stop(), changed)
+                    let changed = drained.take().is_some() && finishing.is_none();
+                    listens |= changed;
+                    (lifecycle.drain_stop(), changed)
                 }
                 _ => {
-                    let first = ended.is_none();
-                    ended = ended.or(Some(now));
-                    (machine.term(now, FINISH), first)
+                    let first = finishing.is_none();
+                    finishing = finishing.or(Some(now));
+                    (lifecycle.term(now, FINISH), first)
                 }
             };
             prop_assert_eq!(called == Called::Changed, changed);
-            prop_assert_eq!(called.yes(), call % 4 != 2 || ended.is_none());
-            let serves = open && drained.is_none() && ended.is_none();
-            prop_assert_eq!((machine.wants_clients(), machine.why_not().is_none()), (serves, serves));
-            prop_assert_eq!(machine.finishing(), ended.is_some());
-            prop_assert_eq!(machine.answered_by(), ended.map_or(Time::MAX, |t| t + 80));
+            prop_assert_eq!(called.yes(), call % 4 != 2 || finishing.is_none());
+            let serves = listens && drained.is_none() && finishing.is_none();
+            prop_assert_eq!((lifecycle.wants_clients(), lifecycle.why_not().is_none()), (serves, serves));
+            prop_assert_eq!(lifecycle.finishing(), finishing.is_some());
+            prop_assert_eq!(lifecycle.answered_by(), finishing.map_or(Time::MAX, |t| t + 80));
             for later in [now, now + 10, now + 30, now + 50] {
-                let closing = match (ended, drained) {
+                let closing = match (finishing, drained) {
                     (Some(t), _) if later >= t + 50 => Closing::Resting,
                     (Some(_), _) if shared => Closing::Answered,
                     (None, Some(t)) if later >= t + 30 => Closing::Resting,
                     (None, Some(t)) if later >= t + 10 => Closing::Answered,
                     _ => Closing::None,
                 };
-                prop_assert_eq!(machine.closing(later), closing);
+                prop_assert_eq!(lifecycle.closing(later), closing);
             }
         }
     }
