--- a/src/net/feature_node.rs
+++ b/src/net/feature_node.rs
@@ -20,7 +20,7 @@
 use crate::net::http;
 use crate::net::messages::{CoreMessage, DrainGate, NodeMessage};
 use crate::net::node::NodeContext;
-use crate::runtime::{nanos, spawn, spawn_vital, Stream, Unwritten};
+use crate::runtime::{nanos, spawn, spawn_vital, Stream, WriteError};
 
 /// How often connections at rest are looked at.
 const LOOK: Duration = Duration::from_millis(500);
@@ -323,8 +323,8 @@
             may.get().is_ok().then(|| request.clone().into_bytes())
         };
         let written = stream.write_current(current, || freshness.holds(clock.now()), || true, within);
-        let cut = |e: Unwritten| {
-            if self.asked || e.begun {
+        let cut = |e: WriteError| {
+            if self.asked || e.partially_written {
                 Outcome::ConnectionReset
             } else {
                 Outcome::ConnectFailed
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -22,7 +22,7 @@
     CoreMailbox, CoreMessage, DrainGate, NodeMessage, ReceivedFrames, TrailingBytes, REQUEST,
 };
 use crate::net::pending_updates::PendingUpdates;
-use crate::runtime::{lock, nanos, spawn, spawn_vital, Clock, Permit, Permits, Stream, Unwritten};
+use crate::runtime::{lock, nanos, spawn, spawn_vital, Clock, Permit, Permits, Stream, WriteError};
 use crate::settings::Connections;
 
 /// What every actor of a data node needs.
@@ -213,8 +213,8 @@
     }
 }
 
-fn word(written: &Result<(), Unwritten>) -> String {
-    written.as_ref().map_or_else(|e| e.why.to_string(), |()| "written whole".into())
+fn word(written: &Result<(), WriteError>) -> String {
+    written.as_ref().map_or_else(|e| e.source.to_string(), |()| "written whole".into())
 }
 
 /// Nobody is left to be told once the actor has ended.
@@ -268,7 +268,7 @@
                     counters.attempts_written.fetch_add(sent.len() as u64, Ordering::Relaxed);
                     Input::Written(id)
                 }
-                Err(e) => Input::WriteFailed(id, e.begun),
+                Err(e) => Input::WriteFailed(id, e.partially_written),
             };
             if !stale.is_empty() {
                 tell(&writer_node, Input::LeftOut(id, stale));
--- /dev/null
+++ b/src/runtime/mod.rs
@@ -0,0 +1,18 @@
+//! What every actor builds on: the clock, timers, permits, streams, coroutines and threads.
+
+mod clock;
+mod connect;
+mod permits;
+mod spawn;
+mod stream;
+mod sync;
+mod timer;
+
+pub use clock::{nanos, Clock};
+pub use permits::{Permit, Permits};
+pub use spawn::{spawn, spawn_told, spawn_vital, thread, SpawnError, SMALL_STACK};
+pub use stream::{Stream, WriteError};
+pub use sync::lock;
+pub use timer::Timer;
+/// The earlier name of [`Timer`].
+pub use timer::Timer as Alarm;
--- /dev/null
+++ b/src/runtime/spawn/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+use std::time::Duration;
+
+/// More than any machine has, in words.
+const NO_STACK: usize = 1 << 56;
+
+/// Guards whoever starts a coroutine against one that does not start: it gets an error, and no panic.
+#[test]
+fn a_coroutine_that_cannot_start_is_an_error() {
+    let failed = spawn("too large", NO_STACK, || unreachable!("it has no stack"));
+    assert_eq!(failed.unwrap_err().name, "too large");
+}
+
+/// Guards whoever waits for the end of a coroutine: it is reported once, be it a result, a panic or a failed start.
+#[test]
+fn the_end_of_a_coroutine_is_reported_however_it_ends() {
+    let (ends, reports) = std::sync::mpsc::channel();
+    let report = |name: &'static str, stack_words, run: fn() -> u8| {
+        let ends = ends.clone();
+        spawn_told(name, stack_words, run, move |end| ends.send(end).unwrap());
+        reports.recv_timeout(Duration::from_secs(60)).unwrap()
+    };
+    let stack_words = crate::limits::Limits::default().core_stack_words;
+    assert_eq!(report("result", stack_words, || 7), Some(7));
+    assert_eq!(report("panic", stack_words, || panic!("as the test wants it")), None);
+    assert_eq!(report("too large", NO_STACK, || 7), None);
+    assert!(reports.try_recv().is_err());
+}
--- /dev/null
+++ b/src/runtime/stream/tests.rs
@@ -0,0 +1,77 @@
+use super::*;
+
+/// Guards against sending a frame on for a query that has its answer, where the socket was full when the frame's
+/// turn came: what is wanted is looked at again until the first byte has gone out.
+#[test]
+fn bytes_that_are_no_longer_wanted_are_not_written_once_there_is_room() {
+    use std::io::Read;
+    use std::sync::atomic::AtomicBool;
+    let listener = may::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let stream = Stream::new(listener.accept().unwrap().0, None).unwrap();
+    // Until the socket takes no more.
+    let mut filled = 0;
+    while let Ok(n) = (&mut stream.inner.inner()).write(&[0; 65_536]) {
+        filled += n;
+    }
+    let wanted = AtomicBool::new(true);
+    let looks = std::sync::atomic::AtomicUsize::new(0);
+    std::thread::scope(|scope| {
+        let (looks, wanted, stream) = (&looks, &wanted, &stream);
+        let current = move || {
+            looks.fetch_add(1, Ordering::SeqCst);
+            wanted.load(Ordering::SeqCst).then(|| b"frame".to_vec())
+        };
+        let writer =
+            scope.spawn(move || stream.write_current(current, || true, || true, Duration::from_secs(10)));
+        while looks.load(Ordering::SeqCst) == 0 {
+            std::thread::yield_now();
+        }
+        // There is never room here: without another look it would wait until its time is over, and fail.
+        wanted.store(false, Ordering::SeqCst);
+        writer.join().unwrap().unwrap();
+    });
+    stream.shut();
+    let mut got = Vec::new();
+    peer.read_to_end(&mut got).unwrap();
+    assert!(got.len() == filled && got.iter().all(|&b| b == 0), "it was sent on");
+}
+
+/// Guards a wait against a signal: an interrupted one goes on for what is left of its time, and no longer.
+#[test]
+fn an_interrupted_wait_goes_on_for_what_is_left() {
+    let mut lefts = Vec::new();
+    let waited = retry_interrupted(Duration::from_secs(60), |left| {
+        lefts.push(left);
+        match lefts.len() {
+            3 => Ok(()),
+            _ => Err(io::ErrorKind::Interrupted.into()),
+        }
+    });
+    waited.unwrap();
+    assert!(lefts.len() == 3 && lefts.is_sorted_by(|a, b| a >= b), "{lefts:?}");
+    let failed = retry_interrupted(Duration::ZERO, |_| Err(io::ErrorKind::TimedOut.into()));
+    assert_eq!(failed.unwrap_err().kind(), io::ErrorKind::TimedOut);
+}
+
+/// Guards all other sockets against a peer that sends without end: its reader leaves the worker, and does not count reads
+/// that were waited for.
+#[test]
+fn a_reader_that_never_waits_yields_the_worker() {
+    let listener = may::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let stream = Stream::new(listener.accept().unwrap().0, None).unwrap();
+    peer.write_all(&[0; 64]).unwrap();
+    stream.wait(Duration::from_secs(60)).unwrap();
+    let mut byte = [0];
+    for reads in 1..MAX_CONSECUTIVE_READS {
+        stream.read(&mut byte, Duration::from_secs(60)).unwrap();
+        assert_eq!(stream.consecutive_reads.load(Ordering::Relaxed), reads);
+    }
+    let begun = Instant::now();
+    stream.read(&mut byte, Duration::from_secs(60)).unwrap();
+    assert_eq!(stream.consecutive_reads.load(Ordering::Relaxed), 0);
+    assert!(begun.elapsed() >= READ_PAUSE);
+    while stream.read_now(&mut byte).is_ok() {}
+    assert_eq!(stream.consecutive_reads.load(Ordering::Relaxed), 0);
+}
--- /dev/null
+++ b/src/runtime/timer/tests.rs
@@ -0,0 +1,18 @@
+use super::*;
+
+/// Guards against a timer that waits out an earlier setting, or a time already past.
+#[test]
+fn a_timer_set_to_an_earlier_time_fires_then() {
+    let (fired, events) = std::sync::mpsc::channel();
+    let clock = Clock::start();
+    let mut timer = Timer::start(clock, move || fired.send(clock.now()).unwrap()).unwrap();
+    let hour = 3_600_000_000_000;
+    timer.set(clock.now() + hour);
+    for at in [clock.now(), clock.now() + 3_000_000, 0] {
+        timer.set(at);
+        assert!(events.recv().unwrap() >= at);
+        timer.rung();
+    }
+    timer.set(clock.now() + hour);
+    assert!(events.try_recv().is_err());
+}
