--- a/src/net/connection_pool/tests.rs
+++ b/src/net/connection_pool/tests.rs
@@ -1,25 +1,27 @@
+use super::connection::{Connection, ConnectionState};
 use super::*;
 use std::sync::Arc;
 
-use crate::api::ShardId;
-use crate::engine::{CancellationToken, PartRequest};
+use crate::api::{Nanos, Outcome, ShardId};
+use crate::engine::{AttemptId, CancellationToken, Dispatch, PartRequest, Value};
+use crate::net::frame::InboundFrame;
 use proptest::prelude::*;
 
-const MULTIPLEX: usize = 3;
-const IDLE: Nanos = 1000;
-const PROBE: Nanos = 50;
-const WAIT: Nanos = 400;
-const SILENCE: Nanos = 100;
+const PARTS_PER_CONNECTION: usize = 3;
+const IDLE_TIMEOUT: Nanos = 1000;
+const HEALTH_CHECK_TIMEOUT: Nanos = 50;
+const DEADLINE: Nanos = 400;
+const SILENCE_TIMEOUT: Nanos = 100;
 const NO_SOCKET_PAUSE: Nanos = 20;
 
-fn links() -> ConnectionPool {
+fn new_pool() -> ConnectionPool {
     ConnectionPool::new(PoolLimits {
-        multiplex: MULTIPLEX,
-        idle: IDLE,
-        probe: PROBE,
-        backlog: 64,
-        past: 8,
-        silence: SILENCE,
+        parts_per_connection: PARTS_PER_CONNECTION,
+        idle_timeout: IDLE_TIMEOUT,
+        health_check_timeout: HEALTH_CHECK_TIMEOUT,
+        queued_parts: 64,
+        closed_attempts: 8,
+        silence_timeout: SILENCE_TIMEOUT,
         no_socket_pause: NO_SOCKET_PAUSE,
     })
 }
@@ -36,251 +38,271 @@
     }
 }
 
-fn answer(id: u64) -> Reply {
+fn answer(id: u64) -> InboundFrame {
     let value = Some(Value { score: 1, data: "v".into() });
-    Reply::Answer { name: format!("q.{id}"), outcome: Outcome::Success, value }
+    InboundFrame::Answer { part_name: format!("q.{id}"), outcome: Outcome::Success, value }
 }
 
-/// How far the model holds an attempt to be.
+/// How far an attempt is, according to the model.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum At {
-    Waiting,
-    Handed(ConnectionId),
+enum Progress {
+    Queued,
+    BeingWritten(ConnectionId),
     Written(ConnectionId),
-    Over,
+    Ended,
 }
 
-/// What the model knows: attempts, and what the network owes the machine.
+/// What the model knows: attempts and their deadlines, and what the network owes the pool.
 #[derive(Default)]
 struct Model {
-    attempts: Vec<(At, Nanos)>,
-    dialing: Vec<ConnectionId>,
-    up: Vec<ConnectionId>,
-    shut: Vec<ConnectionId>,
+    attempts: Vec<(Progress, Nanos)>,
+    connecting: Vec<ConnectionId>,
+    connected: Vec<ConnectionId>,
+    closing: Vec<ConnectionId>,
     writing: Vec<(ConnectionId, Vec<u64>)>,
-    /// Connections to the present address, and those of `writing` that have a probe.
-    current: Vec<ConnectionId>,
-    probing: Vec<ConnectionId>,
-    takes_new: bool,
+    /// Connections to the current address.
+    at_current_address: Vec<ConnectionId>,
+    writing_health_check: Vec<ConnectionId>,
+    accepts_new_attempts: bool,
     now: Nanos,
     no_socket_until: Nanos,
-    probes: i64,
+    open_health_checks: i64,
 }
 
 impl Model {
-    fn step(&mut self, links: &mut ConnectionPool, input: Input) {
+    fn step(&mut self, pool: &mut ConnectionPool, input: Input) {
         match &input {
-            Input::Probe => self.probes += 1,
-            Input::TakesNew(yes) => self.takes_new = *yes,
-            Input::AddressChanged => self.current.clear(),
-            Input::Drop(id) => self.attempts[id.0 as usize].0 = At::Over,
-            Input::Written(id) => self.end_write(*id, true),
-            // What was begun may have run, as if it were written.
-            Input::WriteFailed(id, begun) => self.end_write(*id, *begun),
-            Input::LeftOut(id, left) => self.left_out(*id, left),
-            Input::NoSocket(_) => self.no_socket_until = self.now + NO_SOCKET_PAUSE,
+            Input::CheckHealth => self.open_health_checks += 1,
+            Input::AcceptsNewAttempts(yes) => self.accepts_new_attempts = *yes,
+            Input::AddressChanged => self.at_current_address.clear(),
+            Input::CancelAttempt(id) => self.attempts[id.0 as usize].0 = Progress::Ended,
+            Input::FrameWritten(id) => self.end_write(*id, true),
+            // What was partially written may have run, as if it were complete.
+            Input::WriteFailed { connection: id, partially_written } => {
+                self.end_write(*id, *partially_written)
+            }
+            Input::AttemptsOmitted { connection: id, attempts } => self.attempts_omitted(*id, attempts),
+            Input::NoSocketAvailable(_) => self.no_socket_until = self.now + NO_SOCKET_PAUSE,
             _ => {}
         }
-        let shut = input == Input::TakesNew(false);
-        for output in links.step(self.now, input) {
+        let stops = input == Input::AcceptsNewAttempts(false);
+        for output in pool.step(self.now, input) {
             self.check(output);
         }
-        let waits = self.attempts.iter().any(|a| a.0 == At::Waiting);
-        assert!(!shut || !waits, "it waits on where nothing new is taken");
-        let outdated = |l: &Link| l.state == State::Up && l.address != links.address && l.at_rest();
-        assert!(!links.links.values().any(outdated), "a connection to an earlier address is kept at rest");
-        let most = self.up.iter().map(|u| self.attempts.iter().filter(|a| a.0 == At::Written(*u)).count());
-        assert!(most.max().unwrap_or(0) <= MULTIPLEX, "more parts than a connection carries");
+        let any_queued = self.attempts.iter().any(|a| a.0 == Progress::Queued);
+        assert!(!stops || !any_queued, "it stays queued where nothing new is accepted");
+        let outdated = |connection: &Connection| {
+            connection.state == ConnectionState::Connected
+                && connection.address_generation != pool.address_generation
+                && connection.is_idle()
+        };
+        assert!(
+            !pool.connections.values().any(outdated),
+            "a connection to an earlier address stays open though it is idle"
+        );
+        let in_flight = self
+            .connected
+            .iter()
+            .map(|u| self.attempts.iter().filter(|a| a.0 == Progress::Written(*u)).count());
+        assert!(in_flight.max().unwrap_or(0) <= PARTS_PER_CONNECTION, "more parts than a connection carries");
     }
 
-    fn left_out(&mut self, id: ConnectionId, left: &[AttemptId]) {
+    fn attempts_omitted(&mut self, id: ConnectionId, omitted: &[AttemptId]) {
         for (_, parts) in self.writing.iter_mut().filter(|w| w.0 == id) {
-            for part in parts.extract_if(.., |p| left.contains(&AttemptId(*p))) {
+            for part in parts.extract_if(.., |p| omitted.contains(&AttemptId(*p))) {
                 let attempt = &mut self.attempts[part as usize];
-                if attempt.0 == At::Handed(id) {
-                    attempt.0 = At::Waiting;
+                if attempt.0 == Progress::BeingWritten(id) {
+                    attempt.0 = Progress::Queued;
                 }
             }
         }
     }
 
-    fn end_write(&mut self, id: ConnectionId, whole: bool) {
-        self.probing.retain(|&p| p != id);
+    fn end_write(&mut self, id: ConnectionId, complete: bool) {
+        self.writing_health_check.retain(|&p| p != id);
         let at = self.writing.iter().position(|w| w.0 == id).unwrap();
         for part in self.writing.remove(at).1 {
             let attempt = &mut self.attempts[part as usize];
-            // What was not written whole may be handed over once more.
-            if attempt.0 == At::Handed(id) {
-                attempt.0 = if whole { At::Written(id) } else { At::Waiting };
+            // What was not written completely may be handed out once more.
+            if attempt.0 == Progress::BeingWritten(id) {
+                attempt.0 = if complete { Progress::Written(id) } else { Progress::Queued };
             }
         }
     }
 
     fn check(&mut self, output: Output) {
         match output {
-            Output::Dial(id) => {
-                assert!(self.now >= self.no_socket_until, "tried again where no socket was left");
-                self.dialing.push(id);
-                self.current.push(id);
+            Output::Connect(id) => {
+                assert!(self.now >= self.no_socket_until, "tried again though there was no socket");
+                self.connecting.push(id);
+                self.at_current_address.push(id);
             }
-            Output::Shut(id) => {
-                self.up.retain(|&u| u != id);
-                self.shut.push(id);
+            Output::Close(id) => {
+                self.connected.retain(|&u| u != id);
+                self.closing.push(id);
             }
-            Output::Probed(_) => {
-                self.probes -= 1;
-                assert!(self.probes >= 0, "a probe ended twice");
+            Output::HealthChecked(_) => {
+                self.open_health_checks -= 1;
+                assert!(self.open_health_checks >= 0, "a health check ended twice");
             }
-            Output::Write(id, frame) => {
-                let bytes = frame.current(self.now, true).bytes.unwrap();
-                assert!(self.up.contains(&id) && self.writing.iter().all(|w| w.0 != id));
-                let new = bytes[4] != b'K';
-                assert!(!new || self.takes_new && self.current.contains(&id), "new on {id:?}");
-                self.probing.extend((bytes[4] == b'I').then_some(id));
+            Output::Write { connection: id, frame } => {
+                let bytes = frame.encode_at(self.now, true).bytes.unwrap();
+                assert!(self.connected.contains(&id) && self.writing.iter().all(|w| w.0 != id));
+                let is_new = bytes[4] != b'K';
+                assert!(
+                    !is_new || self.accepts_new_attempts && self.at_current_address.contains(&id),
+                    "new on {id:?}"
+                );
+                self.writing_health_check.extend((bytes[4] == b'I').then_some(id));
                 let text = String::from_utf8_lossy(&bytes[5..]).into_owned();
                 let names = text.split("q.").skip(1).filter_map(|t| t.split(' ').next()?.parse().ok());
                 let parts: Vec<u64> = if bytes[4] == b'D' { names.collect() } else { Vec::new() };
                 for &part in &parts {
                     let attempt = &mut self.attempts[part as usize];
                     assert!(
-                        attempt.0 == At::Waiting && attempt.1 > self.now && self.takes_new,
+                        attempt.0 == Progress::Queued && attempt.1 > self.now && self.accepts_new_attempts,
                         "sent too late"
                     );
-                    attempt.0 = At::Handed(id);
+                    attempt.0 = Progress::BeingWritten(id);
                 }
                 self.writing.push((id, parts));
             }
-            Output::End(id, outcome, _) => {
-                let at = std::mem::replace(&mut self.attempts[id.0 as usize].0, At::Over);
-                let right = match outcome {
-                    Outcome::NotSent => at == At::Waiting,
-                    Outcome::ConnectFailed => matches!(at, At::Waiting | At::Handed(_)),
-                    Outcome::ConnectionReset | Outcome::MalformedResponse => matches!(at, At::Written(_)),
-                    Outcome::Success => matches!(at, At::Written(_) | At::Handed(_)),
+            Output::AttemptEnded { attempt: id, outcome, .. } => {
+                let at = std::mem::replace(&mut self.attempts[id.0 as usize].0, Progress::Ended);
+                let fits = match outcome {
+                    Outcome::NotSent => at == Progress::Queued,
+                    Outcome::ConnectFailed => matches!(at, Progress::Queued | Progress::BeingWritten(_)),
+                    Outcome::ConnectionReset | Outcome::MalformedResponse => {
+                        matches!(at, Progress::Written(_))
+                    }
+                    Outcome::Success => matches!(at, Progress::Written(_) | Progress::BeingWritten(_)),
                     _ => false,
                 };
-                assert!(right, "{id:?} ended {outcome:?} when it was {at:?}");
+                assert!(fits, "{id:?} ended {outcome:?} when it was {at:?}");
             }
         }
     }
 
-    fn random(&mut self, links: &mut ConnectionPool, kind: u8, pick: usize) {
+    fn random(&mut self, pool: &mut ConnectionPool, kind: u8, pick: usize) {
         let one = |all: &[ConnectionId]| all.get(pick % all.len().max(1)).copied();
         let open: Vec<u64> =
-            (0..).zip(&self.attempts).filter(|(_, a)| a.0 != At::Over).map(|(n, _)| n).collect();
+            (0..).zip(&self.attempts).filter(|(_, a)| a.0 != Progress::Ended).map(|(n, _)| n).collect();
         match kind {
             0..=2 => {
                 let first = self.attempts.len() as u64;
-                let until = self.now + WAIT;
+                let until = self.now + DEADLINE;
                 let call: Vec<Dispatch> = (0..1 + pick as u64 % 2).map(|n| part(first + n, until)).collect();
-                self.attempts.extend(call.iter().map(|_| (At::Waiting, until)));
-                self.step(links, Input::Call(call));
+                self.attempts.extend(call.iter().map(|_| (Progress::Queued, until)));
+                self.step(pool, Input::SendCall(call));
             }
             3 if !open.is_empty() => {
-                self.step(links, Input::Drop(AttemptId(open[pick % open.len()])));
+                self.step(pool, Input::CancelAttempt(AttemptId(open[pick % open.len()])));
             }
-            4 => self.step(links, Input::TakesNew(!pick.is_multiple_of(4))),
-            5 => self.step(links, Input::CloseIdle),
-            6 => self.step(links, Input::Probe),
+            4 => self.step(pool, Input::AcceptsNewAttempts(!pick.is_multiple_of(4))),
+            5 => self.step(pool, Input::CloseIdleConnections),
+            6 => self.step(pool, Input::CheckHealth),
             7 | 8 => {
-                let up = if pick.is_multiple_of(4) { Input::DialFailed } else { Input::Up };
-                self.dialled(links, one(&self.dialing), up);
+                let result = if pick.is_multiple_of(4) { Input::ConnectFailed } else { Input::Connected };
+                self.finish_connect(pool, one(&self.connecting), result);
             }
-            21 => self.step(links, Input::AddressChanged),
-            20 => self.dialled(links, one(&self.dialing), Input::NoSocket),
-            9 | 10 => self.written(links, pick),
+            21 => self.step(pool, Input::AddressChanged),
+            20 => self.finish_connect(pool, one(&self.connecting), Input::NoSocketAvailable),
+            9 | 10 => self.finish_write(pool, pick),
             11 | 12 => {
-                let written =
-                    |n: &&u64| matches!(self.attempts[**n as usize].0, At::Written(_) | At::Handed(_));
-                let some: Vec<u64> = open.iter().filter(written).copied().collect();
-                if let Some(&id) = some.get(pick % some.len().max(1)) {
-                    if let At::Written(link) | At::Handed(link) = self.attempts[id as usize].0 {
-                        self.step(links, Input::Frame(link, answer(id)));
+                let answerable = |n: &&u64| {
+                    matches!(self.attempts[**n as usize].0, Progress::Written(_) | Progress::BeingWritten(_))
+                };
+                let candidates: Vec<u64> = open.iter().filter(answerable).copied().collect();
+                if let Some(&id) = candidates.get(pick % candidates.len().max(1)) {
+                    if let Progress::Written(connection) | Progress::BeingWritten(connection) =
+                        self.attempts[id as usize].0
+                    {
+                        self.step(pool, Input::FrameReceived { connection, frame: answer(id) });
                     }
                 }
             }
             17 => {
-                if let Some(id) = one(&self.up) {
-                    self.step(links, Input::Spoilt(id));
-                    assert!(!self.up.contains(&id), "a spoilt connection stays open");
+                if let Some(id) = one(&self.connected) {
+                    self.step(pool, Input::MalformedInput(id));
+                    assert!(!self.connected.contains(&id), "a malformed connection stays open");
                 }
             }
             18 => {
-                // An answer that nobody waits for, or that was waited for before.
+                // An answer that nobody expects, or that was expected before.
                 let over: Vec<u64> = (0..self.attempts.len() as u64 + 1).collect();
-                if let (Some(id), Some(&part)) = (one(&self.up), over.get(pick % over.len())) {
-                    if self.attempts.get(part as usize).is_none_or(|a| a.0 == At::Over) {
-                        self.step(links, Input::Frame(id, answer(part)));
+                if let (Some(id), Some(&part)) = (one(&self.connected), over.get(pick % over.len())) {
+                    if self.attempts.get(part as usize).is_none_or(|a| a.0 == Progress::Ended) {
+                        self.step(pool, Input::FrameReceived { connection: id, frame: answer(part) });
                     }
                 }
             }
             19 => {
-                if let Some(id) = one(&self.up) {
-                    self.step(links, Input::Begun(id));
+                if let Some(id) = one(&self.connected) {
+                    self.step(pool, Input::FrameBegun(id));
                 }
             }
             13 => {
-                if let Some(id) = one(&self.up) {
-                    self.up.retain(|&u| u != id);
-                    self.step(links, Input::ReadEnded(id));
-                    self.shut.retain(|&s| s != id);
+                if let Some(id) = one(&self.connected) {
+                    self.connected.retain(|&u| u != id);
+                    self.step(pool, Input::ReadEnded(id));
+                    self.closing.retain(|&s| s != id);
                 }
             }
             14 => {
-                if let Some(id) = one(&self.shut) {
-                    self.shut.retain(|&s| s != id);
-                    self.step(links, Input::ReadEnded(id));
+                if let Some(id) = one(&self.closing) {
+                    self.closing.retain(|&s| s != id);
+                    self.step(pool, Input::ReadEnded(id));
                 }
             }
             _ => {
                 self.now += pick as Nanos % 200;
-                self.step(links, Input::Tick);
+                self.step(pool, Input::Tick);
             }
         }
     }
 
-    fn dialled(
+    fn finish_connect(
         &mut self,
-        links: &mut ConnectionPool,
+        pool: &mut ConnectionPool,
         id: Option<ConnectionId>,
-        how: fn(ConnectionId) -> Input,
+        result: fn(ConnectionId) -> Input,
     ) {
         let Some(id) = id else { return };
-        self.dialing.retain(|&d| d != id);
-        if how(id) == Input::Up(id) {
-            self.up.push(id);
+        self.connecting.retain(|&d| d != id);
+        if result(id) == Input::Connected(id) {
+            self.connected.push(id);
         }
-        self.step(links, how(id));
+        self.step(pool, result(id));
     }
 
-    fn written(&mut self, links: &mut ConnectionPool, pick: usize) {
+    fn finish_write(&mut self, pool: &mut ConnectionPool, pick: usize) {
         let Some((id, parts)) = self.writing.get(pick % self.writing.len().max(1)) else { return };
-        let (id, left) = (*id, parts.iter().take(1).map(|p| AttemptId(*p)).collect());
+        let (id, omitted) = (*id, parts.iter().take(1).map(|p| AttemptId(*p)).collect());
         if pick.is_multiple_of(5) {
-            self.step(links, Input::LeftOut(id, left));
+            self.step(pool, Input::AttemptsOmitted { connection: id, attempts: omitted });
         }
-        if pick.is_multiple_of(3) && self.probing.contains(&id) {
-            self.step(links, Input::ProbeLeftOut(id));
+        if pick.is_multiple_of(3) && self.writing_health_check.contains(&id) {
+            self.step(pool, Input::HealthCheckOmitted(id));
         }
-        let whole = self.up.contains(&id) && !pick.is_multiple_of(8);
-        let failed = Input::WriteFailed(id, pick.is_multiple_of(16));
-        self.step(links, if whole { Input::Written(id) } else { failed });
+        let complete = self.connected.contains(&id) && !pick.is_multiple_of(8);
+        let failed = Input::WriteFailed { connection: id, partially_written: pick.is_multiple_of(16) };
+        self.step(pool, if complete { Input::FrameWritten(id) } else { failed });
     }
 
-    /// Everything breaks: what is open must end now.
-    fn end(&mut self, links: &mut ConnectionPool) {
+    /// Everything breaks: what has not ended must end now.
+    fn break_everything(&mut self, pool: &mut ConnectionPool) {
         for _ in 0..1000 {
-            if let Some(&id) = self.dialing.first() {
-                self.dialled(links, Some(id), Input::DialFailed);
+            if let Some(&id) = self.connecting.first() {
+                self.finish_connect(pool, Some(id), Input::ConnectFailed);
             } else if let Some(&(id, _)) = self.writing.first() {
-                self.step(links, Input::WriteFailed(id, false));
-            } else if let Some(&id) = self.shut.first() {
-                self.shut.remove(0);
-                self.step(links, Input::ReadEnded(id));
-            } else if let Some(&id) = self.up.first() {
-                self.up.remove(0);
-                self.step(links, Input::ReadEnded(id));
-                self.shut.retain(|&s| s != id);
+                self.step(pool, Input::WriteFailed { connection: id, partially_written: false });
+            } else if let Some(&id) = self.closing.first() {
+                self.closing.remove(0);
+                self.step(pool, Input::ReadEnded(id));
+            } else if let Some(&id) = self.connected.first() {
+                self.connected.remove(0);
+                self.step(pool, Input::ReadEnded(id));
+                self.closing.retain(|&s| s != id);
             } else {
                 break;
             }
@@ -292,315 +314,387 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     /// Whatever happens in whatever order: each attempt ends exactly once and as its frame's progress
-    /// says, nothing is handed to a data node that takes nothing new, or on a connection to an earlier address, no
+    /// says, nothing is handed to a data node that accepts nothing new, or on a connection to an earlier address, no
     /// connection is left over, and none is tried in the moment after there was no socket for one.
     #[test]
-    fn every_attempt_ends_once_and_as_it_went(
+    fn every_attempt_ends_once_and_according_to_its_progress(
         steps in proptest::collection::vec((0..22u8, any::<usize>()), 0..200),
     ) {
-        let (mut links, mut model) = (links(), Model::default());
-        model.step(&mut links, Input::TakesNew(true));
+        let (mut pool, mut model) = (new_pool(), Model::default());
+        model.step(&mut pool, Input::AcceptsNewAttempts(true));
         for (kind, pick) in steps {
-            model.random(&mut links, kind, pick);
+            model.random(&mut pool, kind, pick);
         }
-        model.end(&mut links);
-        prop_assert!(model.attempts.iter().all(|a| a.0 == At::Over), "{:?}", model.attempts);
-        prop_assert_eq!((model.probes, links.count()), (0, 0));
+        model.break_everything(&mut pool);
+        prop_assert!(model.attempts.iter().all(|a| a.0 == Progress::Ended), "{:?}", model.attempts);
+        prop_assert_eq!((model.open_health_checks, pool.connection_count()), (0, 0));
     }
 }
 
 /// Guards against writing to a connection that its data node is about to close as idle.
 #[test]
-fn a_connection_near_its_idle_limit_is_not_used() {
-    let mut links = links();
-    links.step(0, Input::TakesNew(true));
-    links.step(0, Input::Call(vec![part(0, WAIT)]));
-    links.step(0, Input::Up(ConnectionId(0)));
-    links.step(0, Input::Written(ConnectionId(0)));
-    links.step(1, Input::Frame(ConnectionId(0), answer(0)));
-    let early = links.step(IDLE, Input::Call(vec![part(1, 2 * IDLE)]));
-    assert!(matches!(early[..], [Output::Write(ConnectionId(0), _)]), "{early:?}");
-    links.step(IDLE, Input::Written(ConnectionId(0)));
-    links.step(IDLE, Input::Frame(ConnectionId(0), answer(1)));
-    let late = links.step(2 * IDLE, Input::Call(vec![part(2, 3 * IDLE)]));
-    assert_eq!(late, [Output::Dial(ConnectionId(1))]);
-    assert_eq!(links.step(2 * IDLE, Input::Tick), [Output::Shut(ConnectionId(0))]);
+fn a_connection_near_its_idle_timeout_is_not_used() {
+    let mut pool = new_pool();
+    pool.step(0, Input::AcceptsNewAttempts(true));
+    pool.step(0, Input::SendCall(vec![part(0, DEADLINE)]));
+    pool.step(0, Input::Connected(ConnectionId(0)));
+    pool.step(0, Input::FrameWritten(ConnectionId(0)));
+    pool.step(1, Input::FrameReceived { connection: ConnectionId(0), frame: answer(0) });
+    let early = pool.step(IDLE_TIMEOUT, Input::SendCall(vec![part(1, 2 * IDLE_TIMEOUT)]));
+    assert!(matches!(early[..], [Output::Write { connection: ConnectionId(0), .. }]), "{early:?}");
+    pool.step(IDLE_TIMEOUT, Input::FrameWritten(ConnectionId(0)));
+    pool.step(IDLE_TIMEOUT, Input::FrameReceived { connection: ConnectionId(0), frame: answer(1) });
+    let late = pool.step(2 * IDLE_TIMEOUT, Input::SendCall(vec![part(2, 3 * IDLE_TIMEOUT)]));
+    assert_eq!(late, [Output::Connect(ConnectionId(1))]);
+    assert_eq!(pool.step(2 * IDLE_TIMEOUT, Input::Tick), [Output::Close(ConnectionId(0))]);
 }
 
-/// A connection with these parts written, the first answered.
-fn used(written: u64) -> ConnectionPool {
-    let mut links = links();
-    links.step(0, Input::TakesNew(true));
-    links.step(0, Input::Call(vec![part(0, WAIT)]));
-    links.step(0, Input::Up(ConnectionId(0)));
-    links.step(0, Input::Written(ConnectionId(0)));
-    for id in 1..written {
-        links.step(0, Input::Call(vec![part(id, WAIT)]));
-        links.step(0, Input::Written(ConnectionId(0)));
+/// A pool with one connection on which so many parts were written, the first of them answered.
+fn pool_with_written(count: u64) -> ConnectionPool {
+    let mut pool = new_pool();
+    pool.step(0, Input::AcceptsNewAttempts(true));
+    pool.step(0, Input::SendCall(vec![part(0, DEADLINE)]));
+    pool.step(0, Input::Connected(ConnectionId(0)));
+    pool.step(0, Input::FrameWritten(ConnectionId(0)));
+    for id in 1..count {
+        pool.step(0, Input::SendCall(vec![part(id, DEADLINE)]));
+        pool.step(0, Input::FrameWritten(ConnectionId(0)));
     }
-    let ended = links.step(1, Input::Frame(ConnectionId(0), answer(0)));
-    assert!(matches!(ended[..], [Output::End(AttemptId(0), Outcome::Success, _)]), "{ended:?}");
-    links
+    let ended = pool.step(1, Input::FrameReceived { connection: ConnectionId(0), frame: answer(0) });
+    assert!(
+        matches!(ended[..], [Output::AttemptEnded { attempt: AttemptId(0), outcome: Outcome::Success, .. }]),
+        "{ended:?}"
+    );
+    pool
 }
 
-/// Guards against waiting on a connection whose answers cannot be matched: what is out ends at once, what
-/// waits goes over another, and nothing more is sent on it.
+/// Guards against waiting on a connection whose answers cannot be matched: what is in flight ends at once, what
+/// is queued goes over another, and nothing more is sent on it.
 #[test]
-fn an_unknown_answer_costs_its_connection_only() {
-    let mut links = used(2);
-    links.step(1, Input::Call(vec![part(2, WAIT)]));
-    links.step(1, Input::Call(vec![part(3, WAIT)]));
-    let outputs = links.step(2, Input::Frame(ConnectionId(0), answer(99)));
+fn an_unknown_answer_closes_its_connection_only() {
+    let mut pool = pool_with_written(2);
+    pool.step(1, Input::SendCall(vec![part(2, DEADLINE)]));
+    pool.step(1, Input::SendCall(vec![part(3, DEADLINE)]));
+    let outputs = pool.step(2, Input::FrameReceived { connection: ConnectionId(0), frame: answer(99) });
     let expected = [
-        Output::Shut(ConnectionId(0)),
-        Output::End(AttemptId(1), Outcome::MalformedResponse, None),
-        Output::Dial(ConnectionId(1)),
+        Output::Close(ConnectionId(0)),
+        Output::AttemptEnded { attempt: AttemptId(1), outcome: Outcome::MalformedResponse, value: None },
+        Output::Connect(ConnectionId(1)),
     ];
     assert_eq!(outputs, expected);
-    assert_eq!(links.step(3, Input::WriteFailed(ConnectionId(0), false)), []);
-    let moved = links.step(4, Input::Up(ConnectionId(1)));
-    assert!(matches!(moved[..], [Output::Write(ConnectionId(1), _)]), "{moved:?}");
-    assert_eq!(links.links[&ConnectionId(1)].parts(), 2);
+    assert_eq!(
+        pool.step(3, Input::WriteFailed { connection: ConnectionId(0), partially_written: false }),
+        []
+    );
+    let moved = pool.step(4, Input::Connected(ConnectionId(1)));
+    assert!(matches!(moved[..], [Output::Write { connection: ConnectionId(1), .. }]), "{moved:?}");
+    assert_eq!(pool.connections[&ConnectionId(1)].part_count(), 2);
 }
 
-/// Guards against taking a kept connection that was reset unseen for a data node that cannot be reached,
+/// Guards against taking an idle connection that was reset unseen for a data node that cannot be reached,
 /// and against trying connections without end.
 #[test]
-fn what_was_not_written_goes_over_one_more_connection() {
-    let mut links = used(1);
-    links.step(2, Input::Call(vec![part(1, WAIT)]));
-    let moved = [Output::Shut(ConnectionId(0)), Output::Dial(ConnectionId(1))];
-    assert_eq!(links.step(2, Input::WriteFailed(ConnectionId(0), false)), moved);
-    links.step(3, Input::Up(ConnectionId(1)));
-    let ended = [Output::Shut(ConnectionId(1)), Output::End(AttemptId(1), Outcome::ConnectFailed, None)];
-    assert_eq!(links.step(3, Input::WriteFailed(ConnectionId(1), false)), ended);
+fn a_call_that_was_not_written_goes_over_one_more_connection() {
+    let mut pool = pool_with_written(1);
+    pool.step(2, Input::SendCall(vec![part(1, DEADLINE)]));
+    let moved = [Output::Close(ConnectionId(0)), Output::Connect(ConnectionId(1))];
+    assert_eq!(
+        pool.step(2, Input::WriteFailed { connection: ConnectionId(0), partially_written: false }),
+        moved
+    );
+    pool.step(3, Input::Connected(ConnectionId(1)));
+    let ended = [
+        Output::Close(ConnectionId(1)),
+        Output::AttemptEnded { attempt: AttemptId(1), outcome: Outcome::ConnectFailed, value: None },
+    ];
+    assert_eq!(
+        pool.step(3, Input::WriteFailed { connection: ConnectionId(1), partially_written: false }),
+        ended
+    );
 }
 
 /// Guards a part that may not be repeated: once its first byte may have been read it goes over no other connection, and
-/// is told as one that may have run; what was left out of the frame never ran.
+/// ends as one that may have run; what was omitted from the frame never ran.
 #[test]
-fn what_was_begun_is_not_sent_again() {
-    let mut links = used(1);
-    links.step(2, Input::Call(vec![part(1, WAIT), part(2, WAIT)]));
-    let left = links.step(2, Input::LeftOut(ConnectionId(0), vec![AttemptId(2)]));
-    assert_eq!(left, [Output::End(AttemptId(2), Outcome::NotSent, None)]);
-    let ended = [Output::End(AttemptId(1), Outcome::ConnectionReset, None), Output::Shut(ConnectionId(0))];
-    assert_eq!(links.step(2, Input::WriteFailed(ConnectionId(0), true)), ended);
+fn a_partially_written_call_is_not_sent_again() {
+    let mut pool = pool_with_written(1);
+    pool.step(2, Input::SendCall(vec![part(1, DEADLINE), part(2, DEADLINE)]));
+    let left =
+        pool.step(2, Input::AttemptsOmitted { connection: ConnectionId(0), attempts: vec![AttemptId(2)] });
+    assert_eq!(
+        left,
+        [Output::AttemptEnded { attempt: AttemptId(2), outcome: Outcome::NotSent, value: None }]
+    );
+    let ended = [
+        Output::AttemptEnded { attempt: AttemptId(1), outcome: Outcome::ConnectionReset, value: None },
+        Output::Close(ConnectionId(0)),
+    ];
+    assert_eq!(
+        pool.step(2, Input::WriteFailed { connection: ConnectionId(0), partially_written: true }),
+        ended
+    );
 }
 
-/// Guards against taking a late answer to a part that was given up for an unknown one.
+/// Guards against taking a late answer to a cancelled attempt for an unknown one.
 #[test]
-fn a_late_answer_is_dropped_and_its_connection_kept() {
-    let mut links = used(3);
-    links.step(1, Input::Drop(AttemptId(1)));
-    links.step(1, Input::Written(ConnectionId(0)));
-    assert_eq!(links.step(2, Input::Begun(ConnectionId(0))), []);
-    assert_eq!(links.step(2, Input::Frame(ConnectionId(0), answer(1))), []);
-    let ended = links.step(3, Input::Frame(ConnectionId(0), answer(2)));
-    assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Success, _)]), "{ended:?}");
+fn a_late_answer_to_a_cancelled_attempt_is_dropped_and_its_connection_stays_open() {
+    let mut pool = pool_with_written(3);
+    pool.step(1, Input::CancelAttempt(AttemptId(1)));
+    pool.step(1, Input::FrameWritten(ConnectionId(0)));
+    assert_eq!(pool.step(2, Input::FrameBegun(ConnectionId(0))), []);
+    assert_eq!(pool.step(2, Input::FrameReceived { connection: ConnectionId(0), frame: answer(1) }), []);
+    let ended = pool.step(3, Input::FrameReceived { connection: ConnectionId(0), frame: answer(2) });
+    assert!(
+        matches!(ended[..], [Output::AttemptEnded { attempt: AttemptId(2), outcome: Outcome::Success, .. }]),
+        "{ended:?}"
+    );
 }
 
 /// Guards against sending on over a connection that has died unseen: new parts go over another, and once
-/// that is answered, those out on the first end at once.
+/// that is answered, those in flight on the first end at once.
 #[test]
 fn a_silent_connection_gets_nothing_new() {
-    let mut links = used(2);
-    links.step(1, Input::Call(vec![part(2, WAIT)]));
-    links.step(1, Input::Written(ConnectionId(0)));
-    let dialled = links.step(1 + SILENCE, Input::Call(vec![part(3, WAIT)]));
-    assert_eq!(dialled, [Output::Dial(ConnectionId(1))]);
-    links.step(150, Input::Up(ConnectionId(1)));
-    links.step(150, Input::Written(ConnectionId(1)));
-    let ended = links.step(160, Input::Frame(ConnectionId(1), answer(3)));
-    let lost = |id| Output::End(AttemptId(id), Outcome::MalformedResponse, None);
-    assert_eq!(ended[1..], [Output::Shut(ConnectionId(0)), lost(1), lost(2)], "{ended:?}");
+    let mut pool = pool_with_written(2);
+    pool.step(1, Input::SendCall(vec![part(2, DEADLINE)]));
+    pool.step(1, Input::FrameWritten(ConnectionId(0)));
+    let opened = pool.step(1 + SILENCE_TIMEOUT, Input::SendCall(vec![part(3, DEADLINE)]));
+    assert_eq!(opened, [Output::Connect(ConnectionId(1))]);
+    pool.step(150, Input::Connected(ConnectionId(1)));
+    pool.step(150, Input::FrameWritten(ConnectionId(1)));
+    let ended = pool.step(160, Input::FrameReceived { connection: ConnectionId(1), frame: answer(3) });
+    let lost = |id| Output::AttemptEnded {
+        attempt: AttemptId(id),
+        outcome: Outcome::MalformedResponse,
+        value: None,
+    };
+    assert_eq!(ended[1..], [Output::Close(ConnectionId(0)), lost(1), lost(2)], "{ended:?}");
 }
 
-/// Guards against work for a query that has its answer: a data node that takes a new connection up late would read
-/// the part first, and that it is given up after it.
+/// Guards against work for a query that has its answer: a data node that accepts a new connection late would read
+/// the part first, and after it that the attempt is cancelled.
 #[test]
-fn a_new_connection_is_closed_when_its_only_part_is_given_up() {
-    let mut links = links();
-    links.step(0, Input::TakesNew(true));
-    links.step(0, Input::Call(vec![part(0, WAIT)]));
-    links.step(0, Input::Call(vec![part(1, WAIT)]));
-    links.step(1, Input::Up(ConnectionId(0)));
-    links.step(1, Input::Written(ConnectionId(0)));
-    // The other's frame is handed out, and no word yet that it is written.
-    let kept = links.step(2, Input::Drop(AttemptId(0)));
-    assert_eq!(kept, [], "another part is out");
-    assert!(links.step(3, Input::Drop(AttemptId(1))).contains(&Output::Shut(ConnectionId(0))));
+fn a_new_connection_is_closed_when_its_only_attempt_is_cancelled() {
+    let mut pool = new_pool();
+    pool.step(0, Input::AcceptsNewAttempts(true));
+    pool.step(0, Input::SendCall(vec![part(0, DEADLINE)]));
+    pool.step(0, Input::SendCall(vec![part(1, DEADLINE)]));
+    pool.step(1, Input::Connected(ConnectionId(0)));
+    pool.step(1, Input::FrameWritten(ConnectionId(0)));
+    // The other's frame is handed out, and not yet reported as written.
+    let outputs = pool.step(2, Input::CancelAttempt(AttemptId(0)));
+    assert_eq!(outputs, [], "another part is in flight");
+    assert!(pool.step(3, Input::CancelAttempt(AttemptId(1))).contains(&Output::Close(ConnectionId(0))));
 }
 
 /// Guards against holding the process's own lack of sockets against a data node: a hundred coordinators that did
-/// shunned sound ones. What waits goes over the connection that is there, or was not sent.
+/// ejected healthy ones. What is queued goes over the connection that is there, or was not sent.
 #[test]
 fn a_lack_of_sockets_is_no_fault_of_the_data_node() {
-    let mut links = used(2);
-    assert_eq!(links.step(1 + SILENCE, Input::Call(vec![part(2, WAIT)])), [Output::Dial(ConnectionId(1))]);
-    let sent = links.step(1 + SILENCE, Input::NoSocket(ConnectionId(1)));
-    assert!(matches!(sent[..], [Output::Write(ConnectionId(0), _)]), "{sent:?}");
-    let mut links = self::links();
-    links.step(0, Input::TakesNew(true));
-    links.step(0, Input::Call(vec![part(0, WAIT)]));
-    let ended = links.step(0, Input::NoSocket(ConnectionId(0)));
-    assert_eq!(ended, [Output::End(AttemptId(0), Outcome::NotSent, None)]);
-    assert_eq!(links.count(), 0);
+    let mut pool = pool_with_written(2);
+    assert_eq!(
+        pool.step(1 + SILENCE_TIMEOUT, Input::SendCall(vec![part(2, DEADLINE)])),
+        [Output::Connect(ConnectionId(1))]
+    );
+    let sent = pool.step(1 + SILENCE_TIMEOUT, Input::NoSocketAvailable(ConnectionId(1)));
+    assert!(matches!(sent[..], [Output::Write { connection: ConnectionId(0), .. }]), "{sent:?}");
+    let mut pool = new_pool();
+    pool.step(0, Input::AcceptsNewAttempts(true));
+    pool.step(0, Input::SendCall(vec![part(0, DEADLINE)]));
+    let ended = pool.step(0, Input::NoSocketAvailable(ConnectionId(0)));
+    assert_eq!(
+        ended,
+        [Output::AttemptEnded { attempt: AttemptId(0), outcome: Outcome::NotSent, value: None }]
+    );
+    assert_eq!(pool.connection_count(), 0);
 }
 
 /// Guards against a try for every part in the moment in which no socket is left: one coordinator did, hundreds of
 /// times. The parts end as after a try of their own, and the next moment there is another.
 #[test]
 fn a_lack_of_sockets_is_found_once_in_a_moment() {
-    let mut links = links();
-    links.step(0, Input::TakesNew(true));
-    assert_eq!(links.step(0, Input::Call(vec![part(0, WAIT)])), [Output::Dial(ConnectionId(0))]);
-    links.step(0, Input::NoSocket(ConnectionId(0)));
+    let mut pool = new_pool();
+    pool.step(0, Input::AcceptsNewAttempts(true));
+    assert_eq!(pool.step(0, Input::SendCall(vec![part(0, DEADLINE)])), [Output::Connect(ConnectionId(0))]);
+    pool.step(0, Input::NoSocketAvailable(ConnectionId(0)));
     for id in 1..100 {
-        let ended = links.step(NO_SOCKET_PAUSE - 1, Input::Call(vec![part(id, WAIT)]));
-        assert_eq!(ended, [Output::End(AttemptId(id), Outcome::NotSent, None)]);
+        let ended = pool.step(NO_SOCKET_PAUSE - 1, Input::SendCall(vec![part(id, DEADLINE)]));
+        assert_eq!(
+            ended,
+            [Output::AttemptEnded { attempt: AttemptId(id), outcome: Outcome::NotSent, value: None }]
+        );
     }
-    assert_eq!(links.step(NO_SOCKET_PAUSE - 1, Input::Probe), [Output::Probed(Outcome::ConnectFailed)]);
-    assert_eq!(links.count(), 0);
-    let tried = links.step(NO_SOCKET_PAUSE, Input::Call(vec![part(100, WAIT)]));
-    assert_eq!(tried, [Output::Dial(ConnectionId(1))]);
+    assert_eq!(
+        pool.step(NO_SOCKET_PAUSE - 1, Input::CheckHealth),
+        [Output::HealthChecked(Outcome::ConnectFailed)]
+    );
+    assert_eq!(pool.connection_count(), 0);
+    let tried = pool.step(NO_SOCKET_PAUSE, Input::SendCall(vec![part(100, DEADLINE)]));
+    assert_eq!(tried, [Output::Connect(ConnectionId(1))]);
 }
 
-/// Guards the parts of that moment where a connection is open, though silent: they go over it, as long as it has room.
+/// Guards the parts of that moment where a connection is open, though silent: they go over it, as long as it has capacity.
 #[test]
 fn in_a_lack_of_sockets_open_connections_are_filled() {
-    let (mut links, now) = (used(2), 1 + SILENCE);
-    links.step(now, Input::Call(vec![part(2, WAIT)]));
-    links.step(now, Input::NoSocket(ConnectionId(1)));
-    links.step(now, Input::Written(ConnectionId(0)));
-    let sent = links.step(now, Input::Call(vec![part(3, WAIT)]));
-    assert!(matches!(sent[..], [Output::Write(ConnectionId(0), _)]), "{sent:?}");
-    let full = links.step(now, Input::Call(vec![part(4, WAIT)]));
-    assert_eq!(full, [Output::End(AttemptId(4), Outcome::NotSent, None)]);
+    let (mut pool, now) = (pool_with_written(2), 1 + SILENCE_TIMEOUT);
+    pool.step(now, Input::SendCall(vec![part(2, DEADLINE)]));
+    pool.step(now, Input::NoSocketAvailable(ConnectionId(1)));
+    pool.step(now, Input::FrameWritten(ConnectionId(0)));
+    let sent = pool.step(now, Input::SendCall(vec![part(3, DEADLINE)]));
+    assert!(matches!(sent[..], [Output::Write { connection: ConnectionId(0), .. }]), "{sent:?}");
+    let full = pool.step(now, Input::SendCall(vec![part(4, DEADLINE)]));
+    assert_eq!(
+        full,
+        [Output::AttemptEnded { attempt: AttemptId(4), outcome: Outcome::NotSent, value: None }]
+    );
 }
 
-/// Guards against choosing such a connection again once all that was out on it is given up.
+/// Guards against choosing such a connection again once all that was in flight on it is cancelled.
 #[test]
-fn a_connection_given_up_in_silence_is_closed() {
-    let mut links = used(2);
-    links.step(1 + SILENCE, Input::Call(vec![part(2, WAIT)]));
-    let outputs = links.step(1 + SILENCE, Input::Drop(AttemptId(1)));
-    assert!(outputs.contains(&Output::Shut(ConnectionId(0))), "{outputs:?}");
-    // A part given up early says nothing of its connection.
-    let mut links = used(2);
-    let outputs = links.step(SILENCE / 2, Input::Drop(AttemptId(1)));
-    assert!(matches!(outputs[..], [Output::Write(ConnectionId(0), _)]), "{outputs:?}");
+fn a_connection_whose_attempts_were_cancelled_in_silence_is_closed() {
+    let mut pool = pool_with_written(2);
+    pool.step(1 + SILENCE_TIMEOUT, Input::SendCall(vec![part(2, DEADLINE)]));
+    let outputs = pool.step(1 + SILENCE_TIMEOUT, Input::CancelAttempt(AttemptId(1)));
+    assert!(outputs.contains(&Output::Close(ConnectionId(0))), "{outputs:?}");
+    // An attempt cancelled early says nothing of its connection.
+    let mut pool = pool_with_written(2);
+    let outputs = pool.step(SILENCE_TIMEOUT / 2, Input::CancelAttempt(AttemptId(1)));
+    assert!(matches!(outputs[..], [Output::Write { connection: ConnectionId(0), .. }]), "{outputs:?}");
 }
 
 /// Guards against going on with a connection that brings more than belongs to its answers.
 #[test]
-fn what_comes_unasked_at_rest_closes_the_connection() {
+fn unexpected_input_closes_an_idle_connection() {
     for unasked in [
-        Input::Begun(ConnectionId(0)),
-        Input::Frame(ConnectionId(0), answer(0)),
-        Input::Frame(ConnectionId(0), Reply::Probed(Outcome::Success)),
+        Input::FrameBegun(ConnectionId(0)),
+        Input::FrameReceived { connection: ConnectionId(0), frame: answer(0) },
+        Input::FrameReceived {
+            connection: ConnectionId(0),
+            frame: InboundFrame::HealthCheckAnswer(Outcome::Success),
+        },
     ] {
-        assert_eq!(used(1).step(2, unasked), [Output::Shut(ConnectionId(0))]);
+        assert_eq!(pool_with_written(1).step(2, unasked), [Output::Close(ConnectionId(0))]);
     }
-    // A second copy costs no other part.
-    assert_eq!(used(2).step(2, Input::Frame(ConnectionId(0), answer(0))), []);
+    // A duplicate answer costs no other part.
+    assert_eq!(
+        pool_with_written(2).step(2, Input::FrameReceived { connection: ConnectionId(0), frame: answer(0) }),
+        []
+    );
 }
 
-/// Guards the drain rule for calls and probes that wait behind a dial or a write: they end at once, since neither may
+/// Guards the drain rule for calls and health checks that wait for a connection or a write: they end at once, since neither may
 /// end for long, and nothing goes out when it does.
 #[test]
-fn what_waits_when_nothing_new_is_taken_ends_at_once() {
-    let stale = |id| Output::End(AttemptId(id), Outcome::NotSent, None);
-    let mut links = links();
-    links.step(0, Input::TakesNew(true));
-    links.step(0, Input::Call(vec![part(0, WAIT)]));
-    links.step(0, Input::Probe);
-    let ended = links.step(0, Input::TakesNew(false));
-    assert_eq!(ended, [stale(0), Output::Probed(Outcome::NotSent)]);
-    assert_eq!(links.step(0, Input::Up(ConnectionId(0))), []);
-    assert_eq!(links.step(0, Input::Probe), [Output::Probed(Outcome::NotSent)]);
+fn queued_work_ends_at_once_when_nothing_new_is_accepted() {
+    let not_sent =
+        |id| Output::AttemptEnded { attempt: AttemptId(id), outcome: Outcome::NotSent, value: None };
+    let mut pool = new_pool();
+    pool.step(0, Input::AcceptsNewAttempts(true));
+    pool.step(0, Input::SendCall(vec![part(0, DEADLINE)]));
+    pool.step(0, Input::CheckHealth);
+    let ended = pool.step(0, Input::AcceptsNewAttempts(false));
+    assert_eq!(ended, [not_sent(0), Output::HealthChecked(Outcome::NotSent)]);
+    assert_eq!(pool.step(0, Input::Connected(ConnectionId(0))), []);
+    assert_eq!(pool.step(0, Input::CheckHealth), [Output::HealthChecked(Outcome::NotSent)]);
     // What is being written is not ended here: its first byte may be out.
-    let mut links = used(1);
-    links.step(2, Input::Call(vec![part(1, WAIT)]));
-    links.step(2, Input::Call(vec![part(2, WAIT)]));
-    assert_eq!(links.step(2, Input::TakesNew(false)), [stale(2)]);
-    assert_eq!(links.step(2, Input::LeftOut(ConnectionId(0), vec![AttemptId(1)])), [stale(1)]);
+    let mut pool = pool_with_written(1);
+    pool.step(2, Input::SendCall(vec![part(1, DEADLINE)]));
+    pool.step(2, Input::SendCall(vec![part(2, DEADLINE)]));
+    assert_eq!(pool.step(2, Input::AcceptsNewAttempts(false)), [not_sent(2)]);
+    assert_eq!(
+        pool.step(2, Input::AttemptsOmitted { connection: ConnectionId(0), attempts: vec![AttemptId(1)] }),
+        [not_sent(1)]
+    );
     // And what was not begun on a connection that breaks is not given another.
-    let mut links = used(1);
-    links.step(2, Input::Call(vec![part(1, WAIT)]));
-    links.step(2, Input::TakesNew(false));
+    let mut pool = pool_with_written(1);
+    pool.step(2, Input::SendCall(vec![part(1, DEADLINE)]));
+    pool.step(2, Input::AcceptsNewAttempts(false));
     assert_eq!(
-        links.step(2, Input::WriteFailed(ConnectionId(0), false)),
-        [Output::Shut(ConnectionId(0)), stale(1)]
+        pool.step(2, Input::WriteFailed { connection: ConnectionId(0), partially_written: false }),
+        [Output::Close(ConnectionId(0)), not_sent(1)]
     );
 }
 
-/// Guards a probe whose turn to be written came after nothing new was taken any more: it ends, and once.
+/// Guards a health check whose turn to be written came after nothing new was accepted any more: it ends, and once.
 #[test]
-fn a_probe_that_is_left_out_ends_once() {
-    let mut links = used(1);
-    links.step(2, Input::Probe);
-    assert_eq!(links.step(2, Input::ProbeLeftOut(ConnectionId(0))), [Output::Probed(Outcome::NotSent)]);
-    assert_eq!(links.step(2, Input::Written(ConnectionId(0))), []);
-    assert_eq!(links.step(2 + PROBE, Input::Tick), []);
-    let mut links = used(1);
-    links.step(2, Input::Probe);
-    assert_eq!(links.step(2 + PROBE, Input::Tick), [Output::Probed(Outcome::TimedOut)]);
-    assert_eq!(links.step(2 + PROBE, Input::ProbeLeftOut(ConnectionId(0))), []);
+fn an_omitted_health_check_ends_once() {
+    let mut pool = pool_with_written(1);
+    pool.step(2, Input::CheckHealth);
+    assert_eq!(
+        pool.step(2, Input::HealthCheckOmitted(ConnectionId(0))),
+        [Output::HealthChecked(Outcome::NotSent)]
+    );
+    assert_eq!(pool.step(2, Input::FrameWritten(ConnectionId(0))), []);
+    assert_eq!(pool.step(2 + HEALTH_CHECK_TIMEOUT, Input::Tick), []);
+    let mut pool = pool_with_written(1);
+    pool.step(2, Input::CheckHealth);
+    assert_eq!(pool.step(2 + HEALTH_CHECK_TIMEOUT, Input::Tick), [Output::HealthChecked(Outcome::TimedOut)]);
+    assert_eq!(pool.step(2 + HEALTH_CHECK_TIMEOUT, Input::HealthCheckOmitted(ConnectionId(0))), []);
 }
 
-/// Guards a data node that moves: what is out where it was may end there, all else goes over a new connection, and the
-/// earlier one is closed once it is at rest.
+/// Guards a data node that moves: what is in flight where it was may end there, all else goes over a new connection, and the
+/// earlier one is closed once it is idle.
 #[test]
 fn nothing_new_goes_over_a_connection_to_an_earlier_address() {
-    let mut links = used(3);
-    links.step(2, Input::Call(vec![part(3, WAIT)]));
-    assert_eq!(links.step(2, Input::AddressChanged), []);
-    let dialled = links.step(2, Input::Call(vec![part(4, WAIT)]));
-    assert_eq!(dialled, [Output::Dial(ConnectionId(1))]);
+    let mut pool = pool_with_written(3);
+    pool.step(2, Input::SendCall(vec![part(3, DEADLINE)]));
+    assert_eq!(pool.step(2, Input::AddressChanged), []);
+    let opened = pool.step(2, Input::SendCall(vec![part(4, DEADLINE)]));
+    assert_eq!(opened, [Output::Connect(ConnectionId(1))]);
     // Its turn to be written came after the move.
-    assert_eq!(links.step(2, Input::LeftOut(ConnectionId(0), vec![AttemptId(3)])), []);
-    assert_eq!(links.step(2, Input::Written(ConnectionId(0))), []);
-    let sent = links.step(3, Input::Up(ConnectionId(1)));
-    assert!(matches!(sent[..], [Output::Write(ConnectionId(1), _)]), "{sent:?}");
-    links.step(3, Input::Written(ConnectionId(1)));
-    assert_eq!(links.links[&ConnectionId(1)].parts(), 2);
-    links.step(4, Input::Frame(ConnectionId(0), answer(1)));
-    let last = links.step(4, Input::Frame(ConnectionId(0), answer(2)));
+    assert_eq!(
+        pool.step(2, Input::AttemptsOmitted { connection: ConnectionId(0), attempts: vec![AttemptId(3)] }),
+        []
+    );
+    assert_eq!(pool.step(2, Input::FrameWritten(ConnectionId(0))), []);
+    let sent = pool.step(3, Input::Connected(ConnectionId(1)));
+    assert!(matches!(sent[..], [Output::Write { connection: ConnectionId(1), .. }]), "{sent:?}");
+    pool.step(3, Input::FrameWritten(ConnectionId(1)));
+    assert_eq!(pool.connections[&ConnectionId(1)].part_count(), 2);
+    pool.step(4, Input::FrameReceived { connection: ConnectionId(0), frame: answer(1) });
+    let last = pool.step(4, Input::FrameReceived { connection: ConnectionId(0), frame: answer(2) });
     assert!(matches!(
         last[..],
-        [Output::End(AttemptId(2), Outcome::Success, _), Output::Shut(ConnectionId(0))]
+        [
+            Output::AttemptEnded { attempt: AttemptId(2), outcome: Outcome::Success, .. },
+            Output::Close(ConnectionId(0))
+        ]
     ));
 }
 
-/// Guards what waits for a connection to an address that its data node has left: it waits for one to the new address,
+/// Guards what is queued for a connection to an address that its data node has left: it goes over one to the new address,
 /// and the earlier one is closed when it comes up. Without a socket for another, no earlier connection is filled.
 #[test]
-fn a_dial_to_an_earlier_address_is_not_used() {
-    let mut links = links();
-    links.step(0, Input::TakesNew(true));
-    links.step(0, Input::Call(vec![part(0, WAIT)]));
-    links.step(0, Input::Probe);
-    assert_eq!(links.step(1, Input::AddressChanged), [Output::Dial(ConnectionId(1))]);
-    assert_eq!(links.step(2, Input::Up(ConnectionId(0))), [Output::Shut(ConnectionId(0))]);
-    let sent = links.step(2, Input::Up(ConnectionId(1)));
-    assert!(matches!(sent[..], [Output::Write(ConnectionId(1), _)]), "{sent:?}");
-    let mut links = used(2);
-    links.step(2, Input::AddressChanged);
-    links.step(2, Input::Call(vec![part(2, WAIT)]));
-    let ended = links.step(2, Input::NoSocket(ConnectionId(1)));
-    assert_eq!(ended, [Output::End(AttemptId(2), Outcome::NotSent, None)]);
+fn a_connection_being_opened_to_an_earlier_address_is_not_used() {
+    let mut pool = new_pool();
+    pool.step(0, Input::AcceptsNewAttempts(true));
+    pool.step(0, Input::SendCall(vec![part(0, DEADLINE)]));
+    pool.step(0, Input::CheckHealth);
+    assert_eq!(pool.step(1, Input::AddressChanged), [Output::Connect(ConnectionId(1))]);
+    assert_eq!(pool.step(2, Input::Connected(ConnectionId(0))), [Output::Close(ConnectionId(0))]);
+    let sent = pool.step(2, Input::Connected(ConnectionId(1)));
+    assert!(matches!(sent[..], [Output::Write { connection: ConnectionId(1), .. }]), "{sent:?}");
+    let mut pool = pool_with_written(2);
+    pool.step(2, Input::AddressChanged);
+    pool.step(2, Input::SendCall(vec![part(2, DEADLINE)]));
+    let ended = pool.step(2, Input::NoSocketAvailable(ConnectionId(1)));
+    assert_eq!(
+        ended,
+        [Output::AttemptEnded { attempt: AttemptId(2), outcome: Outcome::NotSent, value: None }]
+    );
 }
 
-/// Guards what is out at an earlier address against answers from the new one: they do not show that it is lost.
+/// Guards what is in flight at an earlier address against answers from the new one: they do not show that it is lost.
 #[test]
 fn an_answer_from_the_new_address_ends_nothing_at_the_earlier_one() {
-    let mut links = used(2);
-    links.step(2, Input::AddressChanged);
-    let now = 2 + SILENCE;
-    links.step(now, Input::Call(vec![part(2, now + WAIT)]));
-    links.step(now, Input::Up(ConnectionId(1)));
-    links.step(now, Input::Written(ConnectionId(1)));
-    let ended = links.step(now, Input::Frame(ConnectionId(1), answer(2)));
-    assert!(matches!(ended[..], [Output::End(AttemptId(2), Outcome::Success, _)]), "{ended:?}");
+    let mut pool = pool_with_written(2);
+    pool.step(2, Input::AddressChanged);
+    let now = 2 + SILENCE_TIMEOUT;
+    pool.step(now, Input::SendCall(vec![part(2, now + DEADLINE)]));
+    pool.step(now, Input::Connected(ConnectionId(1)));
+    pool.step(now, Input::FrameWritten(ConnectionId(1)));
+    let ended = pool.step(now, Input::FrameReceived { connection: ConnectionId(1), frame: answer(2) });
+    assert!(
+        matches!(ended[..], [Output::AttemptEnded { attempt: AttemptId(2), outcome: Outcome::Success, .. }]),
+        "{ended:?}"
+    );
 }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -54,7 +54,7 @@
             self.count_queue_full(request.class);
             reply(Err(RejectReason::QueueFull));
         } else {
-            self.mail.send(CoreMessage::Submit(id, request, reply));
+            self.mail.send(CoreMessage::Submit { query: id, request, reply });
         }
         id
     }
@@ -177,7 +177,7 @@
 impl Node {
     /// Follows the list: where it is, and whether it may be sent anything new.
     fn follow(&self, phase: EndpointState, address: SocketAddr) {
-        self.gate.move_to(address);
+        self.gate.set_address(address);
         tell(&self.mail, NodeMessage::Address(address));
         match phase {
             EndpointState::Active => drop(self.gate.set_open(true)),
@@ -334,7 +334,7 @@
     fn take(&mut self, message: CoreMessage) {
         let now = self.core.clock.now();
         match message {
-            CoreMessage::Submit(id, request, reply) => {
+            CoreMessage::Submit { query: id, request, reply } => {
                 self.core.backlog.fetch_sub(1, Ordering::AcqRel);
                 let class = request.class;
                 let name = if log::log_enabled!(target: REQUEST, log::Level::Debug) {
@@ -377,7 +377,7 @@
             }
             // Seen before the next commands are carried out.
             CoreMessage::EndpointListExpired => {}
-            CoreMessage::AttemptEnded(id, outcome, value) => {
+            CoreMessage::AttemptEnded { attempt: id, outcome, value } => {
                 log::debug!(target: REQUEST, "attempt {} ended: {outcome:?}", id.0);
                 let counted = self.engine.attempt_ended(now, id, outcome, value);
                 if counted != outcome {
@@ -401,7 +401,9 @@
             }
             CoreMessage::ShutDownBy(by) => self.engine.shut_down_by(by),
             CoreMessage::TimerFired => self.alarm.rung(),
-            CoreMessage::HealthChecked(server, outcome) => self.engine.health_checked(now, server, outcome),
+            CoreMessage::HealthChecked { server, outcome } => {
+                self.engine.health_checked(now, server, outcome)
+            }
         }
     }
 
@@ -459,7 +461,7 @@
             self.account.node_state(now, id, &member.name, member.state);
             let (start, lease) = (&mut self.start_node, &self.lease);
             let node = self.nodes.entry(id).or_insert_with(|| {
-                let gate = DrainGate::under(lease.clone());
+                let gate = DrainGate::with_lease(lease.clone());
                 Node { mail: start(id, gate.clone()), gate }
             });
             node.follow(member.state, *addr);
--- a/src/net/dial_error/tests.rs
+++ b/src/net/dial_error/tests.rs
@@ -3,7 +3,7 @@
 
 /// Guards data nodes against blame for what this process lacks, and against none for what they do.
 #[test]
-fn what_is_lacking_here_is_told_from_what_is_wrong_there() {
+fn a_local_shortage_is_told_from_a_fault_of_the_peer() {
     for number in [12, 23, 24, 99, 105] {
         assert!(is_own_lack(&Error::from_raw_os_error(number)), "{number}");
     }
--- /dev/null
+++ b/src/net/feature_node/mod.rs
@@ -0,0 +1,250 @@
+//! The actor of one feature server: a data node that speaks OGC API - Features over HTTP.
+//!
+//! A part is a range's features, read page by page on one connection. Each page is new work: before it is requested, the
+//! server's state and address and the attempt's deadlines are checked again.
+
+mod fetch;
+mod response;
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::RecvTimeoutError;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use may::sync::mpsc::{channel, Receiver, Sender};
+
+use crate::api::{Outcome, ServerId};
+use crate::counters::Counters;
+use crate::engine::{AttemptId, CancellationToken, Dispatch};
+use crate::net::feature_node::fetch::Fetch;
+use crate::net::features::Names;
+use crate::net::messages::{CoreMessage, DrainGate, NodeMessage};
+use crate::net::node::NodeContext;
+use crate::runtime::{nanos, spawn, spawn_vital, Stream};
+
+/// How often idle connections are checked.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Starts the actor; returns its mailbox. The server gets the range in a parameter of `names`.
+pub fn start(id: ServerId, gate: DrainGate, context: NodeContext, names: Arc<Names>) -> Sender<NodeMessage> {
+    let (mailbox, inbox) = channel();
+    let own_mailbox = mailbox.clone();
+    let stack_words = context.limits.stack_words;
+    spawn_vital("feature node", stack_words, move || {
+        let actor = FeatureNodeActor {
+            id,
+            context,
+            names,
+            mailbox: own_mailbox,
+            address: None,
+            gate,
+            fetches: HashMap::new(),
+            idle: Vec::new(),
+        };
+        actor.run(&inbox);
+    });
+    mailbox
+}
+
+/// What the actor can do to a fetch that runs.
+struct FetchControl {
+    /// Where it goes.
+    address: SocketAddr,
+    cancelled: AtomicBool,
+    /// It waits for its connection. Whoever clears this says how the attempt goes on.
+    awaits_connection: AtomicBool,
+    stream: may::sync::Mutex<Option<Arc<Stream>>>,
+}
+
+impl FetchControl {
+    fn new(address: SocketAddr) -> Self {
+        Self {
+            address,
+            cancelled: AtomicBool::new(false),
+            awaits_connection: AtomicBool::new(true),
+            stream: may::sync::Mutex::new(None),
+        }
+    }
+
+    fn cancel(&self) {
+        self.cancelled.store(true, Ordering::Release);
+        self.shut_stream();
+    }
+
+    fn shut_stream(&self) {
+        if let Ok(Some(stream)) = self.stream.lock().as_deref() {
+            stream.shut();
+        }
+    }
+
+    /// Whether the caller is the first to say how the attempt goes on after waiting for its connection.
+    fn claim_unconnected(&self) -> bool {
+        self.awaits_connection.swap(false, Ordering::AcqRel)
+    }
+}
+
+/// A connection without work.
+struct IdleConnection {
+    stream: Arc<Stream>,
+    since: Instant,
+}
+
+struct FeatureNodeActor {
+    id: ServerId,
+    context: NodeContext,
+    names: Arc<Names>,
+    /// The actor's own mailbox, for its fetches.
+    mailbox: Sender<NodeMessage>,
+    address: Option<SocketAddr>,
+    gate: DrainGate,
+    fetches: HashMap<AttemptId, Arc<FetchControl>>,
+    idle: Vec<IdleConnection>,
+}
+
+impl FeatureNodeActor {
+    fn run(mut self, inbox: &Receiver<NodeMessage>) {
+        loop {
+            match inbox.recv_timeout(IDLE_CHECK_INTERVAL) {
+                Ok(NodeMessage::Remove) => return,
+                Ok(message) => self.handle_message(message),
+                Err(RecvTimeoutError::Timeout) => self.close_unusable(),
+                Err(RecvTimeoutError::Disconnected) => return,
+            }
+        }
+    }
+
+    fn handle_message(&mut self, message: NodeMessage) {
+        match message {
+            NodeMessage::Address(address) => self.set_address(address),
+            NodeMessage::GateClosed => self.end_unconnected(),
+            NodeMessage::Call(call) => call.into_iter().for_each(|dispatch| self.start_fetch(dispatch)),
+            NodeMessage::CancelAttempt(attempt) => {
+                if let Some(control) = self.fetches.get(&attempt) {
+                    control.cancel();
+                }
+            }
+            NodeMessage::CheckHealth => self.check_health(),
+            NodeMessage::CloseIdleConnections => self.idle.clear(),
+            NodeMessage::FetchEnded { attempt, reusable } => self.fetch_ended(attempt, reusable),
+            // Only actors that speak frames get these.
+            NodeMessage::Connection(_)
+            | NodeMessage::FramesReceived { .. }
+            | NodeMessage::Connected { .. }
+            | NodeMessage::Remove => {}
+        }
+    }
+
+    fn set_address(&mut self, address: SocketAddr) {
+        if self.address.replace(address).is_some_and(|previous| previous != address) {
+            self.idle.clear();
+            self.end_unconnected();
+        }
+    }
+
+    /// Ends the attempts that wait for a connection: it may not come up for long, and others are to have them at once.
+    fn end_unconnected(&self) {
+        for (&attempt, control) in &self.fetches {
+            if control.claim_unconnected() {
+                self.end_unsent(attempt);
+            }
+        }
+    }
+
+    fn end_unsent(&self, attempt: AttemptId) {
+        let outcome = Outcome::NotSent;
+        self.context.core.send(CoreMessage::AttemptEnded { attempt, outcome, value: None });
+    }
+
+    /// Keeps the connection of a fetch that has ended, if it goes to the current address.
+    fn fetch_ended(&mut self, attempt: AttemptId, reusable: Option<Arc<Stream>>) {
+        let control = self.fetches.remove(&attempt);
+        let is_current = control.is_some_and(|control| Some(control.address) == self.address);
+        let idle = reusable.filter(|_| is_current);
+        self.idle.extend(idle.map(|stream| IdleConnection { stream, since: Instant::now() }));
+    }
+
+    /// Closes connections that the server has closed, or soon will.
+    fn close_unusable(&mut self) {
+        let idle_timeout = Duration::from_nanos(self.context.connections.idle);
+        let usable_for = self.context.limits.usable_idle(idle_timeout);
+        self.idle.retain(|idle| idle.since.elapsed() < usable_for && !idle.stream.readable());
+    }
+
+    /// A connection that the server will not close under the next request.
+    fn take_idle(&mut self) -> Option<Arc<Stream>> {
+        self.close_unusable();
+        self.idle.pop().map(|idle| idle.stream)
+    }
+
+    fn start_fetch(&mut self, dispatch: Dispatch) {
+        let attempt = dispatch.attempt;
+        let is_full = self.fetches.len() >= self.context.limits.node_backlog;
+        let Some(address) = self.address.filter(|_| !is_full) else {
+            return self.end_unsent(attempt);
+        };
+        let control = Arc::new(FetchControl::new(address));
+        self.fetches.insert(attempt, control.clone());
+        let fetch = Fetch {
+            context: self.context.clone(),
+            names: self.names.clone(),
+            gate: self.gate.clone(),
+            control,
+            deadline: dispatch.deadline,
+            start_deadline: dispatch.start_deadline,
+            cancellation: dispatch.cancellation.clone(),
+            request_sent: false,
+        };
+        let (mailbox, idle) = (self.mailbox.clone(), self.take_idle());
+        let started = spawn("feature fetch", self.context.limits.core_stack_words, move || {
+            run_fetch(fetch, &dispatch, idle, &mailbox);
+        });
+        if started.is_err() {
+            self.fetches.remove(&attempt);
+            self.end_unsent(attempt);
+        }
+    }
+
+    /// Checks the server's health: its landing page has to be served.
+    fn check_health(&mut self) {
+        let now = self.context.clock.now();
+        if !self.gate.is_open(now) {
+            return report_health(&self.context, self.id, Outcome::NotSent);
+        }
+        Counters::add(&self.context.counters.probes);
+        let deadline = now + nanos(self.context.limits.probe);
+        let fetch = self.address.map(|address| Fetch {
+            context: self.context.clone(),
+            names: self.names.clone(),
+            gate: self.gate.clone(),
+            control: Arc::new(FetchControl::new(address)),
+            deadline,
+            start_deadline: deadline,
+            cancellation: CancellationToken::new(),
+            request_sent: false,
+        });
+        let (id, context) = (self.id, self.context.clone());
+        let started = spawn("feature health check", self.context.limits.core_stack_words, move || {
+            let outcome = fetch.map_or(Outcome::ConnectFailed, Fetch::check_health);
+            report_health(&context, id, outcome);
+        });
+        if started.is_err() {
+            report_health(&self.context, self.id, Outcome::ConnectFailed);
+        }
+    }
+}
+
+/// Runs a fetch, and reports its end.
+fn run_fetch(fetch: Fetch, dispatch: &Dispatch, idle: Option<Arc<Stream>>, mailbox: &Sender<NodeMessage>) {
+    let core = fetch.context.core.clone();
+    let attempt = dispatch.attempt;
+    let ended = fetch.run(dispatch, idle);
+    core.send(CoreMessage::AttemptEnded { attempt, outcome: ended.outcome, value: ended.value });
+    // Nobody is left to be told once the actor has ended.
+    let _ = mailbox.send(NodeMessage::FetchEnded { attempt, reusable: ended.reusable });
+}
+
+fn report_health(context: &NodeContext, server: ServerId, outcome: Outcome) {
+    context.core.send(CoreMessage::HealthChecked { server, outcome });
+}
--- /dev/null
+++ b/src/net/feature_node/response.rs
@@ -0,0 +1,73 @@
+//! Reads the response to the request of a page.
+
+use std::io;
+
+use crate::api::Outcome;
+use crate::net::feature_node::fetch::Fetch;
+use crate::net::http;
+use crate::runtime::Stream;
+
+/// Bytes that are read at once.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// The response to the request of a page.
+pub(super) struct PageResponse {
+    pub(super) status: u16,
+    pub(super) body: String,
+    /// Whether the connection can be used for another request.
+    pub(super) keep_alive: bool,
+}
+
+impl Fetch {
+    /// Reads one response completely.
+    pub(super) fn read_response(&self, stream: &Stream) -> Result<PageResponse, Outcome> {
+        let (mut received, mut buffer) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
+        let limit = self.context.limits.frame;
+        loop {
+            if let Some(response) = self.parse_response(&received)? {
+                return Ok(response);
+            }
+            match stream.read(&mut buffer, self.remaining()) {
+                Ok(0) => return self.parse_ended_response(&received),
+                Ok(count) if received.len() + count > limit => return Err(self.malformed("it is too large")),
+                Ok(count) => received.extend_from_slice(&buffer[..count]),
+                Err(error) => return Err(read_failure(&error)),
+            }
+        }
+    }
+
+    /// The response, once it was received completely.
+    fn parse_response(&self, received: &[u8]) -> Result<Option<PageResponse>, Outcome> {
+        let parsed = http::parse_head(received, &self.context.limits);
+        let Some((head, head_length)) = parsed.map_err(|e| self.malformed(e.why))? else { return Ok(None) };
+        let body = head.body(&received[head_length..], self.context.limits.frame);
+        let Some((body, body_length)) = body.map_err(|e| self.malformed(e.why))? else { return Ok(None) };
+        let body = self.decode_text(body)?;
+        // What follows belongs to no request: the response is used, the connection is not used again.
+        let nothing_follows = received.len() == head_length + body_length;
+        let keep_alive = head.keep_alive() && nothing_follows;
+        Ok(Some(PageResponse { status: head.status, body, keep_alive }))
+    }
+
+    /// The response when the connection has ended: that may be the end of the body, too.
+    fn parse_ended_response(&self, received: &[u8]) -> Result<PageResponse, Outcome> {
+        match http::parse_head(received, &self.context.limits) {
+            Ok(Some((head, head_length))) if head.until_end() => {
+                let body = self.decode_text(received[head_length..].to_vec())?;
+                Ok(PageResponse { status: head.status, body, keep_alive: false })
+            }
+            _ => Err(Outcome::ConnectionReset),
+        }
+    }
+
+    fn decode_text(&self, bytes: Vec<u8>) -> Result<String, Outcome> {
+        String::from_utf8(bytes).map_err(|_| self.malformed("it is not text"))
+    }
+}
+
+fn read_failure(error: &io::Error) -> Outcome {
+    match error.kind() {
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => Outcome::TimedOut,
+        _ => Outcome::ConnectionReset,
+    }
+}
--- a/src/net/log_limit/tests.rs
+++ b/src/net/log_limit/tests.rs
@@ -3,9 +3,10 @@
 
 const INTERVAL: Nanos = 100;
 
-/// Guards the first line, which must not wait, and what happens after the last one, which must be told without another.
+/// Guards the first line, which must not wait, and what occurs after the last one, which must be reported without another
+/// occurrence.
 #[test]
-fn the_first_is_told_at_once_and_the_rest_together() {
+fn the_first_is_reported_at_once_and_the_rest_together() {
     let mut limit = LogLimit::new(INTERVAL);
     assert_eq!(limit.due(5), None);
     assert_eq!(limit.occurred(5), Some(1));
@@ -19,24 +20,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards the bound and the count: no two lines within an interval, and every occurrence is told once.
+    /// Guards the bound and the count: no two lines within an interval, and every occurrence is reported once.
     #[test]
-    fn lines_are_an_interval_apart_and_leave_nothing_out(
+    fn lines_are_an_interval_apart_and_report_every_occurrence(
         steps in proptest::collection::vec((any::<bool>(), 0..INTERVAL), 0..200),
     ) {
         let (mut limit, mut now) = (LogLimit::new(INTERVAL), 0);
-        let (mut lines, mut occurred, mut told) = (Vec::new(), 0, 0);
+        let (mut lines, mut occurred, mut reported) = (Vec::new(), 0, 0);
         for (again, wait) in steps {
             now += wait;
             occurred += u64::from(again);
             let line = if again { limit.occurred(now) } else { limit.due(now) };
             if let Some(count) = line {
-                told += count;
+                reported += count;
                 lines.push(now);
             }
         }
-        told += limit.due(now + INTERVAL).unwrap_or(0);
-        prop_assert_eq!(told, occurred);
+        reported += limit.due(now + INTERVAL).unwrap_or(0);
+        prop_assert_eq!(reported, occurred);
         prop_assert!(lines.windows(2).all(|pair| pair[1] - pair[0] >= INTERVAL), "{:?}", lines);
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,11 @@
-//! Sockets: an actor with a mailbox for each data node, the list and the module; parsing and the states of
-//! a connection are pure, beside them.
+//! Networking: an actor with a mailbox for the coordinator, for discovery and for each data node. Parsing and the state
+//! machine of the connections are pure, beside them.
 
 pub mod connection_pool;
 pub mod coordinator;
 pub mod dial_error;
 pub mod discovery;
+pub mod drain_gate;
 pub mod endpoint_list_lease;
 pub mod endpoints;
 pub mod feature_node;
@@ -15,3 +16,4 @@
 pub mod messages;
 pub mod node;
 pub mod pending_updates;
+pub mod received_frames;
--- /dev/null
+++ b/src/net/node/connection.rs
@@ -0,0 +1,110 @@
+//! The coroutine of one connection: opens it, starts its writer and reads it to its end.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use may::sync::mpsc::{channel, Sender};
+
+use crate::counters::Counters;
+use crate::net::connection_pool::{ConnectionId, Input};
+use crate::net::dial_error::is_own_lack;
+use crate::net::frame::OutboundFrame;
+use crate::net::messages::{DrainGate, NodeMessage};
+use crate::net::node::reader::read_frames;
+use crate::net::node::writer::FrameWriter;
+use crate::net::node::NodeContext;
+use crate::runtime::{spawn, Permit, Permits, Stream};
+
+/// Pieces of one connection that may wait in the actor's mailbox.
+const READ_AHEAD_LIMIT: usize = 4;
+
+/// How often the reader tries to get a permit for the next.
+const READ_AHEAD_PAUSE: Duration = Duration::from_millis(1);
+
+/// Reports to a data node's actor; nobody is left to be told once that has ended.
+pub(super) fn report(node: &Sender<NodeMessage>, input: Input) {
+    let _ = node.send(NodeMessage::Connection(input));
+}
+
+/// One connection to be opened.
+pub(super) struct ConnectionTask {
+    pub(super) id: ConnectionId,
+    pub(super) address: SocketAddr,
+    pub(super) gate: DrainGate,
+    pub(super) context: NodeContext,
+    /// The mailbox of the data node's actor.
+    pub(super) node: Sender<NodeMessage>,
+}
+
+impl ConnectionTask {
+    /// Runs the connection to its end.
+    pub(super) fn run(self, permit: Permit) {
+        let Some(stream) = self.connect(permit) else { return };
+        let Some(writer) = self.start_writer(stream.clone()) else {
+            return report(&self.node, Input::ConnectFailed(self.id));
+        };
+        let connected = NodeMessage::Connected { connection: self.id, stream: stream.clone(), writer };
+        if self.node.send(connected).is_err() {
+            return; // The actor has ended, and nobody else would close this.
+        }
+        self.read(&stream);
+        stream.shut();
+        report(&self.node, Input::ReadEnded(self.id));
+    }
+
+    fn connect(&self, permit: Permit) -> Option<Arc<Stream>> {
+        let timeout = Duration::from_nanos(self.context.connections.connect_timeout);
+        match Stream::dial(&self.address, timeout, Some(permit)) {
+            Ok(stream) => Some(Arc::new(stream)),
+            Err(error) => {
+                log::debug!(address:% = self.address, error:% = error; "a connection could not be opened");
+                Counters::add(&self.context.counters.dials_failed);
+                // A local shortage says nothing of the data node.
+                let input = if is_own_lack(&error) { Input::NoSocketAvailable } else { Input::ConnectFailed };
+                report(&self.node, input(self.id));
+                None
+            }
+        }
+    }
+
+    /// Starts the connection's writer; returns its mailbox.
+    fn start_writer(&self, stream: Arc<Stream>) -> Option<Sender<OutboundFrame>> {
+        let (mailbox, frames) = channel();
+        let writer = FrameWriter {
+            connection: self.id,
+            address: self.address,
+            stream,
+            node: self.node.clone(),
+            gate: self.gate.clone(),
+            timeout: self.context.limits.node_write,
+            counters: self.context.counters.clone(),
+            clock: self.context.clock,
+            pending_updates: self.context.freshness.clone(),
+        };
+        let stack_words = self.context.limits.stack_words;
+        spawn("connection writer", stack_words, move || writer.run(&frames)).ok()?;
+        Some(mailbox)
+    }
+
+    fn read(&self, stream: &Stream) {
+        let permits = Permits::new(READ_AHEAD_LIMIT);
+        read_frames(stream, &self.context, |received| {
+            let permit = wait_for_permit(&permits);
+            let message = NodeMessage::FramesReceived { connection: self.id, received, permit };
+            // Nobody is left to be told once the actor has ended.
+            let _ = self.node.send(message);
+        });
+    }
+}
+
+/// Waits until one more piece of a connection may be handed to the actor. A data node that sends without end is read no
+/// faster than the actor takes it: that would otherwise never see an empty mailbox, and nobody else would get a turn.
+fn wait_for_permit(permits: &Permits) -> Permit {
+    loop {
+        if let Some(permit) = permits.take() {
+            return permit;
+        }
+        may::coroutine::sleep(READ_AHEAD_PAUSE);
+    }
+}
--- /dev/null
+++ b/src/net/node/reader.rs
@@ -0,0 +1,134 @@
+//! Reads the frames of one connection.
+
+use std::io;
+use std::time::{Duration, Instant};
+
+use crate::counters::Counters;
+use crate::net::frame::{self, FrameError, FrameLimits, InboundFrame};
+use crate::net::messages::{ReceivedFrames, TrailingBytes};
+use crate::net::node::NodeContext;
+use crate::runtime::Stream;
+
+/// Bytes that are read at once.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// How long one read waits while no frame has begun; it is simply repeated.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Why a connection is read no further.
+#[derive(Debug, thiserror::Error)]
+enum ReadError {
+    #[error("a frame stopped midway")]
+    FrameTimedOut,
+    #[error(transparent)]
+    Malformed(#[from] FrameError),
+}
+
+/// Reads a connection to its end and hands on what was received, piece by piece.
+pub(super) fn read_frames(stream: &Stream, context: &NodeContext, hand_on: impl Fn(ReceivedFrames)) {
+    let mut reader = FrameReader::new(context);
+    while let Some(received) = reader.read(stream) {
+        let is_malformed = received.trailing == TrailingBytes::Malformed;
+        hand_on(received);
+        if is_malformed {
+            return;
+        }
+    }
+}
+
+struct FrameReader<'a> {
+    context: &'a NodeContext,
+    limits: FrameLimits,
+    /// A frame that has begun must be complete within this.
+    frame_timeout: Duration,
+    /// Bytes that are not yet a complete frame.
+    buffered: Vec<u8>,
+    read_buffer: Vec<u8>,
+    /// When the frame began that is not yet complete.
+    frame_begun_at: Option<Instant>,
+}
+
+impl<'a> FrameReader<'a> {
+    fn new(context: &'a NodeContext) -> Self {
+        let limits = &context.limits;
+        Self {
+            context,
+            limits: FrameLimits { frame: limits.frame, line: limits.frame_line },
+            frame_timeout: limits.frame_read.max(limits.silence(context.shortest_aim)),
+            buffered: Vec::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            frame_begun_at: None,
+        }
+    }
+
+    /// What is received next; none once the connection has ended.
+    fn read(&mut self, stream: &Stream) -> Option<ReceivedFrames> {
+        loop {
+            let timeout = self.read_timeout();
+            if timeout.is_zero() {
+                return Some(self.malformed(Vec::new(), &ReadError::FrameTimedOut));
+            }
+            match stream.read(&mut self.read_buffer, timeout) {
+                Ok(0) => return None,
+                Ok(count) => {
+                    self.buffered.extend_from_slice(&self.read_buffer[..count]);
+                    return Some(self.take_frames());
+                }
+                Err(error) if is_timeout(&error) => {}
+                Err(_) => return None,
+            }
+        }
+    }
+
+    fn read_timeout(&self) -> Duration {
+        self.frame_begun_at
+            .map_or(READ_TIMEOUT, |begun_at| self.frame_timeout.saturating_sub(begun_at.elapsed()))
+    }
+
+    /// Takes the complete frames out of what is buffered.
+    fn take_frames(&mut self) -> ReceivedFrames {
+        let mut frames = Vec::new();
+        let mut consumed = 0;
+        loop {
+            match frame::parse(&self.buffered[consumed..], self.limits) {
+                Ok(Some((frame, length))) => {
+                    consumed += length;
+                    log_refused(&frame);
+                    frames.push(frame);
+                }
+                Ok(None) => break,
+                Err(error) => return self.malformed(frames, &error.into()),
+            }
+        }
+        self.buffered.drain(..consumed);
+        self.note_frame_begun(consumed);
+        let trailing = if self.buffered.is_empty() { TrailingBytes::None } else { TrailingBytes::FrameBegun };
+        ReceivedFrames { frames, trailing }
+    }
+
+    /// Notes when the frame began that is not yet complete, after so many bytes of complete frames.
+    fn note_frame_begun(&mut self, consumed: usize) {
+        let continues = consumed == 0 && self.frame_begun_at.is_some();
+        if self.buffered.is_empty() {
+            self.frame_begun_at = None;
+        } else if !continues {
+            self.frame_begun_at = Some(Instant::now());
+        }
+    }
+
+    fn malformed(&self, frames: Vec<InboundFrame>, error: &ReadError) -> ReceivedFrames {
+        log::warn!(error:% = error; "malformed frame from a data node");
+        Counters::add(&self.context.counters.bad_frames);
+        ReceivedFrames { frames, trailing: TrailingBytes::Malformed }
+    }
+}
+
+fn log_refused(frame: &InboundFrame) {
+    if let InboundFrame::FrameRefused(reason) = frame {
+        log::warn!(reason = reason.as_str(); "a data node refused a frame");
+    }
+}
+
+fn is_timeout(error: &io::Error) -> bool {
+    matches!(error.kind(), io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock)
+}
