--- /dev/null
+++ b/src/net/coordinator/actor.rs
@@ -0,0 +1,183 @@
+//! The actor's state, its loop, and what it does on each message.
+
+use std::collections::HashMap;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::{LedgerSnapshot, QueryEnd, RequestLedger};
+use may::sync::mpsc::{Receiver, Sender};
+
+use crate::api::{ClassId, Nanos, Outcome, QueryId, ServerId};
+use crate::counters::Counters;
+use crate::engine::{AttemptId, Engine, QueryRequest, RejectReason, Value};
+use crate::net::coordinator::config::{StartNode, Started};
+use crate::net::coordinator::handle::CoreHandle;
+use crate::net::coordinator::node::Node;
+use crate::net::endpoint_list_lease::EndpointListLease;
+use crate::net::messages::{CoreMessage, DiscoveryMessage, Reply, REQUEST};
+use crate::runtime::{lock, Timer};
+use crate::settings::Deployment;
+
+/// How far the endpoint list can be relied on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum EndpointListState {
+    /// It is from before the start.
+    Unconfirmed,
+    /// The same, and a query waits for it to be confirmed.
+    Awaited,
+    /// It is in force.
+    InForce,
+    /// Its lease has ended.
+    Expired,
+}
+
+pub(super) struct Actor {
+    pub(super) engine: Engine,
+    /// The source of truth; the counters of queries and attempts are a view of it.
+    pub(super) ledger: RequestLedger,
+    pub(super) handle: CoreHandle,
+    pub(super) discovery: Sender<DiscoveryMessage>,
+    pub(super) start_node: StartNode,
+    pub(super) timer: Timer,
+    pub(super) nodes: HashMap<ServerId, Node>,
+    pub(super) replies: HashMap<QueryId, Reply>,
+    pub(super) endpoint_list: EndpointListState,
+    pub(super) lease: EndpointListLease,
+    /// When the endpoint list was last updated or confirmed.
+    pub(super) last_update_at: Nanos,
+    /// After so long without an update, that is logged and counted.
+    pub(super) poll_interval_max: Nanos,
+    pub(super) on_endpoints_started: Option<Started>,
+    pub(super) restored_ledger: Option<Saved>,
+    pub(super) stats_interval: Option<Nanos>,
+    /// When the process stats are published next.
+    pub(super) next_publication: Nanos,
+}
+
+impl Actor {
+    /// Handles messages until the last of its mailboxes is dropped. The engine runs once for all messages that wait.
+    pub(super) fn run(&mut self, inbox: &Receiver<CoreMessage>) {
+        loop {
+            self.run_engine();
+            let next_publication = self.publish_process_stats();
+            let next_deadline = self.engine.next_deadline().into_iter().chain(next_publication).min();
+            if let Some(at) = next_deadline {
+                self.timer.set(at);
+            }
+            let Ok(message) = inbox.recv() else { return };
+            self.handle_message(message);
+            while let Ok(message) = inbox.try_recv() {
+                self.handle_message(message);
+            }
+        }
+    }
+
+    pub(super) fn handle_message(&mut self, message: CoreMessage) {
+        let now = self.handle.clock.now();
+        match message {
+            CoreMessage::Submit { query, request, reply } => self.submit(now, query, request, reply),
+            CoreMessage::ClientDisconnected(query) => self.client_disconnected(query),
+            CoreMessage::EndpointsUpdated(update, pending) => {
+                self.apply_endpoint_update(update);
+                // It counts as pending until it is applied.
+                drop(pending);
+            }
+            // Noticed before the engine runs next.
+            CoreMessage::EndpointListExpired => {}
+            CoreMessage::AttemptEnded { attempt, outcome, value } => {
+                self.attempt_ended(now, attempt, outcome, value);
+            }
+            CoreMessage::SaveLedger(take) => {
+                self.record_rejected_queue_full();
+                take(self.ledger.save());
+            }
+            CoreMessage::SnapshotLedger(take) => take(self.snapshot_ledger(now)),
+            CoreMessage::UpdateSettings(deployment) => self.update_settings(*deployment),
+            CoreMessage::ShutDownBy(deadline) => self.engine.shut_down_by(deadline),
+            CoreMessage::TimerFired => self.timer.rung(),
+            CoreMessage::HealthChecked { server, outcome } => {
+                self.engine.health_checked(now, server, outcome);
+            }
+        }
+    }
+
+    fn submit(&mut self, now: Nanos, query: QueryId, request: QueryRequest, reply: Reply) {
+        self.handle.mailbox_queries.fetch_sub(1, Ordering::AcqRel);
+        let class = request.class;
+        let is_logged = log::log_enabled!(target: REQUEST, log::Level::Debug);
+        let name = if is_logged { request.name.clone() } else { String::new() };
+        match self.engine.submit(now, query, request) {
+            Ok(()) => {
+                log::debug!(target: REQUEST, query = query.0, request = name.as_str(); "query accepted");
+                self.request_confirmation();
+                self.ledger.query_accepted(now, query, class);
+                self.replies.insert(query, reply);
+            }
+            Err(reason) => {
+                log::debug!(target: REQUEST, request = name.as_str(), reason:? = reason; "query not accepted");
+                self.record_not_accepted(now, query, class, reason);
+                reply(Err(reason));
+            }
+        }
+    }
+
+    fn record_not_accepted(&mut self, now: Nanos, query: QueryId, class: ClassId, reason: RejectReason) {
+        match reason {
+            RejectReason::QueueFull => self.handle.count_queue_full(class),
+            // Counts as any other that is rejected: its deadline passed before it could be accepted.
+            RejectReason::DeadlinePassed => {
+                self.ledger.query_accepted(now, query, class);
+                self.ledger.query_ended(query, QueryEnd::Rejected);
+            }
+            _ => {}
+        }
+    }
+
+    /// Has discovery called at once when the first query waits for the endpoint list to be confirmed.
+    fn request_confirmation(&mut self) {
+        if self.endpoint_list != EndpointListState::Unconfirmed {
+            return;
+        }
+        self.endpoint_list = EndpointListState::Awaited;
+        if self.discovery.send(DiscoveryMessage::QueryWaiting).is_err() {
+            log::error!("the actor of discovery has ended");
+        }
+    }
+
+    fn client_disconnected(&mut self, query: QueryId) {
+        if self.replies.remove(&query).is_some() {
+            log::debug!(target: REQUEST, query = query.0; "client disconnected");
+            self.ledger.query_ended(query, QueryEnd::ClientDisconnected);
+            self.engine.client_disconnected(query);
+        }
+    }
+
+    fn attempt_ended(&mut self, now: Nanos, attempt: AttemptId, outcome: Outcome, value: Option<Value>) {
+        log::debug!(target: REQUEST, attempt = attempt.0, outcome:? = outcome; "attempt ended");
+        let recorded = self.engine.attempt_ended(now, attempt, outcome, value);
+        if recorded != outcome {
+            Counters::add(&self.handle.counters.values_unfit);
+        }
+    }
+
+    fn snapshot_ledger(&mut self, now: Nanos) -> LedgerSnapshot {
+        self.record_rejected_queue_full();
+        let snapshot = self.ledger.snapshot(now);
+        debug_assert_eq!(snapshot.check(), Ok(()));
+        snapshot
+    }
+
+    /// Records the queries that were rejected before they came to the engine.
+    pub(super) fn record_rejected_queue_full(&mut self) {
+        for (class, &count) in lock(&self.handle.rejected_queue_full).iter().enumerate() {
+            self.ledger.queries_rejected_queue_full(ClassId(class), count);
+        }
+    }
+
+    fn update_settings(&mut self, deployment: Deployment) {
+        let deployment = self.engine.update_settings(deployment);
+        self.ledger.add_classes(&deployment.settings.classes, &deployment.class_names);
+        *lock(&self.handle.deployment) = Arc::new(deployment.clone());
+    }
+}
--- /dev/null
+++ b/src/net/coordinator/commands.rs
@@ -0,0 +1,116 @@
+//! Carries out the engine's commands.
+
+use curlewdeck_accounting::QueryEnd;
+
+use crate::api::{Nanos, QueryId, ServerId};
+use crate::engine::{AttemptEvent, AttemptId, Command, Dispatch, QueryOutcome};
+use crate::net::coordinator::actor::Actor;
+use crate::net::messages::{NodeMessage, Reply, REQUEST};
+
+/// Yields before answers are handed out after a cancellation. From the coordinator to a data node's connection there are
+/// two coroutines, which run in the order in which they are woken, since one worker runs them all; as many again, since a
+/// frame that is being written goes first.
+const YIELDS_BEFORE_ANSWERS: usize = 4;
+
+/// What was done in one run of the engine.
+#[derive(Default)]
+struct RunEffects {
+    any_cancelled: bool,
+    answers: Vec<(Reply, QueryOutcome)>,
+}
+
+impl Actor {
+    /// Runs the engine, and carries out its commands in their order; answers are handed out last.
+    pub(super) fn run_engine(&mut self) {
+        let now = self.handle.clock.now();
+        self.check_lease(now);
+        let mut effects = RunEffects::default();
+        for command in self.engine.run(now) {
+            self.carry_out(now, command, &mut effects);
+        }
+        self.handle.counters.view(&self.ledger);
+        if effects.any_cancelled && !effects.answers.is_empty() {
+            // A data node that reads late must not find an attempt of a query that has its answer without the notice that
+            // it is cancelled: those notices are written first.
+            (0..YIELDS_BEFORE_ANSWERS).for_each(|_| may::coroutine::yield_now());
+        }
+        effects.answers.into_iter().for_each(|(reply, outcome)| reply(Ok(outcome)));
+    }
+
+    fn carry_out(&mut self, now: Nanos, command: Command, effects: &mut RunEffects) {
+        match command {
+            Command::RecordAttempt(event) => self.record_attempt(event),
+            Command::SendCall { server, call } => self.send_call(server, call),
+            Command::CancelAttempt { server, attempt } => {
+                effects.any_cancelled = true;
+                self.cancel_attempt(server, attempt);
+            }
+            Command::ForgetServer { server } => self.forget_server(now, server),
+            Command::CheckHealth { server } => self.send_to_node(server, NodeMessage::CheckHealth),
+            Command::CloseIdleConnections { server } => {
+                self.send_to_node(server, NodeMessage::CloseIdleConnections);
+            }
+            Command::FinishQuery { query, outcome } => {
+                self.record_finished(now, query, &outcome);
+                effects.answers.extend(self.replies.remove(&query).map(|reply| (reply, outcome)));
+            }
+        }
+    }
+
+    fn record_attempt(&mut self, event: AttemptEvent) {
+        match event {
+            AttemptEvent::Started { server, number, hedge } => {
+                self.ledger.attempt_started(server, number, hedge);
+            }
+            AttemptEvent::Ended { server, outcome } => self.ledger.attempt_ended(server, outcome),
+        }
+    }
+
+    fn send_call(&self, server: ServerId, call: Vec<Dispatch>) {
+        for dispatch in &call {
+            log::debug!(
+                target: REQUEST,
+                node = server.0,
+                attempt = dispatch.attempt.0,
+                part = dispatch.part.name.as_str();
+                "attempt sent to data node"
+            );
+        }
+        self.send_to_node(server, NodeMessage::Call(call));
+    }
+
+    fn cancel_attempt(&self, server: ServerId, attempt: AttemptId) {
+        log::debug!(target: REQUEST, node = server.0, attempt = attempt.0; "attempt cancelled");
+        self.send_to_node(server, NodeMessage::CancelAttempt(attempt));
+    }
+
+    fn forget_server(&mut self, now: Nanos, server: ServerId) {
+        self.ledger.node_removed(now, server);
+        if let Some(node) = self.nodes.remove(&server) {
+            node.send(NodeMessage::Remove);
+        }
+    }
+
+    /// Records the end of a query before it is answered: whoever has the answer finds it counted.
+    fn record_finished(&mut self, now: Nanos, query: QueryId, outcome: &QueryOutcome) {
+        match outcome {
+            QueryOutcome::Answered { complete, coverage, .. } => {
+                self.ledger.query_answered(now, query, *complete, *coverage);
+            }
+            QueryOutcome::Rejected { .. } => {
+                self.ledger.query_ended(query, QueryEnd::Rejected);
+            }
+            QueryOutcome::Failed => {
+                self.ledger.query_ended(query, QueryEnd::Failed);
+            }
+        }
+        self.handle.counters.view(&self.ledger);
+        log::debug!(target: REQUEST, query = query.0, outcome = outcome.word(); "query finished");
+    }
+
+    fn send_to_node(&self, server: ServerId, message: NodeMessage) {
+        if let Some(node) = self.nodes.get(&server) {
+            node.send(message);
+        }
+    }
+}
--- /dev/null
+++ b/src/net/coordinator/mod.rs
@@ -0,0 +1,12 @@
+//! The coordinator's actor: the engine behind a mailbox, its commands handed on to data nodes, discovery and frontends.
+
+mod actor;
+mod commands;
+mod config;
+mod endpoint_updates;
+mod handle;
+mod metrics_publisher;
+mod node;
+
+pub use config::{start, CoreConfig, StartNode, Started};
+pub use handle::CoreHandle;
