--- a/src/net/coordinator/actor.rs
+++ b/src/net/coordinator/actor.rs
@@ -32,7 +32,7 @@
     Expired,
 }
 
-pub(super) struct Actor {
+pub(super) struct CoreActor {
     pub(super) engine: Engine,
     /// The source of truth; the counters of queries and attempts are a view of it.
     pub(super) ledger: RequestLedger,
@@ -55,7 +55,7 @@
     pub(super) next_publication: Nanos,
 }
 
-impl Actor {
+impl CoreActor {
     /// Handles messages until the last of its mailboxes is dropped. The engine runs once for all messages that wait.
     pub(super) fn run(&mut self, inbox: &Receiver<CoreMessage>) {
         loop {
--- a/src/net/coordinator/commands.rs
+++ b/src/net/coordinator/commands.rs
@@ -4,7 +4,7 @@
 
 use crate::api::{Nanos, QueryId, ServerId};
 use crate::engine::{AttemptEvent, AttemptId, Command, Dispatch, QueryOutcome};
-use crate::net::coordinator::actor::Actor;
+use crate::net::coordinator::actor::CoreActor;
 use crate::net::messages::{NodeMessage, Reply, REQUEST};
 
 /// Yields before answers are handed out after a cancellation. From the coordinator to a data node's connection there are
@@ -19,7 +19,7 @@
     answers: Vec<(Reply, QueryOutcome)>,
 }
 
-impl Actor {
+impl CoreActor {
     /// Runs the engine, and carries out its commands in their order; answers are handed out last.
     pub(super) fn run_engine(&mut self) {
         let now = self.handle.clock.now();
--- a/src/net/coordinator/config.rs
+++ b/src/net/coordinator/config.rs
@@ -10,7 +10,7 @@
 use crate::api::{DiscoveryMode, Nanos, ServerId, ShardId};
 use crate::counters::Counters;
 use crate::engine::Engine;
-use crate::net::coordinator::actor::{Actor, EndpointListState};
+use crate::net::coordinator::actor::{CoreActor, EndpointListState};
 use crate::net::coordinator::handle::CoreHandle;
 use crate::net::endpoint_list_lease::EndpointListLease;
 use crate::net::endpoints::EndpointUpdate;
@@ -70,7 +70,7 @@
         handle.counters.view(&ledger);
     }
     let stack_words = config.stack_words;
-    let mut actor = Actor {
+    let mut actor = CoreActor {
         poll_interval_max: poll_interval_max(&config.info),
         last_update_at: config.clock.now(),
         engine: config.engine,
--- a/src/net/coordinator/endpoint_updates.rs
+++ b/src/net/coordinator/endpoint_updates.rs
@@ -4,12 +4,12 @@
 
 use crate::api::{EndpointState, EndpointUpdateKind, Nanos, ServerId};
 use crate::counters::Counters;
-use crate::net::coordinator::actor::{Actor, EndpointListState};
+use crate::net::coordinator::actor::{CoreActor, EndpointListState};
 use crate::net::coordinator::node::Node;
 use crate::net::endpoints::EndpointUpdate;
 use crate::net::messages::{DrainGate, NodeMessage};
 
-impl Actor {
+impl CoreActor {
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
         let now = self.handle.clock.now();
         self.record_update(now, update.kind);
--- a/src/net/coordinator/metrics_publisher.rs
+++ b/src/net/coordinator/metrics_publisher.rs
@@ -6,10 +6,10 @@
 use curlewdeck_accounting::process_stats::{process_stats, ProcessGauges};
 
 use crate::api::Nanos;
-use crate::net::coordinator::actor::Actor;
+use crate::net::coordinator::actor::CoreActor;
 use crate::runtime::lock;
 
-impl Actor {
+impl CoreActor {
     /// Publishes the process stats if that is due; returns when it is next, whatever else happens: which data nodes are
     /// excluded changes with time alone.
     pub(super) fn publish_process_stats(&mut self) -> Option<Nanos> {
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -84,8 +84,8 @@
 
 /// The coordinator's mailbox before its actor runs: data nodes and discovery need it first.
 pub fn mailbox() -> (CoreMailbox, Receiver<CoreMessage>) {
-    let (mail, inbox) = channel();
-    (CoreMailbox(mail), inbox)
+    let (sender, inbox) = channel();
+    (CoreMailbox(sender), inbox)
 }
 
 /// The log's target under which one request can be followed from its last byte in to its answer. Off by default:
--- a/src/net/node/actor.rs
+++ b/src/net/node/actor.rs
@@ -198,7 +198,7 @@
     fn log_no_socket(&self, is_due: fn(&mut LogLimit, Nanos) -> Option<u64>) {
         let occurrences = is_due(&mut lock(&self.context.no_socket_log), self.context.clock.now());
         if let Some(occurrences) = occurrences {
-            log::warn!(occurrences = occurrences; "no socket available for a connection to a data node");
+            log::warn!(occurrences = occurrences; "no socket left for a connection to a data node");
         }
     }
 }
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether the wall clock was stepped since the start: it differs from this clock by more than
-    /// [`WALL_CLOCK_TOLERANCE`] and the time that reading both took.
+    /// 50 ms and the time that reading both took.
     pub fn wall_stepped(&self) -> bool {
         let (before, wall, after) = (self.now(), unix_now(), self.now());
         let stepped_back = wall.saturating_add(WALL_CLOCK_TOLERANCE) < before;
