--- /dev/null
+++ b/src/net/discovery/actor.rs
@@ -0,0 +1,229 @@
+//! The actor: it begins and abandons calls as the subscription decides, and applies the updates that they bring.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use curlewdeck_membership::{
+    Abandoned, CallEnd, CallId, Command, Event, MembershipTable, Pacing, Request, Spans, Subscription,
+};
+use may::sync::mpsc::{Receiver, Sender};
+
+use super::call::Call;
+use super::call_log::{CallLog, FirstAnswer};
+use super::update_log::UpdateLog;
+use super::{DiscoveryContext, DiscoveryPlan, NANOS_PER_MS};
+use crate::api::Nanos;
+use crate::counters::Counters;
+use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate, ListedEndpoint};
+use crate::net::messages::{CallError, CoreMessage, DiscoveryMessage};
+use crate::net::pending_updates::PendingUpdate;
+use crate::runtime::{nanos, spawn_told, Alarm, Stream};
+
+pub(super) struct Actor {
+    address: SocketAddr,
+    subscription: Subscription,
+    table: MembershipTable<ListedEndpoint>,
+    /// Connections of the calls that are open.
+    streams: HashMap<CallId, Arc<Stream>>,
+    call_log: CallLog,
+    update_log: UpdateLog,
+    /// When the endpoint list's lease expired, while it has not been renewed.
+    lease_expired_at: Option<Nanos>,
+    timer: Alarm,
+    own_mailbox: Sender<DiscoveryMessage>,
+    context: DiscoveryContext,
+}
+
+impl Actor {
+    /// An actor that has made no call; the endpoint list from before the start has this version.
+    pub(super) fn new(
+        plan: &DiscoveryPlan,
+        known_version: u64,
+        context: DiscoveryContext,
+        timer: Alarm,
+        own_mailbox: Sender<DiscoveryMessage>,
+    ) -> Self {
+        let limits = &context.limits;
+        let spans = Spans { hedge: nanos(limits.discovery_hedge), silence: nanos(limits.discovery_silence) };
+        let pacing = Pacing::new(plan.discovery, plan.coordinators, spans, plan.seed);
+        Self {
+            address: plan.address,
+            subscription: Subscription::new(pacing, Some(known_version), context.clock.now()),
+            table: MembershipTable::default(),
+            streams: HashMap::new(),
+            call_log: CallLog::new(nanos(limits.discovery_log)),
+            update_log: UpdateLog::new(nanos(limits.list_log), nanos(limits.discovery_log)),
+            lease_expired_at: None,
+            timer,
+            own_mailbox,
+            context,
+        }
+    }
+
+    /// Applies an update to the table; returns what of it the core is to take over.
+    pub(super) fn apply(&mut self, update: DiscoveryUpdate) -> EndpointUpdate {
+        EndpointUpdate::from_applied(self.table.apply(update.into()))
+    }
+
+    /// Handles messages for as long as the process lives.
+    pub(super) fn run(mut self, inbox: &Receiver<DiscoveryMessage>) {
+        self.step(Event::TimePassed);
+        while let Ok(message) = inbox.recv() {
+            self.handle_message(message);
+        }
+    }
+
+    fn handle_message(&mut self, message: DiscoveryMessage) {
+        match message {
+            DiscoveryMessage::TimePassed => {
+                self.timer.rung();
+                self.step(Event::TimePassed);
+            }
+            DiscoveryMessage::QueryWaiting => self.step(Event::QueryWaiting),
+            DiscoveryMessage::ReloadBegins => self.step(Event::ReloadBegins),
+            DiscoveryMessage::ReloadSettled => self.step(Event::ReloadSettled),
+            DiscoveryMessage::Moved(address) => self.move_to(address),
+            DiscoveryMessage::Up(call, stream) => self.call_connected(call, stream),
+            // The rest is of calls; what is late of one that was abandoned is dropped.
+            DiscoveryMessage::Heartbeat(call, pending) if self.subscription.hears(call) => {
+                self.heartbeat(call, pending);
+            }
+            DiscoveryMessage::Update(call, update, pending) if self.subscription.hears(call) => {
+                self.update(call, update, pending);
+            }
+            DiscoveryMessage::Ended(call, error) if self.subscription.hears(call) => {
+                self.call_ended(call, &error);
+            }
+            DiscoveryMessage::Heartbeat(..) | DiscoveryMessage::Update(..) | DiscoveryMessage::Ended(..) => {}
+        }
+    }
+
+    fn move_to(&mut self, address: SocketAddr) {
+        log::info!(address:% = address; "discovery moved");
+        self.address = address;
+        self.step(Event::ServiceMoved);
+    }
+
+    fn call_connected(&mut self, call: CallId, stream: Arc<Stream>) {
+        if self.subscription.hears(call) {
+            self.streams.insert(call, stream);
+        } else {
+            stream.shut();
+        }
+    }
+
+    fn heartbeat(&mut self, call: CallId, pending: PendingUpdate) {
+        self.call_log.answered(call, FirstAnswer::Heartbeat, self.now());
+        self.step(Event::Heartbeat(call));
+        self.send_to_core(EndpointUpdate::unchanged(), Some(pending));
+    }
+
+    fn update(&mut self, call: CallId, update: DiscoveryUpdate, pending: PendingUpdate) {
+        self.update_log.unreadable_lines(&update, self.now());
+        let version = update.version;
+        let applied = self.table.apply(update.into());
+        self.call_log.answered(call, FirstAnswer::Version(version), self.now());
+        self.update_log.applied(version, &applied, self.now());
+        // The lease first: the core looks at it when it takes the update.
+        self.step(Event::Told(call, version));
+        self.send_to_core(EndpointUpdate::from_applied(applied), Some(pending));
+    }
+
+    fn call_ended(&mut self, call: CallId, error: &CallError) {
+        Counters::add(&self.context.counters.list_errors);
+        self.call_log.ended(call, &error.why, self.now());
+        self.streams.remove(&call);
+        self.step(Event::Ended(call, error.end));
+    }
+
+    fn send_to_core(&self, update: EndpointUpdate, pending: Option<PendingUpdate>) {
+        self.context.core.send(CoreMessage::EndpointsUpdated(update, pending));
+    }
+
+    /// Has the subscription handle an event, and carries out what it decides.
+    fn step(&mut self, event: Event) {
+        let now = self.now();
+        let commands = self.subscription.step(now, event);
+        self.context.lease.set_end(self.subscription.usable_until());
+        self.log_lease_renewal(now);
+        for command in commands {
+            self.execute(command, now);
+        }
+        self.timer.set(self.subscription.next_deadline());
+    }
+
+    fn execute(&mut self, command: Command, now: Nanos) {
+        match command {
+            Command::Begin(call, request) => self.begin_call(call, request),
+            Command::Abandon(call, reason) => self.abandon_call(call, reason),
+            Command::UseUnconfirmedList => {
+                log::warn!("endpoint list from before the start used unconfirmed");
+                self.send_to_core(EndpointUpdate::unchanged(), None);
+            }
+            Command::ListRestored => self.send_to_core(EndpointUpdate::unchanged(), None),
+            Command::ListExpired => self.lease_expired(now),
+        }
+    }
+
+    fn lease_expired(&mut self, now: Nanos) {
+        log::warn!("endpoint list lease expired");
+        Counters::add(&self.context.counters.list_expired);
+        self.lease_expired_at = Some(now);
+        self.context.core.send(CoreMessage::EndpointListExpired);
+    }
+
+    fn log_lease_renewal(&mut self, now: Nanos) {
+        if let Some(at) = self.lease_expired_at.take_if(|_| self.subscription.usable(now)) {
+            let expired_ms = now.saturating_sub(at) / NANOS_PER_MS;
+            log::info!(expired_ms = expired_ms; "endpoint list lease renewed");
+        }
+    }
+
+    fn begin_call(&mut self, id: CallId, request: Request) {
+        if self.subscription.follows() {
+            Counters::add(&self.context.counters.list_errors);
+            self.call_log.begins_beside_watch(id, self.now());
+        }
+        Counters::add(&self.context.counters.list_calls);
+        self.call_log.begins(id, request, self.now());
+        let call = Call {
+            id,
+            request,
+            address: self.address,
+            actor: self.own_mailbox.clone(),
+            limits: self.context.limits.clone(),
+            pending_updates: self.context.pending_updates.clone(),
+        };
+        let own_mailbox = self.own_mailbox.clone();
+        let ended = move |error: Option<CallError>| {
+            let error = error.unwrap_or_else(CallError::coroutine_failed);
+            // The actor outlives its calls.
+            let _ = own_mailbox.send(DiscoveryMessage::Ended(id, error));
+        };
+        spawn_told("discovery call", self.context.limits.core_stack_words, move || call.run(), ended);
+    }
+
+    fn abandon_call(&mut self, call: CallId, reason: Abandoned) {
+        if reason == Abandoned::Unanswered {
+            Counters::add(&self.context.counters.list_errors);
+        }
+        self.call_log.abandoned(call, reason, self.now());
+        if let Some(stream) = self.streams.remove(&call) {
+            stream.shut();
+        }
+    }
+
+    fn now(&self) -> Nanos {
+        self.context.clock.now()
+    }
+}
+
+impl CallError {
+    fn coroutine_failed() -> Self {
+        Self {
+            end: CallEnd::LocalFailure,
+            why: "its coroutine has failed, or could not be started".to_string(),
+        }
+    }
+}
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -1,6 +1,6 @@
-//! One call to discovery: a snapshot where that is asked for, and a watch that follows until its connection ends.
+//! One call to discovery: a snapshot where that is requested, and a watch that goes on until its connection ends.
 //!
-//! A call keeps no time of its own but for its dial: the actor shuts its connection when it is given up.
+//! A call has no time-out of its own but for its dial: the actor shuts its connection when it is abandoned.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,20 +11,22 @@
 
 use crate::limits::Limits;
 use crate::net::dial_error::is_own_lack;
-use crate::net::endpoints::{DiscoveryUpdate, LineError, Objects, WatchEvent};
+use crate::net::endpoints::{DiscoveryUpdate, LineError, WatchEvent, WatchParser};
 use crate::net::http::{self, Chunks};
 use crate::net::messages::{CallError, DiscoveryMessage};
 use crate::net::pending_updates::{PendingUpdates, WatchedConnection};
 use crate::runtime::Stream;
 
-const READ: usize = 4096;
-/// Longer than any call is silent: the actor has given it up by then.
-const READ_WITHIN: Duration = Duration::from_nanos(2 * CALL_LIFETIME);
+const READ_BYTES: usize = 4096;
+/// Longer than any call is silent: the actor has abandoned it by then.
+const READ_TIMEOUT: Duration = Duration::from_nanos(2 * CALL_LIFETIME);
 const PATH: &str = "/catalog/members";
 
 const STATUS_OK: u16 = 200;
 const STATUS_BUSY: u16 = 503;
 
+const CONNECTION_ENDED: &str = "the connection has ended";
+
 /// A call that is to be made.
 pub(super) struct Call {
     pub(super) id: CallId,
@@ -32,21 +34,30 @@
     pub(super) address: SocketAddr,
     pub(super) actor: Sender<DiscoveryMessage>,
     pub(super) limits: Arc<Limits>,
-    pub(super) freshness: PendingUpdates,
+    pub(super) pending_updates: PendingUpdates,
 }
 
 impl Call {
     /// Makes the call; returns how it has ended.
     pub(super) fn run(self) -> CallError {
-        self.talk().err().unwrap_or_else(watch_ended)
+        self.make().err().unwrap_or_else(watch_ended)
     }
 
-    fn tell(&self, message: DiscoveryMessage) {
+    fn send_to_actor(&self, message: DiscoveryMessage) {
         // The actor outlives its calls.
         let _ = self.actor.send(message);
     }
 
-    fn talk(&self) -> Result<(), CallError> {
+    fn send_update(&self, update: DiscoveryUpdate) {
+        self.send_to_actor(DiscoveryMessage::Update(self.id, update, self.pending_updates.begin_update()));
+    }
+
+    fn send_heartbeat(&self) {
+        self.send_to_actor(DiscoveryMessage::Heartbeat(self.id, self.pending_updates.begin_update()));
+    }
+
+    /// Returns when the watch has ended as it should.
+    fn make(&self) -> Result<(), CallError> {
         let mut connection = self.dial()?;
         let since = match self.request {
             Request::Watch { since } => since,
@@ -68,102 +79,113 @@
                 why: format!("no connection: {e}"),
             })?;
         let stream = Arc::new(stream);
-        self.tell(DiscoveryMessage::Up(self.id, stream.clone()));
-        let followed = self.freshness.follow(stream.clone());
-        Ok(Connection { stream, followed })
+        self.send_to_actor(DiscoveryMessage::Up(self.id, stream.clone()));
+        let watched = self.pending_updates.watch(stream.clone());
+        Ok(Connection { stream, watched })
     }
 
-    /// Reads the whole list; returns its version, and whether the connection can be asked again.
+    /// Reads the complete list; returns its version, and whether the connection can be used for another request.
     fn snapshot(&self, connection: &Connection) -> Result<(u64, bool), CallError> {
-        let (head, held) = self.ask(connection, PATH)?;
-        let (body, ended) = self.body(connection, &head, held)?;
+        let (head, received) = self.request(connection, PATH)?;
+        let (body, ended) = self.body(connection, &head, received)?;
         let read = DiscoveryUpdate::read(&body).map_err(unreadable)?;
         let update = DiscoveryUpdate { complete: true, ..read };
         let version = update.version;
-        self.tell(DiscoveryMessage::Update(self.id, update, self.freshness.news()));
+        self.send_update(update);
         Ok((version, !ended && head.keep_alive()))
     }
 
-    /// Follows what changes after a version.
+    /// Watches for changes after a version.
     fn watch(&self, connection: &Connection, since: u64) -> Result<(), CallError> {
-        let (head, held) = self.ask(connection, &format!("{PATH}?stream=1&index={since}"))?;
+        let (head, received) = self.request(connection, &format!("{PATH}?stream=1&index={since}"))?;
         if head.chunked() || head.until_end() {
-            return self.follow(connection, &head, held);
+            return self.read_watch(connection, &head, received);
         }
-        // A service without watches answers with what there is to tell by now.
-        let (body, _) = self.body(connection, &head, held)?;
-        let mut objects = Objects::default();
-        objects.held().extend_from_slice(&body);
-        self.tell_all(&mut objects)?;
+        // A service without watches answers with what has changed by now.
+        let (body, _) = self.body(connection, &head, received)?;
+        let mut parser = WatchParser::default();
+        parser.buffer().extend_from_slice(&body);
+        self.send_events(&mut parser)?;
         Err(CallError { end: CallEnd::Complete, why: "it was answered without a watch".to_string() })
     }
 
-    /// Sends a request; returns the answer's head, if it is a yes, and what has come of its body.
-    fn ask(&self, connection: &Connection, target: &str) -> Result<(http::Head, Vec<u8>), CallError> {
+    /// Sends a request; returns the head of a successful answer, and what has come of its body.
+    fn request(&self, connection: &Connection, target: &str) -> Result<(http::Head, Vec<u8>), CallError> {
         let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
-        let asked = connection.stream.write_all(request.as_bytes(), self.limits.node_write);
-        asked.map_err(|e| unanswered(format!("cannot ask: {e}")))?;
-        let mut held = Vec::new();
-        let head = loop {
-            if let Some((head, size)) = http::parse_head(&held, &self.limits).map_err(|e| truncated(e.why))? {
-                held.drain(..size);
-                break head;
+        let written = connection.stream.write_all(request.as_bytes(), self.limits.node_write);
+        written.map_err(|e| unanswered(format!("request not written: {e}")))?;
+        let (head, body) = self.head(connection)?;
+        let why = || format!("answered {}", head.status);
+        match head.status {
+            STATUS_OK => Ok((head, body)),
+            STATUS_BUSY => Err(CallError { end: CallEnd::Busy, why: why() }),
+            _ => Err(CallError { end: CallEnd::Rejected, why: why() }),
+        }
+    }
+
+    /// Reads the head of an answer; returns what has come behind it, too.
+    fn head(&self, connection: &Connection) -> Result<(http::Head, Vec<u8>), CallError> {
+        let mut received = Vec::new();
+        loop {
+            let parsed = http::parse_head(&received, &self.limits).map_err(|e| truncated(e.why))?;
+            if let Some((head, size)) = parsed {
+                received.drain(..size);
+                return Ok((head, received));
             }
-            let begun = !held.is_empty();
-            match connection.fill(&mut held) {
+            let begun = !received.is_empty();
+            match connection.read(&mut received) {
                 Ok(true) => {}
-                Ok(false) if begun => return Err(truncated(ENDED)),
-                Ok(false) => return Err(unanswered(ENDED.to_string())),
+                Ok(false) if begun => return Err(truncated(CONNECTION_ENDED)),
+                Ok(false) => return Err(unanswered(CONNECTION_ENDED.to_string())),
                 Err(why) if begun => return Err(truncated(&why)),
                 Err(why) => return Err(unanswered(why)),
             }
-        };
-        let why = || format!("answered {}", head.status);
-        match head.status {
-            STATUS_OK => Ok((head, held)),
-            STATUS_BUSY => Err(CallError { end: CallEnd::Busy, why: why() }),
-            _ => Err(CallError { end: CallEnd::Rejected, why: why() }),
         }
     }
 
-    /// Reads a body to its end; tells whether the connection has ended with it. A reset is no end.
+    /// Reads a body to its end; returns it, and whether the connection has ended with it. A reset is not an end.
     fn body(
         &self,
         connection: &Connection,
         head: &http::Head,
-        mut held: Vec<u8>,
+        mut received: Vec<u8>,
     ) -> Result<(Vec<u8>, bool), CallError> {
-        let (most, mut ended) = (self.limits.discovery_object, false);
+        let (max_bytes, mut ended) = (self.limits.discovery_object, false);
         loop {
-            match head.body(&held, most).map_err(|e| truncated(e.why))? {
+            match head.body(&received, max_bytes).map_err(|e| truncated(e.why))? {
                 Some((body, _)) => return Ok((body, ended)),
-                None if ended && head.until_end() => return Ok((held, ended)),
-                None if ended => return Err(truncated(ENDED)),
-                None => ended = !connection.fill(&mut held).map_err(|why| truncated(&why))?,
+                None if ended && head.until_end() => return Ok((received, ended)),
+                None if ended => return Err(truncated(CONNECTION_ENDED)),
+                None => ended = !connection.read(&mut received).map_err(|why| truncated(&why))?,
             }
         }
     }
 
-    /// Follows the objects of a watch. Only a whole object or an empty line is told: half a line does not show that the
-    /// watch is alive, nor one that never ends.
-    fn follow(&self, connection: &Connection, head: &http::Head, mut held: Vec<u8>) -> Result<(), CallError> {
-        let (mut chunks, mut objects) = (Chunks::default(), Objects::default());
-        let most = self.limits.discovery_object;
+    /// Reads the objects of a watch. Only a complete object or an empty line is handed on: half a line does not show that
+    /// the watch is alive, nor one that never ends.
+    fn read_watch(
+        &self,
+        connection: &Connection,
+        head: &http::Head,
+        mut received: Vec<u8>,
+    ) -> Result<(), CallError> {
+        let (mut chunks, mut parser) = (Chunks::default(), WatchParser::default());
+        let max_bytes = self.limits.discovery_object;
         loop {
             if head.chunked() {
-                chunks.feed(&held, objects.held(), most).map_err(|e| truncated(e.why))?;
+                chunks.feed(&received, parser.buffer(), max_bytes).map_err(|e| truncated(e.why))?;
             } else {
-                objects.held().extend_from_slice(&held);
+                parser.buffer().extend_from_slice(&received);
             }
-            held.clear();
-            self.tell_all(&mut objects)?;
+            received.clear();
+            self.send_events(&mut parser)?;
             if chunks.done() {
                 return Ok(());
             }
-            let within_line = objects.within_object() || chunks.within_chunk();
-            match connection.fill(&mut held) {
+            let within_line = parser.is_within_object() || chunks.within_chunk();
+            match connection.read(&mut received) {
                 Ok(true) => {}
-                Ok(false) if within_line => return Err(truncated(ENDED)),
+                Ok(false) if within_line => return Err(truncated(CONNECTION_ENDED)),
                 Ok(false) => return Ok(()),
                 Err(why) if within_line => return Err(truncated(&why)),
                 Err(why) => return Err(broken(&why)),
@@ -171,36 +193,32 @@
         }
     }
 
-    /// Tells all that can be read; what cannot may have been a change, and only a snapshot makes up for it.
-    fn tell_all(&self, objects: &mut Objects) -> Result<(), CallError> {
-        let mut lost = Ok(());
-        while let Some(event) = objects.next(self.limits.discovery_object).map_err(unreadable)? {
+    /// Hands on all that can be read; what cannot may have been a change, and only a snapshot makes up for it.
+    fn send_events(&self, parser: &mut WatchParser) -> Result<(), CallError> {
+        let mut result = Ok(());
+        while let Some(event) = parser.next_event(self.limits.discovery_object).map_err(unreadable)? {
             match event {
-                WatchEvent::Update(update) => {
-                    self.tell(DiscoveryMessage::Update(self.id, update, self.freshness.news()));
-                }
-                WatchEvent::Heartbeat => {
-                    self.tell(DiscoveryMessage::Heartbeat(self.id, self.freshness.news()))
-                }
-                WatchEvent::Unreadable(error) => lost = lost.and(Err(unreadable(error))),
+                WatchEvent::Update(update) => self.send_update(update),
+                WatchEvent::Heartbeat => self.send_heartbeat(),
+                WatchEvent::Unreadable(error) => result = result.and(Err(unreadable(error))),
             }
         }
-        lost
+        result
     }
 }
 
-/// A connection that is shut with its last use, and looked at for unread news up to then.
+/// A connection that is checked for unread updates, and shut when it is dropped.
 struct Connection {
     stream: Arc<Stream>,
-    followed: Arc<WatchedConnection>,
+    watched: Arc<WatchedConnection>,
 }
 
 impl Connection {
-    /// Reads on; returns whether anything came, or the peer has ended the connection. A reset is an error.
-    fn fill(&self, held: &mut Vec<u8>) -> Result<bool, String> {
-        let mut buffer = [0; READ];
-        let count = self.followed.read(&mut buffer, READ_WITHIN).map_err(|e| format!("nothing came: {e}"))?;
-        held.extend_from_slice(&buffer[..count]);
+    /// Appends what comes next; returns whether anything came, or the peer has ended the connection. A reset is an error.
+    fn read(&self, received: &mut Vec<u8>) -> Result<bool, String> {
+        let mut buffer = [0; READ_BYTES];
+        let count = self.watched.read(&mut buffer, READ_TIMEOUT).map_err(|e| format!("nothing came: {e}"))?;
+        received.extend_from_slice(&buffer[..count]);
         Ok(count > 0)
     }
 }
@@ -211,8 +229,6 @@
     }
 }
 
-const ENDED: &str = "the connection has ended";
-
 fn broken(why: &str) -> CallError {
     CallError { end: CallEnd::Broken, why: why.to_string() }
 }
@@ -231,5 +247,5 @@
 }
 
 fn unreadable(error: LineError) -> CallError {
-    CallError { end: CallEnd::Unreadable, why: format!("the list is not as expected: {error}") }
+    CallError { end: CallEnd::Unreadable, why: format!("the endpoint list is not as expected: {error}") }
 }
--- a/src/net/discovery/call_log.rs
+++ b/src/net/discovery/call_log.rs
@@ -5,31 +5,48 @@
 
 use curlewdeck_membership::{Abandoned, CallId, Request};
 
+use super::NANOS_PER_MS;
 use crate::api::Nanos;
 use crate::net::log_limit::LogLimit;
 
-use super::MILLI;
-
 /// The calls that are open, as the log knows them.
 #[derive(Debug)]
 pub(super) struct CallLog {
-    open: HashMap<CallId, Open>,
+    open: HashMap<CallId, OpenCall>,
     /// Bounds the lines on calls that fail.
     failures: LogLimit,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Open {
+struct OpenCall {
     request: Request,
     begun: Nanos,
     answered: Option<Nanos>,
 }
 
-/// A call's request and how far it has come.
-struct Story {
-    call: CallId,
-    open: Option<Open>,
-    now: Nanos,
+impl OpenCall {
+    /// Milliseconds since the call was answered, or since it began if it was not.
+    fn elapsed_ms(&self, now: Nanos) -> u64 {
+        now.saturating_sub(self.answered.unwrap_or(self.begun)) / NANOS_PER_MS
+    }
+}
+
+/// What a call was answered with first.
+#[derive(Debug, Clone, Copy)]
+pub(super) enum FirstAnswer {
+    /// Nothing has changed.
+    Heartbeat,
+    /// An update of this version.
+    Version(u64),
+}
+
+impl fmt::Display for FirstAnswer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Heartbeat => f.write_str("heartbeat"),
+            Self::Version(version) => write!(f, "version:{version}"),
+        }
+    }
 }
 
 impl CallLog {
@@ -40,57 +57,59 @@
 
     /// A call begins.
     pub(super) fn begins(&mut self, call: CallId, request: Request, now: Nanos) {
-        log::debug!("call {} to discovery begins: {request:?}", call.0);
-        self.open.insert(call, Open { request, begun: now, answered: None });
+        log::debug!(call = call.0, request:? = request; "discovery call begins");
+        self.open.insert(call, OpenCall { request, begun: now, answered: None });
     }
 
-    /// A call begins although a watch is open: that is verified, or was silent for too long.
+    /// A call begins although a watch is open: that one is verified, or was silent for too long.
     pub(super) fn begins_beside_watch(&mut self, call: CallId, now: Nanos) {
-        self.failed(&format!("call {} to discovery begins beside a watch", call.0), now);
+        if let Some(failures) = self.failures.occurred(now) {
+            log::warn!(
+                call = call.0, failures_since_last_line = failures;
+                "discovery call begins beside a watch"
+            );
+        }
     }
 
-    /// A call has told something: its first word is logged.
-    pub(super) fn heard(&mut self, call: CallId, what: &str, now: Nanos) {
+    /// A call has brought something: its first answer is logged.
+    pub(super) fn answered(&mut self, call: CallId, answer: FirstAnswer, now: Nanos) {
         let Some(open) = self.open.get_mut(&call).filter(|open| open.answered.is_none()) else { return };
+        let after_ms = open.elapsed_ms(now);
         open.answered = Some(now);
-        let after = now.saturating_sub(open.begun) / MILLI;
-        log::info!("call {} to discovery ({:?}) is answered after {after} ms: {what}", call.0, open.request);
+        log::info!(
+            call = call.0, request:? = open.request, answer:% = answer, after_ms = after_ms;
+            "discovery call answered"
+        );
     }
 
     /// A call has ended with its connection.
-    pub(super) fn ended(&mut self, call: CallId, why: &str, now: Nanos) {
-        let story = self.close(call, now);
-        self.failed(&format!("{story} has ended: {why}"), now);
+    pub(super) fn ended(&mut self, call: CallId, reason: &str, now: Nanos) {
+        let open = self.open.remove(&call);
+        self.failed(call, open, reason, now);
     }
 
-    /// A call is given up.
-    pub(super) fn abandoned(&mut self, call: CallId, why: Abandoned, now: Nanos) {
-        let story = self.close(call, now);
-        match why {
-            Abandoned::Unanswered => self.failed(&format!("{story} is given up"), now),
-            Abandoned::Superseded | Abandoned::ServiceMoved => log::debug!("{story} is given up: {why:?}"),
+    /// A call is abandoned.
+    pub(super) fn abandoned(&mut self, call: CallId, reason: Abandoned, now: Nanos) {
+        let open = self.open.remove(&call);
+        match reason {
+            Abandoned::Unanswered => self.failed(call, open, "abandoned unanswered", now),
+            Abandoned::Superseded | Abandoned::ServiceMoved => {
+                log::debug!(call = call.0, reason:? = reason; "discovery call abandoned");
+            }
         }
     }
 
-    fn failed(&mut self, line: &str, now: Nanos) {
-        if let Some(times) = self.failures.occurred(now) {
-            log::info!("{line} (failures since the last such line: {times})");
-        }
-    }
-
-    fn close(&mut self, call: CallId, now: Nanos) -> Story {
-        Story { call, open: self.open.remove(&call), now }
-    }
-}
-
-impl fmt::Display for Story {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "call {} to discovery", self.call.0)?;
-        let Some(Open { request, begun, answered }) = self.open else { return Ok(()) };
-        let since = |moment: Nanos| self.now.saturating_sub(moment) / MILLI;
-        match answered {
-            Some(answered) => write!(f, " ({request:?}, answered {} ms ago)", since(answered)),
-            None => write!(f, " ({request:?}, unanswered for {} ms)", since(begun)),
-        }
+    /// One line on a failed call, unless there was one within the interval.
+    fn failed(&mut self, call: CallId, open: Option<OpenCall>, reason: &str, now: Nanos) {
+        let (Some(failures), Some(open)) = (self.failures.occurred(now), open) else { return };
+        log::warn!(
+            call = call.0,
+            request:? = open.request,
+            answered = open.answered.is_some(),
+            elapsed_ms = open.elapsed_ms(now),
+            reason = reason,
+            failures_since_last_line = failures;
+            "discovery call failed"
+        );
     }
 }
--- a/src/net/endpoints/tests.rs
+++ b/src/net/endpoints/tests.rs
@@ -4,36 +4,35 @@
 
 const MOST: usize = 4096;
 
-/// What a watch tells, in short.
+/// An event of a watch, in short.
 #[derive(Debug, Clone, PartialEq)]
-enum Told {
+enum ParsedEvent {
     Version(u64),
     Heartbeat,
     Unreadable,
 }
 
-/// The same of events.
-fn short(event: WatchEvent) -> Told {
+fn short(event: WatchEvent) -> ParsedEvent {
     match event {
-        WatchEvent::Update(update) => Told::Version(update.version),
-        WatchEvent::Heartbeat => Told::Heartbeat,
-        WatchEvent::Unreadable(_) => Told::Unreadable,
+        WatchEvent::Update(update) => ParsedEvent::Version(update.version),
+        WatchEvent::Heartbeat => ParsedEvent::Heartbeat,
+        WatchEvent::Unreadable(_) => ParsedEvent::Unreadable,
     }
 }
 
-/// What a watch tells that comes cut in these places. Nothing is held that has been told.
-fn told(bytes: &[u8], cuts: &[usize]) -> Result<Vec<Told>, LineError> {
-    let (mut objects, mut rest, mut told) = (Objects::default(), bytes, Vec::new());
+/// The events of a watch whose bytes come cut in these places. What has been parsed is not held any more.
+fn parse(bytes: &[u8], cuts: &[usize]) -> Result<Vec<ParsedEvent>, LineError> {
+    let (mut parser, mut rest, mut events) = (WatchParser::default(), bytes, Vec::new());
     for cut in cuts.iter().copied().chain([bytes.len()]) {
         let (piece, later) = rest.split_at(cut.min(rest.len()));
-        objects.held().extend_from_slice(piece);
+        parser.buffer().extend_from_slice(piece);
         rest = later;
-        while let Some(event) = objects.next(MOST)? {
-            told.push(short(event));
+        while let Some(event) = parser.next_event(MOST)? {
+            events.push(short(event));
         }
-        assert!(objects.held().len() <= MOST);
+        assert!(parser.buffer().len() <= MOST);
     }
-    Ok(told)
+    Ok(events)
 }
 
 /// A line with the fields that are needed, of which some are others.
@@ -60,13 +59,13 @@
 
 fn entry() -> EndpointEntry {
     EndpointEntry {
-        uid: "s-1".to_string(),
-        endpoint: "127.0.0.1:9000".parse().unwrap(),
+        name: "s-1".to_string(),
+        address: "127.0.0.1:9000".parse().unwrap(),
         zone: Some("a".to_string()),
-        cell: 3,
+        partition_group: 3,
         state: MemberState::Up,
         capacity: 2.0,
-        boot_ms: 7,
+        started_at_ms: 7,
     }
 }
 
@@ -82,11 +81,11 @@
     update.into()
 }
 
-/// Name and phase of the lines for the table, and the same of those that are known in part.
-fn phases(update: &Update<ListedEndpoint>) -> (Named<'_>, Named<'_>) {
-    let of = |whole: bool| {
-        let lines = update.lines.iter().filter(move |line| line.member.is_some() == whole);
-        lines.map(|line| (line.uid.as_str(), phase(line.state))).collect()
+/// Name and state of the lines for the table, and the same of those that are known in part.
+fn states(update: &Update<ListedEndpoint>) -> (Named<'_>, Named<'_>) {
+    let of = |complete: bool| {
+        let lines = update.lines.iter().filter(move |line| line.member.is_some() == complete);
+        lines.map(|line| (line.uid.as_str(), endpoint_state(line.state))).collect()
     };
     (of(true), of(false))
 }
@@ -95,17 +94,17 @@
 
 /// Guards against a line that is turned down for a field that may be left out, or for the form of a number.
 #[test]
-fn a_line_is_whole_without_optional_fields_and_with_numbers_in_any_form() {
+fn a_line_is_complete_without_optional_fields_and_with_numbers_in_any_form() {
     let same = entry();
-    let whole: &[(&[(&str, &str)], EndpointEntry)] = &[
+    let complete: &[(&[(&str, &str)], EndpointEntry)] = &[
         (&[], same.clone()),
         (&[("az", "null")], EndpointEntry { zone: None, ..same.clone() }),
         (&[("az", "")], EndpointEntry { zone: None, ..same.clone() }),
         (&[("az", "5")], EndpointEntry { zone: None, ..same.clone() }),
         (&[("model", "null")], same.clone()),
         (&[("model", "")], same.clone()),
-        (&[("boot_ms", "null")], EndpointEntry { boot_ms: 0, ..same.clone() }),
-        (&[("boot_ms", "")], EndpointEntry { boot_ms: 0, ..same.clone() }),
+        (&[("boot_ms", "null")], EndpointEntry { started_at_ms: 0, ..same.clone() }),
+        (&[("boot_ms", "")], EndpointEntry { started_at_ms: 0, ..same.clone() }),
         (&[("boot_ms", "7.0")], same.clone()),
         (&[("boot_ms", "7e0")], same.clone()),
         (&[("pod_group", "3.0")], same.clone()),
@@ -120,36 +119,36 @@
         (&[("extra", r#"{"a":[1,"\ud800",1e999]}"#)], same.clone()),
         (
             &[("endpoint", r#""[::1]:9""#)],
-            EndpointEntry { endpoint: "[::1]:9".parse().unwrap(), ..same.clone() },
+            EndpointEntry { address: "[::1]:9".parse().unwrap(), ..same.clone() },
         ),
         (&[("state", r#""removed""#)], EndpointEntry { state: MemberState::Removed, ..same.clone() }),
         (&[("state", r#""resting""#)], EndpointEntry { state: MemberState::Draining, ..same.clone() }),
     ];
-    for (changes, expected) in whole {
+    for (changes, expected) in complete {
         let text = line_with(changes);
-        assert_eq!(EndpointLine::read(&text), EndpointLine::Whole(expected.clone()), "{text}");
+        assert_eq!(EndpointLine::read(&text), EndpointLine::Complete(expected.clone()), "{text}");
     }
 }
 
 /// Guards against a line that loses its name and state for another field.
 #[test]
-fn a_line_that_is_not_whole_still_gives_its_name_and_state() {
-    use LineFault::{Cell, Endpoint, Started, State};
+fn a_line_that_is_not_complete_still_gives_its_name_and_state() {
+    use LineFault::{Address, PartitionGroup, StartTime, State};
     let partial = [
-        ("endpoint", "null", Endpoint),
-        ("endpoint", "", Endpoint),
-        ("endpoint", r#""nowhere""#, Endpoint),
-        ("endpoint", r#""127.0.0.1""#, Endpoint),
-        ("endpoint", r#""127.0.0.1:99999""#, Endpoint),
-        ("endpoint", "[]", Endpoint),
-        ("pod_group", "null", Cell),
-        ("pod_group", "", Cell),
-        ("pod_group", "-1", Cell),
-        ("pod_group", "1.5", Cell),
-        ("pod_group", "4294967296", Cell),
-        ("pod_group", "1e999", Cell),
-        ("boot_ms", "-1", Started),
-        ("boot_ms", r#""x""#, Started),
+        ("endpoint", "null", Address),
+        ("endpoint", "", Address),
+        ("endpoint", r#""nowhere""#, Address),
+        ("endpoint", r#""127.0.0.1""#, Address),
+        ("endpoint", r#""127.0.0.1:99999""#, Address),
+        ("endpoint", "[]", Address),
+        ("pod_group", "null", PartitionGroup),
+        ("pod_group", "", PartitionGroup),
+        ("pod_group", "-1", PartitionGroup),
+        ("pod_group", "1.5", PartitionGroup),
+        ("pod_group", "4294967296", PartitionGroup),
+        ("pod_group", "1e999", PartitionGroup),
+        ("boot_ms", "-1", StartTime),
+        ("boot_ms", r#""x""#, StartTime),
     ];
     for (key, value, fault) in partial {
         for (word, said) in
@@ -157,9 +156,9 @@
         {
             let text = line_with(&[("state", &format!("{word:?}")), (key, value)]);
             match EndpointLine::read(&text) {
-                EndpointLine::Partial { uid, state, boot_ms, reason } => {
-                    assert_eq!((uid.as_str(), state, reason.fault()), ("s-1", said, fault), "{text}");
-                    assert_eq!(boot_ms, (fault != Started).then_some(7), "{text}");
+                EndpointLine::Partial { name, state, started_at_ms, reason } => {
+                    assert_eq!((name.as_str(), state, reason.fault()), ("s-1", said, fault), "{text}");
+                    assert_eq!(started_at_ms, (fault != StartTime).then_some(7), "{text}");
                 }
                 other => panic!("{text}: {other:?}"),
             }
@@ -168,9 +167,9 @@
     for value in ["null", "", "5", "[]", r#""\ud800""#] {
         let text = line_with(&[("state", value)]);
         match EndpointLine::read(&text) {
-            EndpointLine::Partial { uid, state, reason, .. } => {
+            EndpointLine::Partial { name, state, reason, .. } => {
                 let expected = ("s-1", MemberState::Draining, State);
-                assert_eq!((uid.as_str(), state, reason.fault()), expected, "{text}");
+                assert_eq!((name.as_str(), state, reason.fault()), expected, "{text}");
             }
             other => panic!("{text}: {other:?}"),
         }
@@ -199,7 +198,7 @@
         EndpointLine::Partial { state: MemberState::Draining, .. }
     ));
     assert!(matches!(line(r#""endpoint":"127.0.0.1:1""#), EndpointLine::Partial { .. }));
-    assert_eq!(line(r#""az":"b""#), EndpointLine::Whole(EndpointEntry { zone: None, ..entry() }));
+    assert_eq!(line(r#""az":"b""#), EndpointLine::Complete(EndpointEntry { zone: None, ..entry() }));
 }
 
 /// Guards against what a peer wrote being logged without a bound or as it is.
@@ -227,7 +226,7 @@
 
 // ---- Updates. ----
 
-/// The root of the matter: one line cost the news of all others.
+/// Guards against one line that costs the changes of all others.
 #[test]
 fn one_line_that_cannot_be_read_costs_that_line_only() {
     let good = line_with(&[("state", r#""draining""#)]);
@@ -247,7 +246,7 @@
         for lines in [[good.as_str(), bad], [bad, good.as_str()]] {
             let update = update(&lines);
             assert_eq!(update.unreadable_lines().count(), 1, "{bad}");
-            assert_eq!(phases(&table(update)).0, [("s-1", EndpointState::Draining)], "{bad}");
+            assert_eq!(states(&table(update)).0, [("s-1", EndpointState::Draining)], "{bad}");
         }
     }
     // Bytes that are no text at all.
@@ -255,7 +254,7 @@
         [br#"{"rev":1,"targets":[{"uid":"s-"#, &b"\xff\xfe"[..], br#"","state":"up"},"#, good.as_bytes()];
     let update = DiscoveryUpdate::read(&[&text.concat()[..], b"]}"].concat()).unwrap();
     assert_eq!(update.unreadable_lines().count(), 1);
-    assert_eq!(phases(&table(update)).0, [("s-1", EndpointState::Draining)]);
+    assert_eq!(states(&table(update)).0, [("s-1", EndpointState::Draining)]);
 }
 
 /// What is known of an object as a whole.
@@ -292,9 +291,9 @@
     }
 }
 
-/// Lines that are known in part are handed on by name and phase.
+/// Lines that are known in part are handed on by name and state.
 #[test]
-fn the_core_is_told_of_lines_that_are_known_in_part() {
+fn lines_that_are_known_in_part_are_handed_on() {
     let lines = [
         line_with(&[]),
         line_with(&[("uid", r#""s-2""#), ("endpoint", "null")]),
@@ -304,22 +303,23 @@
     ];
     let update = update(&lines.each_ref().map(String::as_str));
     assert_eq!(update.unreadable_lines().count(), 4);
-    let news = table(update);
+    let applied = table(update);
     let partial = vec![
         ("s-2", EndpointState::Active),
         ("s-3", EndpointState::Removed),
         ("s-4", EndpointState::Draining),
     ];
-    assert_eq!(phases(&news), (vec![("s-1", EndpointState::Active)], partial));
-    assert_eq!(news.lines[0].member.as_ref().unwrap().0.started_at, 7_000_000);
+    assert_eq!(states(&applied), (vec![("s-1", EndpointState::Active)], partial));
+    assert_eq!(applied.lines[0].member.as_ref().unwrap().0.started_at, 7_000_000);
 }
 
 /// Of lines of the same data node the last counts, but none opens the gate that another one shuts, unless it tells of a
 /// newer start: in which order discovery writes changes is not known, and a rest too long breaks no rule.
 #[test]
 fn no_line_opens_the_gate_that_another_of_its_object_shuts() {
-    let line =
-        |state: &str, boot_ms: &str| line_with(&[("state", &format!("{state:?}")), ("boot_ms", boot_ms)]);
+    let line = |state: &str, started_at_ms: &str| {
+        line_with(&[("state", &format!("{state:?}")), ("boot_ms", started_at_ms)])
+    };
     let part = |state: &str| line_with(&[("state", &format!("{state:?}")), ("endpoint", "null")]);
     let cases = [
         (vec![line("up", "7"), line("draining", "7")], EndpointState::Draining),
@@ -341,12 +341,12 @@
     ];
     for (lines, phase) in cases {
         let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
-        assert_eq!(phases(&table(update(&lines))), (vec![("s-1", phase)], vec![]), "{lines:?}");
+        assert_eq!(states(&table(update(&lines))), (vec![("s-1", phase)], vec![]), "{lines:?}");
     }
     // Without any whole line.
     let (down, up) = (part("draining"), part("up"));
-    assert_eq!(phases(&table(update(&[&down, &up]))), (vec![], vec![("s-1", EndpointState::Draining)]));
-    assert_eq!(phases(&table(update(&[&up, &down]))), (vec![], vec![("s-1", EndpointState::Draining)]));
+    assert_eq!(states(&table(update(&[&down, &up]))), (vec![], vec![("s-1", EndpointState::Draining)]));
+    assert_eq!(states(&table(update(&[&up, &down]))), (vec![], vec![("s-1", EndpointState::Draining)]));
 }
 
 // ---- The stream of a watch. ----
@@ -358,24 +358,33 @@
     let value: serde_json::Value = serde_json::from_slice(line).unwrap();
     let indented = serde_json::to_string_pretty(&value).unwrap();
     let text = [&line[..], b"\n\n  \r\n", indented.as_bytes(), b"\n", line].concat();
-    let expected = [Told::Version(1), Told::Heartbeat, Told::Heartbeat, Told::Version(1), Told::Version(1)];
-    assert_eq!(told(&text, &[]).unwrap(), expected);
+    let expected = [
+        ParsedEvent::Version(1),
+        ParsedEvent::Heartbeat,
+        ParsedEvent::Heartbeat,
+        ParsedEvent::Version(1),
+        ParsedEvent::Version(1),
+    ];
+    assert_eq!(parse(&text, &[]).unwrap(), expected);
 }
 
 /// Guards against waiting for the end of what is no list, and against holding one that never ends.
 #[test]
 fn what_is_no_object_is_said_at_once() {
     for text in ["nonsense", "]", "\"rev\"", "{\"rev\":1}}", "[]", "{}", "{\"rev\":\"x\"}"] {
-        let mut objects = Objects::default();
-        objects.held().extend_from_slice(text.as_bytes());
-        assert!((0..2).any(|_| matches!(objects.next(MOST), Ok(Some(WatchEvent::Unreadable(_))))), "{text}");
+        let mut parser = WatchParser::default();
+        parser.buffer().extend_from_slice(text.as_bytes());
+        assert!(
+            (0..2).any(|_| matches!(parser.next_event(MOST), Ok(Some(WatchEvent::Unreadable(_))))),
+            "{text}"
+        );
     }
     for byte in [b' ', b'[', b'{'] {
-        let mut objects = Objects::default();
-        objects.held().extend_from_slice(&[byte; MOST]);
-        assert!(matches!(objects.next(MOST), Ok(None)));
-        objects.held().push(byte);
-        assert_eq!(objects.next(MOST).unwrap_err().fault(), LineFault::TooLong);
+        let mut parser = WatchParser::default();
+        parser.buffer().extend_from_slice(&[byte; MOST]);
+        assert!(matches!(parser.next_event(MOST), Ok(None)));
+        parser.buffer().push(byte);
+        assert_eq!(parser.next_event(MOST).unwrap_err().fault(), LineFault::TooLong);
     }
 }
 
@@ -384,16 +393,16 @@
 fn the_limit_of_an_object_does_not_depend_on_how_it_is_cut() {
     let text = |len: usize| format!(r#"{{"rev":1,"x":"{}"}}"#, "y".repeat(len - r#"{"rev":1,"x":""}"#.len()));
     for cuts in [vec![], vec![1; MOST], vec![1000; 5]] {
-        assert_eq!(told(text(MOST).as_bytes(), &cuts).unwrap(), [Told::Version(1)]);
-        assert_eq!(told(text(MOST + 1).as_bytes(), &cuts).unwrap_err().fault(), LineFault::TooLong);
+        assert_eq!(parse(text(MOST).as_bytes(), &cuts).unwrap(), [ParsedEvent::Version(1)]);
+        assert_eq!(parse(text(MOST + 1).as_bytes(), &cuts).unwrap_err().fault(), LineFault::TooLong);
     }
 }
 
 /// A line that is no object, and one that was cut off within a text, cost no other line, wherever the stream is cut.
 #[test]
 fn what_follows_a_line_that_is_no_object_is_heard() {
-    use Told::{Heartbeat, Unreadable, Version};
-    let cases: &[(&[u8], &[Told])] = &[
+    use ParsedEvent::{Heartbeat, Unreadable, Version};
+    let cases: &[(&[u8], &[ParsedEvent])] = &[
         (b"nonsense {\"rev\":9}\n{\"rev\":1}\n", &[Unreadable, Version(1)]),
         (b"\"rev\": {\r\n\r\n{\"rev\":1}\r\n", &[Unreadable, Heartbeat, Version(1)]),
         (b"{\"rev\":1}}{\n{\"rev\":2}\n\n", &[Version(1), Unreadable, Version(2), Heartbeat]),
@@ -410,22 +419,22 @@
     for (text, expected) in cases {
         let shown = String::from_utf8_lossy(text);
         for first in 0..text.len() {
-            assert_eq!(told(text, &[first]).unwrap(), *expected, "{shown} cut at {first}");
+            assert_eq!(parse(text, &[first]).unwrap(), *expected, "{shown} cut at {first}");
         }
-        assert_eq!(told(text, &vec![1; text.len()]).unwrap(), *expected, "{shown}");
+        assert_eq!(parse(text, &vec![1; text.len()]).unwrap(), *expected, "{shown}");
     }
 }
 
 /// Guards against holding a line that is no object and never ends.
 #[test]
 fn a_line_that_is_skipped_is_not_held() {
-    let mut objects = Objects::default();
-    objects.held().push(b'x');
-    assert!(matches!(objects.next(MOST), Ok(Some(WatchEvent::Unreadable(_)))));
+    let mut parser = WatchParser::default();
+    parser.buffer().push(b'x');
+    assert!(matches!(parser.next_event(MOST), Ok(Some(WatchEvent::Unreadable(_)))));
     for _ in 0..10 {
-        objects.held().extend_from_slice(&[b'{'; MOST]);
-        assert!(matches!(objects.next(MOST), Ok(None)));
-        assert!(objects.held().is_empty());
+        parser.buffer().extend_from_slice(&[b'{'; MOST]);
+        assert!(matches!(parser.next_event(MOST), Ok(None)));
+        assert!(parser.buffer().is_empty());
     }
 }
 
@@ -441,18 +450,18 @@
         let (mut text, mut whole) = (Vec::new(), Vec::new());
         for (rev, kind) in (0..).zip(&order) {
             let (line, event) = match kind {
-                0 => (format!("{{\"rev\":{rev}}}\n"), Told::Version(rev)),
-                1 => (format!("{{\n  \"rev\": {rev},\n  \"targets\": [\n  ]\n}}\n"), Told::Version(rev)),
-                2 => (format!("{{\"rev\":{rev},\"targets\":[{{\"uid\":\"a\",\"endpoint\":null}}]}}\r\n"), Told::Version(rev)),
-                3 => (format!("nonsense {{\"rev\":{rev}}}\n"), Told::Unreadable),
-                4 => (format!("{{\"rev\":{rev},\"all\":\"{{\\\"\n"), Told::Unreadable),
-                5 => ("\r\n".to_string(), Told::Heartbeat),
-                _ => ("\n".to_string(), Told::Heartbeat),
+                0 => (format!("{{\"rev\":{rev}}}\n"), ParsedEvent::Version(rev)),
+                1 => (format!("{{\n  \"rev\": {rev},\n  \"targets\": [\n  ]\n}}\n"), ParsedEvent::Version(rev)),
+                2 => (format!("{{\"rev\":{rev},\"targets\":[{{\"uid\":\"a\",\"endpoint\":null}}]}}\r\n"), ParsedEvent::Version(rev)),
+                3 => (format!("nonsense {{\"rev\":{rev}}}\n"), ParsedEvent::Unreadable),
+                4 => (format!("{{\"rev\":{rev},\"all\":\"{{\\\"\n"), ParsedEvent::Unreadable),
+                5 => ("\r\n".to_string(), ParsedEvent::Heartbeat),
+                _ => ("\n".to_string(), ParsedEvent::Heartbeat),
             };
             text.extend_from_slice(line.as_bytes());
             whole.push(event);
         }
-        prop_assert_eq!(told(&text, &cuts).unwrap(), whole);
+        prop_assert_eq!(parse(&text, &cuts).unwrap(), whole);
     }
 
     /// Whatever bytes come, however they are cut: the same is told, and nothing grows or panics.
@@ -463,11 +472,11 @@
                 Just(b'1'), Just(b' '), Just(0xef), Just(0xbb), Just(0xbf), any::<u8>()], 0..200),
         cuts in proptest::collection::vec(1..20_usize, 0..60),
     ) {
-        let whole = told(&text, &[]);
-        prop_assert_eq!(told(&text, &cuts), whole.clone());
+        let whole = parse(&text, &[]);
+        prop_assert_eq!(parse(&text, &cuts), whole.clone());
         // A good line that follows an end of a line outside of any object is heard.
         let later = [&text[..], b"\n{\"rev\":77}\n"].concat();
-        prop_assert_eq!(told(&later, &cuts), told(&later, &[]));
+        prop_assert_eq!(parse(&later, &cuts), parse(&later, &[]));
     }
 
     /// Any values in the fields of one line cost that line at most, and never open the gate of another state.
@@ -485,11 +494,11 @@
         changes.extend(values.iter().map(|&(key, value)| (KEYS[key], VALUES[value])));
         let (good, other) = (line_with(&[("state", r#""draining""#)]), line_with(&changes));
         let lines = if first { [other.as_str(), &good] } else { [&good, other.as_str()] };
-        let news = table(update(&lines));
-        prop_assert!(phases(&news).0.contains(&("s-1", EndpointState::Draining)));
+        let applied = table(update(&lines));
+        prop_assert!(states(&applied).0.contains(&("s-1", EndpointState::Draining)));
         let said_up = changes.iter().all(|change| change.0 != "state");
         let up = |lines: &[(&str, EndpointState)]| lines.iter().any(|l| l.1 == EndpointState::Active);
-        let (whole, partial) = phases(&news);
+        let (whole, partial) = states(&applied);
         prop_assert!(said_up || !(up(&whole) || up(&partial)));
     }
 }
--- a/src/net/pending_updates/tests.rs
+++ b/src/net/pending_updates/tests.rs
@@ -9,64 +9,64 @@
     (Arc::new(Stream::new(listener.accept().unwrap().0, None).unwrap()), peer)
 }
 
-fn waited_in_vain(freshness: &PendingUpdates) -> bool {
+fn waited_in_vain(pending_updates: &PendingUpdates) -> bool {
     let clock = Clock::start();
     let begun = clock.now();
-    freshness.establish(&clock);
-    clock.now() - begun >= nanos(LONGEST)
+    pending_updates.establish(&clock);
+    clock.now() - begun >= nanos(WAIT_MAX)
 }
 
-/// Guards a frame against news that was written and not read when the process went on: it waits until the news was
-/// read, told and taken, whichever of the three is missing.
+/// Guards a frame against an update that was written and not read when the process went on: it waits until the update
+/// was read, handed on and taken, whichever of the three is missing.
 #[test]
-fn news_is_waited_for_until_it_is_taken() {
+fn an_update_is_waited_for_until_it_is_taken() {
     let (stream, mut peer) = connection();
-    let freshness = PendingUpdates::default();
-    let followed = freshness.follow(stream.clone());
-    assert!(!waited_in_vain(&freshness), "nothing waits");
-    let stale = || freshness.0.fresh_at.store(0, Ordering::SeqCst);
+    let pending_updates = PendingUpdates::default();
+    let watched = pending_updates.watch(stream.clone());
+    assert!(!waited_in_vain(&pending_updates), "nothing waits");
+    let stale = || pending_updates.0.current_at.store(0, Ordering::SeqCst);
     let mut buf = [0; 64];
-    peer.write_all(b"news").unwrap();
+    peer.write_all(b"update").unwrap();
     stream.wait(Duration::from_secs(10)).unwrap();
     stale();
-    assert!(waited_in_vain(&freshness), "unread");
-    followed.read(&mut buf, Duration::from_secs(10)).unwrap();
+    assert!(waited_in_vain(&pending_updates), "unread");
+    watched.read(&mut buf, Duration::from_secs(10)).unwrap();
     stale();
-    assert!(waited_in_vain(&freshness), "read, and not told");
-    let on_the_way = freshness.news();
-    assert!(followed.read(&mut buf, Duration::ZERO).is_err());
+    assert!(waited_in_vain(&pending_updates), "read, and not handed on");
+    let update = pending_updates.begin_update();
+    assert!(watched.read(&mut buf, Duration::ZERO).is_err());
     stale();
-    assert!(waited_in_vain(&freshness), "told, and not taken");
-    drop(on_the_way);
+    assert!(waited_in_vain(&pending_updates), "handed on, and not taken");
+    drop(update);
     stale();
-    assert!(!waited_in_vain(&freshness), "taken");
+    assert!(!waited_in_vain(&pending_updates), "taken");
 }
 
 /// Guards sends against a silent or ended connection, and one whose reader has ended: neither holds anything up.
 #[test]
-fn a_connection_without_news_holds_nothing_up() {
+fn a_connection_without_updates_holds_nothing_up() {
     let (stream, peer) = connection();
-    let freshness = PendingUpdates::default();
-    let followed = freshness.follow(stream.clone());
+    let pending_updates = PendingUpdates::default();
+    let watched = pending_updates.watch(stream.clone());
     drop(peer);
     stream.wait(Duration::from_secs(10)).unwrap();
-    assert!(!waited_in_vain(&freshness), "its end is no news");
+    assert!(!waited_in_vain(&pending_updates), "its end is no update");
     let (unread, mut peer) = connection();
-    drop(freshness.follow(unread.clone()));
-    peer.write_all(b"news").unwrap();
+    drop(pending_updates.watch(unread.clone()));
+    peer.write_all(b"update").unwrap();
     unread.wait(Duration::from_secs(10)).unwrap();
-    freshness.0.fresh_at.store(0, Ordering::SeqCst);
-    assert!(!waited_in_vain(&freshness), "its reader has ended");
-    drop(followed);
+    pending_updates.0.current_at.store(0, Ordering::SeqCst);
+    assert!(!waited_in_vain(&pending_updates), "its reader has ended");
+    drop(watched);
 }
 
-/// Guards against a look for each frame, and against one that is relied on for too long.
+/// Guards against a check for each frame, and against one that is relied on for too long.
 #[test]
-fn a_look_holds_for_a_bounded_time() {
-    let freshness = PendingUpdates::default();
+fn a_check_holds_for_a_bounded_time() {
+    let pending_updates = PendingUpdates::default();
     let clock = Clock::start();
-    freshness.establish(&clock);
-    let at = freshness.0.fresh_at.load(Ordering::SeqCst);
-    assert!(freshness.holds(at) && freshness.holds(at + nanos(FRESH) - 1));
-    assert!(!freshness.holds(at + nanos(FRESH)));
+    pending_updates.establish(&clock);
+    let at = pending_updates.0.current_at.load(Ordering::SeqCst);
+    assert!(pending_updates.holds(at) && pending_updates.holds(at + nanos(CHECK_VALIDITY) - 1));
+    assert!(!pending_updates.holds(at + nanos(CHECK_VALIDITY)));
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -111,7 +111,7 @@
         limits: limits.clone(),
         counters: counters.clone(),
         clock,
-        freshness: freshness.clone(),
+        pending_updates: freshness.clone(),
         lease: lease.clone(),
     };
     let (discovery, known) =
