--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,8 @@
-//! The second address, for those who run the coordinator: readiness, figures, and emptying it.
+//! The second address, for operators: readiness, figures, draining and resuming.
 //!
 //! One call to a connection, each in a thread of its own with a small stack: nothing here waits for the worker that
-//! serves clients, for the core's mailbox or for another caller. Callers that say nothing are bounded in count and
-//! time; the one that has been here longest goes for a newcomer.
+//! serves clients, for the core's mailbox or for another caller. Callers that send nothing are bounded in count and
+//! time; the oldest connection is closed for a new one.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -16,85 +16,92 @@
 use crate::net::http::{self, Request, RequestReader};
 use crate::runtime::{lock, nanos, thread, Clock, SMALL_STACK};
 
-/// What the calls come to.
+/// The commands of operators.
 pub trait OperatorCommands: Send + Sync + 'static {
-    /// Whether clients are taken; else why not, in a word.
+    /// Whether clients are accepted; else the reason, in a few words.
     fn ready(&self) -> Result<(), &'static str>;
     /// The figures of one moment, a line each.
     fn figures(&self) -> String;
-    /// Empties the coordinator; else why not, in a word.
+    /// Drains the coordinator; else the reason why not, in a few words.
     fn drain(&self) -> Result<(), &'static str>;
-    /// Takes clients again; else why not, in a word.
+    /// Accepts clients again; else the reason why not, in a few words.
     fn resume(&self) -> Result<(), &'static str>;
 }
 
-/// Who answers the calls at an address.
+/// Answers the calls at an address.
 pub trait Calls: Send + Sync + 'static {
     /// The answer to one call, in a thread that may wait for it.
     fn answer(&self, request: &Request) -> Reply;
 }
 
-/// The calls of those who run the coordinator.
+/// Answers operators' calls by HTTP.
 pub struct Operations<T>(pub T);
 
+const STATUS_OK: u16 = 200;
+const STATUS_NOT_FOUND: u16 = 404;
+const STATUS_METHOD_NOT_ALLOWED: u16 = 405;
+const STATUS_UNAVAILABLE: u16 = 503;
+
 impl<T: OperatorCommands> Calls for Operations<T> {
     fn answer(&self, request: &Request) -> Reply {
-        operate(&self.0, &request.method, &request.path)
+        execute(&self.0, &request.method, &request.path)
     }
 }
 
-fn operate(operated: &dyn OperatorCommands, method: &str, path: &str) -> Reply {
+fn execute(commands: &dyn OperatorCommands, method: &str, path: &str) -> Reply {
     type Call = fn(&dyn OperatorCommands) -> Result<String, &'static str>;
     let (allowed, call): (&str, Call) = match path {
-        "/ops/readiness" => ("GET", |o| o.ready().map(|()| "yes\n".into())),
-        "/ops/stats" => ("GET", |o| Ok(o.figures())),
-        "/ops/drain/start" => ("POST", |o| o.drain().map(|()| "yes\n".into())),
-        "/ops/drain/stop" => ("POST", |o| o.resume().map(|()| "yes\n".into())),
-        _ => return Reply::text(404, "no such call"),
+        "/ops/readiness" => ("GET", |commands| commands.ready().map(|()| "yes\n".into())),
+        "/ops/stats" => ("GET", |commands| Ok(commands.figures())),
+        "/ops/drain/start" => ("POST", |commands| commands.drain().map(|()| "yes\n".into())),
+        "/ops/drain/stop" => ("POST", |commands| commands.resume().map(|()| "yes\n".into())),
+        _ => return Reply::text(STATUS_NOT_FOUND, "no such call"),
     };
     if method != allowed && !(allowed == "GET" && method == "HEAD") {
-        return Reply::text(405, &format!("this is called by {allowed}")).with("Allow", allowed);
+        let text = format!("this is called by {allowed}");
+        return Reply::text(STATUS_METHOD_NOT_ALLOWED, &text).with("Allow", allowed);
     }
-    match call(operated) {
-        Ok(text) => Reply { body: text.into_bytes(), ..Reply::text(200, "") },
-        Err(why) => Reply::text(503, &format!("no: {why}")),
+    match call(commands) {
+        Ok(text) => Reply { body: text.into_bytes(), ..Reply::text(STATUS_OK, "") },
+        Err(reason) => Reply::text(STATUS_UNAVAILABLE, &format!("no: {reason}")),
     }
 }
 
-/// Connections that are open, the oldest first.
-#[derive(Default)]
-struct Open {
-    next: u64,
-    calls: VecDeque<(u64, Arc<TcpStream>)>,
-}
-
+/// The open connections of an address, bounded in count.
 #[derive(Clone)]
 struct Callers {
-    open: Arc<Mutex<Open>>,
-    most: usize,
+    open: Arc<Mutex<OpenCalls>>,
+    max_open: usize,
+}
+
+/// The open connections, the oldest first.
+#[derive(Default)]
+struct OpenCalls {
+    next_id: u64,
+    connections: VecDeque<(u64, Arc<TcpStream>)>,
 }
 
 impl Callers {
-    fn open(&self) -> MutexGuard<'_, Open> {
+    fn open(&self) -> MutexGuard<'_, OpenCalls> {
         lock(&self.open)
     }
 
-    /// Lists a newcomer; where there are too many, the oldest is shut, and its thread ends.
-    fn enter(&self, stream: &Arc<TcpStream>) -> Caller {
+    /// Adds a new connection; where there are too many, the oldest is shut, and its thread ends.
+    fn add(&self, stream: &Arc<TcpStream>) -> Caller {
         let mut open = self.open();
-        while open.calls.len() >= self.most {
-            let Some((_, oldest)) = open.calls.pop_front() else { break };
-            // One that has gone by itself needs no shutting.
+        while open.connections.len() >= self.max_open {
+            let Some((_, oldest)) = open.connections.pop_front() else { break };
+            // One that its peer has closed needs no shutting.
             let _ = oldest.shutdown(Shutdown::Both);
         }
-        let id = open.next;
-        open.next += 1;
-        open.calls.push_back((id, stream.clone()));
+        let id = open.next_id;
+        open.next_id += 1;
+        open.connections.push_back((id, stream.clone()));
         Caller { callers: self.clone(), id }
     }
 }
 
-/// A caller's entry, taken out when its thread ends or was never started.
+/// A caller's entry, removed when its thread ends or was never started.
 struct Caller {
     callers: Callers,
     id: u64,
@@ -102,39 +109,32 @@
 
 impl Drop for Caller {
     fn drop(&mut self) {
-        self.callers.open().calls.retain(|c| c.0 != self.id);
+        self.callers.open().connections.retain(|(id, _)| *id != self.id);
     }
 }
 
-const READ: usize = 1024;
+const READ_BYTES: usize = 1024;
 
-/// Listens, and starts to answer, so many callers at once at most.
+/// Listens, and starts to answer, `max_calls` callers at once at most.
 ///
 /// # Errors
 /// The address cannot be listened at, or there is no thread.
 pub fn start(
-    addr: SocketAddr,
+    address: SocketAddr,
     calls: Arc<dyn Calls>,
-    most: usize,
+    max_calls: usize,
     limits: Arc<Limits>,
 ) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind(addr)?;
+    let listener = TcpListener::bind(address)?;
     let local = listener.local_addr()?;
-    let callers = Callers { open: Arc::default(), most };
-    let (clock, mut errors) =
-        (Clock::start(), AcceptErrors::new("second address", nanos(limits.no_socket_log)));
+    let callers = Callers { open: Arc::default(), max_open: max_calls };
+    let clock = Clock::start();
+    let mut errors = AcceptErrors::new("second address", nanos(limits.no_socket_log));
     let accept = move || loop {
-        let taken = listener.accept().and_then(|(stream, _)| {
-            let stream = Arc::new(stream);
-            let caller = callers.enter(&stream);
-            let (calls, limits) = (calls.clone(), limits.clone());
-            thread("call", SMALL_STACK, move || {
-                // Whoever has left or is too slow needs no answer.
-                let _ = call(&stream, &*calls, &limits);
-                drop(caller);
-            })
-        });
-        if let Err(e) = taken {
+        let started = listener
+            .accept()
+            .and_then(|(stream, _)| start_call(stream, &callers, calls.clone(), limits.clone()));
+        if let Err(e) = started {
             std::thread::sleep(errors.met(clock.now(), &e));
         }
     };
@@ -142,44 +142,71 @@
     Ok(local)
 }
 
+/// Answers a call in a thread of its own.
+fn start_call(
+    stream: TcpStream,
+    callers: &Callers,
+    calls: Arc<dyn Calls>,
+    limits: Arc<Limits>,
+) -> io::Result<()> {
+    let stream = Arc::new(stream);
+    let caller = callers.add(&stream);
+    thread("call", SMALL_STACK, move || {
+        // A caller that has disconnected or is too slow needs no answer.
+        let _ = serve_call(&stream, &*calls, &limits);
+        drop(caller);
+    })
+}
+
 /// Reads one call and answers it.
-fn call(stream: &TcpStream, calls: &dyn Calls, limits: &Limits) -> io::Result<()> {
-    let end = Instant::now() + limits.control_read;
+fn serve_call(stream: &TcpStream, calls: &dyn Calls, limits: &Limits) -> io::Result<()> {
+    let deadline = Instant::now() + limits.control_read;
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(limits.control_read))?;
-    let (mut requests, mut buf) = (RequestReader::default(), [0; READ]);
-    let mut head = false;
-    let reply = loop {
+    let Some((reply, is_head)) = read_and_answer(stream, calls, limits, deadline)? else { return Ok(()) };
+    let bytes = http::response(reply.status, reply.kind, &reply.more, &reply.body, false, is_head);
+    (&mut &*stream).write_all(&bytes)?;
+    stream.shutdown(Shutdown::Write)?;
+    drain_input(stream, Instant::now() + limits.control_linger)
+}
+
+/// The answer to the call, and whether only its head is wanted; none where the caller has closed the connection.
+fn read_and_answer(
+    stream: &TcpStream,
+    calls: &dyn Calls,
+    limits: &Limits,
+    deadline: Instant,
+) -> io::Result<Option<(Reply, bool)>> {
+    let (mut requests, mut buffer) = (RequestReader::default(), [0; READ_BYTES]);
+    loop {
         match requests.next(limits) {
-            Ok(Some(request)) => {
-                head = request.method == "HEAD";
-                break calls.answer(&request);
-            }
+            Ok(Some(request)) => return Ok(Some((calls.answer(&request), request.method == "HEAD"))),
             Ok(None) => {}
-            Err(bad) => break Reply::text(bad.status, bad.why),
+            Err(bad) => return Ok(Some((Reply::text(bad.status, bad.why), false))),
         }
-        match read_until(stream, &mut buf, end) {
-            Ok(0) => return Ok(()),
-            Ok(n) => requests.push(&buf[..n]),
+        match read_until(stream, &mut buffer, deadline) {
+            Ok(0) => return Ok(None),
+            Ok(count) => requests.push(&buffer[..count]),
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                break Reply::text(http::TOO_SLOW.status, http::TOO_SLOW.why);
+                return Ok(Some((Reply::text(http::TOO_SLOW.status, http::TOO_SLOW.why), false)));
             }
             Err(e) => return Err(e),
         }
-    };
-    let bytes = http::response(reply.status, reply.kind, &reply.more, &reply.body, false, head);
-    (&mut &*stream).write_all(&bytes)?;
-    stream.shutdown(Shutdown::Write)?;
-    // Closing with bytes unread would reset the connection, and the caller might lose the answer.
-    let end = Instant::now() + limits.control_linger;
-    while read_until(stream, &mut buf, end)? > 0 {}
+    }
+}
+
+/// Reads and drops what the caller still sends: closing with bytes unread would reset the connection, and the caller
+/// might lose the answer.
+fn drain_input(stream: &TcpStream, deadline: Instant) -> io::Result<()> {
+    let mut buffer = [0; READ_BYTES];
+    while read_until(stream, &mut buffer, deadline)? > 0 {}
     Ok(())
 }
 
-/// Reads what comes until then. A wait with a time-out is interrupted where the process is stopped and goes on.
-fn read_until(stream: &TcpStream, buf: &mut [u8], end: Instant) -> io::Result<usize> {
+/// Reads what comes before the deadline. A wait with a time-out is interrupted where the process is stopped and goes on.
+fn read_until(stream: &TcpStream, buf: &mut [u8], deadline: Instant) -> io::Result<usize> {
     loop {
-        let left = end.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,4 +1,7 @@
-//! Counters of what is taken in, sent and answered: printed on request and at exit, served by SNMP.
+//! Counters of what is received, sent and answered: printed on request and at exit, served by SNMP.
+//!
+//! A counter's name in quotes and its doc comment are the object's name and description in the MIB: they are an
+//! interface, and stay as they are when the code's own name changes.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -103,35 +106,36 @@
 }
 
 impl Counters {
-    /// One more.
+    /// Counts one more.
     pub fn add(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes over a count that is kept elsewhere and never falls.
+    /// Takes over a count that is made elsewhere and never falls.
     pub fn set(counter: &AtomicU64, count: u64) {
         counter.fetch_max(count, Ordering::Relaxed);
     }
 
-    /// Takes over the books' figures: each of these counters is written here alone.
-    pub fn view(&self, account: &RequestLedger) {
-        let queries = |end: QueryEnd| account.sum(|c| c.ended_with(end));
-        let attempts = account.attempts();
-        let passed = attempts.ended_with(Outcome::Success);
-        let (stale, dropped) =
-            (attempts.ended_with(Outcome::NotSent), attempts.ended_with(Outcome::Cancelled));
+    /// Takes over the request ledger's counts: each of these counters is written here alone.
+    pub fn view(&self, ledger: &RequestLedger) {
+        let queries = |end: QueryEnd| ledger.sum(|class| class.ended_with(end));
+        let attempts = ledger.attempts();
+        let succeeded = attempts.ended_with(Outcome::Success);
+        let not_sent = attempts.ended_with(Outcome::NotSent);
+        let cancelled = attempts.ended_with(Outcome::Cancelled);
+        let failed = attempts.total_ended() - succeeded - not_sent - cancelled;
         for (counter, count) in [
-            (&self.queries_taken, account.sum(|c| c.accepted)),
+            (&self.queries_taken, ledger.sum(|class| class.accepted)),
             (&self.answers_whole, queries(QueryEnd::CompleteInTime) + queries(QueryEnd::CompleteLate)),
             (&self.answers_partial, queries(QueryEnd::Partial)),
             (&self.queries_refused, queries(QueryEnd::Rejected)),
             (&self.queries_failed, queries(QueryEnd::Failed)),
             (&self.clients_gone, queries(QueryEnd::ClientDisconnected)),
             (&self.attempts_sent, attempts.started),
-            (&self.attempts_passed, passed),
-            (&self.attempts_stale, stale),
-            (&self.attempts_dropped, dropped),
-            (&self.attempts_failed, attempts.total_ended() - passed - stale - dropped),
+            (&self.attempts_passed, succeeded),
+            (&self.attempts_stale, not_sent),
+            (&self.attempts_dropped, cancelled),
+            (&self.attempts_failed, failed),
         ] {
             counter.store(count, Ordering::Relaxed);
         }
