--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -13,11 +13,11 @@
 use curlewdeck_snmp::tree::Value;
 
 use crate::api::{EndpointState, Nanos};
+use crate::config::{NotifyConfig, SnmpConfig};
 use crate::limits::Limits;
 use crate::mib;
 use crate::net::coordinator::CoreHandle;
 use crate::runtime::nanos;
-use crate::snmp::SnmpConfig;
 
 /// The figures that are compared.
 #[derive(Debug, Clone, PartialEq)]
@@ -255,11 +255,8 @@
     if config.notify.is_empty() {
         return Ok(None);
     }
-    let target = |n: &crate::snmp::NotifyConfig| Target {
-        to: n.to.to_string(),
-        community: n.community.clone(),
-        inform: n.inform,
-    };
+    let target =
+        |n: &NotifyConfig| Target { to: n.to.to_string(), community: n.community.clone(), inform: n.inform };
     let any: SocketAddr = ([0, 0, 0, 0], 0).into();
     let socket = UdpSocket::bind(any).map_err(|e| format!("no socket for notifications: {e}"))?;
     socket.set_read_timeout(Some(PAUSE)).map_err(|e| format!("no socket for notifications: {e}"))?;
--- /dev/null
+++ b/src/config/edge.rs
@@ -0,0 +1,167 @@
+//! The edge's file: what an operator turns on beside the platform's own protocol. A section that is not there is off.
+
+use std::path::Path;
+
+use serde::Deserialize;
+
+use super::secrets::read_cursor_keys;
+use super::{
+    AggregationConfig, AggregationConfigError, EdgeError, FeaturesConfig, FeaturesConfigError, SnmpConfig,
+};
+use crate::replication::config::GroupConfig;
+use crate::settings::Deployment;
+use crate::snapshot_store::StateConfig;
+
+/// The protocol of the data nodes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum NodeProtocol {
+    /// The platform's frames.
+    #[default]
+    Frames,
+    /// OGC API - Features: the data nodes are feature servers.
+    Features,
+}
+
+/// The edge's file.
+#[derive(Debug, Clone, Default, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Edge {
+    /// The section `[nodes]`: the protocol of the data nodes.
+    #[serde(default)]
+    pub nodes: NodesConfig,
+    /// The section `[ogc]`: the frontend for feature queries.
+    #[serde(rename = "ogc")]
+    pub features: Option<FeaturesConfig>,
+    /// The section `[desk]`: the frontend for aggregations.
+    #[serde(rename = "desk")]
+    pub aggregation: Option<AggregationConfig>,
+    /// The section `[state]`: the folder of what outlives the process.
+    pub state: Option<StateConfig>,
+    /// The section `[snmp]`: the management agent.
+    pub snmp: Option<SnmpConfig>,
+    /// The section `[group]`: the replication group that this coordinator is a member of.
+    pub group: Option<GroupConfig>,
+}
+
+/// The section `[nodes]`.
+#[derive(Debug, Clone, Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct Nodes")]
+pub struct NodesConfig {
+    /// The protocol of the data nodes.
+    #[serde(default)]
+    pub protocol: NodeProtocol,
+    /// The query parameter that names a tag range to feature servers.
+    #[serde(default = "default_range_parameter")]
+    pub range_parameter: String,
+    /// The query parameter by which feature servers give features in the order of their ids, beginning behind the id in
+    /// it; none where they have no such parameter.
+    #[serde(default)]
+    pub after_parameter: Option<String>,
+}
+
+impl Default for NodesConfig {
+    fn default() -> Self {
+        Self {
+            protocol: NodeProtocol::default(),
+            range_parameter: default_range_parameter(),
+            after_parameter: None,
+        }
+    }
+}
+
+fn default_range_parameter() -> String {
+    "tag_range".to_string()
+}
+
+impl Edge {
+    /// Reads the file.
+    ///
+    /// # Errors
+    /// Names the file and what is wrong with it.
+    pub fn load(path: &Path) -> Result<Self, EdgeError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| EdgeError::Unreadable { path: path.to_path_buf(), source })?;
+        Self::read(&text)
+            .map_err(|error| EdgeError::InFile { path: path.to_path_buf(), source: Box::new(error) })
+    }
+
+    /// Reads the file's text.
+    ///
+    /// # Errors
+    /// It is not TOML, or a key is missing, unknown or of another type.
+    pub fn read(text: &str) -> Result<Self, EdgeError> {
+        toml::from_str(text).map_err(EdgeError::Malformed)
+    }
+
+    /// Whether all of it can be used with these settings, the files that it names included.
+    ///
+    /// # Errors
+    /// Names the section and the fault.
+    pub fn check(&self, deployment: &Deployment) -> Result<(), EdgeError> {
+        self.check_settings(deployment)?;
+        self.check_features()?;
+        self.check_aggregation()?;
+        self.check_state()?;
+        self.check_group()?;
+        self.check_snmp()
+    }
+
+    /// Whether its frontends can be used with these settings. Reads no file: at a reload, what the frontends read at the
+    /// start still holds.
+    ///
+    /// # Errors
+    /// Names the section and the fault.
+    pub fn check_settings(&self, deployment: &Deployment) -> Result<(), EdgeError> {
+        if let Some(features) = &self.features {
+            features.check(deployment)?;
+        }
+        if let Some(aggregation) = &self.aggregation {
+            aggregation.check(deployment)?;
+        }
+        Ok(())
+    }
+
+    fn check_features(&self) -> Result<(), FeaturesConfigError> {
+        let Some(features) = self.features.as_ref().filter(|features| features.by_id) else { return Ok(()) };
+        if self.has_feature_servers() && self.nodes.after_parameter.is_none() {
+            return Err(FeaturesConfigError::NoAfterParameter);
+        }
+        read_cursor_keys(features.cursor_keys.as_deref())?;
+        Ok(())
+    }
+
+    fn check_aggregation(&self) -> Result<(), AggregationConfigError> {
+        let Some(aggregation) = &self.aggregation else { return Ok(()) };
+        if self.has_feature_servers() {
+            return Err(AggregationConfigError::FeatureServers);
+        }
+        aggregation.keys()?;
+        Ok(())
+    }
+
+    fn has_feature_servers(&self) -> bool {
+        self.nodes.protocol == NodeProtocol::Features
+    }
+
+    fn check_state(&self) -> Result<(), EdgeError> {
+        let Some(state) = &self.state else { return Ok(()) };
+        if !state.folder.is_dir() || state.every_s == 0 {
+            return Err(EdgeError::State { folder: state.folder.clone() });
+        }
+        if state.copied && self.group.is_none() {
+            return Err(EdgeError::NoReplicationGroup);
+        }
+        Ok(())
+    }
+
+    fn check_group(&self) -> Result<(), EdgeError> {
+        let Some(group) = &self.group else { return Ok(()) };
+        group.check().map_err(|error| EdgeError::Replication(error.into()))
+    }
+
+    fn check_snmp(&self) -> Result<(), EdgeError> {
+        let Some(snmp) = &self.snmp else { return Ok(()) };
+        Ok(snmp.check()?)
+    }
+}
--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -5,9 +5,7 @@
 //! is looked at as it comes ([`curlewdeck_merge::merging::Merging::offer`]): what does not count ends its attempt as
 //! one that may have run, and the module tries elsewhere.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -17,12 +15,11 @@
 use curlewdeck_merge::merging::{Fault, Merging};
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_merge::recall::{Bounds, Recall};
-use curlewdeck_merge::units::MAX_SCALE;
 use serde::Deserialize;
 use serde_json::{json, Value as Json};
 
 use crate::api::{ClassId, ShardId};
-use crate::config::cursor_keys;
+use crate::config::{AggregationConfig, AggregationConfigError, SetConfig};
 use crate::counters::Counters;
 use crate::engine::{QueryOutcome, QueryRequest, RejectReason, ResponseValidator};
 use crate::frontend::http_server::{Answer, Frontend, Reply, Served};
@@ -31,101 +28,6 @@
 use crate::net::coordinator::{CoreHandle, Started};
 use crate::net::http::{self, BadMessage, Request};
 use crate::runtime::lock;
-use crate::settings::Deployment;
-
-/// What the edge's file says of this front.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct AggregationConfig {
-    /// Where it listens.
-    pub listen: SocketAddr,
-    /// The file of the keys that seal cursors, the first one for new ones; without it a key is made at the start,
-    /// and cursors end with the process.
-    #[serde(default)]
-    pub cursor_keys: Option<PathBuf>,
-    /// A cursor can be used for so many seconds.
-    #[serde(default = "crate::config::cursor_life")]
-    pub cursor_life_s: u64,
-    /// The sets of data.
-    pub sets: Vec<SetConfig>,
-}
-
-/// One set of data.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct SetConfig {
-    /// Its id, as paths name it.
-    pub id: String,
-    /// Its title.
-    pub title: String,
-    /// The class of its queries.
-    pub class: String,
-    /// Its measures.
-    pub measures: Vec<MeasureConfig>,
-}
-
-/// One measure.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct MeasureConfig {
-    /// Its name.
-    pub name: String,
-    /// Its decimals, 0 to 18.
-    #[serde(default)]
-    pub scale: u8,
-}
-
-impl AggregationConfig {
-    /// The class of each set.
-    ///
-    /// # Errors
-    /// Names the set and what is wrong with it.
-    pub fn check(&self, info: &Deployment) -> Result<Vec<ClassId>, String> {
-        if info.shards == 0 {
-            return Err("desk: the settings name no tag ranges".into());
-        }
-        if self.cursor_life_s == 0 {
-            return Err("desk: cursor_life_s must be above 0".into());
-        }
-        let ids: BTreeSet<&str> = self.sets.iter().map(|s| s.id.as_str()).collect();
-        if ids.len() != self.sets.len() || ids.is_empty() {
-            return Err("desk: at least one set is needed, each with an id of its own".into());
-        }
-        self.sets
-            .iter()
-            .map(|s| s.check(info).map_err(|why| format!("desk: set '{}': {why}", s.id)))
-            .collect()
-    }
-
-    /// The keys that seal cursors.
-    ///
-    /// # Errors
-    /// Names the file and the fault.
-    pub fn keys(&self) -> Result<Keys, String> {
-        cursor_keys(self.cursor_keys.as_deref())
-    }
-}
-
-impl SetConfig {
-    fn check(&self, info: &Deployment) -> Result<ClassId, String> {
-        if self.id.is_empty() || http::encode(&self.id) != self.id || self.id.contains(',') {
-            return Err("its id cannot stand in a path".into());
-        }
-        let names: BTreeSet<&str> = self.measures.iter().map(|m| m.name.as_str()).collect();
-        if names.is_empty() || names.len() != self.measures.len() || names.contains("") {
-            return Err("at least one measure is needed, each with a name of its own".into());
-        }
-        if let Some(m) = self.measures.iter().find(|m| m.scale > MAX_SCALE) {
-            return Err(format!("measure '{}': the scale is at most {MAX_SCALE}", m.name));
-        }
-        let class =
-            info.class_named(&self.class).ok_or_else(|| format!("there is no class '{}'", self.class))?;
-        match info.settings.classes[class.0].second_phase_parts {
-            0 => Ok(class),
-            _ => Err(format!("the class '{}' has a second step, whose answer is not mergeable", self.class)),
-        }
-    }
-}
 
 /// What is remembered of ranges; shared with the core, which tells when a data node has started anew.
 #[derive(Clone)]
@@ -220,7 +122,7 @@
         limits: Arc<Limits>,
         memory: Memory,
         seed: u64,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, AggregationConfigError> {
         let classes = config.check(&core.info())?;
         Ok(Self {
             core,
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -6,19 +6,16 @@
 //! named in `missingRanges`, and `complete` is false.
 
 use std::collections::BTreeSet;
-use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
 use curlewdeck_merge::cursor::{Cursor as MergeCursor, Keys, Place, Reached};
 use curlewdeck_merge::query::{Op, Order, Query};
-use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{json, Value as Json};
 
 use crate::api::{ClassId, Nanos, ShardId};
-use crate::config::cursor_keys;
+use crate::config::{read_cursor_keys, CollectionConfig, FeaturesConfig, FeaturesConfigError};
 use crate::counters::Counters;
 use crate::engine::{ClientLiveness, QueryOutcome, QueryRequest, RejectReason, ResponseValidator, Row};
 use crate::frontend::feature_pages::{by_id, by_offset, check_ids, Range};
@@ -28,62 +25,6 @@
 use crate::net::coordinator::CoreHandle;
 use crate::net::features::{self, Cursor};
 use crate::net::http::{self, BadMessage, Request};
-use crate::settings::Deployment;
-
-/// What the edge's file says of this front.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct FeaturesConfig {
-    /// Where it listens.
-    pub listen: SocketAddr,
-    /// What the pages' links begin with; `http://` and the request's host where it is not given.
-    #[serde(default)]
-    pub base: Option<String>,
-    /// Pages go on behind the id that was given last, in the order of the ids' bytes: the data nodes must give
-    /// features in that order.
-    #[serde(default)]
-    pub by_id: bool,
-    /// The file of the keys that seal the cursors of such pages; as for the desk front.
-    #[serde(default)]
-    pub cursor_keys: Option<PathBuf>,
-    /// Such a cursor can be used for so many seconds.
-    #[serde(default = "crate::config::cursor_life")]
-    pub cursor_life_s: u64,
-    /// The collections.
-    pub collections: Vec<CollectionConfig>,
-}
-
-impl FeaturesConfig {
-    /// The collections with their classes.
-    ///
-    /// # Errors
-    /// A collection's class is not in the settings, or has a second step; or an id cannot stand in a path.
-    pub fn check(&self, info: &Deployment) -> Result<Vec<(CollectionConfig, ClassId)>, String> {
-        let ids: BTreeSet<&str> = self.collections.iter().map(|c| c.id.as_str()).collect();
-        if ids.len() != self.collections.len() || info.shards == 0 {
-            return Err("ogc: each collection needs an id of its own, and the settings tag ranges".into());
-        }
-        self.collections.iter().map(|c| Ok((c.clone(), class_of(c, info)?))).collect()
-    }
-}
-
-/// One collection.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct CollectionConfig {
-    /// Its id, as paths name it.
-    pub id: String,
-    /// Its title.
-    pub title: String,
-    /// What it holds.
-    #[serde(default)]
-    pub description: String,
-    /// The class of its queries.
-    pub class: String,
-    /// Where its features lie: west, south, east, north.
-    #[serde(default)]
-    pub bbox: Option<[f64; 4]>,
-}
 
 const CONFORMANCE: [&str; 2] = [
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core",
@@ -210,11 +151,11 @@
         core: CoreHandle,
         limits: Arc<Limits>,
         seed: u64,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, FeaturesConfigError> {
         let (ranges, collections) = (core.info().shards, config.check(&core.info())?);
         let by_id = match config.by_id {
             true => Some(Sealed {
-                keys: Arc::new(cursor_keys(config.cursor_keys.as_deref())?),
+                keys: Arc::new(read_cursor_keys(config.cursor_keys.as_deref())?),
                 life: config.cursor_life_s,
             }),
             false => None,
@@ -509,19 +450,6 @@
     }
 }
 
-fn class_of(collection: &CollectionConfig, info: &Deployment) -> Result<ClassId, String> {
-    let id = &collection.id;
-    if id.is_empty() || http::encode(id) != *id || id.contains(',') {
-        return Err(format!("ogc: the collection id '{id}' cannot stand in a path"));
-    }
-    let class = info.class_named(&collection.class);
-    let class = class.ok_or_else(|| format!("ogc: {id}: there is no class '{}'", collection.class))?;
-    if info.settings.classes[class.0].second_phase_parts > 0 {
-        return Err(format!("ogc: {id}: the class '{}' has a second step", collection.class));
-    }
-    Ok(class)
-}
-
 fn link(base: &str, path: &str, rel: &str, kind: &str, title: &str) -> Json {
     json!({"href": format!("{base}{path}"), "rel": rel, "type": kind, "title": title})
 }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,18 +1,17 @@
-//! Every size, count and time that bounds the program, in one type: filled at start and handed down.
-//!
-//! Measured on the bench's days: 16 MB resident with 206 descriptors of 256, and 19 MB with 304 of 384, both with
-//! all places for clients taken. The platform's limits are 32 to 192 MB and 256 to 1,024 descriptors.
+//! Every size, count and time that bounds the program, in one type: filled at the start and handed down.
 
 use std::time::Duration;
 
+use thiserror::Error;
+
 /// The limits of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Worker threads: the platform gives one core.
+    /// Worker threads: the platform provides one core.
     pub workers: usize,
     /// Stack of a coroutine that serves one connection, in machine words.
     pub stack_words: usize,
-    /// Stack of the coroutine that runs the module, in machine words.
+    /// Stack of the coroutine that runs the core, and of a call to discovery, in machine words.
     pub core_stack_words: usize,
     /// Client connections held at once.
     pub clients: usize,
@@ -26,53 +25,52 @@
     pub frame: usize,
     /// Bytes of the line that begins an answer in a frame.
     pub frame_line: usize,
-    /// A frame that has begun to come must be whole within this, or within the silence that the aims allow where that is
-    /// longer.
+    /// A frame that has begun to come must be complete within this, or within the silence that the latency objectives
+    /// allow where that is longer.
     pub frame_read: Duration,
-    /// Parts given up, and parts answered, that one connection remembers: their answers may come late or
-    /// twice.
+    /// Cancelled parts, and answered parts, that one connection remembers: their answers may come late or twice.
     pub past_parts: usize,
-    /// Nothing new goes over a connection that has been silent for this long with parts out on it, or for
-    /// one in `link_silence_part` of the shortest aim if that is longer: a machine that has vanished, and a
+    /// Nothing new is sent on a connection that has been silent for this long with parts in flight, or for one in
+    /// `link_silence_part` of the shortest latency objective if that is longer: a machine that has vanished, and a
     /// connection that has died unseen, say nothing.
     pub link_silence: Duration,
-    /// See there.
+    /// The divisor of the shortest latency objective, see `link_silence`.
     pub link_silence_part: u32,
-    /// Where no socket was left for a connection to a data node, its actor does not try for another one for so long.
+    /// Where no socket was left for a connection to a data node, its actor does not dial again for so long.
     pub no_socket_pause: Duration,
-    /// The log says so this often at most, for all data nodes together.
+    /// The shortest time between two log lines that say so, for all data nodes together.
     pub no_socket_log: Duration,
-    /// The name of a query is not taken again for so long after its end: late answers bear it.
+    /// The name of a query is not used again for so long after its end: late answers carry it.
     pub name_rest: Duration,
-    /// Bytes of the list of data nodes, or of a change to it.
+    /// Bytes of an endpoint list, or of a change to it.
     pub discovery_object: usize,
     /// Header lines of a request or an answer.
     pub headers: usize,
-    /// Messages that may wait for the module before new queries are refused.
+    /// Messages that may wait for the core before new queries are rejected.
     pub core_backlog: usize,
     /// Calls that may wait at one data node's actor.
     pub node_backlog: usize,
-    /// A client connection that has been answered is closed once it has rested for this long.
+    /// A client connection that has been answered is closed once it has been idle for this long.
     pub client_idle: Duration,
-    /// One that has rested for this long is closed earlier where a new one needs its place.
+    /// One that has been idle for this long is closed earlier where a new one needs its place.
     pub client_rest: Duration,
-    /// After this long one without a whole request yet may be closed for a new one, since what a client sends
-    /// at once has come by then; and, where there is none, one that has rested for less than `client_rest`.
+    /// After this long one without a complete request yet may be closed for a new one, since what a client sends
+    /// at once has come by then; and, where there is none, one that has been idle for less than `client_rest`.
     pub client_silent: Duration,
-    /// A new connection waits so long for a place before it is turned away.
+    /// A new connection waits so long for a place before it is rejected.
     pub client_room: Duration,
-    /// The first request on a connection must be whole this long after it was accepted, a further one this
-    /// long after its first byte.
+    /// The first request on a connection must be complete this long after it was accepted, a further one this long
+    /// after its first byte.
     pub request_read: Duration,
     /// While a request is open, so many bytes may be sent ahead of its answer: what comes after them is dropped, and the
     /// connection ends with the last answer to them.
     pub read_ahead: usize,
-    /// Connections that are turned away and told so, at once: any further ones may be reset.
+    /// Connections that are rejected with an answer at once: any further ones may be reset.
     pub turned_away: usize,
     /// After a connection's last answer, what its client still sends is read and dropped for this long, so
     /// that the answer is not lost to a reset.
     pub linger: Duration,
-    /// And no more bytes than this.
+    /// And no more bytes than this are read then.
     pub linger_bytes: usize,
     /// The longest time that a client may say it waits.
     pub client_wait: Duration,
@@ -80,95 +78,94 @@
     pub client_write: Duration,
     /// A frame must be taken by the data node's socket within this.
     pub node_write: Duration,
-    /// A probe unanswered for this long has failed.
+    /// A health check unanswered for this long has failed.
     pub probe: Duration,
-    /// Connections are not used this close to the time at which their data node closes them, or within the
-    /// last quarter of it where that is short.
+    /// Connections are not used this close to the end of the idle time after which their data node closes them, or
+    /// within the last quarter of it where that is short.
     pub idle_margin: Duration,
     /// A connection to discovery must be up within this; a service that answers within it is heard in time.
     pub discovery_call: Duration,
-    /// A call to discovery that has not been answered within this gets another one beside it.
+    /// A call to discovery that has not been answered within this is hedged by another one.
     pub discovery_hedge: Duration,
-    /// A watch without a whole line for this long is broken: lines come every 2 s at the latest.
+    /// A watch without a complete line for this long is broken: heartbeats come every 2 s at the latest.
     pub discovery_silence: Duration,
-    /// The log tells of calls that fail, and of lines of the list that cannot be read, this often at most.
+    /// The shortest time between two log lines on failed calls, and between two on unreadable lines of an update.
     pub discovery_log: Duration,
-    /// One line on news of the list in this time at most.
+    /// The shortest time between two log lines on updates of the endpoint list.
     pub list_log: Duration,
-    /// One line on clients that leave without their answer in this time at most.
+    /// The shortest time between two log lines on clients that disconnect without their answer.
     pub client_log: Duration,
-    /// Taken off the client's time for the way of the answer.
+    /// Taken off the time that the client waits, for the answer's way back.
     pub answer_margin: Duration,
-    /// A query that the module leaves open is ended this long after its time, margin included.
+    /// A query that the policy leaves open is ended this long after its deadline, margin included.
     pub backstop: Duration,
     /// SIGKILL follows SIGTERM no sooner than the longest deadline, or this if it is shorter...
     pub term_longest: Duration,
     /// ...and this.
     pub term_kill: Duration,
-    /// What is held is answered this long before that.
+    /// Open requests are answered this long before that.
     pub term_margin: Duration,
-    /// New requests are taken until this long before what is held is answered...
+    /// New requests are accepted until this long before open requests are answered...
     pub term_last: Duration,
     /// ...or for this long after SIGTERM, if that is more.
     pub term_accept: Duration,
-    /// What is held may take this long after that.
+    /// Connections may take this long to close after that.
     pub term_finish: Duration,
-    /// Callers at the second address at once: the one that has been there longest goes for a newcomer.
+    /// Callers at the second address at once: the oldest is closed for a new one.
     pub control_calls: usize,
-    /// The same of clients of a group, each of which may wait for the log.
+    /// The same of clients of a replication group, each of which may wait for the log.
     pub group_calls: usize,
-    /// A call there must be whole within this, and its answer be taken.
+    /// A call there must be complete within this, and its answer be taken.
     pub control_read: Duration,
     /// After the answer, what its caller still sends is read and dropped for this long.
     pub control_linger: Duration,
-    /// Drained by an operator: connections are kept for so long, since the front still sends clients...
+    /// Drained by an operator: connections stay open for so long, since the platform still sends clients...
     pub drain_notice: Duration,
-    /// ...and after so long, those at rest are closed, and those without a whole request.
+    /// ...and after so long, idle connections are closed, and those without a complete request.
     pub drain_rest: Duration,
-    /// The figures of the second address are made anew this often at most.
+    /// The shortest time between two updates of the figures at the second address.
     pub figures_every: Duration,
     /// Pages that one part of a feature query may fetch.
     pub pages: usize,
     /// Most features on one page of an answer.
     pub page_features: usize,
-    /// How long a client of the OGC front waits.
+    /// How long a client of the features frontend waits.
     pub ogc_wait: Duration,
-    /// Most rows of a desk answer, or of a page.
+    /// Most rows of an answer of the aggregation frontend, or of a page.
     pub desk_rows: usize,
-    /// Bytes of a piece in which a longer desk answer is sent.
+    /// Bytes of a piece in which a longer answer of the aggregation frontend is sent.
     pub desk_piece: usize,
-    /// How long a client of the desk front waits at most.
+    /// How long a client of the aggregation frontend waits at most.
     pub desk_wait: Duration,
-    /// What is remembered of ranges from earlier answers: entries, and for how long.
+    /// Entries of the cache of ranges from earlier answers.
     pub recall_entries: usize,
-    /// See there.
+    /// How long such an entry may be used.
     pub recall_age: Duration,
-    /// Rows of the books' table of data nodes: 1,024 that are there, and as many that were replaced lately.
+    /// Rows of the request ledger's table of data nodes: 1,024 that are listed, and as many that were replaced lately.
     pub node_rows: usize,
-    /// How long a data node that is gone keeps its row.
+    /// How long a data node that was removed keeps its row.
     pub node_row_keep: Duration,
-    /// Walks of managers whose figures are kept, and how long one may be silent, may last, and may share figures with
-    /// those who come after it.
+    /// Walks of managers whose figures are kept.
     pub snmp_walkers: usize,
     /// Objects of all walks together: four walks of 1,024 data nodes, or more of fewer.
     pub snmp_objects: usize,
-    /// See above.
+    /// How long a walk may be silent before its figures are dropped.
     pub snmp_walk_idle: Duration,
-    /// See there.
+    /// How long a walk may last.
     pub snmp_walk: Duration,
-    /// See there.
+    /// How long a walk's figures are shared with walks that begin after it.
     pub snmp_fresh: Duration,
-    /// The same notification of the same subject is sent no more often than this.
+    /// The shortest time between two notifications of the same kind and subject.
     pub notify_gap: Duration,
-    /// Notifications sent at once, and how long until there may be one more.
+    /// Notifications that may be sent at once.
     pub notify_burst: u32,
-    /// See there.
+    /// How long until one more may be sent.
     pub notify_refill: Duration,
-    /// Informs that wait for their answer, after how long they are first repeated, and how often they are sent in all.
+    /// Informs that may wait for their acknowledgement.
     pub notify_waiting: usize,
-    /// See there.
+    /// After how long an inform is first repeated.
     pub notify_again: Duration,
-    /// See there.
+    /// How often an inform is sent in all.
     pub notify_tries: u32,
     /// Variables in one management request or answer.
     pub snmp_bindings: usize,
@@ -261,75 +258,111 @@
     }
 }
 
-/// The last part of a short idle limit in which a connection is not used: one in so many.
-const IDLE_PART: u32 = 4;
+/// The share of a short idle time at whose end a connection is not used any more: one in so many.
+const IDLE_MARGIN_DIVISOR: u32 = 4;
 
-/// Descriptors kept for standard streams, the poller, the listeners and the list.
-const RESERVED: usize = 32;
-const LEAST_SOCKETS: usize = 128;
+/// Descriptors for standard streams, the poller, the listeners and discovery.
+const RESERVED_SOCKETS: usize = 32;
+const MIN_SOCKETS: usize = 128;
 
-/// What a process takes without a client, and a client's connection with its two coroutines, its buffers and a query in
-/// flight, in KB, measured and rounded up: 10 MB, and 16 and 19 MB with 206 and 304 descriptors.
-const PROCESS_KB: usize = 11 * 1024;
+const KB_PER_MB: usize = 1024;
+/// The memory of a process without a client.
+const PROCESS_KB: usize = 11 * KB_PER_MB;
+/// The memory of a client's connection with its two coroutines, its buffers and a query in flight.
 const CLIENT_KB: usize = 48;
-const LEAST_CLIENTS: usize = 32;
+const MIN_CLIENTS: usize = 32;
+
+/// The most of the descriptors that data nodes get: one in so many, so that clients' requests are not left without...
+const NODE_SOCKETS_DIVISOR: usize = 3;
+/// ...and where there are more data nodes than that, one in so many.
+const LARGE_FLEET_NODE_SOCKETS_DIVISOR: usize = 2;
 /// Connections to data nodes beyond one to each, one in so many: some are opened anew before the old one has ended.
-const SPARE_PART: usize = 4;
+const SPARE_NODE_SOCKETS_DIVISOR: usize = 4;
+
+/// Why a process cannot serve within what the platform allows.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum LimitsError {
+    /// Too few descriptors.
+    #[error("limits.sockets is {allowed}, at least {MIN_SOCKETS} are needed")]
+    TooFewSockets {
+        /// Descriptors of this process.
+        allowed: usize,
+    },
+    /// Too little memory.
+    #[error("limits.memory_mb is {allowed}, at least {needed} are needed")]
+    TooLittleMemory {
+        /// Megabytes that the platform allows all processes together.
+        allowed: usize,
+        /// Megabytes that they need together.
+        needed: usize,
+    },
+}
 
 /// What the platform allows all processes of a coordinator together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Platform {
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
-    /// Memory.
+    /// Memory in megabytes.
     pub memory_mb: usize,
     /// Other processes that may serve at the same address within the same bounds.
     pub others: usize,
-    /// Data nodes that are known at the start.
+    /// Data nodes of the endpoint list from before the start.
     pub nodes: usize,
 }
 
 impl Limits {
     /// How long a connection may have been idle and still be used, if its data node closes it after `idle`.
     pub fn usable_idle(&self, idle: Duration) -> Duration {
-        idle.saturating_sub(self.idle_margin.min(idle / IDLE_PART))
+        idle.saturating_sub(self.idle_margin.min(idle / IDLE_MARGIN_DIVISOR))
     }
 
-    /// After SIGTERM: how long new requests are taken, and by when all are answered.
+    /// After SIGTERM: how long new requests are accepted, and by when all are answered.
     pub fn term(&self, longest_deadline: Duration) -> (Duration, Duration) {
         let kill = longest_deadline.min(self.term_longest) + self.term_kill;
         let answered = kill.saturating_sub(self.term_margin);
         (answered.saturating_sub(self.term_last).max(self.term_accept), answered)
     }
 
-    /// After how long a silence a connection with parts out gets nothing new.
-    pub fn silence(&self, shortest_aim: Duration) -> Duration {
-        self.link_silence.max(shortest_aim / self.link_silence_part)
+    /// After how long a silence a connection with parts in flight is sent nothing new.
+    pub fn silence(&self, shortest_latency_objective: Duration) -> Duration {
+        self.link_silence.max(shortest_latency_objective / self.link_silence_part)
     }
 
     /// The limits under the platform's bounds: clients get what data nodes and the process leave.
     ///
     /// # Errors
     /// Too few descriptors, or too little memory, to serve at all.
-    pub fn within(platform: Platform) -> Result<Self, String> {
-        let Platform { sockets, memory_mb, others, nodes } = platform;
-        let (sockets, kilobytes) = (sockets / (others + 1), memory_mb.saturating_mul(1024) / (others + 1));
-        if sockets < LEAST_SOCKETS {
-            return Err(format!("limits.sockets is {sockets}, at least {LEAST_SOCKETS} are needed"));
+    pub fn within(platform: Platform) -> Result<Self, LimitsError> {
+        let processes = platform.others + 1;
+        let sockets = platform.sockets / processes;
+        if sockets < MIN_SOCKETS {
+            return Err(LimitsError::TooFewSockets { allowed: sockets });
         }
-        let places = kilobytes.saturating_sub(PROCESS_KB) / CLIENT_KB;
-        if places < LEAST_CLIENTS {
-            let least = (PROCESS_KB + LEAST_CLIENTS * CLIENT_KB).div_ceil(1024) * (others + 1);
-            return Err(format!("limits.memory_mb is {memory_mb}, at least {least} are needed"));
+        let max_clients = clients_in_memory(platform.memory_mb.saturating_mul(KB_PER_MB) / processes);
+        if max_clients < MIN_CLIENTS {
+            let needed = (PROCESS_KB + MIN_CLIENTS * CLIENT_KB).div_ceil(KB_PER_MB) * processes;
+            return Err(LimitsError::TooLittleMemory { allowed: platform.memory_mb, needed });
         }
         let mut limits = Self::default();
-        // A query of many parts may need each data node at once; a third of the descriptors stays for clients' requests.
-        let wanted = limits.node_sockets.min(sockets / 3).max(nodes + nodes / SPARE_PART);
-        limits.node_sockets = wanted.min(sockets / 2);
-        limits.clients = limits.clients.min(sockets - RESERVED - limits.node_sockets).min(places);
+        limits.node_sockets = node_sockets(limits.node_sockets, sockets, platform.nodes);
+        limits.clients =
+            limits.clients.min(sockets - RESERVED_SOCKETS - limits.node_sockets).min(max_clients);
         Ok(limits)
     }
 }
 
+/// Client connections for which there is memory.
+fn clients_in_memory(kilobytes: usize) -> usize {
+    kilobytes.saturating_sub(PROCESS_KB) / CLIENT_KB
+}
+
+/// Descriptors for connections to so many data nodes: a query of many parts may need each of them at once.
+fn node_sockets(default: usize, sockets: usize, nodes: usize) -> usize {
+    let for_each_node = nodes + nodes / SPARE_NODE_SOCKETS_DIVISOR;
+    let wanted = default.min(sockets / NODE_SOCKETS_DIVISOR).max(for_each_node);
+    wanted.min(sockets / LARGE_FLEET_NODE_SOCKETS_DIVISOR)
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -31,10 +31,10 @@
         |sockets, memory_mb, others| Limits::within(Platform { sockets, memory_mb, others, nodes: 12 });
     for sockets in [128, 256, 1024, 4096] {
         let limits = within(sockets, 192, 0).unwrap();
-        assert!(limits.clients + limits.node_sockets + RESERVED <= sockets);
+        assert!(limits.clients + limits.node_sockets + RESERVED_SOCKETS <= sockets);
         assert!(limits.clients > 0 && limits.node_sockets > 0);
     }
-    assert!(within(LEAST_SOCKETS - 1, 192, 0).is_err());
+    assert!(within(MIN_SOCKETS - 1, 192, 0).is_err());
 }
 
 /// Guards against a fleet in which some data nodes can never be reached, since others hold all connections at rest;
@@ -43,7 +43,7 @@
 fn each_data_node_of_a_large_fleet_may_have_a_connection() {
     let of = |sockets, nodes| {
         let limits = Limits::within(Platform { sockets, memory_mb: 192, others: 0, nodes }).unwrap();
-        assert!(limits.clients >= sockets / 3 - RESERVED, "{limits:?}");
+        assert!(limits.clients >= sockets / 3 - RESERVED_SOCKETS, "{limits:?}");
         limits.node_sockets
     };
     assert_eq!((of(512, 12), of(512, 0), of(1024, 100)), (160, 160, 160));
@@ -58,11 +58,11 @@
         for (processes, limits) in [(1, of(0)), (2, of(1))] {
             let kilobytes = processes * (PROCESS_KB + limits.clients * CLIENT_KB);
             assert!(kilobytes <= memory_mb * 1024, "{processes} with {memory_mb} MB: {kilobytes} KB");
-            assert!(processes * (limits.clients + limits.node_sockets + RESERVED) <= sockets);
+            assert!(processes * (limits.clients + limits.node_sockets + RESERVED_SOCKETS) <= sockets);
         }
     }
     let why = Limits::within(Platform { sockets: 1024, memory_mb: 24, others: 1, nodes: 12 }).unwrap_err();
-    assert_eq!(why, "limits.memory_mb is 24, at least 26 are needed");
+    assert_eq!(why.to_string(), "limits.memory_mb is 24, at least 26 are needed");
 }
 
 /// Guards what counts as told 6 s after discovery had it: every clock of a call and of a watch together stays inside that.
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,19 +1,21 @@
-//! The command line: `serve`, `check`, `version`, `help`.
+//! The command line: `serve`, `check`, `version`, `help`, and the tools of managers and operators.
 
+use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::thread;
 
-use curlewdeck::config::{Config, Edge};
+use curlewdeck::config::{Config, ConfigError, Edge, EdgeError};
 use curlewdeck::limits::Limits;
 use curlewdeck::query::{self, Command};
 use curlewdeck::reload::Reloader;
 use curlewdeck::replication::tool;
 use curlewdeck::snmp_tool;
-use curlewdeck::startup;
+use curlewdeck::startup::{self, Coordinator};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
+use thiserror::Error;
 
 const HELP: &str = "\
 curlewdeck: a coordinator of queries over many shards
@@ -34,22 +36,57 @@
 is there. RUST_LOG sets the log's level.";
 
 /// The edge's file, from the folder that the platform starts programs in.
-const EDGE: &str = "deploy/edge.toml";
+const DEFAULT_EDGE_FILE: &str = "deploy/edge.toml";
+
+/// The variable of the environment that names the configuration file.
+const CONFIG_VARIABLE: &str = "LB_CONFIG";
+
+/// What is logged where RUST_LOG says nothing. Each signal interrupts the poller, which may logs as an error of its own
+/// each time.
+const DEFAULT_LOG_FILTER: &str = "info,may=warn,may::io::event_loop=off";
+
+/// Whatever ends a command, printed in one line.
+type CommandError = Box<dyn Error>;
+
+/// What is wrong with the command line.
+#[derive(Debug, Error)]
+enum UsageError {
+    /// A word is not a command, or not an option of its command.
+    #[error("'{0}' is not known, see 'curlewdeck help'")]
+    UnknownWord(String),
+    /// Nothing names the configuration file.
+    #[error("no configuration: give --config FILE or set LB_CONFIG")]
+    NoConfiguration,
+}
+
+/// Why a coordinator does not serve.
+#[derive(Debug, Error)]
+enum ServeError {
+    /// The configuration file cannot be used.
+    #[error("{}: {source}", .file.display())]
+    Config { file: PathBuf, source: ConfigError },
+    /// Signals cannot be received.
+    #[error("signals: {0}")]
+    Signals(#[source] std::io::Error),
+    /// The thread that reads the configuration again did not start.
+    #[error("no thread to read the configuration: {0}")]
+    ReloadThread(#[source] std::io::Error),
+}
 
 fn main() -> ExitCode {
     match run() {
         Ok(status) => ExitCode::from(status),
-        Err(message) => {
-            eprintln!("curlewdeck: {message}");
+        Err(error) => {
+            eprintln!("curlewdeck: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 /// Runs the subcommand; returns the exit status.
-fn run() -> Result<u8, String> {
+fn run() -> Result<u8, CommandError> {
     let mut args = pico_args::Arguments::from_env();
-    let command = args.subcommand().map_err(|e| e.to_string())?;
+    let command = args.subcommand()?;
     if args.contains(["-h", "--help"]) {
         println!("{}", help());
         return Ok(0);
@@ -57,39 +94,39 @@
     match command.as_deref() {
         Some("query") => {
             let query = Command::read(&mut args)?;
-            no_more(args)?;
+            expect_no_more(args)?;
             return Ok(query.run());
         }
         Some("snmp") => run_snmp(args),
         Some("group") => {
             let command = tool::Command::read(&mut args)?;
-            no_more(args)?;
-            command.run(load_edge)
+            expect_no_more(args)?;
+            command.run(|file| load_edge(file).map_err(|e| e.to_string())).map_err(CommandError::from)
         }
         other => run_coordinator(other, args),
     }
     .map(|()| 0)
 }
 
-/// The commands of a manager: those that ask an agent, and the one that listens for notifications.
-fn run_snmp(mut args: pico_args::Arguments) -> Result<(), String> {
+/// The commands of a manager: those that query an agent, and the one that listens for notifications.
+fn run_snmp(mut args: pico_args::Arguments) -> Result<(), CommandError> {
     if args.clone().finish().iter().any(|word| word == "listen") {
         // The word itself; then its own options.
-        args.free_from_str::<String>().map_err(|e| e.to_string())?;
+        args.free_from_str::<String>()?;
         let listen = snmp_tool::listen(&mut args)?;
-        no_more(args)?;
-        return listen();
+        expect_no_more(args)?;
+        return Ok(listen()?);
     }
     let manager = snmp_tool::Command::read(&mut args)?;
-    no_more(args)?;
-    manager.run()
+    expect_no_more(args)?;
+    Ok(manager.run()?)
 }
 
 /// The commands that take the coordinator's own files.
-fn run_coordinator(command: Option<&str>, mut args: pico_args::Arguments) -> Result<(), String> {
-    let config: Option<PathBuf> = args.opt_value_from_str("--config").map_err(|e| e.to_string())?;
-    let edge: Option<PathBuf> = args.opt_value_from_str("--edge").map_err(|e| e.to_string())?;
-    no_more(args)?;
+fn run_coordinator(command: Option<&str>, mut args: pico_args::Arguments) -> Result<(), CommandError> {
+    let config: Option<PathBuf> = args.opt_value_from_str("--config")?;
+    let edge: Option<PathBuf> = args.opt_value_from_str("--edge")?;
+    expect_no_more(args)?;
     match command {
         Some("serve") => {
             let file = config_file(config)?;
@@ -108,20 +145,20 @@
             println!("{}", help());
             Ok(())
         }
-        Some(other) => Err(format!("'{other}' is not known, see 'curlewdeck help'")),
+        Some(other) => Err(UsageError::UnknownWord(other.to_string()).into()),
     }
 }
 
 /// Says whether the files can be used.
-fn check(config: &Config, edge: &Edge) -> Result<(), String> {
+fn check(config: &Config, edge: &Edge) -> Result<(), CommandError> {
     edge.check(&config.info)?;
     Limits::within(config.platform(0))?;
     let state = |on| if on { "on" } else { "off" };
     println!(
         "the configuration can be used: {} classes, feature front {}, desk front {}, management agent {}",
         config.info.class_names.len(),
-        state(edge.ogc.is_some()),
-        state(edge.desk.is_some()),
+        state(edge.features.is_some()),
+        state(edge.aggregation.is_some()),
         state(edge.snmp.is_some())
     );
     Ok(())
@@ -131,56 +168,62 @@
     HELP.replace("{QUERY}", query::HELP).replace("{SNMP}", snmp_tool::HELP).replace("{GROUP}", tool::HELP)
 }
 
-fn no_more(args: pico_args::Arguments) -> Result<(), String> {
+fn expect_no_more(args: pico_args::Arguments) -> Result<(), UsageError> {
     match args.finish().first() {
         None => Ok(()),
-        Some(extra) => Err(format!("'{}' is not known, see 'curlewdeck help'", extra.to_string_lossy())),
+        Some(extra) => Err(UsageError::UnknownWord(extra.to_string_lossy().into_owned())),
     }
 }
 
-fn config_file(config: Option<PathBuf>) -> Result<PathBuf, String> {
-    let path = config.or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
-    path.ok_or_else(|| "no configuration: give --config FILE or set LB_CONFIG".to_string())
+fn config_file(config: Option<PathBuf>) -> Result<PathBuf, UsageError> {
+    let file = config.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from));
+    file.ok_or(UsageError::NoConfiguration)
 }
 
-fn load_config(file: &Path) -> Result<Config, String> {
-    Config::load(file).map_err(|e| format!("{}: {e}", file.display()))
+fn load_config(file: &Path) -> Result<Config, ServeError> {
+    Config::load(file).map_err(|source| ServeError::Config { file: file.to_path_buf(), source })
 }
 
-fn load_edge(edge: Option<PathBuf>) -> Result<Edge, String> {
-    match edge {
-        Some(path) => Edge::load(&path),
-        None if Path::new(EDGE).exists() => Edge::load(Path::new(EDGE)),
+fn load_edge(file: Option<PathBuf>) -> Result<Edge, EdgeError> {
+    match file {
+        Some(file) => Edge::load(&file),
+        None if Path::new(DEFAULT_EDGE_FILE).exists() => Edge::load(Path::new(DEFAULT_EDGE_FILE)),
         None => Ok(Edge::default()),
     }
 }
 
 /// Serves until SIGTERM.
-fn serve(file: &Path, config: Config, edge: Edge) -> Result<(), String> {
-    // Each signal interrupts the poller, and may logs that as an error of its own each time.
-    env_logger::Builder::from_env(
-        env_logger::Env::default().default_filter_or("info,may=warn,may::io::event_loop=off"),
-    )
-    .format_timestamp_micros()
-    .init();
+fn serve(file: &Path, config: Config, edge: Edge) -> Result<(), CommandError> {
+    start_logging();
     // Before anything else, so that no signal finds the process unprepared.
-    let mut signals =
-        Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
+    let signals = Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).map_err(ServeError::Signals)?;
     startup::set_up_workers(&Limits::within(config.platform(0))?);
     let coordinator = Arc::new(startup::start(config, edge)?);
-    let reloader = Reloader::start(coordinator.clone(), file.to_path_buf())
-        .map_err(|e| format!("no thread to read the configuration: {e}"))?;
-    let (coordinator, handle) = (&coordinator, signals.handle());
-    // Signals are heard to the end: the list's service may move while the last queries are finished.
+    let reloader =
+        Reloader::start(coordinator.clone(), file.to_path_buf()).map_err(ServeError::ReloadThread)?;
+    handle_signals(signals, &coordinator, &reloader);
+    log::info!("ends; counters:\n{}", coordinator.report());
+    Ok(())
+}
+
+fn start_logging() {
+    let filter = env_logger::Env::default().default_filter_or(DEFAULT_LOG_FILTER);
+    env_logger::Builder::from_env(filter).format_timestamp_micros().init();
+}
+
+/// Handles signals until the coordinator has finished after SIGTERM. They are handled to the end: discovery may move
+/// while the last queries are finished.
+fn handle_signals(mut signals: Signals, coordinator: &Coordinator, reloader: &Reloader) {
+    let handle = signals.handle();
     thread::scope(|scope| {
-        let mut ending = false;
+        let mut is_finishing = false;
         for signal in signals.forever() {
             match signal {
                 SIGUSR1 => log::info!("counters:\n{}", coordinator.report()),
                 SIGHUP => reloader.signal(),
-                _ if ending => {}
+                _ if is_finishing => {}
                 _ => {
-                    ending = true;
+                    is_finishing = true;
                     let handle = handle.clone();
                     scope.spawn(move || {
                         coordinator.finish();
@@ -190,6 +233,4 @@
             }
         }
     });
-    log::info!("ends; counters:\n{}", coordinator.report());
-    Ok(())
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,9 +1,9 @@
-//! Reads the configuration file again after SIGHUP. When it is read is decided by the machine of
+//! Reads the configuration file again after SIGHUP. When it is read is decided by the state machine of
 //! [`curlewdeck_lifecycle::reload`]; here are the threads that carry its steps out.
 //!
-//! One thread hears signals and results, and takes configurations over. Each read runs on a thread of its own, since a
-//! read may last as long as it likes (a pipe without a writer, a file system that hangs) and cannot be taken back:
-//! signals, newer ones included, are heard all the same.
+//! One thread receives signals and results, and applies configurations. Each read runs on a thread of its own, since a
+//! read may last as long as it likes (a pipe without a writer, a file system that hangs) and cannot be cancelled:
+//! signals, newer ones included, are received all the same.
 
 use std::io;
 use std::path::PathBuf;
@@ -16,35 +16,35 @@
 use crate::config::{Config, ConfigError};
 use crate::counters::Counters;
 use crate::runtime::{nanos, thread};
-use crate::startup::{Coordinator, Taken};
+use crate::startup::{ConfigChange, Coordinator};
 
-/// What discovery has to tell counts as told so long after SIGHUP: a read that failed is repeated within it.
+/// Discovery's changes count as notified so long after SIGHUP: a read that failed is retried within it.
 const RETRY_WINDOW: Duration = Duration::from_secs(4);
-/// The pause before the first repeat; it doubles with each...
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// The backoff before the first retry; it doubles with each...
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 /// ...up to this.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// A newer signal waits so long for a read under way. With a call of discovery after it (2.2 s at most), that is still
+const BACKOFF_MAX: Duration = Duration::from_millis(800);
+/// A newer signal waits so long for a read under way. With a call to discovery after it (2.2 s at most), that is still
 /// within the window.
-const READ_PATIENCE: Duration = Duration::from_millis(1500);
-/// Reads that were given up and hold their threads still.
-const MOST_GIVEN_UP: usize = 4;
-/// Events that wait for the thread. More than reads can run at once, so that a full queue has a signal in it.
-const MOST_EVENTS: usize = 2 * (MOST_GIVEN_UP + 1);
-/// Stack of each of the threads: the file is parsed on one and compared on the other.
-const STACK: usize = 512 * 1024;
+const READ_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The most abandoned reads that still hold their threads.
+const MAX_ABANDONED_READS: usize = 4;
+/// Events that may wait for the thread: more than reads can run at once, so that a full queue has a signal in it.
+const EVENT_QUEUE_LENGTH: usize = 2 * (MAX_ABANDONED_READS + 1);
+/// Stack of each of the threads, in bytes: the file is parsed on one and compared on the other.
+const STACK_BYTES: usize = 512 * 1024;
 
 /// How a read ended.
-type Loaded = Result<Config, ConfigError>;
+type ReadResult = Result<Config, ConfigError>;
 
 enum Event {
     /// SIGHUP has come.
     Signal,
     /// A read has ended.
-    Read(ReadId, Box<Loaded>),
+    ReadEnded(ReadId, Box<ReadResult>),
 }
 
-/// Tells the reloading thread of signals.
+/// Hands signals on to the reloading thread.
 #[derive(Clone)]
 pub struct Reloader(SyncSender<Event>);
 
@@ -54,85 +54,85 @@
     /// # Errors
     /// There is no thread to be had.
     pub fn start(coordinator: Arc<Coordinator>, file: PathBuf) -> io::Result<Self> {
-        let (events, heard) = sync_channel(MOST_EVENTS);
+        let (events, inbox) = sync_channel(EVENT_QUEUE_LENGTH);
         let policy = RetryPolicy {
             window: nanos(RETRY_WINDOW),
-            first_pause: nanos(FIRST_PAUSE),
-            longest_pause: nanos(LONGEST_PAUSE),
-            patience: nanos(READ_PATIENCE),
-            given_up: MOST_GIVEN_UP,
+            first_pause: nanos(FIRST_BACKOFF),
+            longest_pause: nanos(BACKOFF_MAX),
+            patience: nanos(READ_TIMEOUT),
+            given_up: MAX_ABANDONED_READS,
         };
-        let reloading = Reloading {
+        let reload_thread = ReloadThread {
             coordinator,
             file,
             reloads: Reloads::new(policy),
-            clock: Instant::now(),
-            under_way: false,
+            started: Instant::now(),
+            is_reloading: false,
             events: events.clone(),
         };
-        thread("reload", STACK, move || reloading.run(&heard))?;
+        thread("reload", STACK_BYTES, move || reload_thread.run(&inbox))?;
         Ok(Self(events))
     }
 
-    /// SIGHUP has come. Returns at once: where no more events can wait, a signal does already, and the file is read as it
-    /// is by then.
+    /// SIGHUP has come. Returns at once: where the queue is full, a signal waits already, and the file is read as it is by
+    /// then.
     pub fn signal(&self) {
         let _ = self.0.try_send(Event::Signal);
     }
 }
 
-/// What the reloading thread holds.
-struct Reloading {
+/// The state of the reloading thread.
+struct ReloadThread {
     coordinator: Arc<Coordinator>,
     file: PathBuf,
     reloads: Reloads,
-    /// The machine's times count from here.
-    clock: Instant,
-    /// A signal has come, and what follows from it is not settled.
-    under_way: bool,
+    /// The state machine's times count from here.
+    started: Instant,
+    /// A signal has come, and its reload has not settled.
+    is_reloading: bool,
     /// For the threads that read.
     events: SyncSender<Event>,
 }
 
-impl Reloading {
-    fn run(mut self, heard: &Receiver<Event>) {
+impl ReloadThread {
+    fn run(mut self, inbox: &Receiver<Event>) {
         loop {
-            let due = self.carry_out();
-            if due.is_none() && std::mem::take(&mut self.under_way) {
+            let due = self.execute_steps();
+            if due.is_none() && std::mem::take(&mut self.is_reloading) {
                 self.coordinator.reload_settled();
             }
-            let news = match due {
-                Some(due) => {
-                    heard.recv_timeout(Duration::from_nanos(due.saturating_sub(nanos(self.clock.elapsed()))))
-                }
-                None => heard.recv().map_err(|_| RecvTimeoutError::Disconnected),
-            };
-            match news {
-                Ok(Event::Signal) => {
-                    self.under_way = true;
-                    self.coordinator.reload_begins();
-                    self.reloads.signal(nanos(self.clock.elapsed()));
-                }
-                Ok(Event::Read(id, loaded)) => {
-                    if let Some(returned) = self.reloads.returned(id) {
-                        self.ended(returned, *loaded);
-                    }
-                }
+            match self.next_event(inbox, due) {
+                Ok(Event::Signal) => self.begin_reload(),
+                Ok(Event::ReadEnded(id, result)) => self.read_ended(id, *result),
                 Err(RecvTimeoutError::Timeout) => {}
-                // It holds a sender itself.
+                // Impossible: this thread holds a sender itself.
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    /// Carries out the steps that are due; returns until when there is none.
-    fn carry_out(&mut self) -> Option<u64> {
+    /// The next event, or a time-out when the next step is due.
+    fn next_event(&self, inbox: &Receiver<Event>, due: Option<u64>) -> Result<Event, RecvTimeoutError> {
+        match due {
+            Some(due) => inbox.recv_timeout(Duration::from_nanos(due.saturating_sub(self.now()))),
+            None => inbox.recv().map_err(|_| RecvTimeoutError::Disconnected),
+        }
+    }
+
+    fn begin_reload(&mut self) {
+        self.is_reloading = true;
+        self.coordinator.reload_begins();
+        self.reloads.signal(self.now());
+    }
+
+    /// Carries out the steps that are due; returns when the next one is, if there is one.
+    fn execute_steps(&mut self) -> Option<u64> {
         loop {
-            match self.reloads.next(nanos(self.clock.elapsed())) {
-                Step::Read(id) => self.read(id),
+            match self.reloads.next(self.now()) {
+                Step::Read(id) => self.start_read(id),
                 Step::GiveUp(verdict) => {
                     let error = io::Error::new(io::ErrorKind::TimedOut, "it takes too long to read");
-                    self.judged(verdict, &ConfigError::Unreadable(error));
+                    self.record_failure(verdict, &ConfigError::Unreadable(error));
                 }
                 Step::Wait(until) => return until,
             }
@@ -140,49 +140,58 @@
     }
 
     /// Reads the file on a thread of its own, which may never end.
-    fn read(&mut self, id: ReadId) {
+    fn start_read(&mut self, id: ReadId) {
         let (file, events) = (self.file.clone(), self.events.clone());
-        let load = move || {
-            let loaded = Config::load(&file);
+        let read = move || {
+            let result = Config::load(&file);
             // The receiver lives as long as the process.
-            let _ = events.send(Event::Read(id, Box::new(loaded)));
+            let _ = events.send(Event::ReadEnded(id, Box::new(result)));
         };
-        if let Err(error) = thread("config reader", STACK, load) {
-            if let Some(returned) = self.reloads.returned(id) {
-                self.ended(returned, Err(ConfigError::Unreadable(error)));
-            }
+        if let Err(error) = thread("config reader", STACK_BYTES, read) {
+            self.read_ended(id, Err(ConfigError::Unreadable(error)));
         }
     }
 
-    /// Takes over what was read, if it can be, and judges the read by that.
-    fn ended(&mut self, returned: Returned, loaded: Loaded) {
-        let result = loaded.and_then(|config| self.coordinator.take(config));
+    /// Applies what was read, unless the read was abandoned.
+    fn read_ended(&mut self, id: ReadId, result: ReadResult) {
+        if let Some(returned) = self.reloads.returned(id) {
+            self.apply(returned, result);
+        }
+    }
+
+    /// Applies what was read, if it can be, and counts the reload by that.
+    fn apply(&mut self, returned: Returned, result: ReadResult) {
+        let result = result.and_then(|config| self.coordinator.apply_config(config));
         let outcome = match &result {
-            Ok(Taken::Changed) => Outcome::Changed,
-            Ok(Taken::Unchanged) => Outcome::Unchanged,
-            Err(error) if error.may_pass() => Outcome::Transient,
+            Ok(ConfigChange::Changed) => Outcome::Changed,
+            Ok(ConfigChange::Unchanged) => Outcome::Unchanged,
+            Err(error) if error.is_transient() => Outcome::Transient,
             Err(_) => Outcome::Permanent,
         };
-        let verdict = self.reloads.ended(returned, outcome, nanos(self.clock.elapsed()));
+        let verdict = self.reloads.ended(returned, outcome, self.now());
         match result {
             Ok(_) if verdict == Verdict::Taken => Counters::add(&self.coordinator.core.counters.reloads_ok),
             Ok(_) => {}
-            Err(error) => self.judged(verdict, &error),
+            Err(error) => self.record_failure(verdict, &error),
         }
     }
 
-    /// Counts and logs a read that failed.
-    fn judged(&self, verdict: Verdict, error: &ConfigError) {
+    /// Counts and logs a reload that failed for good.
+    fn record_failure(&self, verdict: Verdict, error: &ConfigError) {
         let file = self.file.display();
         match verdict {
             Verdict::TurnedDown => {
                 Counters::add(&self.coordinator.core.counters.reloads_failed);
-                log::error!("the configuration stays as it was: {file}: {error}");
+                log::warn!(file:% = file, error:% = error; "configuration rejected");
             }
             Verdict::NoLongerRepeated => {
-                log::warn!("the configuration was read again, and still cannot be taken: {file}: {error}");
+                log::warn!(file:% = file, error:% = error; "configuration still unusable after retries");
             }
             Verdict::WillRepeat | Verdict::Taken | Verdict::TakenBefore => {}
         }
     }
+
+    fn now(&self) -> u64 {
+        nanos(self.started.elapsed())
+    }
 }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -2,151 +2,69 @@
 //! What is answered is decided in `curlewdeck-snmp`; the objects stand in [`crate::mib`].
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
 use curlewdeck_snmp::agent::{Agent, Bounds, Incoming};
-use curlewdeck_snmp::tree::{Tree, View};
-use curlewdeck_snmp::usm::User;
+use curlewdeck_snmp::tree::Tree;
 use curlewdeck_snmp::walkers::{self, From, Walkers};
-use curlewdeck_snmp::{parse_oid, Oid};
 use may::net::UdpSocket;
 use may::sync::mpsc::channel;
-use serde::Deserialize;
+use thiserror::Error;
 
 use crate::api::Nanos;
-use crate::config::read_secret;
+use crate::config::{SnmpConfig, SnmpConfigError};
 use crate::counters::Counters;
 use crate::limits::Limits;
 use crate::mib;
 use crate::net::coordinator::CoreHandle;
 use crate::replication::driver::Standings;
-use crate::runtime::{nanos, spawn};
-
-/// What the edge's file says of the agent.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct SnmpConfig {
-    /// Where it listens (UDP).
-    pub listen: SocketAddr,
-    /// The community that may read with version 2c, in clear text; none: nobody may.
-    #[serde(default)]
-    pub community: Option<String>,
-    /// The file of the users of version 3, readable by its owner only.
-    #[serde(default)]
-    pub users: Option<PathBuf>,
-    /// What users, or with their name the community, may see; all where nothing is said.
-    #[serde(default)]
-    pub views: Vec<ViewConfig>,
-    /// Who is told of what happens.
-    #[serde(default)]
-    pub notify: Vec<NotifyConfig>,
-    /// Of the queries of ten seconds: where more than this share are refused, that is told.
-    #[serde(default = "a_tenth")]
-    pub refusal_share: f64,
-    /// The agent's engine id in hexadecimal digits, for localised keys; one is made at the start where it is not given.
-    #[serde(default)]
-    pub engine_id: Option<String>,
-}
-
-fn a_tenth() -> f64 {
-    0.1
-}
-
-/// One who is told, with version 2c.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct NotifyConfig {
-    /// Where.
-    pub to: SocketAddr,
-    /// The community.
-    pub community: String,
-    /// Whether an answer is waited for, and the notification repeated without one.
-    #[serde(default)]
-    pub inform: bool,
-}
-
-/// One view.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ViewConfig {
-    /// Whose: a user's name, or the community.
-    pub of: String,
-    /// Subtrees that are seen, as names in dots.
-    #[serde(default)]
-    pub include: Vec<String>,
-    /// Subtrees that are not.
-    #[serde(default)]
-    pub exclude: Vec<String>,
+use crate::runtime::{nanos, spawn, NotStarted};
+
+/// Why the management agent cannot be started.
+#[derive(Debug, Error)]
+pub enum SnmpStartError {
+    /// Its section cannot be used.
+    #[error(transparent)]
+    Config(#[from] SnmpConfigError),
+    /// Its address cannot be listened at.
+    #[error("cannot listen at {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// Its coroutine cannot be started.
+    #[error("{0}")]
+    Spawn(#[source] NotStarted),
 }
 
-/// An engine id of RFC 3411, section 5: the enterprise number with its first bit set, and octets of our own.
-const ENGINE: [u8; 5] = [0x80, 0x00, 0x7e, 0xd9, 5];
-
-impl SnmpConfig {
-    fn view(&self, of: &str) -> Result<View, String> {
-        let oids = |texts: &[String]| -> Result<Vec<Oid>, String> {
-            let read = |t: &String| parse_oid(t).ok_or_else(|| format!("snmp: '{t}' is no name in dots"));
-            texts.iter().map(read).collect()
-        };
-        match self.views.iter().find(|v| v.of == of) {
-            None => Ok(View::default()),
-            Some(v) => Ok(View { include: oids(&v.include)?, exclude: oids(&v.exclude)? }),
-        }
-    }
-
-    /// The engine id that the file gives, or one that is made now.
-    ///
-    /// # Errors
-    /// What the file gives is none.
-    pub fn engine(&self) -> Result<Vec<u8>, String> {
-        let Some(text) = &self.engine_id else {
-            let mut own = [0; 8];
-            getrandom::fill(&mut own).map_err(|e| format!("snmp: no random numbers: {e}"))?;
-            return Ok([&ENGINE[..], &own].concat());
-        };
-        let wrong = || format!("snmp: engine_id '{text}': 5 to 32 bytes in hexadecimal digits are expected");
-        let id = hex::decode(text).ok().filter(|id| (5..=32).contains(&id.len()));
-        id.ok_or_else(wrong)
+/// The agent that its section describes, with the engine id and boots that were restored, if any were.
+///
+/// # Errors
+/// Names what is wrong with the section, and never a secret.
+pub fn agent(
+    config: &SnmpConfig,
+    limits: &Limits,
+    restored: Option<(Vec<u8>, u32)>,
+) -> Result<Agent, SnmpConfigError> {
+    let bounds = Bounds { bindings: limits.snmp_bindings, bytes: limits.snmp_bytes };
+    // An id that the file gives takes precedence over one that was restored.
+    let (engine, boots) = match restored {
+        Some((engine, boots)) if config.engine_id.is_none() => (engine, boots),
+        Some((_, boots)) => (config.engine_id()?, boots),
+        None => (config.engine_id()?, boots()),
+    };
+    let access = config.access()?;
+    let mut agent = Agent::new(bounds, engine, boots, mib::known());
+    if let Some((community, view)) = access.community {
+        agent.admit_community(community, view);
     }
-
-    /// The agent that this section describes, with the engine id and boots that were kept, if any were.
-    ///
-    /// # Errors
-    /// Names what is out of place, and never a secret.
-    pub fn agent(&self, limits: &Limits, kept: Option<(Vec<u8>, u32)>) -> Result<Agent, String> {
-        let bounds = Bounds { bindings: limits.snmp_bindings, bytes: limits.snmp_bytes };
-        // An id that the file gives comes before one that was kept.
-        let (engine, boots) = match kept {
-            Some((engine, boots)) if self.engine_id.is_none() => (engine, boots),
-            Some((_, boots)) => (self.engine()?, boots),
-            None => (self.engine()?, boots()),
-        };
-        let mut agent = Agent::new(bounds, engine, boots, mib::known());
-        if self.community.is_none() && self.users.is_none() {
-            return Err("snmp: nobody may ask: a community or a file of users is needed".into());
-        }
-        if let Some(community) = &self.community {
-            agent.admit_community(community.clone(), self.view(community)?);
-        }
-        let mut names: Vec<String> = self.community.iter().cloned().collect();
-        if let Some(path) = &self.users {
-            let users =
-                User::read_all(&read_secret(path)?).map_err(|why| format!("{}: {why}", path.display()))?;
-            for user in users {
-                let mut salt = [0; 8];
-                getrandom::fill(&mut salt).map_err(|e| format!("snmp: no random numbers: {e}"))?;
-                let view = self.view(&user.name)?;
-                names.push(user.name.clone());
-                agent.admit_user(User { view, ..user }, u64::from_be_bytes(salt));
-            }
-        }
-        match self.views.iter().find(|v| !names.contains(&v.of)) {
-            Some(v) => Err(format!("snmp: a view is of '{}', which is no user and not the community", v.of)),
-            None => Ok(agent),
-        }
+    for admitted in access.users {
+        agent.admit_user(admitted.user, admitted.salt);
     }
+    Ok(agent)
 }
 
 /// Seconds of Unix time at which boots were one.
@@ -218,10 +136,10 @@
     counters: Arc<Counters>,
     group: Option<Standings>,
     limits: Arc<Limits>,
-    kept: Option<(Vec<u8>, u32)>,
-) -> Result<SocketAddr, String> {
-    let cannot = |e: std::io::Error| format!("cannot listen at {}: {e}", config.listen);
-    let agent = config.agent(&limits, kept)?;
+    restored: Option<(Vec<u8>, u32)>,
+) -> Result<SocketAddr, SnmpStartError> {
+    let cannot = |source| SnmpStartError::Listen { address: config.listen, source };
+    let agent = agent(config, &limits, restored)?;
     let socket = UdpSocket::bind(config.listen).map_err(cannot)?;
     let local = socket.local_addr().map_err(cannot)?;
     let walkers = Walkers::new(walkers::Bounds {
@@ -243,11 +161,11 @@
             };
             if let Some(answer) = served.serve(&buf[..size], from) {
                 if let Err(e) = socket.send_to(&answer, from) {
-                    log::debug!("snmp: {e}");
+                    log::debug!(peer:% = from, error:% = e; "management answer not sent");
                 }
             }
         }
     })
-    .map_err(|e| e.to_string())?;
+    .map_err(SnmpStartError::Spawn)?;
     Ok(local)
 }
--- a/src/snmp_tool.rs
+++ b/src/snmp_tool.rs
@@ -149,7 +149,8 @@
             (Some(community), None, None) => Security::Community(community),
             (None, Some(file), Some(name)) => {
                 let path = PathBuf::from(&file);
-                let users = User::read_all(&read_secret(&path)?).map_err(|why| format!("{file}: {why}"))?;
+                let users = User::read_all(&read_secret(&path).map_err(|e| e.to_string())?)
+                    .map_err(|why| format!("{file}: {why}"))?;
                 let found = users.into_iter().find(|u| u.name == name);
                 Security::User(found.ok_or_else(|| format!("{file}: there is no user '{name}'"))?)
             }
--- /dev/null
+++ b/src/startup/frontends.rs
@@ -0,0 +1,132 @@
+//! The frontends: one for each protocol by which clients, managers and operators reach the coordinator.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use curlewdeck_lifecycle::{Lifecycle, Spans};
+use curlewdeck_listener::Inherited;
+
+use super::operations::CoordinatorOperations;
+use super::subsystems::ProcessContext;
+use super::StartError;
+use crate::alerts::{self, Stopping};
+use crate::config::{AggregationConfig, FeaturesConfig, SnmpConfig};
+use crate::control::{self, Operations};
+use crate::counters::Counters;
+use crate::frontend::aggregation::{AggregationFrontend, Memory};
+use crate::frontend::features::FeaturesFrontend;
+use crate::frontend::http_server::{self, Frontend, Service, Shared};
+use crate::frontend::platform::Platform;
+use crate::net::coordinator::CoreHandle;
+use crate::replication::Group;
+use crate::runtime::{nanos, Permits};
+use crate::snapshot_store::SnapshotContents;
+use crate::snmp;
+
+/// Starts frontends that share the bounds on client connections and the lifecycle of the process.
+pub(super) struct Frontends {
+    shared: Shared,
+}
+
+impl Frontends {
+    pub(super) fn new(process: &ProcessContext, core: CoreHandle, shared_listener: bool) -> Self {
+        let limits = process.limits.clone();
+        let spans = Spans {
+            drain_notice: nanos(limits.drain_notice),
+            drain_rest: nanos(limits.drain_rest),
+            shared_listener,
+        };
+        let service = Service::new(process.clock, Lifecycle::new(spans), nanos(limits.client_log));
+        let permits = Permits::new(limits.clients);
+        let turned_away = Permits::new(limits.turned_away);
+        Self { shared: Shared { core, limits, service: Arc::new(service), permits, turned_away } }
+    }
+
+    /// The client connections and the lifecycle of the process.
+    pub(super) fn service(&self) -> Arc<Service> {
+        self.shared.service.clone()
+    }
+
+    pub(super) fn start_features(
+        &self,
+        config: Option<&FeaturesConfig>,
+        seed: u64,
+    ) -> Result<Option<SocketAddr>, StartError> {
+        let Some(config) = config else { return Ok(None) };
+        let Shared { core, limits, .. } = self.shared.clone();
+        let frontend = FeaturesFrontend::new(config, core, limits, seed)?;
+        self.listen(config.listen, Arc::new(frontend)).map(Some)
+    }
+
+    /// Starts the aggregation frontend, with its memory of ranges: both are there where its section is.
+    pub(super) fn start_aggregation(
+        &self,
+        config: Option<&AggregationConfig>,
+        memory: Option<Memory>,
+        seed: u64,
+    ) -> Result<Option<SocketAddr>, StartError> {
+        let Some((config, memory)) = config.zip(memory) else { return Ok(None) };
+        let Shared { core, limits, .. } = self.shared.clone();
+        let frontend = AggregationFrontend::new(config, core, limits, memory, seed)?;
+        self.listen(config.listen, Arc::new(frontend)).map(Some)
+    }
+
+    /// Starts to send notifications, if there is a receiver of them.
+    pub(super) fn start_alerts(
+        &self,
+        config: Option<&SnmpConfig>,
+        sockets: usize,
+    ) -> Result<Option<Stopping>, StartError> {
+        let Some(config) = config else { return Ok(None) };
+        let started = alerts::start(config, self.shared.core.clone(), &self.shared.limits, sockets);
+        started.map_err(|error| StartError::Alerts(error.into()))
+    }
+
+    /// Starts the management agent, with the engine id and boots that were restored.
+    pub(super) fn start_snmp(
+        &self,
+        config: Option<&SnmpConfig>,
+        counters: Arc<Counters>,
+        group: Option<&Group>,
+        restored: Option<SnapshotContents>,
+    ) -> Result<Option<SocketAddr>, StartError> {
+        let Some(config) = config else { return Ok(None) };
+        let Shared { core, limits, .. } = self.shared.clone();
+        let engine = restored
+            .filter(|restored| !restored.engine.is_empty())
+            .map(|restored| (restored.engine, restored.boots));
+        let standings = group.map(|group| group.standings.clone());
+        Ok(Some(snmp::start(config, core, counters, standings, limits, engine)?))
+    }
+
+    /// Starts to answer operators at the second address, if there is one.
+    pub(super) fn start_control(
+        &self,
+        address: Option<SocketAddr>,
+    ) -> Result<Option<SocketAddr>, StartError> {
+        let Some(address) = address else { return Ok(None) };
+        let Shared { core, limits, service, .. } = self.shared.clone();
+        let max_calls = limits.control_calls;
+        let operations = Operations(CoordinatorOperations { core, service, limits: limits.clone() });
+        let started = control::start(address, Arc::new(operations), max_calls, limits);
+        started.map(Some).map_err(|source| StartError::ListenControl { address, source })
+    }
+
+    /// Starts to serve the platform's clients, at the inherited socket or at the address.
+    pub(super) fn listen_for_clients(
+        &self,
+        address: SocketAddr,
+        inherited: Option<Inherited>,
+    ) -> Result<SocketAddr, StartError> {
+        let Shared { core, limits, service, .. } = self.shared.clone();
+        let frontend = Arc::new(Platform { core, limits, service });
+        let Some(inherited) = inherited else { return self.listen(address, frontend) };
+        http_server::listen_inherited(inherited, frontend, self.shared.clone())
+            .map_err(StartError::ListenInherited)
+    }
+
+    fn listen(&self, address: SocketAddr, frontend: Arc<dyn Frontend>) -> Result<SocketAddr, StartError> {
+        http_server::listen(address, frontend, self.shared.clone())
+            .map_err(|source| StartError::Listen { address, source })
+    }
+}
--- /dev/null
+++ b/src/startup/operations.rs
@@ -0,0 +1,68 @@
+//! What operators command at the second address: readiness, figures, draining this coordinator and resuming.
+
+use std::sync::Arc;
+
+use curlewdeck_lifecycle::{Called, Closing};
+
+use super::CLOSING_CHECK_INTERVAL;
+use crate::control::OperatorCommands;
+use crate::frontend::http_server::Service;
+use crate::limits::Limits;
+use crate::net::coordinator::CoreHandle;
+use crate::runtime::{thread, SMALL_STACK};
+
+/// The operator's commands to one coordinator.
+pub(super) struct CoordinatorOperations {
+    pub(super) core: CoreHandle,
+    pub(super) service: Arc<Service>,
+    pub(super) limits: Arc<Limits>,
+}
+
+impl OperatorCommands for CoordinatorOperations {
+    fn ready(&self) -> Result<(), &'static str> {
+        self.service.why_not(&self.core).map_or(Ok(()), Err)
+    }
+
+    fn figures(&self) -> String {
+        self.core.process_stats().text()
+    }
+
+    fn drain(&self) -> Result<(), &'static str> {
+        let (called, change) = {
+            let mut lifecycle = self.service.lifecycle();
+            (lifecycle.drain_start(self.service.now()), lifecycle.changes())
+        };
+        if called == Called::Changed {
+            log::info!("drained by an operator");
+            self.close_idle_connections_until_changed(change);
+        }
+        Ok(())
+    }
+
+    fn resume(&self) -> Result<(), &'static str> {
+        match self.service.lifecycle().drain_stop() {
+            Called::Changed => log::info!("resumed by an operator"),
+            Called::Already => {}
+            Called::Finishing => return Err("the process ends"),
+        }
+        Ok(())
+    }
+}
+
+impl CoordinatorOperations {
+    /// Closes idle client connections in a thread that ends with this drain: at the next change of the lifecycle.
+    fn close_idle_connections_until_changed(&self, change: u64) {
+        let (service, limits) = (self.service.clone(), self.limits.clone());
+        let close = move || {
+            while service.lifecycle().changes() == change {
+                if service.closing() == Closing::Resting {
+                    service.close_idle(limits.client_silent, limits.linger);
+                }
+                std::thread::sleep(CLOSING_CHECK_INTERVAL);
+            }
+        };
+        if let Err(e) = thread("drain", SMALL_STACK, close) {
+            log::error!(error:% = e; "no thread to close idle connections");
+        }
+    }
+}
--- /dev/null
+++ b/src/startup/subsystems.rs
@@ -0,0 +1,160 @@
+//! The subsystems that no client sees: the engine, discovery, the data nodes' actors, the replication group, the stored
+//! state and the core.
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use curlewdeck_accounting::node_table::NodeBounds;
+use may::sync::mpsc::Sender;
+
+use super::StartError;
+use crate::config::{Config, Edge, NodeProtocol, NodesConfig, SnmpConfig};
+use crate::counters::Counters;
+use crate::engine::Engine;
+use crate::limits::Limits;
+use crate::net::coordinator::{CoreConfig, StartNode};
+use crate::net::discovery::{self, DiscoveryContext, DiscoveryPlan};
+use crate::net::endpoint_list_lease::EndpointListLease;
+use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate};
+use crate::net::feature_node;
+use crate::net::features::Names;
+use crate::net::log_limit::LogLimit;
+use crate::net::messages::{CoreMailbox, DiscoveryMessage};
+use crate::net::node::{self, NodeContext};
+use crate::net::pending_updates::PendingUpdates;
+use crate::replication::config::GroupConfig;
+use crate::replication::{self, Group};
+use crate::runtime::{nanos, Clock, Permits};
+use crate::settings::Deployment;
+use crate::snapshot_store::SnapshotStore;
+
+/// What all subsystems of the process share.
+pub(super) struct ProcessContext {
+    pub(super) limits: Arc<Limits>,
+    pub(super) clock: Clock,
+    pub(super) counters: Arc<Counters>,
+    pub(super) deployment: Arc<Deployment>,
+}
+
+/// What the actor of discovery is started with.
+pub(super) struct DiscoveryStart {
+    pub(super) address: SocketAddr,
+    pub(super) seed: u64,
+    /// The endpoint list from before the start.
+    pub(super) known: Option<DiscoveryUpdate>,
+    pub(super) core: CoreMailbox,
+    pub(super) pending_updates: PendingUpdates,
+    pub(super) lease: EndpointListLease,
+}
+
+impl ProcessContext {
+    pub(super) fn new(config: &Config, other_processes: u32) -> Result<Self, StartError> {
+        Ok(Self {
+            limits: Arc::new(Limits::within(config.platform(other_processes as usize))?),
+            clock: Clock::start(),
+            counters: Arc::default(),
+            deployment: Arc::new(config.info.clone().sharing_with(other_processes)),
+        })
+    }
+
+    pub(super) fn engine(&self, seed: u64) -> Result<Engine, StartError> {
+        let (deployment, limits) = (Deployment::clone(&self.deployment), &self.limits);
+        Ok(Engine::new(deployment, seed, nanos(limits.backstop), nanos(limits.name_rest))?)
+    }
+
+    /// Starts the actor of discovery; returns its mailbox, and the endpoint list from before the start.
+    pub(super) fn start_discovery(
+        &self,
+        start: DiscoveryStart,
+    ) -> Result<(Sender<DiscoveryMessage>, EndpointUpdate), StartError> {
+        let plan = DiscoveryPlan {
+            address: start.address,
+            discovery: self.deployment.settings.discovery,
+            coordinators: self.deployment.settings.coordinators,
+            seed: start.seed,
+            known: start.known,
+        };
+        let context = DiscoveryContext {
+            core: start.core,
+            limits: self.limits.clone(),
+            counters: self.counters.clone(),
+            clock: self.clock,
+            pending_updates: start.pending_updates,
+            lease: start.lease,
+        };
+        discovery::start(plan, context).map_err(StartError::Discovery)
+    }
+
+    /// What the actor of each data node needs of the process.
+    pub(super) fn node_context(&self, core: CoreMailbox, pending_updates: PendingUpdates) -> NodeContext {
+        let shortest = self.deployment.settings.shortest_latency_objective();
+        NodeContext {
+            core,
+            limits: self.limits.clone(),
+            connections: self.deployment.connections,
+            shortest_aim: Duration::from_nanos(shortest),
+            permits: Permits::new(self.limits.node_sockets),
+            no_socket_log: Arc::new(Mutex::new(LogLimit::new(nanos(self.limits.no_socket_log)))),
+            counters: self.counters.clone(),
+            clock: self.clock,
+            freshness: pending_updates,
+        }
+    }
+
+    pub(super) fn start_replication(&self, group: Option<&GroupConfig>) -> Result<Option<Group>, StartError> {
+        let Some(group) = group else { return Ok(None) };
+        let started = replication::start(group, &self.limits);
+        started.map(Some).map_err(|error| StartError::Replication(error.into()))
+    }
+
+    /// The core's configuration, with nothing restored and nobody to hear of data nodes that started anew.
+    pub(super) fn core_config(
+        &self,
+        engine: Engine,
+        lease: EndpointListLease,
+        has_control: bool,
+    ) -> CoreConfig {
+        let limits = &self.limits;
+        CoreConfig {
+            engine,
+            info: self.deployment.clone(),
+            figures_every: has_control.then(|| nanos(limits.figures_every)),
+            clock: self.clock,
+            counters: self.counters.clone(),
+            backlog: limits.core_backlog,
+            stack_words: limits.core_stack_words,
+            lease,
+            nodes: NodeBounds { max_rows: limits.node_rows, retention: nanos(limits.node_row_keep) },
+            restored: None,
+            started: None,
+        }
+    }
+}
+
+/// Starts the actor of a data node, by the protocol that data nodes speak.
+pub(super) fn node_starter(nodes: &NodesConfig, context: NodeContext) -> StartNode {
+    match nodes.protocol {
+        NodeProtocol::Frames => Box::new(move |id, gate| node::start(id, gate, context.clone())),
+        NodeProtocol::Features => {
+            let names = Arc::new(Names {
+                range: nodes.range_parameter.clone(),
+                after: nodes.after_parameter.clone(),
+            });
+            Box::new(move |id, gate| feature_node::start(id, gate, context.clone(), names.clone()))
+        }
+    }
+}
+
+/// Loads what an earlier process stored, from the folder and, where it is replicated, from the group.
+pub(super) fn load_snapshot_store(
+    edge: &Edge,
+    name: &str,
+    group: Option<&Group>,
+) -> Result<Option<Arc<SnapshotStore>>, StartError> {
+    let Some(state) = &edge.state else { return Ok(None) };
+    let engine_id = edge.snmp.as_ref().map_or(Ok(Vec::new()), SnmpConfig::engine_id)?;
+    let replica = group.filter(|_| state.copied).map(|group| group.copy_of(name));
+    let store = SnapshotStore::load(state, engine_id, replica);
+    Ok(Some(Arc::new(store.map_err(|error| StartError::SnapshotStore(error.into()))?)))
+}
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -333,8 +333,8 @@
     keys(new);
     assert_eq!(problem(&Fleet::with_edge(9, &edge).ask("passages", &list(Some(&next)))).1, "cursor");
     std::fs::set_permissions(&file, PermissionsExt::from_mode(0o644)).unwrap();
-    let config = curlewdeck::config::Edge::read(&edge).unwrap().desk.unwrap();
-    assert!(config.keys().unwrap_err().contains("chmod 600"));
+    let config = curlewdeck::config::Edge::read(&edge).unwrap().aggregation.unwrap();
+    assert!(config.keys().unwrap_err().to_string().contains("chmod 600"));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -581,11 +581,11 @@
         ("\"accounts\"", "\"a b\"", "cannot stand in a path"),
     ] {
         let edge = curlewdeck::config::Edge::read(&EDGE.replacen(from, to, 1)).unwrap();
-        let fault = edge.desk.unwrap().check(&info).unwrap_err();
+        let fault = edge.aggregation.unwrap().check(&info).unwrap_err().to_string();
         assert!(fault.contains(why), "{to}: {fault}");
     }
     // Feature servers give features, not values that can be merged.
     let edge = format!("[nodes]\nprotocol = \"features\"\n{EDGE}");
-    let fault = curlewdeck::config::Edge::read(&edge).unwrap().check(&info).unwrap_err();
+    let fault = curlewdeck::config::Edge::read(&edge).unwrap().check(&info).unwrap_err().to_string();
     assert!(fault.contains("come in frames"), "{fault}");
 }
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -293,14 +293,14 @@
     use curlewdeck::config::Edge;
     assert!(Edge::read("[ogc]\nlisten = 5\ncollections = []").is_err());
     assert!(Edge::read("[gco]").is_err());
-    assert!(Edge::read(include_str!("../deploy/edge.toml")).unwrap().ogc.is_none());
+    assert!(Edge::read(include_str!("../deploy/edge.toml")).unwrap().features.is_none());
     let config = curlewdeck::config::Config::read(
         &TestCluster::default().config("127.0.0.1:1".parse().unwrap()),
         |_| None,
     );
     let edge = EDGE.replace("plaza-ranking", "monthly-settle");
     let started = curlewdeck::startup::start(config.unwrap(), Edge::read(&edge).unwrap());
-    assert!(started.err().unwrap().contains("second step"));
+    assert!(started.err().unwrap().to_string().contains("second step"));
 }
 
 /// Features in the order of their ids, behind `behind`, of data that changes; `dead` servers fail.
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -91,6 +91,12 @@
     startup::start(config, Edge::read(edge).unwrap()).unwrap()
 }
 
+/// The address in the fields of a log line.
+pub fn logged_address(fields: &str) -> SocketAddr {
+    let address = fields.split_whitespace().find_map(|field| field.strip_prefix("address="));
+    address.expect("the line has an address").parse().unwrap()
+}
+
 pub fn member(uid: &str, cell: u32, endpoint: SocketAddr) -> Member {
     Member { uid: uid.to_string(), endpoint, cell, state: "up", boot_ms: 0 }
 }
@@ -222,11 +228,11 @@
         let addr = loop {
             line.clear();
             assert!(std::io::BufRead::read_line(&mut log, &mut line).unwrap() > 0, "it ended early");
-            if let Some((_, addr)) = line.split_once(" is operated at ") {
-                control = Some(addr.trim().parse().unwrap());
+            if let Some((_, fields)) = line.split_once("] listening for operators ") {
+                control = Some(logged_address(fields));
             }
-            if let Some((_, addr)) = line.split_once(" serves at ") {
-                break addr.trim().parse().unwrap();
+            if let Some((_, fields)) = line.split_once("] listening for clients ") {
+                break logged_address(fields);
             }
         };
         let log = Some(std::thread::spawn(move || std::io::read_to_string(log).unwrap()));
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -231,8 +231,8 @@
     until("the last file", || last.lists() == 1);
     program.signal("TERM");
     let log = program.ended();
-    let told: Vec<&str> = log.lines().filter(|l| l.contains("the configuration stays as it was")).collect();
-    assert!(told.len() == bad.len() && told.iter().all(|l| l.contains("config.json: ")), "{log}");
+    let told: Vec<&str> = log.lines().filter(|l| l.contains("configuration rejected")).collect();
+    assert!(told.len() == bad.len() && told.iter().all(|l| l.contains(" file=config.json error=")), "{log}");
     assert!(told[3].contains("settings") && told[6].contains("'seed' is missing"), "{told:?}");
 }
 
@@ -261,7 +261,7 @@
     // Nobody is at the other end of this one.
     program.reload_made(pipe);
     program.signal("TERM");
-    assert!(program.ended().contains("the configuration is taken"));
+    assert!(program.ended().contains("configuration applied"));
 }
 
 /// Guards a new version under load: two processes at one socket, the old one told to end; every request on new and on
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -499,7 +499,7 @@
     release.store(true, Ordering::SeqCst);
     assert_eq!(asked.join().unwrap().status, 200);
     let log = program.ended();
-    assert_eq!(log.lines().filter(|l| l.contains("the configuration stays as it was")).count(), 1, "{log}");
+    assert_eq!(log.lines().filter(|l| l.contains("configuration rejected")).count(), 1, "{log}");
 }
 
 #[test]
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -17,8 +17,8 @@
 use harness::stand_in::{DataNode, Discovery};
 use harness::{member, query, served, until, Program, TestCluster};
 
-/// What discovery has to tell counts as told so long after SIGHUP.
-const TOLD_AFTER: Duration = Duration::from_secs(4);
+/// What discovery has counts as notified so long after SIGHUP.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(4);
 
 /// A configuration with a second address that names this discovery, changed as the test wants.
 fn config(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> String {
@@ -33,14 +33,14 @@
 }
 
 /// A program whose discovery moves from `old` to `new`, and two data nodes that both of them list.
-struct Moving {
+struct MovingDiscovery {
     program: Program,
     old: Discovery,
     new: Discovery,
     nodes: [DataNode; 2],
 }
 
-impl Moving {
+impl MovingDiscovery {
     fn start() -> Self {
         let nodes = [DataNode::start(served), DataNode::start(served)];
         let list = || vec![member("a", 0, nodes[0].addr), member("b", 1, nodes[1].addr)];
@@ -49,7 +49,7 @@
         Self { program, old, new, nodes }
     }
 
-    /// Files taken and turned down.
+    /// Files applied and rejected.
     fn reloads(&self) -> (u64, u64) {
         (self.program.figure("reloads_ok").unwrap(), self.program.figure("reloads_failed").unwrap())
     }
@@ -58,7 +58,7 @@
         self.program.folder().join("config.json")
     }
 
-    fn hang_up(&self) -> Instant {
+    fn send_sighup(&self) -> Instant {
         let signalled = Instant::now();
         self.program.signal("HUP");
         signalled
@@ -70,16 +70,16 @@
         File::options().write(true).open(pipe).unwrap()
     }
 
-    fn turned_down(&self, files: u64) {
+    fn assert_rejected(&self, files: u64) {
         until("the file to be turned down", || self.reloads().1 == files);
     }
 
     /// The new discovery must be watched in time, and its drain of the first data node be heeded; the old one tells of
     /// no drain.
-    fn follows(&self, signalled: Instant) {
+    fn assert_follows(&self, signalled: Instant) {
         while self.new.watches() == 0 {
             let waited = signalled.elapsed();
-            assert!(waited < TOLD_AFTER, "{waited:?} after SIGHUP the new discovery is not asked");
+            assert!(waited < NOTIFIED_AFTER, "{waited:?} after SIGHUP the new discovery is not asked");
             sleep(Duration::from_millis(5));
         }
         self.new.set("a", "draining");
@@ -93,29 +93,29 @@
     }
 }
 
-/// The log's lines that tell of files that were turned down.
-fn turned_down_lines(log: &str) -> usize {
-    log.lines().filter(|l| l.contains("the configuration stays as it was")).count()
+/// The log's lines on rejected files.
+fn rejection_lines(log: &str) -> usize {
+    log.lines().filter(|l| l.contains("configuration rejected")).count()
 }
 
 fn make_pipe(path: &Path) {
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
 }
 
-/// Guards a configuration that is put in place in halves, under one SIGHUP: the first half is turned down at once, and
-/// the whole is taken without another signal.
+/// Guards a configuration that is put in place in halves, under one SIGHUP: the first half is rejected at once, and
+/// the complete file is applied without another signal.
 #[test]
-fn a_file_that_comes_in_halves_is_taken_once_it_is_whole() {
-    let moving = Moving::start();
-    let whole = naming(&moving.new);
-    for (turn, cut) in [whole.len() / 2, 0].into_iter().enumerate() {
-        moving.program.put(&whole[..cut]);
-        let signalled = moving.hang_up();
-        moving.turned_down(turn as u64 + 1);
+fn a_file_written_in_halves_is_applied_once_it_is_complete() {
+    let moving = MovingDiscovery::start();
+    let complete = naming(&moving.new);
+    for (turn, cut) in [complete.len() / 2, 0].into_iter().enumerate() {
+        moving.program.put(&complete[..cut]);
+        let signalled = moving.send_sighup();
+        moving.assert_rejected(turn as u64 + 1);
         assert_eq!(moving.new.lists(), usize::from(turn > 0));
-        moving.program.put(&whole);
+        moving.program.put(&complete);
         match turn {
-            0 => moving.follows(signalled),
+            0 => moving.assert_follows(signalled),
             _ => until("the whole file", || moving.reloads().0 == 2),
         }
     }
@@ -123,12 +123,12 @@
     assert_eq!((moving.new.lists(), moving.old.watches()), (1, 1));
     moving.program.signal("TERM");
     let log = moving.program.ended();
-    assert_eq!(turned_down_lines(&log), 2, "{log}");
+    assert_eq!(rejection_lines(&log), 2, "{log}");
 }
 
 /// Guards a file that cannot be read for a moment: it is missing, a folder, or a link that leads to itself.
 #[test]
-fn a_file_that_cannot_be_read_is_tried_again() {
+fn an_unreadable_file_is_read_again() {
     type Spoil = fn(&Path);
     let spoils: [(Spoil, Spoil, &str); 3] = [
         (|path| std::fs::remove_file(path).unwrap(), |_| (), "No such file"),
@@ -150,18 +150,18 @@
         ),
     ];
     for (spoil, mend, why) in spoils {
-        let moving = Moving::start();
+        let moving = MovingDiscovery::start();
         spoil(&moving.config_file());
-        let signalled = moving.hang_up();
-        moving.turned_down(1);
+        let signalled = moving.send_sighup();
+        moving.assert_rejected(1);
         mend(&moving.config_file());
         moving.program.put(&naming(&moving.new));
-        moving.follows(signalled);
+        moving.assert_follows(signalled);
         assert_eq!(moving.reloads(), (1, 1), "{why}");
         moving.program.signal("TERM");
         let log = moving.program.ended();
-        let line = log.lines().find(|l| l.contains("the configuration stays as it was")).unwrap();
-        assert!(line.contains(why) && turned_down_lines(&log) == 1, "{log}");
+        let line = log.lines().find(|l| l.contains("configuration rejected")).unwrap();
+        assert!(line.contains(why) && rejection_lines(&log) == 1, "{log}");
     }
 }
 
@@ -169,61 +169,61 @@
 /// is there by then holds.
 #[test]
 fn a_file_replaced_while_it_is_read_is_read_again() {
-    let moving = Moving::start();
+    let moving = MovingDiscovery::start();
     let signalled = Instant::now();
     let mut slow = moving.reload_pipe();
-    let whole = naming(&moving.new);
-    slow.write_all(&whole.as_bytes()[..whole.len() / 2]).unwrap();
-    moving.program.put(&whole);
+    let complete = naming(&moving.new);
+    slow.write_all(&complete.as_bytes()[..complete.len() / 2]).unwrap();
+    moving.program.put(&complete);
     drop(slow);
-    moving.follows(signalled);
+    moving.assert_follows(signalled);
     assert_eq!(moving.reloads(), (1, 1));
 }
 
 /// Guards a newer SIGHUP against a read that does not end, here of a pipe whose writer says nothing: the newer file is
-/// taken all the same, and what the pipe gives in the end is not.
+/// applied all the same, and what the pipe gives in the end is not.
 #[test]
-fn a_read_that_does_not_end_holds_up_no_newer_file() {
-    let moving = Moving::start();
+fn a_hanging_read_does_not_delay_a_newer_file() {
+    let moving = MovingDiscovery::start();
     let mut silent = moving.reload_pipe();
     moving.program.put(&naming(&moving.new));
-    let signalled = moving.hang_up();
-    moving.follows(signalled);
-    // The pipe's file was turned down when it was given up.
+    let signalled = moving.send_sighup();
+    moving.assert_follows(signalled);
+    // The pipe's file was rejected when its read was abandoned.
     assert_eq!(moving.reloads(), (1, 1));
     silent.write_all(naming(&moving.old).as_bytes()).unwrap();
     drop(silent);
     moving.program.reload("{}");
-    moving.turned_down(2);
+    moving.assert_rejected(2);
     assert_eq!((moving.reloads().0, moving.old.watches(), moving.new.watches()), (1, 1, 1));
     moving.program.signal("TERM");
     let log = moving.program.ended();
-    assert!(turned_down_lines(&log) == 2 && log.contains("too long"), "{log}");
+    assert!(rejection_lines(&log) == 2 && log.contains("too long"), "{log}");
 }
 
-/// Guards a file that is whole and bad: it is turned down for good, its discovery included, and what is put in its place
+/// Guards a file that is complete and invalid: it is rejected for good, its discovery included, and what is put in its place
 /// waits for its own SIGHUP.
 #[test]
-fn a_file_that_is_whole_and_bad_is_not_read_again() {
-    let moving = Moving::start();
+fn a_complete_but_invalid_file_is_not_read_again() {
+    let moving = MovingDiscovery::start();
     let bad = config(&moving.new, |c| drop(c["settings"].as_object_mut().unwrap().remove("rules")));
     moving.program.reload(&bad);
-    moving.turned_down(1);
+    moving.assert_rejected(1);
     moving.program.put(&naming(&moving.new));
-    sleep(TOLD_AFTER + Duration::from_millis(200));
+    sleep(NOTIFIED_AFTER + Duration::from_millis(200));
     assert_eq!((moving.reloads(), moving.new.lists() + moving.new.watches()), ((0, 1), 0));
-    let signalled = moving.hang_up();
-    moving.follows(signalled);
+    let signalled = moving.send_sighup();
+    moving.assert_follows(signalled);
     assert_eq!(moving.reloads(), (1, 1));
 }
 
-/// Guards the figures where a file is taken by a repeat before its own SIGHUP comes: it is one file. The next SIGHUP
+/// Guards the figures where a file is applied by a retry before its own SIGHUP comes: it is one file. The next SIGHUP
 /// counts again.
 #[test]
-fn a_file_taken_before_its_signal_is_counted_once() {
-    let moving = Moving::start();
+fn a_file_applied_before_its_signal_is_counted_once() {
+    let moving = MovingDiscovery::start();
     moving.program.reload("{");
-    moving.turned_down(1);
+    moving.assert_rejected(1);
     moving.program.put(&naming(&moving.new));
     until("the file", || moving.reloads() == (1, 1));
     // A pipe with the same text, which tells when the signal's read has begun.
@@ -231,7 +231,7 @@
     same.write_all(naming(&moving.new).as_bytes()).unwrap();
     drop(same);
     moving.program.reload("{}");
-    moving.turned_down(2);
+    moving.assert_rejected(2);
     assert_eq!(moving.reloads(), (1, 2));
     moving.program.reload(&naming(&moving.new));
     until("the next signal's file", || moving.reloads() == (2, 2));
@@ -242,14 +242,14 @@
 /// discovery where it names it.
 #[test]
 fn the_last_of_many_files_holds() {
-    let moving = Moving::start();
+    let moving = MovingDiscovery::start();
     let (old, new) = (naming(&moving.old), naming(&moving.new));
     for text in [&new, &old, &new, &new, &new[..100].to_string(), &old, &old[..200].to_string(), &new] {
         moving.program.reload(text);
     }
     let signalled = Instant::now();
     // Watches of the moves before do not hide that the last one holds: only the new discovery tells of this drain.
-    moving.follows(signalled);
+    moving.assert_follows(signalled);
     // Back again, and the same address once more.
     let watches = moving.old.watches();
     moving.program.reload(&old);
@@ -263,13 +263,13 @@
 }
 
 /// Guards SIGTERM while a file is waiting to be read again, and while one is read that does not end: the process ends as
-/// ever, and a whole file is still taken on the way.
+/// ever, and a complete file is still applied on the way.
 #[test]
-fn repeats_do_not_hold_up_the_end() {
+fn retries_do_not_delay_shutdown() {
     for hangs in [false, true] {
-        let mut moving = Moving::start();
+        let mut moving = MovingDiscovery::start();
         moving.program.reload("{");
-        moving.turned_down(1);
+        moving.assert_rejected(1);
         if hangs {
             moving.program.reload_made(make_pipe);
         }
@@ -297,7 +297,7 @@
         class = "tag-lookup"
         measures = [{ name = "balance" }]
     "#;
-    let Moving { program, old, new, nodes } = Moving::start();
+    let MovingDiscovery { program, old, new, nodes } = MovingDiscovery::start();
     drop(program);
     let program = Program::start_prepared(&naming(&old), None, |folder| {
         std::fs::create_dir(folder.join("deploy")).unwrap();
@@ -305,10 +305,10 @@
         std::fs::write(folder.join("keys"), "5f".repeat(32)).unwrap();
         std::fs::set_permissions(folder.join("keys"), PermissionsExt::from_mode(0o600)).unwrap();
     });
-    let moving = Moving { program, old, new, nodes };
+    let moving = MovingDiscovery { program, old, new, nodes };
     std::fs::remove_file(moving.program.folder().join("keys")).unwrap();
     moving.program.put(&naming(&moving.new));
-    let signalled = moving.hang_up();
-    moving.follows(signalled);
+    let signalled = moving.send_sighup();
+    moving.assert_follows(signalled);
     assert_eq!(moving.reloads(), (1, 0));
 }
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -113,8 +113,8 @@
         let mut lines = std::io::BufReader::new(child.stderr.take().unwrap()).lines();
         let addr = loop {
             let line = lines.next().expect("a line that says where it serves").unwrap();
-            if let Some((_, addr)) = line.split_once("serves at ") {
-                break addr.trim().parse().unwrap();
+            if let Some((_, fields)) = line.split_once("] listening for clients ") {
+                break harness::logged_address(fields);
             }
         };
         // Read on, or it would wait for somebody to.
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -156,7 +156,8 @@
     let fault = |lines: &str| {
         let edge = format!("[snmp]\nlisten = \"127.0.0.1:0\"\n{lines}\n");
         let config = curlewdeck::config::Edge::read(&edge).unwrap().snmp.unwrap();
-        config.agent(&curlewdeck::limits::Limits::default(), None).err().unwrap_or_default()
+        let agent = curlewdeck::snmp::agent(&config, &curlewdeck::limits::Limits::default(), None);
+        agent.err().map(|error| error.to_string()).unwrap_or_default()
     };
     assert!(fault("").contains("nobody may ask"));
     assert!(fault("community = \"c\"\nengine_id = \"80\"").contains("5 to 32 bytes"));
