--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -19,7 +19,7 @@
 use crate::mib;
 use crate::net::coordinator::CoreHandle;
 use crate::replication::driver::Standings;
-use crate::runtime::{nanos, spawn, NotStarted};
+use crate::runtime::{nanos, spawn, SpawnError};
 
 /// Why the management agent cannot be started.
 #[derive(Debug, Error)]
@@ -37,7 +37,7 @@
     },
     /// Its coroutine cannot be started.
     #[error("{0}")]
-    Spawn(#[source] NotStarted),
+    Spawn(#[source] SpawnError),
 }
 
 /// The agent that its section describes, with the engine id and boots that were restored, if any were.
