--- a/crates/accounting/src/query_value.rs
+++ b/crates/accounting/src/query_value.rs
@@ -1,9 +1,9 @@
-//! What an answer is worth, as the deployment counts it: all within the aim, a part of it after that, and an answer
-//! that is not whole a part of it for its share.
+//! The value of an answer, as the deployment counts it: the full value within the latency objective, a share of it after
+//! that, and for a partial answer a share of it by what the answer covers.
 
 use curlewdeck_core::api::Class;
 
-/// Worths of a class, in millionths: whole numbers, so that sums are exact.
+/// The value of a query of a class, in millionths: integers, so that sums are exact.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueryValue {
     /// Of a complete answer within the latency objective: what a query requests.
@@ -29,35 +29,20 @@
         }
     }
 
-    /// Of an answer with this share of the weight in. Rounded down, and never more than was asked for.
+    /// The value of an answer that covers this share of the weight of its parts: rounded down, and never more than
+    /// [`full`](Self::full).
     pub fn served(&self, complete: bool, in_time: bool, coverage: f64) -> u64 {
-        let time = if in_time { 1.0 } else { self.late_ratio };
-        let part = match complete {
+        let time_ratio = if in_time { 1.0 } else { self.late_ratio };
+        let coverage_ratio = match complete {
             true => 1.0,
             false if self.complete_coverage > 0.0 => {
                 (self.partial_ratio * coverage.clamp(0.0, 1.0) / self.complete_coverage).min(1.0)
             }
             false => 0.0,
         };
-        ((self.full as f64 * time * part).floor() as u64).min(self.full)
+        ((self.full as f64 * time_ratio * coverage_ratio).floor() as u64).min(self.full)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
-
-        #[test]
-        fn no_more_is_earned_than_was_asked(
-            whole in 0..10_000_000u64, late in 0.0..1.0f64, partial in 0.0..3.0f64, need in 0.0..1.0f64,
-            share in -1.0..2.0f64, flags in any::<(bool, bool)>(),
-        ) {
-            let worth = QueryValue { full: whole, late_ratio: late, partial_ratio: partial, complete_coverage: need };
-            prop_assert!(worth.served(flags.0, flags.1, share) <= whole);
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/accounting/src/request_ledger.rs
@@ -0,0 +1,169 @@
+//! The counts of one process.
+
+use std::collections::HashMap;
+
+use curlewdeck_core::api::{Class, ClassId, EndpointState, Nanos, Outcome, QueryId, ServerId};
+
+use crate::attempt_counts::AttemptCounts;
+use crate::class_totals::{ClassRow, ClassTotals};
+use crate::ledger_snapshot::LedgerSnapshot;
+use crate::node_table::{NodeBounds, NodeTable};
+use crate::query_end::QueryEnd;
+use crate::saved::SavedLedger;
+
+/// Counts queries and attempts.
+pub struct RequestLedger {
+    classes: Vec<ClassTotals>,
+    open_queries: HashMap<QueryId, OpenQuery>,
+    attempts: AttemptCounts,
+    nodes: NodeTable,
+}
+
+/// A query that was accepted and has not ended.
+struct OpenQuery {
+    class: ClassId,
+    accepted_at: Nanos,
+}
+
+impl RequestLedger {
+    /// A ledger of these classes, with all counts at 0.
+    pub fn new(classes: &[Class], names: &[String], bounds: NodeBounds) -> Self {
+        let mut ledger = Self {
+            classes: Vec::new(),
+            open_queries: HashMap::new(),
+            attempts: AttemptCounts::default(),
+            nodes: NodeTable::new(bounds),
+        };
+        ledger.add_classes(classes, names);
+        ledger
+    }
+
+    /// Adds the classes behind those that the ledger has: the index of a class never becomes another one's.
+    pub fn add_classes(&mut self, classes: &[Class], names: &[String]) {
+        let added = classes.iter().zip(names).skip(self.classes.len());
+        self.classes.extend(added.map(|(class, name)| ClassTotals::new(class, name)));
+    }
+
+    /// The totals of the classes, without the quantiles of the latency.
+    pub fn rows(&self) -> impl Iterator<Item = &ClassRow> {
+        self.classes.iter().map(ClassTotals::row)
+    }
+
+    /// Counts a query that is accepted.
+    pub fn query_accepted(&mut self, now: Nanos, query: QueryId, class: ClassId) {
+        let Some(totals) = self.classes.get_mut(class.0) else { return };
+        totals.record_accepted();
+        self.open_queries.insert(query, OpenQuery { class, accepted_at: now });
+    }
+
+    /// Sets how many queries of a class this process has rejected in all because the queue was full.
+    pub fn queries_rejected_queue_full(&mut self, class: ClassId, count: u64) {
+        if let Some(totals) = self.classes.get_mut(class.0) {
+            totals.set_queue_full(count);
+        }
+    }
+
+    /// Counts the answer of a query, which covers this share of the weight of its parts. Only the first end of a query
+    /// counts; returns it.
+    pub fn query_answered(
+        &mut self,
+        now: Nanos,
+        query: QueryId,
+        complete: bool,
+        coverage: f64,
+    ) -> Option<QueryEnd> {
+        let open = self.open_queries.remove(&query)?;
+        let totals = self.classes.get_mut(open.class.0)?;
+        Some(totals.record_answer(now.saturating_sub(open.accepted_at), complete, coverage))
+    }
+
+    /// Counts the end of a query that is not answered. Only the first end of a query counts; returns it.
+    pub fn query_ended(&mut self, query: QueryId, end: QueryEnd) -> Option<QueryEnd> {
+        let open = self.open_queries.remove(&query)?;
+        self.classes.get_mut(open.class.0)?.record_end(end);
+        Some(end)
+    }
+
+    /// Counts an attempt that starts at a node: its number in its part (0 is the first one), and whether another one of
+    /// the part is in flight.
+    pub fn attempt_started(&mut self, node: ServerId, number: u32, hedge: bool) {
+        self.attempts.record_start(number, hedge);
+        if let Some(row) = self.nodes.row_to_start(node) {
+            row.attempts.record_start(number, hedge);
+        }
+    }
+
+    /// Counts the end of an attempt.
+    pub fn attempt_ended(&mut self, node: ServerId, outcome: Outcome) {
+        self.attempts.record_end(outcome);
+        if let Some(row) = self.nodes.row(node) {
+            row.attempts.record_end(outcome);
+        }
+    }
+
+    /// Takes note of a node's state in the endpoint list.
+    pub fn node_state(&mut self, now: Nanos, node: ServerId, name: &str, state: EndpointState) {
+        self.nodes.update_state(now, node, name, state);
+    }
+
+    /// Takes note that the core has removed a node: none of its attempts is in flight, and its id is not used again.
+    pub fn node_removed(&mut self, now: Nanos, node: ServerId) {
+        self.nodes.removed(now, node);
+    }
+
+    /// What outlives the process: what has ended. The next process will not answer what is open now.
+    pub fn save(&self) -> SavedLedger {
+        let ended = self.attempts.total_ended();
+        SavedLedger {
+            classes: self.classes.iter().map(ClassTotals::save).collect(),
+            retries: self.attempts.retries.min(ended),
+            hedges: self.attempts.hedges.min(ended),
+            ended: self.attempts.ended,
+            next_node_index: self.nodes.next(),
+            nodes_evicted: self.nodes.evicted(),
+            nodes_unlisted: self.nodes.unlisted(),
+        }
+    }
+
+    /// Continues from what an earlier process saved: the totals, by the names of the classes, and the nodes' indices,
+    /// which are not used again. To be called before anything is counted.
+    pub fn restore(&mut self, saved: &SavedLedger) {
+        for totals in &mut self.classes {
+            if let Some(class) = saved.classes.iter().find(|c| c.name == totals.row().name) {
+                totals.restore(class);
+            }
+        }
+        self.attempts.ended = saved.ended;
+        self.attempts.started = saved.ended.iter().fold(0, |sum, n| sum.saturating_add(*n));
+        self.attempts.retries = saved.retries.min(self.attempts.started);
+        self.attempts.hedges = saved.hedges.min(self.attempts.started);
+        self.nodes.restore(saved.next_node_index, saved.nodes_evicted, saved.nodes_unlisted);
+    }
+
+    /// How many queries are open.
+    pub fn open_queries(&self) -> usize {
+        self.open_queries.len()
+    }
+
+    /// All attempts.
+    pub fn attempts(&self) -> &AttemptCounts {
+        &self.attempts
+    }
+
+    /// A count summed over all classes, without a snapshot.
+    pub fn sum(&self, count: impl Fn(&ClassRow) -> u64) -> u64 {
+        self.rows().map(count).sum()
+    }
+
+    /// All counts as of now.
+    pub fn snapshot(&mut self, now: Nanos) -> LedgerSnapshot {
+        LedgerSnapshot {
+            at: now,
+            classes: self.classes.iter().map(ClassTotals::snapshot).collect(),
+            attempts: self.attempts,
+            nodes: self.nodes.rows(now),
+            nodes_evicted: self.nodes.evicted(),
+            nodes_unlisted: self.nodes.unlisted(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/accounting/tests/common/mod.rs
@@ -0,0 +1,22 @@
+//! A class of queries, as the tests use it.
+
+use curlewdeck_core::api::{Class, Nanos, RetrySafety};
+
+pub const MS: Nanos = 1_000_000;
+
+pub fn class() -> Class {
+    Class {
+        latency_objective: 100 * MS,
+        deadline: 1000 * MS,
+        priority_weight: 3.0,
+        late_value_ratio: 0.3,
+        retry_safety: RetrySafety::Idempotent,
+        retry_window: 0,
+        min_coverage: 0.8,
+        complete_coverage: 1.0,
+        partial_value_ratio: Some(0.8),
+        second_phase_parts: 0,
+        max_attempts: 4,
+        retired: false,
+    }
+}
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -11,7 +11,7 @@
 use base64::Engine;
 use curlewdeck::replication::disk::{Disk, DiskError, Found};
 use curlewdeck::snapshot_store::{SnapshotContents, SnapshotStore, StateConfig};
-use curlewdeck_accounting::saved::{Saved, SavedClass};
+use curlewdeck_accounting::saved::{SavedClass, SavedLedger};
 use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, Place, Reached};
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_replication::codec::{self, COMMAND};
@@ -53,27 +53,27 @@
 
 /// What the process that wrote the fixture had counted at its first start.
 fn state() -> SnapshotContents {
-    let class = |name: &str, full, ended, asked, earned, latency_sum_ms| SavedClass {
+    let class = |name: &str, queue_full, ended, value_requested, value_served, latency_sum_ms| SavedClass {
         name: name.into(),
-        full,
+        queue_full,
         ended,
-        asked,
-        earned,
+        value_requested,
+        value_served,
         latency_sum_ms,
     };
     SnapshotContents {
         boots: 1,
         engine: vec![0x80, 0, 0x7e, 0xd9, 5, 1, 2, 3, 4, 5, 6, 7, 8],
-        books: Saved {
+        books: SavedLedger {
             classes: vec![
                 class("monthly-settle", 0, [0; 6], 0, 0, 0),
                 class("tag-lookup", 0, [7, 0, 0, 2, 0, 0], 9_000_000, 7_000_000, 15),
                 class("plaza-ranking", 0, [3, 0, 0, 0, 0, 0], 9_000_000, 9_000_000, 13),
             ],
-            repeats: 0,
-            copies: 0,
+            retries: 0,
+            hedges: 0,
             ended: [23, 0, 0, 0, 0, 0, 0, 2, 0],
-            next_node: 4,
+            next_node_index: 4,
             nodes_evicted: 0,
             nodes_unlisted: 0,
         },
