--- a/crates/accounting/src/saved.rs
+++ b/crates/accounting/src/saved.rs
@@ -47,6 +47,3 @@
     /// Nodes for which there was no row.
     pub nodes_unlisted: u64,
 }
-
-/// The earlier name of [`SavedLedger`].
-pub type Saved = SavedLedger;
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -8,7 +8,7 @@
 
 use curlewdeck_accounting::node_table::NodeBounds;
 use curlewdeck_accounting::process_stats::{self, ProcessGauges, ProcessStats};
-use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::saved::SavedLedger;
 use curlewdeck_accounting::{LedgerSnapshot, QueryEnd, RequestLedger};
 use may::sync::mpsc::{Receiver, Sender};
 
@@ -100,7 +100,7 @@
 
     /// What of the accounts outlives the process; none if the core does not come to it in time. Not called from a
     /// coroutine.
-    pub fn saved_ledger(&self) -> Option<Saved> {
+    pub fn saved_ledger(&self) -> Option<SavedLedger> {
         self.wait_for(SAVED, CoreMessage::SaveLedger)
     }
 
@@ -157,7 +157,7 @@
     /// Bounds of the accounts' table of nodes.
     pub nodes: NodeBounds,
     /// What an earlier process had booked.
-    pub restored: Option<Saved>,
+    pub restored: Option<SavedLedger>,
     /// Told of the shards of which a holder is new or has started anew.
     pub started: Option<Started>,
 }
@@ -284,7 +284,7 @@
     list: ListStanding,
     lease: EndpointListLease,
     started: Option<Started>,
-    restored: Option<Saved>,
+    restored: Option<SavedLedger>,
     figures_every: Option<Nanos>,
     /// When the figures are made anew.
     figures_at: Nanos,
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::saved::SavedLedger;
 use curlewdeck_accounting::LedgerSnapshot;
 use curlewdeck_membership::{CallEnd, CallId};
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -46,7 +46,7 @@
     /// Take a snapshot of the request ledger.
     SnapshotLedger(Box<dyn FnOnce(LedgerSnapshot) + Send>),
     /// Take what of the request ledger outlives the process.
-    SaveLedger(Box<dyn FnOnce(Saved) + Send>),
+    SaveLedger(Box<dyn FnOnce(SavedLedger) + Send>),
 }
 
 /// The core's mailbox.
--- a/src/snapshot_store.rs
+++ b/src/snapshot_store.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::saved::SavedLedger;
 use curlewdeck_snapshot::plan::{aside, other, Pace, Step, STEPS};
 use curlewdeck_snapshot::record::{open, seal, Kind, MOST_BYTES};
 use serde::{Deserialize, Serialize};
@@ -89,7 +89,7 @@
     /// The management agent's engine id.
     pub engine: Vec<u8>,
     /// The books.
-    pub books: Saved,
+    pub books: SavedLedger,
 }
 
 /// The folder of this process.
