--- a/src/net/coordinator/actor.rs
+++ b/src/net/coordinator/actor.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::saved::SavedLedger;
 use curlewdeck_accounting::{LedgerSnapshot, QueryEnd, RequestLedger};
 use may::sync::mpsc::{Receiver, Sender};
 
@@ -49,7 +49,7 @@
     /// After so long without an update, that is logged and counted.
     pub(super) poll_interval_max: Nanos,
     pub(super) on_endpoints_started: Option<Started>,
-    pub(super) restored_ledger: Option<Saved>,
+    pub(super) restored_ledger: Option<SavedLedger>,
     pub(super) stats_interval: Option<Nanos>,
     /// When the process stats are published next.
     pub(super) next_publication: Nanos,
--- a/src/net/coordinator/config.rs
+++ b/src/net/coordinator/config.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use curlewdeck_accounting::node_table::NodeBounds;
-use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::saved::SavedLedger;
 use curlewdeck_accounting::RequestLedger;
 use may::sync::mpsc::{Receiver, Sender};
 
@@ -39,7 +39,7 @@
     /// Bounds of the request ledger's table of nodes.
     pub nodes: NodeBounds,
     /// The request ledger that an earlier process saved.
-    pub restored: Option<Saved>,
+    pub restored: Option<SavedLedger>,
     /// Called with the shards of which a data node is new or has restarted.
     pub started: Option<Started>,
 }
--- a/src/net/coordinator/handle.rs
+++ b/src/net/coordinator/handle.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewdeck_accounting::process_stats::ProcessStats;
-use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::saved::SavedLedger;
 use curlewdeck_accounting::LedgerSnapshot;
 
 use crate::api::{ClassId, Nanos, QueryId};
@@ -95,7 +95,7 @@
 
     /// What of the request ledger outlives the process; none if the actor does not come to it within two seconds. Must not
     /// be called from a coroutine.
-    pub fn saved_ledger(&self) -> Option<Saved> {
+    pub fn saved_ledger(&self) -> Option<SavedLedger> {
         self.request(SAVE_TIMEOUT, CoreMessage::SaveLedger)
     }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use curlewdeck_accounting::saved::Saved;
+use curlewdeck_accounting::saved::SavedLedger;
 use curlewdeck_accounting::LedgerSnapshot;
 use curlewdeck_membership::{CallEnd, CallId};
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -66,7 +66,7 @@
     /// Take a snapshot of the request ledger.
     SnapshotLedger(Box<dyn FnOnce(LedgerSnapshot) + Send>),
     /// Take what of the request ledger outlives the process.
-    SaveLedger(Box<dyn FnOnce(Saved) + Send>),
+    SaveLedger(Box<dyn FnOnce(SavedLedger) + Send>),
 }
 
 /// The coordinator's mailbox.
