--- a/src/limits.rs
+++ b/src/limits.rs
@@ -13,9 +13,9 @@
     pub stack_words: usize,
     /// Stack of the coroutine that runs the core, and of a call to discovery, in machine words.
     pub core_stack_words: usize,
-    /// Client connections held at once.
+    /// Client connections that may be open at once.
     pub clients: usize,
-    /// Connections to data nodes held or being opened at once.
+    /// Connections to data nodes that may be open or being opened at once.
     pub node_sockets: usize,
     /// Bytes of a request's head, or of an answer's.
     pub head: usize,
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -7,12 +7,11 @@
 use curlewdeck_listener::Inherited;
 
 use super::operations::CoordinatorOperations;
-use super::subsystems::ProcessContext;
+use super::subsystems::{ProcessContext, Subsystems};
 use super::StartError;
 use crate::alerts::{self, Stopping};
-use crate::config::{AggregationConfig, FeaturesConfig, SnmpConfig};
+use crate::config::{AggregationConfig, Config, Edge, FeaturesConfig, SnmpConfig};
 use crate::control::{self, Operations};
-use crate::counters::Counters;
 use crate::frontend::aggregation::{AggregationFrontend, Memory};
 use crate::frontend::features::FeaturesFrontend;
 use crate::frontend::http_server::{self, Frontend, Service, Shared};
@@ -28,6 +27,18 @@
     shared: Shared,
 }
 
+/// Where the frontends listen: none where one is not turned on.
+pub(super) struct StartedFrontends {
+    /// The platform's clients.
+    pub(super) listen: SocketAddr,
+    pub(super) control: Option<SocketAddr>,
+    pub(super) features: Option<SocketAddr>,
+    pub(super) aggregation: Option<SocketAddr>,
+    pub(super) snmp: Option<SocketAddr>,
+    /// Has the notification sent that the process ends.
+    pub(super) stopping: Option<Stopping>,
+}
+
 impl Frontends {
     pub(super) fn new(process: &ProcessContext, core: CoreHandle, shared_listener: bool) -> Self {
         let limits = process.limits.clone();
@@ -47,7 +58,26 @@
         self.shared.service.clone()
     }
 
-    pub(super) fn start_features(
+    /// Starts all frontends, the one for the platform's clients last.
+    pub(super) fn start_all(
+        &self,
+        config: &Config,
+        edge: &Edge,
+        subsystems: &mut Subsystems,
+        inherited: Option<Inherited>,
+    ) -> Result<StartedFrontends, StartError> {
+        let range_memory = subsystems.range_memory.take();
+        let restored = subsystems.restored.take();
+        let features = self.start_features(edge.features.as_ref(), config.seed)?;
+        let aggregation = self.start_aggregation(edge.aggregation.as_ref(), range_memory, config.seed)?;
+        let stopping = self.start_alerts(edge.snmp.as_ref(), config.sockets)?;
+        let snmp = self.start_snmp(edge.snmp.as_ref(), subsystems.group.as_ref(), restored)?;
+        let control = self.start_control(config.control)?;
+        let listen = self.listen_for_clients(config.listen, inherited)?;
+        Ok(StartedFrontends { listen, control, features, aggregation, snmp, stopping })
+    }
+
+    fn start_features(
         &self,
         config: Option<&FeaturesConfig>,
         seed: u64,
@@ -59,7 +89,7 @@
     }
 
     /// Starts the aggregation frontend, with its memory of ranges: both are there where its section is.
-    pub(super) fn start_aggregation(
+    fn start_aggregation(
         &self,
         config: Option<&AggregationConfig>,
         memory: Option<Memory>,
@@ -72,7 +102,7 @@
     }
 
     /// Starts to send notifications, if there is a receiver of them.
-    pub(super) fn start_alerts(
+    fn start_alerts(
         &self,
         config: Option<&SnmpConfig>,
         sockets: usize,
@@ -83,10 +113,9 @@
     }
 
     /// Starts the management agent, with the engine id and boots that were restored.
-    pub(super) fn start_snmp(
+    fn start_snmp(
         &self,
         config: Option<&SnmpConfig>,
-        counters: Arc<Counters>,
         group: Option<&Group>,
         restored: Option<SnapshotContents>,
     ) -> Result<Option<SocketAddr>, StartError> {
@@ -96,14 +125,12 @@
             .filter(|restored| !restored.engine.is_empty())
             .map(|restored| (restored.engine, restored.boots));
         let standings = group.map(|group| group.standings.clone());
+        let counters = core.counters.clone();
         Ok(Some(snmp::start(config, core, counters, standings, limits, engine)?))
     }
 
     /// Starts to answer operators at the second address, if there is one.
-    pub(super) fn start_control(
-        &self,
-        address: Option<SocketAddr>,
-    ) -> Result<Option<SocketAddr>, StartError> {
+    fn start_control(&self, address: Option<SocketAddr>) -> Result<Option<SocketAddr>, StartError> {
         let Some(address) = address else { return Ok(None) };
         let Shared { core, limits, service, .. } = self.shared.clone();
         let max_calls = limits.control_calls;
@@ -113,7 +140,7 @@
     }
 
     /// Starts to serve the platform's clients, at the inherited socket or at the address.
-    pub(super) fn listen_for_clients(
+    fn listen_for_clients(
         &self,
         address: SocketAddr,
         inherited: Option<Inherited>,
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -1,7 +1,6 @@
 //! The subsystems that no client sees: the engine, discovery, the data nodes' actors, the replication group, the stored
 //! state and the core.
 
-use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
@@ -12,22 +11,23 @@
 use crate::config::{Config, Edge, NodeProtocol, NodesConfig, SnmpConfig};
 use crate::counters::Counters;
 use crate::engine::Engine;
+use crate::frontend::aggregation::Memory;
 use crate::limits::Limits;
-use crate::net::coordinator::{CoreConfig, StartNode};
+use crate::net::coordinator::{self, CoreConfig, CoreHandle, StartNode};
 use crate::net::discovery::{self, DiscoveryContext, DiscoveryPlan};
 use crate::net::endpoint_list_lease::EndpointListLease;
-use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate};
+use crate::net::endpoints::EndpointUpdate;
 use crate::net::feature_node;
 use crate::net::features::Names;
 use crate::net::log_limit::LogLimit;
-use crate::net::messages::{CoreMailbox, DiscoveryMessage};
+use crate::net::messages::{self, CoreMailbox, DiscoveryMessage};
 use crate::net::node::{self, NodeContext};
 use crate::net::pending_updates::PendingUpdates;
 use crate::replication::config::GroupConfig;
 use crate::replication::{self, Group};
 use crate::runtime::{nanos, Clock, Permits};
 use crate::settings::Deployment;
-use crate::snapshot_store::SnapshotStore;
+use crate::snapshot_store::{SnapshotContents, SnapshotStore};
 
 /// What all subsystems of the process share.
 pub(super) struct ProcessContext {
@@ -37,15 +37,64 @@
     pub(super) deployment: Arc<Deployment>,
 }
 
-/// What the actor of discovery is started with.
-pub(super) struct DiscoveryStart {
-    pub(super) address: SocketAddr,
-    pub(super) seed: u64,
-    /// The endpoint list from before the start.
-    pub(super) known: Option<DiscoveryUpdate>,
-    pub(super) core: CoreMailbox,
-    pub(super) pending_updates: PendingUpdates,
-    pub(super) lease: EndpointListLease,
+/// The subsystems that have started, and what the frontends need of them.
+pub(super) struct Subsystems {
+    pub(super) core: CoreHandle,
+    pub(super) discovery: Sender<DiscoveryMessage>,
+    pub(super) group: Option<Group>,
+    pub(super) snapshot_store: Option<Arc<SnapshotStore>>,
+    /// What an earlier process stored.
+    pub(super) restored: Option<SnapshotContents>,
+    /// What the aggregation frontend remembers of ranges, where that is turned on.
+    pub(super) range_memory: Option<Memory>,
+}
+
+/// What discovery, the core and the data nodes' actors share.
+#[derive(Clone)]
+struct EndpointListState {
+    core: CoreMailbox,
+    pending_updates: PendingUpdates,
+    lease: EndpointListLease,
+}
+
+impl Subsystems {
+    /// Starts them. The endpoint list from before the start is taken out of the configuration.
+    pub(super) fn start(
+        process: &ProcessContext,
+        config: &mut Config,
+        edge: &Edge,
+    ) -> Result<Self, StartError> {
+        let engine = process.engine(config.seed)?;
+        let (core_mailbox, core_inbox) = messages::mailbox();
+        let list_state = EndpointListState {
+            core: core_mailbox.clone(),
+            pending_updates: PendingUpdates::default(),
+            lease: EndpointListLease::default(),
+        };
+        let (discovery, known_endpoints) = process.start_discovery(config, list_state.clone())?;
+        let start_node = node_starter(&edge.nodes, process.node_context(&list_state));
+        let range_memory =
+            edge.aggregation.as_ref().map(|_| Memory::new(&process.limits, process.deployment.shards));
+        let group = process.start_replication(edge.group.as_ref())?;
+        let snapshot_store = load_snapshot_store(edge, &config.name, group.as_ref())?;
+        let restored = snapshot_store.as_ref().map(|store| store.kept());
+        let core_config = CoreConfig {
+            restored: restored.as_ref().map(|restored| restored.books.clone()),
+            started: range_memory.as_ref().map(Memory::forgetting),
+            ..process.core_config(engine, list_state.lease, config.control.is_some())
+        };
+        let to_discovery = discovery.clone();
+        let core = coordinator::start(
+            core_config,
+            core_mailbox,
+            core_inbox,
+            known_endpoints,
+            to_discovery,
+            start_node,
+        );
+        let core = core.map_err(StartError::Core)?;
+        Ok(Self { core, discovery, group, snapshot_store, restored, range_memory })
+    }
 }
 
 impl ProcessContext {
@@ -58,39 +107,40 @@
         })
     }
 
-    pub(super) fn engine(&self, seed: u64) -> Result<Engine, StartError> {
+    fn engine(&self, seed: u64) -> Result<Engine, StartError> {
         let (deployment, limits) = (Deployment::clone(&self.deployment), &self.limits);
         Ok(Engine::new(deployment, seed, nanos(limits.backstop), nanos(limits.name_rest))?)
     }
 
     /// Starts the actor of discovery; returns its mailbox, and the endpoint list from before the start.
-    pub(super) fn start_discovery(
+    fn start_discovery(
         &self,
-        start: DiscoveryStart,
+        config: &mut Config,
+        list_state: EndpointListState,
     ) -> Result<(Sender<DiscoveryMessage>, EndpointUpdate), StartError> {
         let plan = DiscoveryPlan {
-            address: start.address,
+            address: config.discovery,
             discovery: self.deployment.settings.discovery,
             coordinators: self.deployment.settings.coordinators,
-            seed: start.seed,
-            known: start.known,
+            seed: config.seed,
+            known: config.known.take(),
         };
         let context = DiscoveryContext {
-            core: start.core,
+            core: list_state.core,
             limits: self.limits.clone(),
             counters: self.counters.clone(),
             clock: self.clock,
-            pending_updates: start.pending_updates,
-            lease: start.lease,
+            pending_updates: list_state.pending_updates,
+            lease: list_state.lease,
         };
         discovery::start(plan, context).map_err(StartError::Discovery)
     }
 
     /// What the actor of each data node needs of the process.
-    pub(super) fn node_context(&self, core: CoreMailbox, pending_updates: PendingUpdates) -> NodeContext {
+    fn node_context(&self, list_state: &EndpointListState) -> NodeContext {
         let shortest = self.deployment.settings.shortest_latency_objective();
         NodeContext {
-            core,
+            core: list_state.core.clone(),
             limits: self.limits.clone(),
             connections: self.deployment.connections,
             shortest_aim: Duration::from_nanos(shortest),
@@ -98,23 +148,18 @@
             no_socket_log: Arc::new(Mutex::new(LogLimit::new(nanos(self.limits.no_socket_log)))),
             counters: self.counters.clone(),
             clock: self.clock,
-            freshness: pending_updates,
+            freshness: list_state.pending_updates.clone(),
         }
     }
 
-    pub(super) fn start_replication(&self, group: Option<&GroupConfig>) -> Result<Option<Group>, StartError> {
+    fn start_replication(&self, group: Option<&GroupConfig>) -> Result<Option<Group>, StartError> {
         let Some(group) = group else { return Ok(None) };
         let started = replication::start(group, &self.limits);
         started.map(Some).map_err(|error| StartError::Replication(error.into()))
     }
 
     /// The core's configuration, with nothing restored and nobody to hear of data nodes that started anew.
-    pub(super) fn core_config(
-        &self,
-        engine: Engine,
-        lease: EndpointListLease,
-        has_control: bool,
-    ) -> CoreConfig {
+    fn core_config(&self, engine: Engine, lease: EndpointListLease, has_control: bool) -> CoreConfig {
         let limits = &self.limits;
         CoreConfig {
             engine,
@@ -133,7 +178,7 @@
 }
 
 /// Starts the actor of a data node, by the protocol that data nodes speak.
-pub(super) fn node_starter(nodes: &NodesConfig, context: NodeContext) -> StartNode {
+fn node_starter(nodes: &NodesConfig, context: NodeContext) -> StartNode {
     match nodes.protocol {
         NodeProtocol::Frames => Box::new(move |id, gate| node::start(id, gate, context.clone())),
         NodeProtocol::Features => {
@@ -147,7 +192,7 @@
 }
 
 /// Loads what an earlier process stored, from the folder and, where it is replicated, from the group.
-pub(super) fn load_snapshot_store(
+fn load_snapshot_store(
     edge: &Edge,
     name: &str,
     group: Option<&Group>,
--- a/tests/drain_check.rs
+++ b/tests/drain_check.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use harness::drain_check::{
-    violations, Assignment, Change, CoordinatorLog, Delivery, Had, News, NodeState, PartBegun, Reach, Reason,
-    Said, ServiceLog, Silence, Violation, WatchEnd, Write,
+    violations, Assignment, Change, CoordinatorLog, Delivery, Had, NodeState, PartBegun, Reach, Reason, Said,
+    ServiceLog, Silence, Violation, WatchEnd, Write, WrittenUpdate,
 };
 
 /// Each log's moments are seconds from here.
@@ -29,8 +29,8 @@
         Had { at: self.at(seconds), version }
     }
 
-    fn wrote(&self, seconds: f64, connection: u64, news: News) -> Write {
-        Write { at: self.at(seconds), connection, news }
+    fn wrote(&self, seconds: f64, connection: u64, update: WrittenUpdate) -> Write {
+        Write { at: self.at(seconds), connection, update }
     }
 
     fn part(&self, seconds: f64) -> PartBegun {
@@ -64,8 +64,8 @@
         &mut self.coordinator.assignments[0].service
     }
 
-    fn write(&mut self, seconds: f64, connection: u64, news: News) {
-        let write = self.clock.wrote(seconds, connection, news);
+    fn write(&mut self, seconds: f64, connection: u64, update: WrittenUpdate) {
+        let write = self.clock.wrote(seconds, connection, update);
         self.service().writes.push(write);
     }
 
@@ -103,20 +103,27 @@
 
 #[test]
 fn what_is_written_counts_from_its_last_byte() {
-    for news in [News::Delta(says(Said::Shut)), News::Snapshot(says(Said::Shut)), News::Snapshot(Vec::new())]
-    {
+    for update in [
+        WrittenUpdate::Delta(says(Said::Shut)),
+        WrittenUpdate::Snapshot(says(Said::Shut)),
+        WrittenUpdate::Snapshot(Vec::new()),
+    ] {
         let mut log = Log::new(Delivery::OnRequest);
-        log.write(11.0, 1, news);
+        log.write(11.0, 1, update);
         log.notified(11.0, Reason::Written);
     }
 }
 
 #[test]
-fn heartbeats_and_unreadable_lines_and_news_of_others_tell_nothing() {
+fn heartbeats_unreadable_lines_and_changes_of_others_notify_of_nothing() {
     let other = vec![("y".to_string(), Said::Shut)];
-    for news in [News::Heartbeat, News::Snapshot(says(Said::Unreadable)), News::Delta(other)] {
+    for update in [
+        WrittenUpdate::Heartbeat,
+        WrittenUpdate::Snapshot(says(Said::Unreadable)),
+        WrittenUpdate::Delta(other),
+    ] {
         let mut log = Log::new(Delivery::OnRequest);
-        log.write(11.0, 1, news);
+        log.write(11.0, 1, update);
         log.notified(16.0, Reason::HadFor6s);
     }
 }
@@ -149,7 +156,7 @@
         let mut log = Log::new(delivery);
         log.coordinator.assignments[0].from = log.clock.at(20.0);
         // To an earlier process: it counts for that one only.
-        log.write(10.0, 1, News::Delta(says(Said::Shut)));
+        log.write(10.0, 1, WrittenUpdate::Delta(says(Said::Shut)));
         assert_eq!(log.found(&[20.01]).iter().map(|v| v.reason).collect::<Vec<_>>(), [late]);
     }
 }
@@ -171,7 +178,7 @@
 fn what_a_silent_watch_misses_counts_6_s_after_it_fell_silent() {
     for delivery in [Delivery::OnRequest, Delivery::Pushed] {
         let mut log = Log::new(delivery);
-        log.write(6.0, 1, News::Heartbeat);
+        log.write(6.0, 1, WrittenUpdate::Heartbeat);
         log.silence(7.0, 1);
         log.notified(13.0, Reason::WatchSilentFor6s);
     }
@@ -181,24 +188,24 @@
 fn a_silence_is_over_once_another_connection_is_written_to() {
     let mut log = Log::new(Delivery::OnRequest);
     log.silence(7.0, 1);
-    log.write(9.0, 2, News::Heartbeat);
+    log.write(9.0, 2, WrittenUpdate::Heartbeat);
     log.notified(16.0, Reason::HadFor6s);
 }
 
 #[test]
-fn what_a_watch_should_have_told_that_ended_counts_2_s_after_its_end() {
+fn what_an_ended_watch_should_have_brought_counts_2_s_after_its_end() {
     let mut log = Log::new(Delivery::OnRequest);
-    log.write(9.0, 1, News::Heartbeat);
+    log.write(9.0, 1, WrittenUpdate::Heartbeat);
     log.end(10.5, 1);
     log.notified(12.5, Reason::WatchEndedFor2s);
 }
 
 #[test]
-fn the_end_of_a_watch_before_a_change_or_of_one_that_began_after_it_tells_nothing() {
+fn the_end_of_a_watch_before_a_change_or_of_one_that_began_after_it_notifies_of_nothing() {
     let mut log = Log::new(Delivery::OnRequest);
-    log.write(8.0, 1, News::Heartbeat);
+    log.write(8.0, 1, WrittenUpdate::Heartbeat);
     log.end(9.0, 1);
-    log.write(11.0, 2, News::Heartbeat);
+    log.write(11.0, 2, WrittenUpdate::Heartbeat);
     log.end(11.5, 2);
     log.notified(16.0, Reason::HadFor6s);
 }
@@ -214,7 +221,7 @@
 #[test]
 fn what_a_silent_watch_of_a_new_service_misses_counts_6_s_after_it_fell_silent() {
     let mut log = moved(Delivery::Pushed, 10.0, 3.0);
-    let heartbeat = log.clock.wrote(3.5, 7, News::Heartbeat);
+    let heartbeat = log.clock.wrote(3.5, 7, WrittenUpdate::Heartbeat);
     let silence = Silence { at: log.clock.at(8.0), connection: 7 };
     let next = &mut log.coordinator.assignments[1].service;
     next.writes.push(heartbeat);
@@ -249,7 +256,7 @@
 #[test]
 fn what_the_service_before_a_move_writes_later_does_not_count() {
     let mut log = moved(Delivery::OnRequest, 10.0, 12.0);
-    log.write(12.5, 1, News::Delta(says(Said::Shut)));
+    log.write(12.5, 1, WrittenUpdate::Delta(says(Said::Shut)));
     log.notified(16.0, Reason::SighupFor4s);
 }
 
@@ -259,23 +266,23 @@
     log.changes.push(log.clock.change(12.0, 3, "x", NodeState::Removed));
     let had = log.clock.had(12.0, 3);
     log.service().had.push(had);
-    log.write(12.5, 1, News::Delta(says(Said::Shut)));
+    log.write(12.5, 1, WrittenUpdate::Delta(says(Said::Shut)));
     log.notified(12.5, Reason::Written);
     assert_eq!(log.found(&[15.0])[0].reason, Reason::Written);
 }
 
 #[test]
-fn older_news_that_it_is_up_opens_nothing() {
+fn an_older_update_that_it_is_up_opens_nothing() {
     let mut log = Log::new(Delivery::OnRequest);
-    log.write(11.0, 1, News::Delta(says(Said::Shut)));
-    log.write(12.0, 2, News::Snapshot(says(Said::Up)));
+    log.write(11.0, 1, WrittenUpdate::Delta(says(Said::Shut)));
+    log.write(12.0, 2, WrittenUpdate::Snapshot(says(Said::Up)));
     assert_eq!(log.found(&[12.1, 20.0]).len(), 2);
 }
 
 #[test]
 fn a_node_that_is_up_again_is_open() {
     let mut log = Log::new(Delivery::OnRequest);
-    log.write(11.0, 1, News::Delta(says(Said::Shut)));
+    log.write(11.0, 1, WrittenUpdate::Delta(says(Said::Shut)));
     log.changes.push(log.clock.change(20.0, 3, "x", NodeState::Up));
     assert_eq!(log.found(&[19.0]).len(), 1);
     assert_eq!(log.found(&[20.5, 60.0]), []);
@@ -286,22 +293,22 @@
 }
 
 #[test]
-fn a_whole_list_that_leaves_out_a_node_that_is_up_shuts_it() {
+fn a_snapshot_that_leaves_out_a_node_that_is_up_removes_it() {
     let mut log = Log::new(Delivery::OnRequest);
     log.changes.pop();
-    log.write(5.0, 1, News::Snapshot(says(Said::Up)));
-    log.write(8.0, 1, News::Snapshot(Vec::new()));
-    log.write(9.0, 1, News::Snapshot(Vec::new()));
+    log.write(5.0, 1, WrittenUpdate::Snapshot(says(Said::Up)));
+    log.write(8.0, 1, WrittenUpdate::Snapshot(Vec::new()));
+    log.write(9.0, 1, WrittenUpdate::Snapshot(Vec::new()));
     log.notified(8.0, Reason::Written);
-    log.write(12.0, 1, News::Snapshot(says(Said::Up)));
+    log.write(12.0, 1, WrittenUpdate::Snapshot(says(Said::Up)));
     assert_eq!(log.found(&[12.1, 20.0]), []);
 }
 
 #[test]
-fn each_coordinator_is_held_to_what_it_was_told() {
+fn each_coordinator_is_checked_against_its_own_updates() {
     let mut log = Log::new(Delivery::OnRequest);
     let well = log.coordinator.clone();
-    log.write(11.0, 1, News::Delta(says(Said::Shut)));
+    log.write(11.0, 1, WrittenUpdate::Delta(says(Said::Shut)));
     let at = log.clock.at(12.0);
     let part = |coordinator| PartBegun { coordinator, uid: "x".to_string(), at };
     let found = violations(&log.changes, &[log.coordinator.clone(), well], &[part(0), part(1)]);
--- a/tests/drain_faults.rs
+++ b/tests/drain_faults.rs
@@ -141,7 +141,7 @@
 
 /// Guards against calls that are given up before discovery has answered, for good.
 #[test]
-fn a_slow_discovery_is_heard_in_time_where_it_is_asked() {
+fn a_slow_discovery_is_heard_in_time_where_it_is_polled() {
     slow_kinds(Delivery::OnRequest);
 }
 
--- a/tests/drain_lease.rs
+++ b/tests/drain_lease.rs
@@ -1,5 +1,5 @@
-//! The drain rule while no news of the list arrives, whatever the cause: the list is used no longer than an unheard
-//! change may be, and again from the next news on. A discovery that is out of reach ends nothing.
+//! The drain rule while no update of the list arrives, whatever the cause: the list is used no longer than an unheard
+//! change may be, and again from the next update on. A discovery that is out of reach ends nothing.
 
 mod harness;
 
--- a/tests/drain_updates.rs
+++ b/tests/drain_updates.rs
@@ -1,4 +1,4 @@
-//! The drain rule while discovery's news is odd: versions that go backwards or are not to be had, a lagging replica, a
+//! The drain rule while discovery's updates are odd: versions that go backwards or are not to be had, a lagging replica, a
 //! service that has restarted, lines that cannot be read.
 
 mod harness;
@@ -8,7 +8,7 @@
 
 use harness::catalog::{MalformedLine, FIRST_VERSION};
 use harness::discovery_faults::{AheadAnswer, IndexAnswer};
-use harness::drain_check::{Delivery, News, NodeState};
+use harness::drain_check::{Delivery, NodeState, WrittenUpdate};
 use harness::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
 use harness::faulty_discovery::FaultyDiscovery;
 use harness::until;
@@ -21,7 +21,8 @@
 
 /// Waits for a change of the list to be written.
 fn until_written(service: &FaultyDiscovery, before: usize) {
-    let changes = || service.writes().into_iter().skip(before).any(|write| write.news != News::Heartbeat);
+    let changes =
+        || service.writes().into_iter().skip(before).any(|write| write.update != WrittenUpdate::Heartbeat);
     until("the change to be written", changes);
 }
 
@@ -55,7 +56,7 @@
 
 /// Guards against asking for the same version for ever.
 #[test]
-fn a_watch_that_cannot_be_had_by_its_index_is_had_by_the_whole_list() {
+fn a_watch_refused_for_its_index_goes_on_from_a_snapshot() {
     let answers = [
         IndexAnswer::Status(404),
         IndexAnswer::Status(410),
@@ -68,7 +69,7 @@
     all_pass(held.chain(all).collect(), |(answer, versions, way)| no_watch(answer, versions, way));
 }
 
-// ---- News that goes backwards. ----
+// ---- Updates that go backwards. ----
 
 /// Where the older list comes from.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -100,7 +101,7 @@
     trial.finish_after(ms(2500))
 }
 
-/// Guards a node that drains against older news of it; a later start opens it again.
+/// Guards a node that drains against an older update of it; a later start opens it again.
 #[test]
 fn an_older_list_opens_no_node_that_drains() {
     let kinds =
@@ -130,7 +131,7 @@
     trial.finish_after(PATIENCE)
 }
 
-/// Guards against taking all news of a restarted service for old.
+/// Guards against taking all updates of a restarted service for old.
 #[test]
 fn a_service_that_has_restarted_with_lower_versions_is_heard() {
     let kinds = [AheadAnswer::Snapshot, AheadAnswer::Nothing].iter().flat_map(|&a| BOTH.map(|way| (a, way)));
@@ -178,10 +179,10 @@
     trial.finish_after(ms(4000))
 }
 
-/// Guards the news of all others against one line that cannot be read, and the state of a node whose line cannot be read
+/// Guards the changes of all others against one line that cannot be read, and the state of a node whose line cannot be read
 /// in whole.
 #[test]
-fn a_line_that_cannot_be_read_costs_no_other_news() {
+fn an_unreadable_line_costs_no_other_change() {
     let all = [
         MalformedLine::EndpointNull,
         MalformedLine::EndpointNoAddress,
--- a/tests/harness/catalog.rs
+++ b/tests/harness/catalog.rs
@@ -5,7 +5,7 @@
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use super::drain_check::{Change, News, NodeState, Said};
+use super::drain_check::{Change, NodeState, Said, WrittenUpdate};
 use super::stand_in::lock;
 
 /// The version of the first list.
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone)]
 pub struct Text {
     pub json: String,
-    pub news: News,
+    pub update: WrittenUpdate,
 }
 
 /// One change of one line.
@@ -172,7 +172,7 @@
         let mut lines = self.lines(0, version);
         lines.retain(|line| line.state != NodeState::Removed);
         let (json, said) = render(shown, true, &lines, spoilt);
-        Text { json, news: News::Snapshot(said) }
+        Text { json, update: WrittenUpdate::Snapshot(said) }
     }
 
     /// What has changed after one version up to another, written as `shown`; none if nothing has.
@@ -185,7 +185,7 @@
     ) -> Option<Text> {
         let lines = self.lines(after, version);
         let (json, said) = render(shown, false, &lines, spoilt);
-        (!lines.is_empty()).then_some(Text { json, news: News::Delta(said) })
+        (!lines.is_empty()).then_some(Text { json, update: WrittenUpdate::Delta(said) })
     }
 
     /// The latest of each line among the changes after one version up to another.
--- a/tests/harness/discovery_connection.rs
+++ b/tests/harness/discovery_connection.rs
@@ -8,7 +8,7 @@
 
 use super::catalog::{Text, FIRST_VERSION};
 use super::discovery_faults::{AheadAnswer, CallFault, IndexAnswer, Pieces};
-use super::drain_check::{News, Write};
+use super::drain_check::{Write, WrittenUpdate};
 use super::faulty_discovery::{Noted, Service, Turn};
 use super::stand_in::lock;
 
@@ -134,12 +134,12 @@
 
     /// Writes what is news to the coordinator, and logs it. What goes out behind the coordinator's own end of the
     /// connection is written to nobody.
-    fn tell(&mut self, bytes: &[u8], news: News) -> Result<(), Over> {
+    fn tell(&mut self, bytes: &[u8], update: WrittenUpdate) -> Result<(), Over> {
         if self.is_given_up()? {
             return Err(over());
         }
         self.send(bytes)?;
-        let write = Write { at: Instant::now(), connection: self.number, news };
+        let write = Write { at: Instant::now(), connection: self.number, update };
         lock(&self.service.state).log.writes.push(write);
         Ok(())
     }
@@ -160,7 +160,7 @@
             self.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n").as_bytes())?;
             self.pause(span)?;
             let text = self.whole().1;
-            return self.tell(format!("{:length$}", text.json).as_bytes(), text.news);
+            return self.tell(format!("{:length$}", text.json).as_bytes(), text.update);
         }
         let text = self.whole().1;
         if let Some(CallFault::Outdated(span)) = fault {
@@ -171,7 +171,7 @@
             self.send(&answer.as_bytes()[..answer.len() / 2])?;
             return self.say_nothing();
         }
-        self.tell(answer.as_bytes(), text.news)
+        self.tell(answer.as_bytes(), text.update)
     }
 
     fn watch(&mut self, index: u64, fault: Option<CallFault>, turn: Option<Turn>) -> Result<(), Over> {
@@ -206,8 +206,8 @@
             return self.say_nothing();
         }
         match first {
-            Some(text) => self.tell(&chunk(&text.json), text.news)?,
-            None => self.tell(&chunk(""), News::Heartbeat)?,
+            Some(text) => self.tell(&chunk(&text.json), text.update)?,
+            None => self.tell(&chunk(""), WrittenUpdate::Heartbeat)?,
         }
         drop(turn);
         let (mut beat, mut seen) = (Instant::now(), version);
@@ -229,9 +229,9 @@
             };
             version = version.max(next);
             if let Some(text) = delta {
-                self.tell(&chunk(&text.json), text.news)?;
+                self.tell(&chunk(&text.json), text.update)?;
             } else if beat.elapsed() >= HEARTBEAT {
-                self.tell(&chunk(""), News::Heartbeat)?;
+                self.tell(&chunk(""), WrittenUpdate::Heartbeat)?;
                 beat = Instant::now();
             }
         }
--- a/tests/harness/drain_check.rs
+++ b/tests/harness/drain_check.rs
@@ -54,15 +54,15 @@
 
 /// What was written to a coordinator.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
-    /// A whole list: what it does not name is gone.
+pub enum WrittenUpdate {
+    /// A complete list: what it does not name is removed.
     Snapshot(Vec<(String, Said)>),
     /// What has changed.
     Delta(Vec<(String, Said)>),
     Heartbeat,
 }
 
-impl News {
+impl WrittenUpdate {
     /// What this says of a data node, if anything.
     fn of(&self, uid: &str) -> Option<Said> {
         let (lines, unnamed) = match self {
@@ -80,7 +80,7 @@
 pub struct Write {
     pub at: Instant,
     pub connection: u64,
-    pub news: News,
+    pub update: WrittenUpdate,
 }
 
 /// A moment from which on a service can be reached, or not any more.
@@ -226,11 +226,11 @@
         shut.iter().filter_map(|change| self.notified_of(change)).min_by_key(|n| n.0)
     }
 
-    /// The same where discovery has the node as up since `since`: the last news may say otherwise.
+    /// The same where discovery has the node as up since `since`: the last update may say otherwise.
     fn shut_by_writes(&self, uid: &str, since: Option<Instant>, now: Instant) -> Option<Notified> {
         let mut shut = None;
         for write in self.writes().filter(|w| w.at <= now && since.is_none_or(|since| w.at >= since)) {
-            match write.news.of(uid) {
+            match write.update.of(uid) {
                 Some(Said::Shut) => shut = shut.or(Some((write.at, Reason::Written))),
                 Some(Said::Up) => shut = None,
                 _ => {}
@@ -241,7 +241,8 @@
 
     /// When the coordinator counts as notified of a change that shuts a node.
     fn notified_of(&self, change: &Change) -> Option<Notified> {
-        let written = self.writes().find(|w| w.at >= change.at && w.news.of(&change.uid) == Some(Said::Shut));
+        let written =
+            self.writes().find(|w| w.at >= change.at && w.update.of(&change.uid) == Some(Said::Shut));
         let written = written.map(|w| (w.at, Reason::Written));
         let by_service = (0..self.coordinator.assignments.len()).flat_map(|n| self.by_service(n, change));
         written.into_iter().chain(by_service).min_by_key(|n| n.0)
