--- a/benches/update_to_gate.rs
+++ b/benches/update_to_gate.rs
@@ -119,7 +119,7 @@
     watch: &mut TcpStream,
     (kept, drained): (SocketAddr, SocketAddr),
 ) -> Figures {
-    let changes = || coordinator.core.counters.list_changes.load(Ordering::SeqCst);
+    let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
     let mut times = Vec::new();
     for round in 0..ROUNDS {
         let state = if round % 2 == 0 { "draining" } else { "up" };
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -37,19 +37,19 @@
     }
 
     /// Bytes were read, or requests taken out of them: whether the beginning of a request is left.
-    pub fn part(&mut self, held: bool) {
+    pub fn set_partial_request(&mut self, held: bool) {
         self.has_partial_request = held;
     }
 
     /// A request has been read; returns whether it is to be answered.
-    pub fn request(&mut self) -> bool {
+    pub fn begin_request(&mut self) -> bool {
         self.has_pending_request = self.ended_at.is_none();
         self.has_served |= self.has_pending_request;
         self.has_pending_request
     }
 
     /// The request is answered, or nobody waits for its response.
-    pub fn answered(&mut self, now: Time) {
+    pub fn finish_request(&mut self, now: Time) {
         self.has_pending_request = false;
         self.idle_since = now;
     }
@@ -86,17 +86,17 @@
     }
 
     /// Whether a request is read and not answered.
-    pub fn busy(&self) -> bool {
+    pub fn has_pending_request(&self) -> bool {
         self.has_pending_request
     }
 
     /// Whether a complete request has come on it.
-    pub fn asked(&self) -> bool {
+    pub fn has_served(&self) -> bool {
         self.has_served
     }
 
     /// For how long no response has been owed on it.
-    pub fn rested(&self, now: Time) -> Time {
+    pub fn idle_for(&self, now: Time) -> Time {
         now.saturating_sub(self.idle_since)
     }
 }
--- a/crates/lifecycle/src/connection/tests.rs
+++ b/crates/lifecycle/src/connection/tests.rs
@@ -19,15 +19,15 @@
             match step {
                 0 => {
                     partial = flag;
-                    connection.part(flag);
+                    connection.set_partial_request(flag);
                 }
                 1 if !pending => {
                     pending = ended.is_none();
-                    prop_assert_eq!(connection.request(), pending);
+                    prop_assert_eq!(connection.begin_request(), pending);
                 }
                 2 if pending => {
                     (pending, idle_since) = (false, now);
-                    connection.answered(now);
+                    connection.finish_request(now);
                 }
                 3 => {
                     let halves = wait % 2 == 1;
@@ -43,8 +43,8 @@
                 }
                 _ => {}
             }
-            prop_assert_eq!((connection.busy(), connection.ended()), (pending, ended));
-            prop_assert_eq!(connection.rested(now), now - idle_since);
+            prop_assert_eq!((connection.has_pending_request(), connection.ended()), (pending, ended));
+            prop_assert_eq!(connection.idle_for(now), now - idle_since);
         }
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -37,14 +37,14 @@
     /// None.
     None,
     /// Those that get a response, after it.
-    Answered,
+    AfterResponse,
     /// Idle ones too, now.
-    Resting,
+    IdleToo,
 }
 
 /// What an operator's command or SIGTERM has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Called {
+pub enum TransitionResult {
     /// The state changed.
     Changed,
     /// The process was in that state already.
@@ -53,9 +53,9 @@
     Finishing,
 }
 
-impl Called {
+impl TransitionResult {
     /// Whether the state is now the one that the caller wanted.
-    pub fn yes(self) -> bool {
+    pub fn is_in_effect(self) -> bool {
         self != Self::Finishing
     }
 }
@@ -89,10 +89,10 @@
         Self { spans, state: State::Starting, changes: 0 }
     }
 
-    fn change_to(&mut self, state: State) -> Called {
+    fn change_to(&mut self, state: State) -> TransitionResult {
         self.state = state;
         self.changes += 1;
-        Called::Changed
+        TransitionResult::Changed
     }
 
     /// The process listens for clients from now on. One that was drained before stays drained.
@@ -103,26 +103,26 @@
     }
 
     /// An operator starts a drain. A process that finishes is being drained already.
-    pub fn drain_start(&mut self, now: Time) -> Called {
+    pub fn drain_start(&mut self, now: Time) -> TransitionResult {
         match self.state {
             State::Starting | State::Serving => self.change_to(State::Drained { since: now }),
-            State::Drained { .. } | State::Finishing { .. } => Called::Already,
+            State::Drained { .. } | State::Finishing { .. } => TransitionResult::Already,
         }
     }
 
     /// An operator ends a drain: the process accepts clients again.
-    pub fn drain_stop(&mut self) -> Called {
+    pub fn drain_stop(&mut self) -> TransitionResult {
         match self.state {
             State::Drained { .. } => self.change_to(State::Serving),
-            State::Starting | State::Serving => Called::Already,
-            State::Finishing { .. } => Called::Finishing,
+            State::Starting | State::Serving => TransitionResult::Already,
+            State::Finishing { .. } => TransitionResult::Finishing,
         }
     }
 
     /// SIGTERM has come. Only the first one counts.
-    pub fn term(&mut self, now: Time, finish: Finish) -> Called {
+    pub fn terminate(&mut self, now: Time, finish: Finish) -> TransitionResult {
         match self.state {
-            State::Finishing { .. } => Called::Already,
+            State::Finishing { .. } => TransitionResult::Already,
             State::Starting | State::Serving | State::Drained { .. } => self.change_to(State::Finishing {
                 accept_until: now.saturating_add(finish.accept),
                 answered_by: now.saturating_add(finish.answered),
@@ -136,7 +136,7 @@
     }
 
     /// Why new clients are not accepted, in a word that health checks are answered.
-    pub fn why_not(&self) -> Option<&'static str> {
+    pub fn not_serving_reason(&self) -> Option<&'static str> {
         match self.state {
             State::Starting => Some("starting"),
             State::Serving => None,
@@ -164,11 +164,11 @@
         let Spans { drain_notice, drain_rest, shared_listener } = self.spans;
         let is_after = |since: Time, span: Time| now >= since.saturating_add(span);
         match self.state {
-            State::Drained { since } if is_after(since, drain_rest) => Closing::Resting,
-            State::Drained { since } if is_after(since, drain_notice) => Closing::Answered,
-            State::Finishing { accept_until, .. } if now >= accept_until => Closing::Resting,
+            State::Drained { since } if is_after(since, drain_rest) => Closing::IdleToo,
+            State::Drained { since } if is_after(since, drain_notice) => Closing::AfterResponse,
+            State::Finishing { accept_until, .. } if now >= accept_until => Closing::IdleToo,
             // A client that gets its response now finds another process at the same address.
-            State::Finishing { .. } if shared_listener => Closing::Answered,
+            State::Finishing { .. } if shared_listener => Closing::AfterResponse,
             _ => Closing::None,
         }
     }
--- a/crates/lifecycle/src/reload.rs
+++ b/crates/lifecycle/src/reload.rs
@@ -20,9 +20,9 @@
     /// ...up to this.
     pub longest_pause: Time,
     /// A newer signal waits this long for the read in progress before that is abandoned.
-    pub patience: Time,
+    pub abandon_after: Time,
     /// The most abandoned reads that have not ended yet. Beyond that, a signal waits for one of them to end.
-    pub given_up: usize,
+    pub max_abandoned_reads: usize,
 }
 
 impl RetryPolicy {
@@ -58,15 +58,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// A file was accepted: counted as such.
-    Taken,
+    Accepted,
     /// A file was accepted that a retry had already accepted, and counted, before its signal came.
-    TakenBefore,
+    AcceptedBefore,
     /// The file that the signal announced was rejected: counted as such.
-    TurnedDown,
+    Rejected,
     /// A retry has failed, and there will be another one. The signal's file was counted by its first read.
-    WillRepeat,
+    WillRetry,
     /// A retry has failed, and there will be none until the next signal.
-    NoLongerRepeated,
+    RetriesEnded,
 }
 
 /// What the embedder does next.
@@ -75,7 +75,7 @@
     /// Begin this read.
     Read(ReadId),
     /// The read in progress was abandoned: this is its verdict. Its result is not used.
-    GiveUp(Verdict),
+    Abandon(Verdict),
     /// Nothing, until the given time, if any, or until a read ends or a signal comes.
     Wait(Option<Time>),
 }
@@ -97,9 +97,9 @@
     /// What it means that the read in progress fails for good: the first read is counted, retries are not.
     fn final_failure(&self) -> Verdict {
         if self.is_unanswered() {
-            Verdict::TurnedDown
+            Verdict::Rejected
         } else {
-            Verdict::NoLongerRepeated
+            Verdict::RetriesEnded
         }
     }
 }
@@ -158,7 +158,7 @@
     }
 
     /// What is to be done now. To be called again after each step that is no [`Step::Wait`].
-    pub fn next(&mut self, now: Time) -> Step {
+    pub fn next_step(&mut self, now: Time) -> Step {
         match (self.state, self.pending) {
             (State::Reading { sequence, .. }, Some(pending)) => self.wait_for_read(sequence, pending, now),
             (State::Idle | State::Pausing { .. }, Some(pending)) => {
@@ -173,16 +173,16 @@
 
     /// A signal waits for the read in progress, and abandons it after a while.
     fn wait_for_read(&mut self, sequence: Sequence, pending: PendingSignals, now: Time) -> Step {
-        if self.abandoned_reads >= self.policy.given_up {
+        if self.abandoned_reads >= self.policy.max_abandoned_reads {
             return Step::Wait(None);
         }
-        let abandon_at = pending.first_at.saturating_add(self.policy.patience);
+        let abandon_at = pending.first_at.saturating_add(self.policy.abandon_after);
         if now < abandon_at {
             return Step::Wait(Some(abandon_at));
         }
         self.abandoned_reads += 1;
         self.state = State::Idle;
-        Step::GiveUp(sequence.final_failure())
+        Step::Abandon(sequence.final_failure())
     }
 
     fn begin_read(&mut self, sequence: Sequence) -> Step {
@@ -215,17 +215,17 @@
         let ahead_until = if answers_signal { self.accepted_ahead_until.take() } else { None };
         let was_accepted_ahead = ahead_until.is_some_and(|until| sequence.signalled_at <= until);
         match outcome {
-            Outcome::Unchanged if was_accepted_ahead => Verdict::TakenBefore,
+            Outcome::Unchanged if was_accepted_ahead => Verdict::AcceptedBefore,
             Outcome::Changed | Outcome::Unchanged => {
                 if !answers_signal {
                     self.accepted_ahead_until = Some(now.saturating_add(self.policy.window));
                 }
-                Verdict::Taken
+                Verdict::Accepted
             }
             Outcome::Transient => {
                 let will_retry = self.schedule_retry(sequence, now);
                 if will_retry && !answers_signal {
-                    Verdict::WillRepeat
+                    Verdict::WillRetry
                 } else {
                     failure
                 }
--- a/crates/lifecycle/src/reload/tests.rs
+++ b/crates/lifecycle/src/reload/tests.rs
@@ -1,12 +1,17 @@
 use super::*;
 use proptest::prelude::*;
 
-const POLICY: RetryPolicy =
-    RetryPolicy { window: 4000, first_pause: 50, longest_pause: 800, patience: 1500, given_up: 2 };
+const POLICY: RetryPolicy = RetryPolicy {
+    window: 4000,
+    first_pause: 50,
+    longest_pause: 800,
+    abandon_after: 1500,
+    max_abandoned_reads: 2,
+};
 
 /// The next read and when it begins, from `now` on.
 fn read(reloads: &mut Reloads, now: Time) -> (ReadId, Time) {
-    match reloads.next(now) {
+    match reloads.next_step(now) {
         Step::Read(id) => (id, now),
         Step::Wait(Some(due)) => read(reloads, due),
         other => panic!("{other:?} at {now}"),
@@ -25,20 +30,20 @@
     reloads.signal(1000);
     let (mut now, mut times, mut verdicts) = (1000, Vec::new(), Vec::new());
     loop {
-        match reloads.next(now) {
+        match reloads.next_step(now) {
             Step::Read(id) => {
                 times.push(now - 1000);
                 verdicts.push(ended(&mut reloads, id, Outcome::Transient, now));
             }
             Step::Wait(Some(due)) => now = due,
             Step::Wait(None) => break,
-            Step::GiveUp(_) => unreachable!("no second signal has come"),
+            Step::Abandon(_) => unreachable!("no second signal has come"),
         }
     }
     assert_eq!(times, [0, 50, 150, 350, 750, 1550, 2350, 3150, 3950]);
-    assert_eq!(verdicts[0], Verdict::TurnedDown);
-    assert!(verdicts[1..8].iter().all(|v| *v == Verdict::WillRepeat), "{verdicts:?}");
-    assert_eq!(verdicts[8], Verdict::NoLongerRepeated);
+    assert_eq!(verdicts[0], Verdict::Rejected);
+    assert!(verdicts[1..8].iter().all(|v| *v == Verdict::WillRetry), "{verdicts:?}");
+    assert_eq!(verdicts[8], Verdict::RetriesEnded);
 }
 
 /// Guards the count of files: one that a retry accepts just before its own signal comes is counted once, and each signal
@@ -55,14 +60,14 @@
         outcomes.iter().map(&mut take).collect()
     };
     let ahead = [Outcome::Transient, Outcome::Changed];
-    assert_eq!(reload(0, &ahead), [Verdict::TurnedDown, Verdict::Taken]);
-    assert_eq!(reload(100, &[Outcome::Unchanged]), [Verdict::TakenBefore]);
-    assert_eq!(reload(200, &[Outcome::Unchanged]), [Verdict::Taken]);
+    assert_eq!(reload(0, &ahead), [Verdict::Rejected, Verdict::Accepted]);
+    assert_eq!(reload(100, &[Outcome::Unchanged]), [Verdict::AcceptedBefore]);
+    assert_eq!(reload(200, &[Outcome::Unchanged]), [Verdict::Accepted]);
     // Another file than the one taken ahead, and a signal long after it.
-    assert_eq!(reload(300, &ahead), [Verdict::TurnedDown, Verdict::Taken]);
-    assert_eq!(reload(400, &[Outcome::Changed]), [Verdict::Taken]);
-    assert_eq!(reload(500, &ahead), [Verdict::TurnedDown, Verdict::Taken]);
-    assert_eq!(reload(9000, &[Outcome::Unchanged]), [Verdict::Taken]);
+    assert_eq!(reload(300, &ahead), [Verdict::Rejected, Verdict::Accepted]);
+    assert_eq!(reload(400, &[Outcome::Changed]), [Verdict::Accepted]);
+    assert_eq!(reload(500, &ahead), [Verdict::Rejected, Verdict::Accepted]);
+    assert_eq!(reload(9000, &[Outcome::Unchanged]), [Verdict::Accepted]);
 }
 
 /// Guards a newer signal: it ends the pause of an older one's retries at once, and after a while a read that does not end,
@@ -73,19 +78,19 @@
     reloads.signal(0);
     let (first, _) = read(&mut reloads, 0);
     ended(&mut reloads, first, Outcome::Transient, 0);
-    assert_eq!(reloads.next(10), Step::Wait(Some(50)));
+    assert_eq!(reloads.next_step(10), Step::Wait(Some(50)));
     reloads.signal(10);
     let hangs = read(&mut reloads, 10);
     assert_eq!(hangs.1, 10);
     reloads.signal(300);
     reloads.signal(900);
-    assert_eq!(reloads.next(1000), Step::Wait(Some(1800)));
-    assert_eq!(reloads.next(1800), Step::GiveUp(Verdict::TurnedDown));
+    assert_eq!(reloads.next_step(1000), Step::Wait(Some(1800)));
+    assert_eq!(reloads.next_step(1800), Step::Abandon(Verdict::Rejected));
     let (second, at) = read(&mut reloads, 1800);
     assert_eq!(at, 1800);
     assert!(reloads.returned(hangs.0).is_none());
-    assert_eq!(ended(&mut reloads, second, Outcome::Changed, 1801), Verdict::Taken);
-    assert_eq!(reloads.next(1801), Step::Wait(None));
+    assert_eq!(ended(&mut reloads, second, Outcome::Changed, 1801), Verdict::Accepted);
+    assert_eq!(reloads.next_step(1801), Step::Wait(None));
 }
 
 /// Guards the bound of reads that do not end: beyond it, a signal waits until one of them has ended.
@@ -96,14 +101,14 @@
     for turn in 0..3 {
         reloads.signal(turn * 2000);
         if turn > 0 {
-            assert_eq!(reloads.next(turn * 2000 + 1500), Step::GiveUp(Verdict::TurnedDown));
+            assert_eq!(reloads.next_step(turn * 2000 + 1500), Step::Abandon(Verdict::Rejected));
         }
         hang.push(read(&mut reloads, turn * 2000 + 1500).0);
     }
     reloads.signal(9000);
-    assert_eq!(reloads.next(20_000), Step::Wait(None));
+    assert_eq!(reloads.next_step(20_000), Step::Wait(None));
     assert!(reloads.returned(hang[0]).is_none());
-    assert_eq!(reloads.next(20_000), Step::GiveUp(Verdict::TurnedDown));
+    assert_eq!(reloads.next_step(20_000), Step::Abandon(Verdict::Rejected));
 }
 
 /// More steps than the reloads can take to settle.
@@ -157,7 +162,7 @@
     /// Carries out every step that is due.
     fn carry_out(&mut self, reloads: &mut Reloads, now: Time) -> Result<(), TestCaseError> {
         loop {
-            match reloads.next(now) {
+            match reloads.next_step(now) {
                 Step::Read(id) => {
                     prop_assert!(self.current.is_none(), "two reads whose results count");
                     let first = self.unread.take().is_some();
@@ -167,12 +172,12 @@
                     self.result = self.result.filter(|_| !first);
                     self.current = Some((id, first));
                     self.running.push(id);
-                    prop_assert!(self.running.len() <= POLICY.given_up + 1, "reads pile up");
+                    prop_assert!(self.running.len() <= POLICY.max_abandoned_reads + 1, "reads pile up");
                 }
-                Step::GiveUp(verdict) => {
-                    prop_assert!(self.unread.is_some_and(|at| now >= at + POLICY.patience));
+                Step::Abandon(verdict) => {
+                    prop_assert!(self.unread.is_some_and(|at| now >= at + POLICY.abandon_after));
                     let (_, first) = self.current.take().expect("a read under way");
-                    let expected = if first { Verdict::TurnedDown } else { Verdict::NoLongerRepeated };
+                    let expected = if first { Verdict::Rejected } else { Verdict::RetriesEnded };
                     prop_assert_eq!(verdict, expected);
                     self.rejected += u32::from(first);
                     // Whatever it failed for, a signal waits.
@@ -182,7 +187,7 @@
                     prop_assert!(until.is_none_or(|at| at > now), "a wait for what is over: a busy loop");
                     if self.unread.is_some() {
                         let waits = self.current.is_some()
-                            && (until.is_some() || self.running.len() > POLICY.given_up);
+                            && (until.is_some() || self.running.len() > POLICY.max_abandoned_reads);
                         prop_assert!(waits, "a signal is not read for");
                     }
                     return Ok(());
@@ -209,14 +214,14 @@
         let verdict = reloads.ended(returned, outcome, now);
         let good = matches!(outcome, Outcome::Changed | Outcome::Unchanged);
         match verdict {
-            Verdict::Taken => self.accepted += 1,
-            Verdict::TakenBefore => prop_assert!(first && outcome == Outcome::Unchanged),
-            Verdict::TurnedDown => self.rejected += 1,
-            Verdict::WillRepeat => prop_assert!(!first && outcome == Outcome::Transient),
-            Verdict::NoLongerRepeated => prop_assert!(!first),
+            Verdict::Accepted => self.accepted += 1,
+            Verdict::AcceptedBefore => prop_assert!(first && outcome == Outcome::Unchanged),
+            Verdict::Rejected => self.rejected += 1,
+            Verdict::WillRetry => prop_assert!(!first && outcome == Outcome::Transient),
+            Verdict::RetriesEnded => prop_assert!(!first),
         }
-        prop_assert_eq!(good, matches!(verdict, Verdict::Taken | Verdict::TakenBefore));
-        prop_assert_eq!(first && !good, verdict == Verdict::TurnedDown);
+        prop_assert_eq!(good, matches!(verdict, Verdict::Accepted | Verdict::AcceptedBefore));
+        prop_assert_eq!(first && !good, verdict == Verdict::Rejected);
         prop_assert!(self.rejected <= self.signals);
         Ok(())
     }
@@ -246,7 +251,7 @@
                 }
                 Act::Pass(span) => {
                     // Not past what the reloads wait for: the next step is taken on time.
-                    now = match reloads.next(now) {
+                    now = match reloads.next_step(now) {
                         Step::Wait(Some(until)) => until.min(now + span),
                         _ => now + span,
                     };
@@ -263,7 +268,7 @@
                 model.carry_out(&mut reloads, now)?;
                 continue;
             }
-            match reloads.next(now) {
+            match reloads.next_step(now) {
                 Step::Wait(Some(until)) => now = until,
                 step => {
                     prop_assert_eq!(step, Step::Wait(None));
--- a/crates/lifecycle/src/tests.rs
+++ b/crates/lifecycle/src/tests.rs
@@ -22,7 +22,7 @@
                 0 => {
                     lifecycle.listening();
                     listens = true;
-                    (Called::Already, false)
+                    (TransitionResult::Already, false)
                 }
                 1 => {
                     let is_first = drained.is_none() && finishing.is_none();
@@ -37,21 +37,21 @@
                 _ => {
                     let first = finishing.is_none();
                     finishing = finishing.or(Some(now));
-                    (lifecycle.term(now, FINISH), first)
+                    (lifecycle.terminate(now, FINISH), first)
                 }
             };
-            prop_assert_eq!(called == Called::Changed, changed);
-            prop_assert_eq!(called.yes(), call % 4 != 2 || finishing.is_none());
+            prop_assert_eq!(called == TransitionResult::Changed, changed);
+            prop_assert_eq!(called.is_in_effect(), call % 4 != 2 || finishing.is_none());
             let serves = listens && drained.is_none() && finishing.is_none();
-            prop_assert_eq!((lifecycle.wants_clients(), lifecycle.why_not().is_none()), (serves, serves));
+            prop_assert_eq!((lifecycle.wants_clients(), lifecycle.not_serving_reason().is_none()), (serves, serves));
             prop_assert_eq!(lifecycle.finishing(), finishing.is_some());
             prop_assert_eq!(lifecycle.answered_by(), finishing.map_or(Time::MAX, |t| t + 80));
             for later in [now, now + 10, now + 30, now + 50] {
                 let closing = match (finishing, drained) {
-                    (Some(t), _) if later >= t + 50 => Closing::Resting,
-                    (Some(_), _) if shared => Closing::Answered,
-                    (None, Some(t)) if later >= t + 30 => Closing::Resting,
-                    (None, Some(t)) if later >= t + 10 => Closing::Answered,
+                    (Some(t), _) if later >= t + 50 => Closing::IdleToo,
+                    (Some(_), _) if shared => Closing::AfterResponse,
+                    (None, Some(t)) if later >= t + 30 => Closing::IdleToo,
+                    (None, Some(t)) if later >= t + 10 => Closing::AfterResponse,
                     _ => Closing::None,
                 };
                 prop_assert_eq!(lifecycle.closing(later), closing);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -34,6 +34,3 @@
 /// How long a call may go unanswered, and a watch silent, before it is abandoned. Two calls are open at most, one
 /// [`CALL_GAP`] after the other, so that a slow service is still heard.
 pub const CALL_LIFETIME: Nanos = 2 * CALL_GAP;
-
-#[doc(hidden)]
-pub use self::NOTIFIED_AFTER as TOLD_AFTER;
--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -183,7 +183,7 @@
         let counters = &self.core.counters;
         Some(Figures {
             books: self.core.ledger_snapshot_within(BOOKS)?,
-            list_overdue: counters.list_overdue.load(Ordering::Relaxed),
+            list_overdue: counters.endpoint_list_overdue.load(Ordering::Relaxed),
             denied: counters.snmp_denied.load(Ordering::Relaxed),
             descriptors: (descriptors(), self.sockets),
         })
@@ -266,8 +266,8 @@
         burst: limits.notify_burst,
         refill: nanos(limits.notify_refill),
         waiting: limits.notify_waiting,
-        again: nanos(limits.notify_again),
-        tries: limits.notify_tries,
+        again: nanos(limits.notify_retry_delay),
+        tries: limits.notify_attempts,
         subjects: limits.node_rows,
     };
     let notifier =
@@ -294,8 +294,8 @@
     fn account() -> RequestLedger {
         let text = crate::config::Config::read(include_str!("../examples/config.json"), |_| None).unwrap();
         RequestLedger::new(
-            &text.info.settings.classes,
-            &text.info.class_names,
+            &text.deployment.settings.classes,
+            &text.deployment.class_names,
             NodeBounds { max_rows: 4, retention: S },
         )
     }
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -85,9 +85,9 @@
     /// The file's JSON without the endpoint list: a later configuration may lack none of its keys.
     pub document: Value,
     /// The endpoint list as this coordinator last held it.
-    pub known: Option<DiscoveryUpdate>,
+    pub known_endpoints: Option<DiscoveryUpdate>,
     /// The settings.
-    pub info: Deployment,
+    pub deployment: Deployment,
 }
 
 impl Config {
@@ -125,14 +125,14 @@
             control: address(CONTROL_VARIABLE)?.or(file.control),
             listen_fd: variable(LISTEN_FD_VARIABLE),
             document,
-            known: file.known,
-            info,
+            known_endpoints: file.known,
+            deployment: info,
         })
     }
 
     /// What the platform allows this process, beside so many others of the same coordinator.
     pub fn platform(&self, others: usize) -> Platform {
-        let nodes = self.known.as_ref().map_or(0, |known| known.lines.len());
+        let nodes = self.known_endpoints.as_ref().map_or(0, |known| known.lines.len());
         Platform { sockets: self.sockets, memory_mb: self.memory_mb, others, nodes }
     }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -129,7 +129,7 @@
     let local = listener.local_addr()?;
     let callers = Callers { open: Arc::default(), max_open: max_calls };
     let clock = Clock::start();
-    let mut errors = AcceptErrors::new("second address", nanos(limits.no_socket_log));
+    let mut errors = AcceptErrors::new("second address", nanos(limits.no_socket_log_interval));
     let accept = move || loop {
         let started = listener
             .accept()
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -38,71 +38,71 @@
     /// Requests answered without the core: bad input.
     bad_requests "cdBadRequests",
     /// Queries taken.
-    queries_taken "cdQueriesTaken",
+    queries_accepted "cdQueriesTaken",
     /// Queries turned away over the limit.
-    queries_full "cdQueriesFull",
+    queries_over_limit "cdQueriesFull",
     /// Queries answered whole.
-    answers_whole "cdAnswersWhole",
+    answers_complete "cdAnswersWhole",
     /// Queries answered in part.
     answers_partial "cdAnswersPartial",
     /// Queries refused.
-    queries_refused "cdQueriesRefused",
+    queries_rejected "cdQueriesRefused",
     /// Queries failed.
     queries_failed "cdQueriesFailed",
     /// Queries whose client left.
-    clients_gone "cdClientsGone",
+    clients_disconnected "cdClientsGone",
     /// Attempts handed to data nodes.
     attempts_sent "cdAttemptsSent",
     /// Attempts that ended with a value.
-    attempts_passed "cdAttemptsPassed",
+    attempts_succeeded "cdAttemptsPassed",
     /// Attempts that ended otherwise.
     attempts_failed "cdAttemptsFailed",
     /// Attempts not sent: their data node drained or their time was over.
-    attempts_stale "cdAttemptsStale",
+    attempts_not_sent "cdAttemptsStale",
     /// Attempts called off.
-    attempts_dropped "cdAttemptsDropped",
+    attempts_cancelled "cdAttemptsDropped",
     /// Connections opened to data nodes.
     dials "cdDials",
     /// Connections to data nodes that did not come up.
     dials_failed "cdDialsFailed",
     /// Connections that a data node broke.
-    links_broken "cdLinksBroken",
+    connections_broken "cdLinksBroken",
     /// Frames from data nodes that could not be used.
     bad_frames "cdBadFrames",
     /// Probes sent.
-    probes "cdProbes",
+    health_checks "cdProbes",
     /// Calls to the list's service.
-    list_calls "cdListCalls",
+    discovery_calls "cdListCalls",
     /// Calls that failed and watches that broke.
-    list_errors "cdListErrors",
+    discovery_call_errors "cdListErrors",
     /// Times that the list was silent for longer than the settings allow.
-    list_overdue "cdListOverdue",
+    endpoint_list_overdue "cdListOverdue",
     /// Feature requests answered.
-    ogc_requests "cdOgcRequests",
+    features_requests "cdOgcRequests",
     /// Management requests answered.
     snmp_requests "cdSnmpRequests",
     /// Changes of the list that were taken in.
-    list_changes "cdListChanges",
+    endpoint_list_changes "cdListChanges",
     /// Desk requests answered.
-    desk_requests "cdDeskRequests",
+    aggregation_requests "cdDeskRequests",
     /// Values that a front did not accept.
-    values_unfit "cdValuesUnfit",
+    values_invalid "cdValuesUnfit",
     /// Missing ranges that an earlier answer bounded.
-    recall_hits "cdRecallHits",
+    range_cache_hits "cdRecallHits",
     /// What was learnt of ranges and is forgotten by age or size.
-    recall_evicted "cdRecallEvicted",
+    range_cache_evictions "cdRecallEvicted",
     /// Ranges that said two things of one version.
-    recall_contradictions "cdRecallContradictions",
+    range_cache_contradictions "cdRecallContradictions",
     /// Management requests that were not served for their security.
     snmp_denied "cdSnmpDenied",
     /// Attempts whose frame was written whole to a data node.
     attempts_written "cdAttemptsWritten",
     /// Configurations taken at SIGHUP.
-    reloads_ok "cdReloadsOk",
+    reloads_applied "cdReloadsOk",
     /// Configurations turned down at SIGHUP.
-    reloads_failed "cdReloadsFailed",
+    reloads_rejected "cdReloadsFailed",
     /// Times that the list could not be used any more since its news was overdue.
-    list_expired "cdListExpired",
+    endpoint_list_expired "cdListExpired",
 }
 
 impl Counters {
@@ -117,7 +117,7 @@
     }
 
     /// Takes over the request ledger's counts: each of these counters is written here alone.
-    pub fn view(&self, ledger: &RequestLedger) {
+    pub fn record_ledger(&self, ledger: &RequestLedger) {
         let queries = |end: QueryEnd| ledger.sum(|class| class.ended_with(end));
         let attempts = ledger.attempts();
         let succeeded = attempts.ended_with(Outcome::Success);
@@ -125,16 +125,16 @@
         let cancelled = attempts.ended_with(Outcome::Cancelled);
         let failed = attempts.total_ended() - succeeded - not_sent - cancelled;
         for (counter, count) in [
-            (&self.queries_taken, ledger.sum(|class| class.accepted)),
-            (&self.answers_whole, queries(QueryEnd::CompleteInTime) + queries(QueryEnd::CompleteLate)),
+            (&self.queries_accepted, ledger.sum(|class| class.accepted)),
+            (&self.answers_complete, queries(QueryEnd::CompleteInTime) + queries(QueryEnd::CompleteLate)),
             (&self.answers_partial, queries(QueryEnd::Partial)),
-            (&self.queries_refused, queries(QueryEnd::Rejected)),
+            (&self.queries_rejected, queries(QueryEnd::Rejected)),
             (&self.queries_failed, queries(QueryEnd::Failed)),
-            (&self.clients_gone, queries(QueryEnd::ClientDisconnected)),
+            (&self.clients_disconnected, queries(QueryEnd::ClientDisconnected)),
             (&self.attempts_sent, attempts.started),
-            (&self.attempts_passed, succeeded),
-            (&self.attempts_stale, not_sent),
-            (&self.attempts_dropped, cancelled),
+            (&self.attempts_succeeded, succeeded),
+            (&self.attempts_not_sent, not_sent),
+            (&self.attempts_cancelled, cancelled),
             (&self.attempts_failed, failed),
         ] {
             counter.store(count, Ordering::Relaxed);
--- a/src/frontend/accept.rs
+++ b/src/frontend/accept.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::api::Nanos;
-use crate::net::log_limit::LogLimit;
+use crate::net::log_limit::LogRateLimit;
 
 /// Between two tries where the system lacks something: descriptors, memory, a network.
 const LACK_PAUSE: Duration = Duration::from_millis(10);
@@ -13,13 +13,13 @@
 #[derive(Debug)]
 pub struct AcceptErrors {
     listener: &'static str,
-    log: LogLimit,
+    log: LogRateLimit,
 }
 
 impl AcceptErrors {
     /// None so far at the listener of this name; a line in `interval` at most.
     pub fn new(listener: &'static str, interval: Nanos) -> Self {
-        Self { listener, log: LogLimit::new(interval) }
+        Self { listener, log: LogRateLimit::new(interval) }
     }
 
     /// Takes note of one at `now`; returns how long to wait before the next try.
--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -25,7 +25,7 @@
 use crate::frontend::http_server::{Answer, Frontend, Reply, Served};
 use crate::frontend::problem::{problem, retry_after, unix_now, unserved, valid_until, PROBLEM};
 use crate::limits::Limits;
-use crate::net::coordinator::{CoreHandle, Started};
+use crate::net::coordinator::{CoreHandle, OnEndpointsStarted};
 use crate::net::http::{self, BadMessage, Request};
 use crate::runtime::lock;
 
@@ -37,15 +37,15 @@
     /// An empty memory for so many ranges.
     pub fn new(limits: &Limits, ranges: u32) -> Self {
         let bounds = Bounds {
-            entries: limits.recall_entries,
+            entries: limits.range_cache_entries,
             ranges: ranges as usize,
-            age: crate::runtime::nanos(limits.recall_age),
+            age: crate::runtime::nanos(limits.range_cache_age),
         };
         Self(Arc::new(Mutex::new(Recall::new(bounds))))
     }
 
     /// Forgets what data nodes told that have started anew.
-    pub fn forgetting(&self) -> Started {
+    pub fn forgetting(&self) -> OnEndpointsStarted {
         let memory = self.clone();
         Box::new(move |shards| {
             let mut recall = memory.recall();
@@ -123,7 +123,7 @@
         memory: Memory,
         seed: u64,
     ) -> Result<Self, AggregationConfigError> {
-        let classes = config.check(&core.info())?;
+        let classes = config.check(&core.deployment())?;
         Ok(Self {
             core,
             limits,
@@ -137,13 +137,13 @@
 
     fn sets(&self) -> Json {
         let set = |(s, class): &(SetConfig, ClassId)| {
-            let info = self.core.info();
+            let info = self.core.deployment();
             let floor = info.settings.classes[info.current_class(*class).0].min_coverage;
             let measures: Vec<Json> =
                 s.measures.iter().map(|m| json!({"name": m.name, "scale": m.scale})).collect();
             json!({"id": s.id, "title": s.title, "class": s.class, "leastShare": floor, "measures": measures})
         };
-        json!({"sets": self.sets.iter().map(set).collect::<Vec<_>>(), "ranges": self.core.info().shards})
+        json!({"sets": self.sets.iter().map(set).collect::<Vec<_>>(), "ranges": self.core.deployment().shards})
     }
 
     fn route(&self, request: &Request) -> Result<Option<Asked>, Reply> {
@@ -183,11 +183,11 @@
         };
         let limit = match body.limit {
             None => LIMIT,
-            Some(n) if (1..=self.limits.desk_rows).contains(&n) => n,
+            Some(n) if (1..=self.limits.max_aggregation_rows).contains(&n) => n,
             Some(_) => {
                 return Err(at_field(
                     "limit",
-                    &format!("1 to {} rows may be asked for", self.limits.desk_rows),
+                    &format!("1 to {} rows may be asked for", self.limits.max_aggregation_rows),
                 ))
             }
         };
@@ -200,8 +200,8 @@
         }
         let wait = match body.timeout_ms {
             Some(0) => return Err(at_field("timeoutMs", "it must be above 0")),
-            Some(ms) => Duration::from_millis(ms).min(self.limits.desk_wait),
-            None => self.limits.desk_wait,
+            Some(ms) => Duration::from_millis(ms).min(self.limits.aggregation_timeout),
+            None => self.limits.aggregation_timeout,
         };
         let query = Query {
             set: set.id.clone(),
@@ -213,7 +213,7 @@
             limit,
             filter: body.filter,
         };
-        let ranges = self.core.info().shards;
+        let ranges = self.core.deployment().shards;
         let merging = match &body.cursor {
             None => Merging::new(query, ranges),
             Some(_) if !query.paged() => {
@@ -226,7 +226,7 @@
         };
         Ok(Asked {
             merging: Arc::new(Mutex::new(merging)),
-            class: self.core.info().current_class(*class),
+            class: self.core.deployment().current_class(*class),
             wait,
         })
     }
@@ -234,7 +234,7 @@
     /// Hands a query to the core: a part for each range, each with its own text.
     fn ask(&self, asked: Asked, out: Answer) -> Served {
         let Asked { merging, class, wait } = asked;
-        let ranges = self.core.info().shards;
+        let ranges = self.core.deployment().shards;
         let share = 1.0 / f64::from(ranges);
         let part_texts = {
             let merging = lock(&merging);
@@ -262,12 +262,12 @@
         };
         let end = End {
             merging,
-            floor: self.core.info().settings.classes[class.0].min_coverage,
+            floor: self.core.deployment().settings.classes[class.0].min_coverage,
             memory: self.memory.clone(),
             keys: self.keys.clone(),
             cursor_life: self.cursor_life,
             core: self.core.clone(),
-            piece: self.limits.desk_piece,
+            piece: self.limits.aggregation_chunk_bytes,
         };
         Served::Later(self.core.submit(ask, Box::new(move |ended| end.reply(ended, out))))
     }
@@ -314,9 +314,9 @@
         let mut recall = self.memory.recall();
         let merged = merging.finish(values, self.floor, &mut recall, self.core.clock.now());
         let (counts, counters) = (recall.counts(), &self.core.counters);
-        Counters::set(&counters.recall_hits, counts.hits);
-        Counters::set(&counters.recall_evicted, counts.evicted);
-        Counters::set(&counters.recall_contradictions, counts.contradictions);
+        Counters::set(&counters.range_cache_hits, counts.hits);
+        Counters::set(&counters.range_cache_evictions, counts.evicted);
+        Counters::set(&counters.range_cache_contradictions, counts.contradictions);
         let mut merged = merged?;
         merged.answer.head.next = merged.next.map(|ranges| {
             let until = unix_now().saturating_add(self.cursor_life);
@@ -352,7 +352,7 @@
 
 impl Frontend for AggregationFrontend {
     fn serve(&self, request: Request, out: Answer) -> Served {
-        Counters::add(&self.core.counters.desk_requests);
+        Counters::add(&self.core.counters.aggregation_requests);
         match self.route(&request) {
             Ok(Some(asked)) => return self.ask(asked, out),
             Ok(None) if request.path == "/openapi.json" => {
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -152,7 +152,7 @@
         limits: Arc<Limits>,
         seed: u64,
     ) -> Result<Self, FeaturesConfigError> {
-        let (ranges, collections) = (core.info().shards, config.check(&core.info())?);
+        let (ranges, collections) = (core.deployment().shards, config.check(&core.deployment())?);
         let by_id = match config.by_id {
             true => Some(Sealed {
                 keys: Arc::new(read_cursor_keys(config.cursor_keys.as_deref())?),
@@ -334,7 +334,7 @@
 
     /// Hands a feature query to the core: a part for each of these ranges.
     fn ask(&self, at: usize, parts: Parts, asker: Asker, reply: crate::net::messages::Reply) -> Served {
-        let class = self.core.info().current_class(self.collections[at].1);
+        let class = self.core.deployment().current_class(self.collections[at].1);
         let ranges: Vec<u32> = (parts.from.0..self.ranges).collect();
         let share = 1.0 / ranges.len() as f64;
         let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -342,7 +342,13 @@
             name: format!("{number:016x}"),
             class,
             is_retry: false,
-            deadline: valid_until(&self.core, &self.limits, class, self.limits.ogc_wait, asker.asked_at),
+            deadline: valid_until(
+                &self.core,
+                &self.limits,
+                class,
+                self.limits.features_timeout,
+                asker.asked_at,
+            ),
             parts: ranges.into_iter().map(|r| (ShardId(r), share)).collect(),
             text: parts.text.into(),
             part_texts: parts.texts,
@@ -549,7 +555,7 @@
 
 impl Frontend for FeaturesFrontend {
     fn serve(&self, request: Request, out: Answer) -> Served {
-        Counters::add(&self.core.counters.ogc_requests);
+        Counters::add(&self.core.counters.features_requests);
         let wanted = match request.method.as_str() {
             "GET" | "HEAD" => self.route(&request),
             _ => Err(problem(405, "features are read by GET").with("Allow", "GET, HEAD")),
--- a/src/frontend/http_server.rs
+++ b/src/frontend/http_server.rs
@@ -23,8 +23,8 @@
 use crate::limits::Limits;
 use crate::net::coordinator::CoreHandle;
 use crate::net::http::{self, BadMessage, Request, RequestReader};
-use crate::net::log_limit::LogLimit;
-use crate::net::messages::REQUEST;
+use crate::net::log_limit::LogRateLimit;
+use crate::net::messages::REQUEST_LOG_TARGET;
 use crate::runtime::{lock, nanos, spawn, thread, Clock, Permit, Permits, Stream, SMALL_STACK};
 
 /// A client's connection: its reader, its writer, and those that evict one or end the process, share it.
@@ -46,9 +46,9 @@
     /// Reads what is there, without waiting, and takes note of it in the same step.
     fn read(&self, buf: &mut [u8]) -> io::Result<usize> {
         let mut held = self.held();
-        let n = self.stream.read_now(buf)?;
+        let n = self.stream.try_read(buf)?;
         if n > 0 {
-            held.part(true);
+            held.set_partial_request(true);
         }
         Ok(n)
     }
@@ -63,25 +63,25 @@
     fn end_with(&self, now: Nanos, halves: bool) -> bool {
         let mut held = self.held();
         let before = held.ended().is_some();
-        let ended = held.end(now, self.stream.readable(), halves);
+        let ended = held.end(now, self.stream.is_readable(), halves);
         if ended && !before {
-            self.stream.end_writing();
+            self.stream.shutdown_write();
         }
         ended
     }
 
     /// Closes it for another to have its place, unless a request has come.
     fn evict(&self, now: Nanos) -> bool {
-        let evicted = self.held().evict(now, self.stream.readable());
+        let evicted = self.held().evict(now, self.stream.is_readable());
         if evicted {
-            self.stream.shut();
+            self.stream.shutdown();
         }
         evicted
     }
 
     /// Whether its client is there, as far as can be told without reading: at the end of what it sent, it has left.
     fn here(&self) -> bool {
-        self.stream.open()
+        self.stream.is_open()
     }
 }
 
@@ -103,7 +103,7 @@
     connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     next: AtomicU64,
     /// Bounds the log on clients that leave without their answer.
-    unanswered: Mutex<LogLimit>,
+    unanswered: Mutex<LogRateLimit>,
 }
 
 impl Service {
@@ -115,7 +115,7 @@
             busy: AtomicUsize::default(),
             connections: Mutex::default(),
             next: AtomicU64::default(),
-            unanswered: Mutex::new(LogLimit::new(log_interval)),
+            unanswered: Mutex::new(LogRateLimit::new(log_interval)),
         }
     }
 
@@ -136,7 +136,9 @@
 
     /// Why no new clients are wanted, in a word; nothing if they are.
     pub fn why_not(&self, core: &CoreHandle) -> Option<&'static str> {
-        self.lifecycle().why_not().or_else(|| (!core.ready()).then_some("no data node is known yet"))
+        self.lifecycle()
+            .not_serving_reason()
+            .or_else(|| (!core.ready()).then_some("no data node is known yet"))
     }
 
     /// Requests read and not yet answered.
@@ -154,10 +156,13 @@
         for connection in self.connections().values() {
             let (ended, may) = {
                 let held = connection.held();
-                (held.ended(), !held.busy() && (held.asked() || held.rested(now) >= nanos(young)))
+                (
+                    held.ended(),
+                    !held.has_pending_request() && (held.has_served() || held.idle_for(now) >= nanos(young)),
+                )
             };
             match ended {
-                Some(at) if now.saturating_sub(at) >= nanos(linger) => connection.stream.shut(),
+                Some(at) if now.saturating_sub(at) >= nanos(linger) => connection.stream.shutdown(),
                 Some(_) => waits = true,
                 None => {
                     if may {
@@ -182,19 +187,19 @@
             if held.evicted() {
                 return Eviction::Soon;
             }
-            let rested = held.rested(now);
-            let kind = match held.asked() {
+            let rested = held.idle_for(now);
+            let kind = match held.has_served() {
                 _ if held.ended().is_some() => 3,
-                true if rested >= nanos(limits.client_rest) => 2,
+                true if rested >= nanos(limits.client_evictable_idle) => 2,
                 true => 0,
                 false => 1,
             };
-            if !held.busy() {
+            if !held.has_pending_request() {
                 free.push((kind, rested, connection));
             }
         }
         free.sort_unstable_by_key(|&(kind, rested, _)| Reverse((kind, rested)));
-        let old = |kind, rested| kind == 3 || rested >= nanos(limits.client_silent);
+        let old = |kind, rested| kind == 3 || rested >= nanos(limits.client_evictable_silence);
         if free.iter().any(|&(kind, rested, connection)| old(kind, rested) && connection.evict(now)) {
             return Eviction::Soon;
         }
@@ -285,7 +290,7 @@
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        self.connection.held().answered(self.service.clock.now());
+        self.connection.held().finish_request(self.service.clock.now());
         self.service.busy.fetch_sub(1, Ordering::AcqRel);
     }
 }
@@ -374,7 +379,7 @@
 pub fn listen(addr: SocketAddr, front: Arc<dyn Frontend>, shared: Shared) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(addr)?;
     let local = listener.local_addr()?;
-    let mut errors = AcceptErrors::new("front", nanos(shared.limits.no_socket_log));
+    let mut errors = AcceptErrors::new("front", nanos(shared.limits.no_socket_log_interval));
     spawn("accept", shared.limits.stack_words, move || loop {
         match listener.accept() {
             Ok((stream, _)) => accept(stream, &front, &shared),
@@ -413,7 +418,7 @@
             }
         }
     })?;
-    let mut errors = AcceptErrors::new("front", nanos(limits.no_socket_log));
+    let mut errors = AcceptErrors::new("front", nanos(limits.no_socket_log_interval));
     let wait = move || loop {
         let accepted = match inherited.waits(ACCEPT_LOOK) {
             Ok(_) if service.lifecycle().finishing() => return,
@@ -446,7 +451,7 @@
             return Some(permit);
         }
         let none = shared.service.evict(&shared.limits) == Eviction::None;
-        if none || start.elapsed() >= shared.limits.client_room {
+        if none || start.elapsed() >= shared.limits.client_place_timeout {
             return None;
         }
         may::coroutine::sleep(EVICTION_PAUSE);
@@ -485,7 +490,7 @@
     let bytes = http::response(reply.status, reply.kind, &reply.more, &reply.body, false, false);
     // One try that does not wait: it is turned away in any case.
     let told = stream.write_all(&bytes, Duration::ZERO).is_ok();
-    stream.end_writing();
+    stream.shutdown_write();
     if told && stays {
         let limits = shared.limits.clone();
         let words = limits.stack_words;
@@ -532,17 +537,17 @@
     fn run(&self) {
         let (writer, outbox) = channel::<Out>();
         let (done, answered) = channel::<bool>();
-        let (connection, within) = (self.connection.clone(), self.shared.limits.client_write);
+        let (connection, within) = (self.connection.clone(), self.shared.limits.client_write_timeout);
         let (service, key) = (self.shared.service.clone(), self.key);
         let started = spawn("client writer", self.shared.limits.stack_words, move || {
             for mut out in outbox.iter() {
                 let open = out.keep_alive && service.closing() == Closing::None;
                 let written = out.write(&connection.stream, open, within);
-                log::debug!(target: REQUEST, "connection {key}: {} written, {written:?}", out.reply.status);
+                log::debug!(target: REQUEST_LOG_TARGET, "connection {key}: {} written, {written:?}", out.reply.status);
                 match written {
                     Ok(()) if open => {}
-                    Ok(()) => connection.stream.end_writing(),
-                    Err(_) => connection.stream.shut(),
+                    Ok(()) => connection.stream.shutdown_write(),
+                    Err(_) => connection.stream.shutdown(),
                 }
                 drop(out);
                 if done.send(open).is_err() {
@@ -552,10 +557,10 @@
         });
         let mut buf = vec![0; READ];
         if started.is_ok() && self.read(&mut buf, &writer, &answered) {
-            self.connection.stream.end_writing();
+            self.connection.stream.shutdown_write();
             linger(&self.connection.stream, &mut buf, &self.shared.limits);
         }
-        self.connection.stream.shut();
+        self.connection.stream.shutdown();
     }
 
     /// Reads requests to the end of the connection; returns whether nothing more is to be served, but its client may
@@ -585,10 +590,10 @@
             let mut within = if ahead { Duration::ZERO } else { limits.linger };
             if !pending {
                 let next = requests.next(limits);
-                self.connection.held().part(requests.begun());
+                self.connection.held().set_partial_request(requests.begun());
                 match next {
                     Ok(Some(request)) => {
-                        if !self.connection.held().request() {
+                        if !self.connection.held().begin_request() {
                             return true;
                         }
                         begun = requests.begun().then(Instant::now);
@@ -600,7 +605,7 @@
                     Ok(None) => {}
                     Err(bad) => return self.turn_away(bad, writer, answered),
                 }
-                let left = begun.map(|at| limits.request_read.saturating_sub(at.elapsed()));
+                let left = begun.map(|at| limits.request_read_timeout.saturating_sub(at.elapsed()));
                 if left.is_some_and(|l| l.is_zero()) {
                     if requests.begun() {
                         return self.turn_away(http::TOO_SLOW, writer, answered);
@@ -613,14 +618,16 @@
             }
             let read = match within.is_zero() {
                 true => self.connection.read(buf),
-                false => self.connection.stream.wait(within).and_then(|()| self.connection.read(buf)),
+                false => {
+                    self.connection.stream.wait_readable(within).and_then(|()| self.connection.read(buf))
+                }
             };
             more = read.is_ok();
             if ahead && more {
                 // Others run between the reads of a client that sends ahead.
                 may::coroutine::yield_now();
             }
-            self.connection.stream.leave_room();
+            self.connection.stream.yield_if_busy();
             match read {
                 Ok(0) => break,
                 // More than may be sent ahead is dropped: the connection ends with the answers to what is held.
@@ -641,9 +648,9 @@
                 Err(_) => break,
             }
         }
-        self.connection.stream.shut();
+        self.connection.stream.shutdown();
         if let (true, Some(id), Err(_)) = (pending, query, answered.try_recv()) {
-            log::debug!(target: REQUEST, "connection {}: its client has left query {}", self.key, id.0);
+            log::debug!(target: REQUEST_LOG_TARGET, "connection {}: its client has left query {}", self.key, id.0);
             self.log_unanswered(&format!("query {} is open", id.0));
             self.shared.core.client_disconnected(id);
         } else if requests.begun() {
@@ -663,7 +670,7 @@
 
     /// Answers what is no request; the connection is closed after it.
     fn turn_away(&self, bad: BadMessage, writer: &Sender<Out>, answered: &Receiver<bool>) -> bool {
-        if self.connection.held().request() {
+        if self.connection.held().begin_request() {
             Counters::add(&self.shared.core.counters.bad_requests);
             let now = self.shared.service.now();
             self.answer(writer, now, Form::default()).send(self.front.refuse(bad));
@@ -694,7 +701,7 @@
         match self.front.serve(request, answer) {
             Served::Now => None,
             Served::Later(id) => {
-                log::debug!(target: REQUEST, "connection {}: a request read whole is query {}", self.key, id.0);
+                log::debug!(target: REQUEST_LOG_TARGET, "connection {}: a request read whole is query {}", self.key, id.0);
                 Some(id)
             }
         }
--- a/src/frontend/http_server/tests.rs
+++ b/src/frontend/http_server/tests.rs
@@ -16,15 +16,15 @@
     for shut in [ClientConnection::end, ClientConnection::evict] {
         let (gone, _client) = connection();
         assert!(shut(&gone, 0));
-        assert!(!gone.held().request(), "served after it was shut");
+        assert!(!gone.held().begin_request(), "served after it was shut");
         let (served, _client) = connection();
-        assert!(served.held().request());
+        assert!(served.held().begin_request());
         assert!(!shut(&served, 0), "shut with a request open");
-        served.held().answered(0);
-        assert!(served.held().request(), "the next request is served");
+        served.held().finish_request(0);
+        assert!(served.held().begin_request(), "the next request is served");
         let (unread, mut client) = connection();
         client.write_all(b"x").unwrap();
-        while !unread.stream.readable() {
+        while !unread.stream.is_readable() {
             std::thread::yield_now();
         }
         assert!(!shut(&unread, 0), "shut with a request on its way");
@@ -37,7 +37,7 @@
 fn half_a_request_keeps_its_connection_until_its_place_is_needed() {
     let (half, mut client) = connection();
     client.write_all(b"x").unwrap();
-    while !half.stream.readable() {
+    while !half.stream.is_readable() {
         std::thread::yield_now();
     }
     assert_eq!(half.read(&mut [0; 8]).unwrap(), 1);
@@ -51,13 +51,13 @@
     let (connection, mut client) = connection();
     assert!(connection.here());
     client.write_all(b"x").unwrap();
-    while !connection.stream.readable() {
+    while !connection.stream.is_readable() {
         std::thread::yield_now();
     }
     assert!(connection.here());
     assert_eq!(connection.stream.read(&mut [0; 8], Duration::ZERO).unwrap(), 1);
     drop(client);
-    while !connection.stream.readable() {
+    while !connection.stream.is_readable() {
         std::thread::yield_now();
     }
     assert!(!connection.here());
@@ -75,7 +75,7 @@
     let limits = Limits { clients: 2, ..Limits::default() };
     let list = |n: u64| {
         let (connection, client) = connection();
-        assert!(connection.held().request());
+        assert!(connection.held().begin_request());
         service.connections().insert(n, Arc::new(connection));
         client
     };
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -97,7 +97,7 @@
 impl Platform {
     fn ask(&self, request: &Request, asked_at: Nanos) -> Result<QueryRequest, Reply> {
         let class = request.path.split('/').nth(1).unwrap_or("");
-        let info = self.core.info();
+        let info = self.core.deployment();
         let class = info.class_named(class).ok_or_else(|| Reply::text(404, "unknown class"))?;
         if request.method != "POST" {
             return Err(Reply::text(405, "queries are sent by POST").with("Allow", "POST"));
@@ -108,7 +108,7 @@
         }
         let wait = match request.headers.get("x-timeout") {
             Some(text) => timeout(text)
-                .filter(|t| *t <= self.limits.client_wait)
+                .filter(|t| *t <= self.limits.max_client_timeout)
                 .ok_or_else(|| Reply::text(400, "X-Timeout: a number and m or u, an hour at most"))?,
             None => Duration::from_nanos(info.settings.classes[class.0].deadline),
         };
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -60,7 +60,7 @@
     wait: Duration,
     asked_at: Nanos,
 ) -> Nanos {
-    let deadline = core.info().settings.classes[class.0].deadline;
+    let deadline = core.deployment().settings.classes[class.0].deadline;
     let wait = deadline.min(nanos(wait)).saturating_sub(nanos(limits.answer_margin));
     asked_at.saturating_add(wait)
 }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -18,83 +18,83 @@
     /// Connections to data nodes that may be open or being opened at once.
     pub node_sockets: usize,
     /// Bytes of a request's head, or of an answer's.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Bytes of a frame from a data node.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// Bytes of the line that begins an answer in a frame.
-    pub frame_line: usize,
+    pub max_frame_line_bytes: usize,
     /// A frame that has begun to come must be complete within this, or within the silence that the latency objectives
     /// allow where that is longer.
-    pub frame_read: Duration,
+    pub frame_read_timeout: Duration,
     /// Cancelled parts, and answered parts, that one connection remembers: their answers may come late or twice.
-    pub past_parts: usize,
+    pub remembered_parts: usize,
     /// Nothing new is sent on a connection that has been silent for this long with parts in flight, or for one in
     /// `link_silence_part` of the shortest latency objective if that is longer: a machine that has vanished, and a
     /// connection that has died unseen, say nothing.
-    pub link_silence: Duration,
+    pub connection_silence: Duration,
     /// The divisor of the shortest latency objective, see `link_silence`.
-    pub link_silence_part: u32,
+    pub connection_silence_divisor: u32,
     /// Where no socket was left for a connection to a data node, its actor does not dial again for so long.
-    pub no_socket_pause: Duration,
+    pub no_socket_backoff: Duration,
     /// The shortest time between two log lines that say so, for all data nodes together.
-    pub no_socket_log: Duration,
+    pub no_socket_log_interval: Duration,
     /// The name of a query is not used again for so long after its end: late answers carry it.
-    pub name_rest: Duration,
+    pub query_name_quarantine: Duration,
     /// Bytes of an endpoint list, or of a change to it.
-    pub discovery_object: usize,
+    pub max_update_bytes: usize,
     /// Header lines of a request or an answer.
     pub headers: usize,
     /// Messages that may wait for the core before new queries are rejected.
     pub core_backlog: usize,
     /// Calls that may wait at one data node's actor.
-    pub node_backlog: usize,
+    pub queued_parts_per_node: usize,
     /// A client connection that has been answered is closed once it has been idle for this long.
     pub client_idle: Duration,
     /// One that has been idle for this long is closed earlier where a new one needs its place.
-    pub client_rest: Duration,
+    pub client_evictable_idle: Duration,
     /// After this long one without a complete request yet may be closed for a new one, since what a client sends
     /// at once has come by then; and, where there is none, one that has been idle for less than `client_rest`.
-    pub client_silent: Duration,
+    pub client_evictable_silence: Duration,
     /// A new connection waits so long for a place before it is rejected.
-    pub client_room: Duration,
+    pub client_place_timeout: Duration,
     /// The first request on a connection must be complete this long after it was accepted, a further one this long
     /// after its first byte.
-    pub request_read: Duration,
+    pub request_read_timeout: Duration,
     /// While a request is open, so many bytes may be sent ahead of its answer: what comes after them is dropped, and the
     /// connection ends with the last answer to them.
     pub read_ahead: usize,
     /// Connections that are rejected with an answer at once: any further ones may be reset.
-    pub turned_away: usize,
+    pub rejected_clients: usize,
     /// After a connection's last answer, what its client still sends is read and dropped for this long, so
     /// that the answer is not lost to a reset.
     pub linger: Duration,
     /// And no more bytes than this are read then.
     pub linger_bytes: usize,
     /// The longest time that a client may say it waits.
-    pub client_wait: Duration,
+    pub max_client_timeout: Duration,
     /// An answer must be taken by its client's socket within this.
-    pub client_write: Duration,
+    pub client_write_timeout: Duration,
     /// A frame must be taken by the data node's socket within this.
-    pub node_write: Duration,
+    pub node_write_timeout: Duration,
     /// A health check unanswered for this long has failed.
-    pub probe: Duration,
+    pub health_check_timeout: Duration,
     /// Connections are not used this close to the end of the idle time after which their data node closes them, or
     /// within the last quarter of it where that is short.
     pub idle_margin: Duration,
     /// A connection to discovery must be up within this; a service that answers within it is heard in time.
-    pub discovery_call: Duration,
+    pub discovery_call_timeout: Duration,
     /// A call to discovery that has not been answered within this is hedged by another one.
-    pub discovery_hedge: Duration,
+    pub discovery_hedge_delay: Duration,
     /// A watch without a complete line for this long is broken: heartbeats come every 2 s at the latest.
     pub discovery_silence: Duration,
     /// The shortest time between two log lines on failed calls, and between two on unreadable lines of an update.
-    pub discovery_log: Duration,
+    pub discovery_log_interval: Duration,
     /// The shortest time between two log lines on updates of the endpoint list.
-    pub list_log: Duration,
+    pub update_log_interval: Duration,
     /// The shortest time between two log lines on clients that disconnect without their answer.
-    pub client_log: Duration,
+    pub client_log_interval: Duration,
     /// Taken off the time that the client waits, for the answer's way back.
     pub answer_margin: Duration,
     /// A query that the policy leaves open is ended this long after its deadline, margin included.
@@ -124,27 +124,27 @@
     /// ...and after so long, idle connections are closed, and those without a complete request.
     pub drain_rest: Duration,
     /// The shortest time between two updates of the figures at the second address.
-    pub figures_every: Duration,
+    pub stats_interval: Duration,
     /// Pages that one part of a feature query may fetch.
     pub pages: usize,
     /// Most features on one page of an answer.
     pub page_features: usize,
     /// How long a client of the features frontend waits.
-    pub ogc_wait: Duration,
+    pub features_timeout: Duration,
     /// Most rows of an answer of the aggregation frontend, or of a page.
-    pub desk_rows: usize,
+    pub max_aggregation_rows: usize,
     /// Bytes of a piece in which a longer answer of the aggregation frontend is sent.
-    pub desk_piece: usize,
+    pub aggregation_chunk_bytes: usize,
     /// How long a client of the aggregation frontend waits at most.
-    pub desk_wait: Duration,
+    pub aggregation_timeout: Duration,
     /// Entries of the cache of ranges from earlier answers.
-    pub recall_entries: usize,
+    pub range_cache_entries: usize,
     /// How long such an entry may be used.
-    pub recall_age: Duration,
+    pub range_cache_age: Duration,
     /// Rows of the request ledger's table of data nodes: 1,024 that are listed, and as many that were replaced lately.
     pub node_rows: usize,
     /// How long a data node that was removed keeps its row.
-    pub node_row_keep: Duration,
+    pub node_row_retention: Duration,
     /// Walks of managers whose figures are kept.
     pub snmp_walkers: usize,
     /// Objects of all walks together: four walks of 1,024 data nodes, or more of fewer.
@@ -164,9 +164,9 @@
     /// Informs that may wait for their acknowledgement.
     pub notify_waiting: usize,
     /// After how long an inform is first repeated.
-    pub notify_again: Duration,
+    pub notify_retry_delay: Duration,
     /// How often an inform is sent in all.
-    pub notify_tries: u32,
+    pub notify_attempts: u32,
     /// Variables in one management request or answer.
     pub snmp_bindings: usize,
     /// Bytes of the same.
@@ -181,41 +181,41 @@
             core_stack_words: 0x10000,
             clients: 600,
             node_sockets: 160,
-            head: 16 * 1024,
-            body: 64 * 1024,
-            frame: 256 * 1024,
-            frame_line: 1024,
-            frame_read: Duration::from_millis(250),
-            past_parts: 128,
-            link_silence: Duration::from_millis(100),
-            link_silence_part: 5,
-            no_socket_pause: Duration::from_millis(20),
-            no_socket_log: Duration::from_secs(10),
-            name_rest: Duration::from_secs(10),
-            discovery_object: 1024 * 1024,
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 64 * 1024,
+            max_frame_bytes: 256 * 1024,
+            max_frame_line_bytes: 1024,
+            frame_read_timeout: Duration::from_millis(250),
+            remembered_parts: 128,
+            connection_silence: Duration::from_millis(100),
+            connection_silence_divisor: 5,
+            no_socket_backoff: Duration::from_millis(20),
+            no_socket_log_interval: Duration::from_secs(10),
+            query_name_quarantine: Duration::from_secs(10),
+            max_update_bytes: 1024 * 1024,
             headers: 64,
             core_backlog: 4096,
-            node_backlog: 512,
+            queued_parts_per_node: 512,
             client_idle: Duration::from_secs(15),
-            client_rest: Duration::from_secs(2),
-            client_silent: Duration::from_millis(20),
-            client_room: Duration::from_millis(500),
-            request_read: Duration::from_secs(2),
+            client_evictable_idle: Duration::from_secs(2),
+            client_evictable_silence: Duration::from_millis(20),
+            client_place_timeout: Duration::from_millis(500),
+            request_read_timeout: Duration::from_secs(2),
             read_ahead: 16 * 1024,
-            turned_away: 4,
+            rejected_clients: 4,
             linger: Duration::from_secs(1),
             linger_bytes: 4 * 1024 * 1024,
-            client_wait: Duration::from_secs(3600),
-            client_write: Duration::from_secs(2),
-            node_write: Duration::from_millis(500),
-            probe: Duration::from_millis(250),
+            max_client_timeout: Duration::from_secs(3600),
+            client_write_timeout: Duration::from_secs(2),
+            node_write_timeout: Duration::from_millis(500),
+            health_check_timeout: Duration::from_millis(250),
             idle_margin: Duration::from_secs(2),
-            discovery_call: Duration::from_millis(2200),
-            discovery_hedge: Duration::from_secs(3),
+            discovery_call_timeout: Duration::from_millis(2200),
+            discovery_hedge_delay: Duration::from_secs(3),
             discovery_silence: Duration::from_millis(2600),
-            discovery_log: Duration::from_secs(1),
-            list_log: Duration::from_millis(100),
-            client_log: Duration::from_millis(100),
+            discovery_log_interval: Duration::from_secs(1),
+            update_log_interval: Duration::from_millis(100),
+            client_log_interval: Duration::from_millis(100),
             answer_margin: Duration::from_millis(12),
             backstop: Duration::from_millis(6),
             term_longest: Duration::from_secs(3),
@@ -230,17 +230,17 @@
             control_linger: Duration::from_millis(200),
             drain_notice: Duration::from_millis(400),
             drain_rest: Duration::from_millis(1500),
-            figures_every: Duration::from_millis(50),
+            stats_interval: Duration::from_millis(50),
             pages: 64,
             page_features: 1000,
-            ogc_wait: Duration::from_secs(10),
-            desk_rows: 1000,
-            desk_piece: 16 * 1024,
-            desk_wait: Duration::from_secs(10),
-            recall_entries: 4096,
-            recall_age: Duration::from_secs(600),
+            features_timeout: Duration::from_secs(10),
+            max_aggregation_rows: 1000,
+            aggregation_chunk_bytes: 16 * 1024,
+            aggregation_timeout: Duration::from_secs(10),
+            range_cache_entries: 4096,
+            range_cache_age: Duration::from_secs(600),
             node_rows: 2048,
-            node_row_keep: Duration::from_secs(900),
+            node_row_retention: Duration::from_secs(900),
             snmp_walkers: 64,
             snmp_objects: 80_000,
             snmp_walk_idle: Duration::from_secs(2),
@@ -250,8 +250,8 @@
             notify_burst: 20,
             notify_refill: Duration::from_secs(5),
             notify_waiting: 64,
-            notify_again: Duration::from_secs(2),
-            notify_tries: 4,
+            notify_retry_delay: Duration::from_secs(2),
+            notify_attempts: 4,
             snmp_bindings: 64,
             snmp_bytes: 4096,
         }
@@ -325,8 +325,8 @@
     }
 
     /// After how long a silence a connection with parts in flight is sent nothing new.
-    pub fn silence(&self, shortest_latency_objective: Duration) -> Duration {
-        self.link_silence.max(shortest_latency_objective / self.link_silence_part)
+    pub fn connection_silence_for(&self, shortest_latency_objective: Duration) -> Duration {
+        self.connection_silence.max(shortest_latency_objective / self.connection_silence_divisor)
     }
 
     /// The limits under the platform's bounds: clients get what data nodes and the process leave.
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use curlewdeck_membership::{CALL_GAP, TOLD_AFTER};
+use curlewdeck_membership::{CALL_GAP, NOTIFIED_AFTER};
 
 /// Guards against never using a connection twice where idle ones are closed early.
 #[test]
@@ -20,7 +20,7 @@
 /// Guards against taking connections for dead where parts take long.
 #[test]
 fn silence_is_measured_by_the_aim() {
-    let silence = |ms| Limits::default().silence(Duration::from_millis(ms)).as_millis();
+    let silence = |ms| Limits::default().connection_silence_for(Duration::from_millis(ms)).as_millis();
     assert_eq!((silence(2000), silence(500), silence(10)), (400, 100, 100));
 }
 
@@ -69,11 +69,11 @@
 #[test]
 fn the_clocks_of_discovery_stay_inside_what_counts_as_told() {
     let limits = Limits::default();
-    let (told, gap) = (Duration::from_nanos(TOLD_AFTER), Duration::from_nanos(CALL_GAP));
+    let (told, gap) = (Duration::from_nanos(NOTIFIED_AFTER), Duration::from_nanos(CALL_GAP));
     // Waiting on sockets is rounded up, by less than this in all.
     let coarse = Duration::from_millis(150);
-    assert!(limits.discovery_silence + limits.discovery_call + coarse <= told);
-    assert!(limits.discovery_hedge <= gap);
-    assert!(gap + limits.discovery_call + coarse <= told);
+    assert!(limits.discovery_silence + limits.discovery_call_timeout + coarse <= told);
+    assert!(limits.discovery_hedge_delay <= gap);
+    assert!(gap + limits.discovery_call_timeout + coarse <= told);
     assert!(limits.discovery_silence < gap, "a watch that falls silent is asked for anew within the gap");
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -151,12 +151,12 @@
 
 /// Says whether the files can be used.
 fn check(config: &Config, edge: &Edge) -> Result<(), CommandError> {
-    edge.check(&config.info)?;
+    edge.check(&config.deployment)?;
     Limits::within(config.platform(0))?;
     let state = |on| if on { "on" } else { "off" };
     println!(
         "the configuration can be used: {} classes, feature front {}, desk front {}, management agent {}",
-        config.info.class_names.len(),
+        config.deployment.class_names.len(),
         state(edge.features.is_some()),
         state(edge.aggregation.is_some()),
         state(edge.snmp.is_some())
--- a/src/mib.rs
+++ b/src/mib.rs
@@ -362,8 +362,8 @@
     fn books() -> LedgerSnapshot {
         let text = crate::config::Config::read(include_str!("../examples/config.json"), |_| None).unwrap();
         let mut account = RequestLedger::new(
-            &text.info.settings.classes,
-            &text.info.class_names,
+            &text.deployment.settings.classes,
+            &text.deployment.class_names,
             NodeBounds { max_rows: 4, retention: 1 },
         );
         account.query_accepted(0, crate::api::QueryId(1), crate::api::ClassId(0));
--- a/src/net/coordinator/actor.rs
+++ b/src/net/coordinator/actor.rs
@@ -11,11 +11,11 @@
 use crate::api::{ClassId, Nanos, Outcome, QueryId, ServerId};
 use crate::counters::Counters;
 use crate::engine::{AttemptId, Engine, QueryRequest, RejectReason, Value};
-use crate::net::coordinator::config::{StartNode, Started};
+use crate::net::coordinator::config::{OnEndpointsStarted, StartNode};
 use crate::net::coordinator::handle::CoreHandle;
 use crate::net::coordinator::node::Node;
 use crate::net::endpoint_list_lease::EndpointListLease;
-use crate::net::messages::{CoreMessage, DiscoveryMessage, Reply, REQUEST};
+use crate::net::messages::{CoreMessage, DiscoveryMessage, Reply, REQUEST_LOG_TARGET};
 use crate::runtime::{lock, Timer};
 use crate::settings::Deployment;
 
@@ -48,7 +48,7 @@
     pub(super) last_update_at: Nanos,
     /// After so long without an update, that is logged and counted.
     pub(super) poll_interval_max: Nanos,
-    pub(super) on_endpoints_started: Option<Started>,
+    pub(super) on_endpoints_started: Option<OnEndpointsStarted>,
     pub(super) restored_ledger: Option<SavedLedger>,
     pub(super) stats_interval: Option<Nanos>,
     /// When the process stats are published next.
@@ -95,7 +95,7 @@
             CoreMessage::SnapshotLedger(take) => take(self.snapshot_ledger(now)),
             CoreMessage::UpdateSettings(deployment) => self.update_settings(*deployment),
             CoreMessage::ShutDownBy(deadline) => self.engine.shut_down_by(deadline),
-            CoreMessage::TimerFired => self.timer.rung(),
+            CoreMessage::TimerFired => self.timer.fired(),
             CoreMessage::HealthChecked { server, outcome } => {
                 self.engine.health_checked(now, server, outcome);
             }
@@ -105,17 +105,17 @@
     fn submit(&mut self, now: Nanos, query: QueryId, request: QueryRequest, reply: Reply) {
         self.handle.mailbox_queries.fetch_sub(1, Ordering::AcqRel);
         let class = request.class;
-        let is_logged = log::log_enabled!(target: REQUEST, log::Level::Debug);
+        let is_logged = log::log_enabled!(target: REQUEST_LOG_TARGET, log::Level::Debug);
         let name = if is_logged { request.name.clone() } else { String::new() };
         match self.engine.submit(now, query, request) {
             Ok(()) => {
-                log::debug!(target: REQUEST, query = query.0, request = name.as_str(); "query accepted");
+                log::debug!(target: REQUEST_LOG_TARGET, query = query.0, request = name.as_str(); "query accepted");
                 self.request_confirmation();
                 self.ledger.query_accepted(now, query, class);
                 self.replies.insert(query, reply);
             }
             Err(reason) => {
-                log::debug!(target: REQUEST, request = name.as_str(), reason:? = reason; "query not accepted");
+                log::debug!(target: REQUEST_LOG_TARGET, request = name.as_str(), reason:? = reason; "query not accepted");
                 self.record_not_accepted(now, query, class, reason);
                 reply(Err(reason));
             }
@@ -147,17 +147,17 @@
 
     fn client_disconnected(&mut self, query: QueryId) {
         if self.replies.remove(&query).is_some() {
-            log::debug!(target: REQUEST, query = query.0; "client disconnected");
+            log::debug!(target: REQUEST_LOG_TARGET, query = query.0; "client disconnected");
             self.ledger.query_ended(query, QueryEnd::ClientDisconnected);
             self.engine.client_disconnected(query);
         }
     }
 
     fn attempt_ended(&mut self, now: Nanos, attempt: AttemptId, outcome: Outcome, value: Option<Value>) {
-        log::debug!(target: REQUEST, attempt = attempt.0, outcome:? = outcome; "attempt ended");
+        log::debug!(target: REQUEST_LOG_TARGET, attempt = attempt.0, outcome:? = outcome; "attempt ended");
         let recorded = self.engine.attempt_ended(now, attempt, outcome, value);
         if recorded != outcome {
-            Counters::add(&self.handle.counters.values_unfit);
+            Counters::add(&self.handle.counters.values_invalid);
         }
     }
 
--- a/src/net/coordinator/commands.rs
+++ b/src/net/coordinator/commands.rs
@@ -5,7 +5,7 @@
 use crate::api::{Nanos, QueryId, ServerId};
 use crate::engine::{AttemptEvent, AttemptId, Command, Dispatch, QueryOutcome};
 use crate::net::coordinator::actor::CoreActor;
-use crate::net::messages::{NodeMessage, Reply, REQUEST};
+use crate::net::messages::{NodeMessage, Reply, REQUEST_LOG_TARGET};
 
 /// Yields before answers are handed out after a cancellation. From the coordinator to a data node's connection there are
 /// two coroutines, which run in the order in which they are woken, since one worker runs them all; as many again, since a
@@ -28,7 +28,7 @@
         for command in self.engine.run(now) {
             self.carry_out(now, command, &mut effects);
         }
-        self.handle.counters.view(&self.ledger);
+        self.handle.counters.record_ledger(&self.ledger);
         if effects.any_cancelled && !effects.answers.is_empty() {
             // A data node that reads late must not find an attempt of a query that has its answer without the notice that
             // it is cancelled: those notices are written first.
@@ -69,7 +69,7 @@
     fn send_call(&self, server: ServerId, call: Vec<Dispatch>) {
         for dispatch in &call {
             log::debug!(
-                target: REQUEST,
+                target: REQUEST_LOG_TARGET,
                 node = server.0,
                 attempt = dispatch.attempt.0,
                 part = dispatch.part.name.as_str();
@@ -80,7 +80,7 @@
     }
 
     fn cancel_attempt(&self, server: ServerId, attempt: AttemptId) {
-        log::debug!(target: REQUEST, node = server.0, attempt = attempt.0; "attempt cancelled");
+        log::debug!(target: REQUEST_LOG_TARGET, node = server.0, attempt = attempt.0; "attempt cancelled");
         self.send_to_node(server, NodeMessage::CancelAttempt(attempt));
     }
 
@@ -104,8 +104,8 @@
                 self.ledger.query_ended(query, QueryEnd::Failed);
             }
         }
-        self.handle.counters.view(&self.ledger);
-        log::debug!(target: REQUEST, query = query.0, outcome = outcome.word(); "query finished");
+        self.handle.counters.record_ledger(&self.ledger);
+        log::debug!(target: REQUEST_LOG_TARGET, query = query.0, outcome = outcome.word(); "query finished");
     }
 
     fn send_to_node(&self, server: ServerId, message: NodeMessage) {
--- a/src/net/coordinator/config.rs
+++ b/src/net/coordinator/config.rs
@@ -23,29 +23,29 @@
     /// The engine.
     pub engine: Engine,
     /// The settings.
-    pub info: Arc<Deployment>,
+    pub deployment: Arc<Deployment>,
     /// The interval at which the process stats are published, in nanoseconds; none if nobody fetches them.
-    pub figures_every: Option<Nanos>,
+    pub stats_interval: Option<Nanos>,
     /// The clock.
     pub clock: Clock,
     /// Counters.
     pub counters: Arc<Counters>,
     /// Queries that may wait in the mailbox.
-    pub backlog: usize,
+    pub max_mailbox_queries: usize,
     /// The stack of the actor, in words.
     pub stack_words: usize,
     /// Until when the endpoint list may be used.
     pub lease: EndpointListLease,
     /// Bounds of the request ledger's table of nodes.
-    pub nodes: NodeBounds,
+    pub node_table_bounds: NodeBounds,
     /// The request ledger that an earlier process saved.
-    pub restored: Option<SavedLedger>,
+    pub restored_ledger: Option<SavedLedger>,
     /// Called with the shards of which a data node is new or has restarted.
-    pub started: Option<Started>,
+    pub on_endpoints_started: Option<OnEndpointsStarted>,
 }
 
 /// Called with the shards whose data nodes are new or have restarted.
-pub type Started = Box<dyn Fn(&[ShardId]) + Send>;
+pub type OnEndpointsStarted = Box<dyn Fn(&[ShardId]) + Send>;
 
 /// Starts the actor of a data node. It checks the gate right before anything new is sent.
 pub type StartNode = Box<dyn FnMut(ServerId, DrainGate) -> Sender<NodeMessage> + Send>;
@@ -66,12 +66,12 @@
     let timer = Timer::start(config.clock, move || timer_mailbox.send(CoreMessage::TimerFired))?;
     let handle = new_handle(&config, mailbox);
     let ledger = new_ledger(&config);
-    if config.restored.is_some() {
-        handle.counters.view(&ledger);
+    if config.restored_ledger.is_some() {
+        handle.counters.record_ledger(&ledger);
     }
     let stack_words = config.stack_words;
     let mut actor = CoreActor {
-        poll_interval_max: poll_interval_max(&config.info),
+        poll_interval_max: poll_interval_max(&config.deployment),
         last_update_at: config.clock.now(),
         engine: config.engine,
         ledger,
@@ -83,9 +83,9 @@
         replies: Default::default(),
         endpoint_list: EndpointListState::Unconfirmed,
         lease: config.lease,
-        on_endpoints_started: config.started,
-        restored_ledger: config.restored,
-        stats_interval: config.figures_every,
+        on_endpoints_started: config.on_endpoints_started,
+        restored_ledger: config.restored_ledger,
+        stats_interval: config.stats_interval,
         next_publication: 0,
     };
     spawn_vital("core", stack_words, move || {
@@ -100,10 +100,10 @@
         mailbox,
         next_query: Arc::default(),
         mailbox_queries: Arc::default(),
-        max_mailbox_queries: config.backlog,
+        max_mailbox_queries: config.max_mailbox_queries,
         ready: Arc::default(),
         rejected_queue_full: Arc::default(),
-        deployment: Arc::new(Mutex::new(config.info.clone())),
+        deployment: Arc::new(Mutex::new(config.deployment.clone())),
         published_stats: Arc::default(),
         clock: config.clock,
         counters: config.counters.clone(),
@@ -112,9 +112,12 @@
 
 /// A request ledger that goes on with what an earlier process saved.
 fn new_ledger(config: &CoreConfig) -> RequestLedger {
-    let mut ledger =
-        RequestLedger::new(&config.info.settings.classes, &config.info.class_names, config.nodes);
-    if let Some(saved) = &config.restored {
+    let mut ledger = RequestLedger::new(
+        &config.deployment.settings.classes,
+        &config.deployment.class_names,
+        config.node_table_bounds,
+    );
+    if let Some(saved) = &config.restored_ledger {
         ledger.restore(saved);
     }
     ledger
--- a/src/net/coordinator/endpoint_updates.rs
+++ b/src/net/coordinator/endpoint_updates.rs
@@ -33,7 +33,7 @@
         let elapsed = now.saturating_sub(self.last_update_at);
         if elapsed > self.poll_interval_max {
             log::warn!(elapsed_ns = elapsed, limit_ns = self.poll_interval_max; "endpoint list update overdue");
-            Counters::add(&self.handle.counters.list_overdue);
+            Counters::add(&self.handle.counters.endpoint_list_overdue);
         }
         self.last_update_at = now;
         self.endpoint_list = match kind {
@@ -83,7 +83,7 @@
         }
         self.handle.ready.store(self.engine.active_servers() > 0, Ordering::Release);
         if !endpoints.is_empty() {
-            Counters::add(&self.handle.counters.list_changes);
+            Counters::add(&self.handle.counters.endpoint_list_changes);
         }
     }
 
--- a/src/net/coordinator/handle.rs
+++ b/src/net/coordinator/handle.rs
@@ -54,7 +54,7 @@
 
     /// Counts a query that was rejected because a queue was full.
     pub(super) fn count_queue_full(&self, class: ClassId) {
-        Counters::add(&self.counters.queries_full);
+        Counters::add(&self.counters.queries_over_limit);
         let mut rejected = lock(&self.rejected_queue_full);
         if rejected.len() <= class.0 {
             rejected.resize(class.0 + 1, 0);
@@ -63,7 +63,7 @@
     }
 
     /// The settings that are in force.
-    pub fn info(&self) -> Arc<Deployment> {
+    pub fn deployment(&self) -> Arc<Deployment> {
         lock(&self.deployment).clone()
     }
 
@@ -123,7 +123,7 @@
 
     /// How long a client should wait before it retries a query that was rejected because a queue was full.
     pub fn queue_full_retry_after(&self) -> Nanos {
-        let settings = &self.info().settings;
+        let settings = &self.deployment().settings;
         settings.max_retry_after.unwrap_or(0).min(settings.shortest_latency_objective() / 4)
     }
 }
--- a/src/net/coordinator/metrics_publisher.rs
+++ b/src/net/coordinator/metrics_publisher.rs
@@ -35,8 +35,8 @@
             attempts_written: count(&counters.attempts_written),
             nodes_known,
             nodes_excluded,
-            reloads_ok: count(&counters.reloads_ok),
-            reloads_failed: count(&counters.reloads_failed),
+            reloads_ok: count(&counters.reloads_applied),
+            reloads_failed: count(&counters.reloads_rejected),
         }
     }
 }
--- a/src/net/coordinator/mod.rs
+++ b/src/net/coordinator/mod.rs
@@ -8,5 +8,5 @@
 mod metrics_publisher;
 mod node;
 
-pub use config::{start, CoreConfig, StartNode, Started};
+pub use config::{start, CoreConfig, OnEndpointsStarted, StartNode};
 pub use handle::CoreHandle;
--- a/src/net/dial_error.rs
+++ b/src/net/dial_error.rs
@@ -13,7 +13,7 @@
 ];
 
 /// Whether this process could not have opened a connection to anybody.
-pub fn is_own_lack(error: &Error) -> bool {
+pub fn is_local_shortage(error: &Error) -> bool {
     error.raw_os_error().is_some_and(|number| LOCAL_SHORTAGES.contains(&number))
 }
 
--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -18,7 +18,7 @@
 use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate, ListedEndpoint};
 use crate::net::messages::{CallError, CoreMessage, DiscoveryMessage};
 use crate::net::pending_updates::PendingUpdate;
-use crate::runtime::{nanos, spawn_told, Alarm, Stream};
+use crate::runtime::{nanos, spawn_reporting, Stream, Timer};
 
 pub(super) struct Actor {
     address: SocketAddr,
@@ -30,7 +30,7 @@
     update_log: UpdateLog,
     /// When the endpoint list's lease expired, while it has not been renewed.
     lease_expired_at: Option<Nanos>,
-    timer: Alarm,
+    timer: Timer,
     own_mailbox: Sender<DiscoveryMessage>,
     context: DiscoveryContext,
 }
@@ -41,19 +41,23 @@
         plan: &DiscoveryPlan,
         known_version: u64,
         context: DiscoveryContext,
-        timer: Alarm,
+        timer: Timer,
         own_mailbox: Sender<DiscoveryMessage>,
     ) -> Self {
         let limits = &context.limits;
-        let spans = Spans { hedge: nanos(limits.discovery_hedge), silence: nanos(limits.discovery_silence) };
+        let spans =
+            Spans { hedge: nanos(limits.discovery_hedge_delay), silence: nanos(limits.discovery_silence) };
         let pacing = Pacing::new(plan.discovery, plan.coordinators, spans, plan.seed);
         Self {
             address: plan.address,
             subscription: Subscription::new(pacing, Some(known_version), context.clock.now()),
             table: MembershipTable::default(),
             streams: HashMap::new(),
-            call_log: CallLog::new(nanos(limits.discovery_log)),
-            update_log: UpdateLog::new(nanos(limits.list_log), nanos(limits.discovery_log)),
+            call_log: CallLog::new(nanos(limits.discovery_log_interval)),
+            update_log: UpdateLog::new(
+                nanos(limits.update_log_interval),
+                nanos(limits.discovery_log_interval),
+            ),
             lease_expired_at: None,
             timer,
             own_mailbox,
@@ -77,14 +81,14 @@
     fn handle_message(&mut self, message: DiscoveryMessage) {
         match message {
             DiscoveryMessage::TimePassed => {
-                self.timer.rung();
+                self.timer.fired();
                 self.step(Event::TimePassed);
             }
             DiscoveryMessage::QueryWaiting => self.step(Event::QueryWaiting),
             DiscoveryMessage::ReloadBegins => self.step(Event::ReloadBegins),
             DiscoveryMessage::ReloadSettled => self.step(Event::ReloadSettled),
             DiscoveryMessage::Moved(address) => self.move_to(address),
-            DiscoveryMessage::Up(call, stream) => self.call_connected(call, stream),
+            DiscoveryMessage::Connected(call, stream) => self.call_connected(call, stream),
             // The rest is of calls; what is late of one that was abandoned is dropped.
             DiscoveryMessage::Heartbeat(call, pending) if self.subscription.hears(call) => {
                 self.heartbeat(call, pending);
@@ -109,7 +113,7 @@
         if self.subscription.hears(call) {
             self.streams.insert(call, stream);
         } else {
-            stream.shut();
+            stream.shutdown();
         }
     }
 
@@ -131,7 +135,7 @@
     }
 
     fn call_ended(&mut self, call: CallId, error: &CallError) {
-        Counters::add(&self.context.counters.list_errors);
+        Counters::add(&self.context.counters.discovery_call_errors);
         self.call_log.ended(call, &error.why, self.now());
         self.streams.remove(&call);
         self.step(Event::Ended(call, error.end));
@@ -168,7 +172,7 @@
 
     fn lease_expired(&mut self, now: Nanos) {
         log::warn!("endpoint list lease expired");
-        Counters::add(&self.context.counters.list_expired);
+        Counters::add(&self.context.counters.endpoint_list_expired);
         self.lease_expired_at = Some(now);
         self.context.core.send(CoreMessage::EndpointListExpired);
     }
@@ -182,10 +186,10 @@
 
     fn begin_call(&mut self, id: CallId, request: Request) {
         if self.subscription.follows() {
-            Counters::add(&self.context.counters.list_errors);
+            Counters::add(&self.context.counters.discovery_call_errors);
             self.call_log.begins_beside_watch(id, self.now());
         }
-        Counters::add(&self.context.counters.list_calls);
+        Counters::add(&self.context.counters.discovery_calls);
         self.call_log.begins(id, request, self.now());
         let call = Call {
             id,
@@ -201,16 +205,16 @@
             // The actor outlives its calls.
             let _ = own_mailbox.send(DiscoveryMessage::Ended(id, error));
         };
-        spawn_told("discovery call", self.context.limits.core_stack_words, move || call.run(), ended);
+        spawn_reporting("discovery call", self.context.limits.core_stack_words, move || call.run(), ended);
     }
 
     fn abandon_call(&mut self, call: CallId, reason: Abandoned) {
         if reason == Abandoned::Unanswered {
-            Counters::add(&self.context.counters.list_errors);
+            Counters::add(&self.context.counters.discovery_call_errors);
         }
         self.call_log.abandoned(call, reason, self.now());
         if let Some(stream) = self.streams.remove(&call) {
-            stream.shut();
+            stream.shutdown();
         }
     }
 
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -10,7 +10,7 @@
 use may::sync::mpsc::Sender;
 
 use crate::limits::Limits;
-use crate::net::dial_error::is_own_lack;
+use crate::net::dial_error::is_local_shortage;
 use crate::net::endpoints::{DiscoveryUpdate, LineError, WatchEvent, WatchParser};
 use crate::net::http::{self, Chunks};
 use crate::net::messages::{CallError, DiscoveryMessage};
@@ -74,12 +74,14 @@
 
     fn dial(&self) -> Result<Connection, CallError> {
         let stream =
-            Stream::dial(&self.address, self.limits.discovery_call, None).map_err(|e| CallError {
-                end: if is_own_lack(&e) { CallEnd::LocalFailure } else { CallEnd::Unreachable },
-                why: format!("no connection: {e}"),
+            Stream::connect(&self.address, self.limits.discovery_call_timeout, None).map_err(|e| {
+                CallError {
+                    end: if is_local_shortage(&e) { CallEnd::LocalFailure } else { CallEnd::Unreachable },
+                    why: format!("no connection: {e}"),
+                }
             })?;
         let stream = Arc::new(stream);
-        self.send_to_actor(DiscoveryMessage::Up(self.id, stream.clone()));
+        self.send_to_actor(DiscoveryMessage::Connected(self.id, stream.clone()));
         let watched = self.pending_updates.watch(stream.clone());
         Ok(Connection { stream, watched })
     }
@@ -112,7 +114,7 @@
     /// Sends a request; returns the head of a successful answer, and what has come of its body.
     fn request(&self, connection: &Connection, target: &str) -> Result<(http::Head, Vec<u8>), CallError> {
         let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
-        let written = connection.stream.write_all(request.as_bytes(), self.limits.node_write);
+        let written = connection.stream.write_all(request.as_bytes(), self.limits.node_write_timeout);
         written.map_err(|e| unanswered(format!("request not written: {e}")))?;
         let (head, body) = self.head(connection)?;
         let why = || format!("answered {}", head.status);
@@ -150,7 +152,7 @@
         head: &http::Head,
         mut received: Vec<u8>,
     ) -> Result<(Vec<u8>, bool), CallError> {
-        let (max_bytes, mut ended) = (self.limits.discovery_object, false);
+        let (max_bytes, mut ended) = (self.limits.max_update_bytes, false);
         loop {
             match head.body(&received, max_bytes).map_err(|e| truncated(e.why))? {
                 Some((body, _)) => return Ok((body, ended)),
@@ -170,7 +172,7 @@
         mut received: Vec<u8>,
     ) -> Result<(), CallError> {
         let (mut chunks, mut parser) = (Chunks::default(), WatchParser::default());
-        let max_bytes = self.limits.discovery_object;
+        let max_bytes = self.limits.max_update_bytes;
         loop {
             if head.chunked() {
                 chunks.feed(&received, parser.buffer(), max_bytes).map_err(|e| truncated(e.why))?;
@@ -196,7 +198,7 @@
     /// Hands on all that can be read; what cannot may have been a change, and only a snapshot makes up for it.
     fn send_events(&self, parser: &mut WatchParser) -> Result<(), CallError> {
         let mut result = Ok(());
-        while let Some(event) = parser.next_event(self.limits.discovery_object).map_err(unreadable)? {
+        while let Some(event) = parser.next_event(self.limits.max_update_bytes).map_err(unreadable)? {
             match event {
                 WatchEvent::Update(update) => self.send_update(update),
                 WatchEvent::Heartbeat => self.send_heartbeat(),
@@ -225,7 +227,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.stream.shut();
+        self.stream.shutdown();
     }
 }
 
--- a/src/net/discovery/call_log.rs
+++ b/src/net/discovery/call_log.rs
@@ -7,14 +7,14 @@
 
 use super::NANOS_PER_MS;
 use crate::api::Nanos;
-use crate::net::log_limit::LogLimit;
+use crate::net::log_limit::LogRateLimit;
 
 /// The calls that are open, as the log knows them.
 #[derive(Debug)]
 pub(super) struct CallLog {
     open: HashMap<CallId, OpenCall>,
     /// Bounds the lines on calls that fail.
-    failures: LogLimit,
+    failures: LogRateLimit,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -52,7 +52,7 @@
 impl CallLog {
     /// No call is open; a line on failures in `interval` at most.
     pub(super) fn new(interval: Nanos) -> Self {
-        Self { open: HashMap::new(), failures: LogLimit::new(interval) }
+        Self { open: HashMap::new(), failures: LogRateLimit::new(interval) }
     }
 
     /// A call begins.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -22,7 +22,7 @@
 use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate};
 use crate::net::messages::{CoreMailbox, DiscoveryMessage};
 use crate::net::pending_updates::PendingUpdates;
-use crate::runtime::{spawn_vital, Alarm, Clock};
+use crate::runtime::{spawn_vital, Clock, Timer};
 
 use actor::Actor;
 
@@ -69,7 +69,7 @@
     let (mailbox, inbox) = channel();
     let timer_mailbox = mailbox.clone();
     // The actor outlives its timer.
-    let timer = Alarm::start(context.clock, move || drop(timer_mailbox.send(DiscoveryMessage::TimePassed)))?;
+    let timer = Timer::start(context.clock, move || drop(timer_mailbox.send(DiscoveryMessage::TimePassed)))?;
     let known = plan.known.take();
     // Everything has changed since version 0.
     let version = known.as_ref().map_or(0, |known| known.version);
--- a/src/net/discovery/update_log.rs
+++ b/src/net/discovery/update_log.rs
@@ -4,7 +4,7 @@
 
 use crate::api::Nanos;
 use crate::net::endpoints::{DiscoveryUpdate, ListedEndpoint};
-use crate::net::log_limit::LogLimit;
+use crate::net::log_limit::LogRateLimit;
 
 /// The most names of draining or removed endpoints in one line.
 const MAX_NAMES: usize = 8;
@@ -12,16 +12,16 @@
 /// Bounds the lines on updates.
 #[derive(Debug)]
 pub(super) struct UpdateLog {
-    applied: LogLimit,
-    unreadable_lines: LogLimit,
+    applied: LogRateLimit,
+    unreadable_lines: LogRateLimit,
 }
 
 impl UpdateLog {
     /// The least time between two lines on updates, and between two on unreadable lines.
     pub(super) fn new(applied_interval: Nanos, unreadable_interval: Nanos) -> Self {
         Self {
-            applied: LogLimit::new(applied_interval),
-            unreadable_lines: LogLimit::new(unreadable_interval),
+            applied: LogRateLimit::new(applied_interval),
+            unreadable_lines: LogRateLimit::new(unreadable_interval),
         }
     }
 
--- a/src/net/feature_node/fetch.rs
+++ b/src/net/feature_node/fetch.rs
@@ -122,7 +122,7 @@
         Counters::add(&self.context.counters.dials);
         let connect_timeout = Duration::from_nanos(self.context.connections.connect_timeout);
         let timeout = connect_timeout.min(self.remaining());
-        Stream::dial(&self.control.address, timeout, Some(permit)).map_err(|_| {
+        Stream::connect(&self.control.address, timeout, Some(permit)).map_err(|_| {
             Counters::add(&self.context.counters.dials_failed);
             Outcome::ConnectFailed
         })
@@ -187,16 +187,16 @@
     fn send_request(&self, stream: &Stream, target: &str) -> Result<(), Outcome> {
         let host = self.control.address;
         let request = format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: {ACCEPT}\r\n\r\n");
-        let timeout = self.context.limits.node_write.min(self.remaining());
-        let (clock, pending_updates) = (self.context.clock, &self.context.freshness);
+        let timeout = self.context.limits.node_write_timeout.min(self.remaining());
+        let (clock, pending_updates) = (self.context.clock, &self.context.pending_updates);
         let permission = Cell::new(Ok(()));
         let current = || {
-            pending_updates.establish(&clock);
+            pending_updates.wait_until_current(&clock);
             permission.set(self.check_may_request());
             permission.get().is_ok().then(|| request.clone().into_bytes())
         };
-        let is_timely = || pending_updates.holds(clock.now());
-        let written = stream.write_current(current, is_timely, || true, timeout);
+        let is_timely = || pending_updates.is_current(clock.now());
+        let written = stream.write_latest(current, is_timely, || true, timeout);
         written.map_err(|error| self.write_failure(&error))?;
         permission.get()
     }
--- a/src/net/feature_node/mod.rs
+++ b/src/net/feature_node/mod.rs
@@ -75,7 +75,7 @@
 
     fn shut_stream(&self) {
         if let Ok(Some(stream)) = self.stream.lock().as_deref() {
-            stream.shut();
+            stream.shutdown();
         }
     }
 
@@ -169,7 +169,7 @@
     fn close_unusable(&mut self) {
         let idle_timeout = Duration::from_nanos(self.context.connections.idle);
         let usable_for = self.context.limits.usable_idle(idle_timeout);
-        self.idle.retain(|idle| idle.since.elapsed() < usable_for && !idle.stream.readable());
+        self.idle.retain(|idle| idle.since.elapsed() < usable_for && !idle.stream.is_readable());
     }
 
     /// A connection that the server will not close under the next request.
@@ -180,7 +180,7 @@
 
     fn start_fetch(&mut self, dispatch: Dispatch) {
         let attempt = dispatch.attempt;
-        let is_full = self.fetches.len() >= self.context.limits.node_backlog;
+        let is_full = self.fetches.len() >= self.context.limits.queued_parts_per_node;
         let Some(address) = self.address.filter(|_| !is_full) else {
             return self.end_unsent(attempt);
         };
@@ -212,8 +212,8 @@
         if !self.gate.is_open(now) {
             return report_health(&self.context, self.id, Outcome::NotSent);
         }
-        Counters::add(&self.context.counters.probes);
-        let deadline = now + nanos(self.context.limits.probe);
+        Counters::add(&self.context.counters.health_checks);
+        let deadline = now + nanos(self.context.limits.health_check_timeout);
         let fetch = self.address.map(|address| Fetch {
             context: self.context.clone(),
             names: self.names.clone(),
--- a/src/net/feature_node/response.rs
+++ b/src/net/feature_node/response.rs
@@ -22,7 +22,7 @@
     /// Reads one response completely.
     pub(super) fn read_response(&self, stream: &Stream) -> Result<PageResponse, Outcome> {
         let (mut received, mut buffer) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
-        let limit = self.context.limits.frame;
+        let limit = self.context.limits.max_frame_bytes;
         loop {
             if let Some(response) = self.parse_response(&received)? {
                 return Ok(response);
@@ -40,7 +40,7 @@
     fn parse_response(&self, received: &[u8]) -> Result<Option<PageResponse>, Outcome> {
         let parsed = http::parse_head(received, &self.context.limits);
         let Some((head, head_length)) = parsed.map_err(|e| self.malformed(e.why))? else { return Ok(None) };
-        let body = head.body(&received[head_length..], self.context.limits.frame);
+        let body = head.body(&received[head_length..], self.context.limits.max_frame_bytes);
         let Some((body, body_length)) = body.map_err(|e| self.malformed(e.why))? else { return Ok(None) };
         let body = self.decode_text(body)?;
         // What follows belongs to no request: the response is used, the connection is not used again.
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -139,7 +139,7 @@
                 (take, request.body.len() == *n)
             }
             Body::Chunked(chunks) => {
-                let used = chunks.feed(&self.held, &mut request.body, limits.body)?;
+                let used = chunks.feed(&self.held, &mut request.body, limits.max_body_bytes)?;
                 (used, chunks.done())
             }
         };
@@ -166,7 +166,7 @@
             }
             if let Some((request, framing, size)) = parse_request(&self.held, limits)? {
                 let body = match framing {
-                    Framing::Length(n) if n > limits.body => return Err(TOO_LARGE),
+                    Framing::Length(n) if n > limits.max_body_bytes => return Err(TOO_LARGE),
                     Framing::Length(n) => Body::Length(n),
                     Framing::Chunked => Body::Chunked(Chunks::default()),
                     Framing::None | Framing::UntilEnd => Body::Length(0),
@@ -181,7 +181,7 @@
                 break;
             }
         }
-        if self.held.len() >= limits.head {
+        if self.held.len() >= limits.max_head_bytes {
             return Err(bad(431, "header too large"));
         }
         Ok(())
@@ -204,7 +204,7 @@
     let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Request::new(&mut lines);
     let size = match head.parse(bytes) {
-        Ok(httparse::Status::Complete(size)) if size <= limits.head => size,
+        Ok(httparse::Status::Complete(size)) if size <= limits.max_head_bytes => size,
         Ok(httparse::Status::Partial) => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(bad(431, "header too large")),
         Err(_) => return Err(MALFORMED),
@@ -263,7 +263,7 @@
     let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Response::new(&mut lines);
     match head.parse(bytes) {
-        Ok(httparse::Status::Complete(size)) if size <= limits.head => {
+        Ok(httparse::Status::Complete(size)) if size <= limits.max_head_bytes => {
             let headers = Headers::read(head.headers)?;
             let framing = match headers.framing()? {
                 Framing::None if !matches!(head.code, Some(204 | 304)) => Framing::UntilEnd,
@@ -271,7 +271,7 @@
             };
             Ok(Some((Head { status: head.code.unwrap_or(0), headers, framing }, size)))
         }
-        Ok(httparse::Status::Partial) if bytes.len() < limits.head => Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() < limits.max_head_bytes => Ok(None),
         _ => Err(MALFORMED),
     }
 }
--- a/src/net/log_limit.rs
+++ b/src/net/log_limit.rs
@@ -4,7 +4,7 @@
 
 /// Lets one line through in each interval, and counts the occurrences that were suppressed in between.
 #[derive(Debug)]
-pub struct LogLimit {
+pub struct LogRateLimit {
     /// In nanoseconds.
     interval: Nanos,
     /// When the last line was let through.
@@ -13,7 +13,7 @@
     suppressed: u64,
 }
 
-impl LogLimit {
+impl LogRateLimit {
     /// At most one line in `interval`, in nanoseconds.
     pub fn new(interval: Nanos) -> Self {
         Self { interval, last_line_at: None, suppressed: 0 }
--- a/src/net/log_limit/tests.rs
+++ b/src/net/log_limit/tests.rs
@@ -7,7 +7,7 @@
 /// occurrence.
 #[test]
 fn the_first_is_reported_at_once_and_the_rest_together() {
-    let mut limit = LogLimit::new(INTERVAL);
+    let mut limit = LogRateLimit::new(INTERVAL);
     assert_eq!(limit.due(5), None);
     assert_eq!(limit.occurred(5), Some(1));
     assert!((0..953).all(|_| limit.occurred(5).is_none()));
@@ -25,7 +25,7 @@
     fn lines_are_an_interval_apart_and_report_every_occurrence(
         steps in proptest::collection::vec((any::<bool>(), 0..INTERVAL), 0..200),
     ) {
-        let (mut limit, mut now) = (LogLimit::new(INTERVAL), 0);
+        let (mut limit, mut now) = (LogRateLimit::new(INTERVAL), 0);
         let (mut lines, mut occurred, mut reported) = (Vec::new(), 0, 0);
         for (again, wait) in steps {
             now += wait;
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -90,7 +90,7 @@
 
 /// The log's target under which one request can be followed from its last byte in to its answer. Off by default:
 /// `RUST_LOG=info,request=debug` turns it on.
-pub const REQUEST: &str = "request";
+pub const REQUEST_LOG_TARGET: &str = "request";
 
 /// A message to the actor of discovery.
 #[derive(Debug)]
@@ -106,7 +106,7 @@
     /// Discovery is at another address from now on.
     Moved(SocketAddr),
     /// A call has its connection.
-    Up(CallId, Arc<Stream>),
+    Connected(CallId, Arc<Stream>),
     /// A watch reports that nothing has changed.
     Heartbeat(CallId, PendingUpdate),
     /// A call has received a snapshot or a delta.
--- a/src/net/node/actor.rs
+++ b/src/net/node/actor.rs
@@ -12,8 +12,10 @@
 use crate::counters::Counters;
 use crate::net::connection_pool::{ConnectionId, ConnectionPool, Input, Output, PoolLimits};
 use crate::net::frame::OutboundFrame;
-use crate::net::log_limit::LogLimit;
-use crate::net::messages::{CoreMessage, DrainGate, NodeMessage, ReceivedFrames, TrailingBytes, REQUEST};
+use crate::net::log_limit::LogRateLimit;
+use crate::net::messages::{
+    CoreMessage, DrainGate, NodeMessage, ReceivedFrames, TrailingBytes, REQUEST_LOG_TARGET,
+};
 use crate::net::node::connection::ConnectionTask;
 use crate::net::node::NodeContext;
 use crate::runtime::{lock, nanos, spawn, Stream};
@@ -62,12 +64,12 @@
                 Ok(message) => self.handle_message(message),
                 Err(RecvTimeoutError::Timeout) => {
                     self.step(Input::Tick);
-                    self.log_no_socket(LogLimit::due);
+                    self.log_no_socket(LogRateLimit::due);
                 }
                 Err(RecvTimeoutError::Disconnected) => break,
             }
         }
-        self.open.values().for_each(|connection| connection.stream.shut());
+        self.open.values().for_each(|connection| connection.stream.shutdown());
     }
 
     pub(super) fn handle_message(&mut self, message: NodeMessage) {
@@ -81,7 +83,7 @@
             NodeMessage::Call(call) => self.step(Input::SendCall(call)),
             NodeMessage::CancelAttempt(attempt) => self.step(Input::CancelAttempt(attempt)),
             NodeMessage::CheckHealth => {
-                Counters::add(&self.context.counters.probes);
+                Counters::add(&self.context.counters.health_checks);
                 self.step(Input::CheckHealth);
             }
             NodeMessage::CloseIdleConnections => self.step(Input::CloseIdleConnections),
@@ -91,7 +93,7 @@
                 self.frames_received(connection, received);
             }
             NodeMessage::Connected { connection, stream, writer } => {
-                log::debug!(target: REQUEST, node = self.id.0, connection = connection.0; "connected");
+                log::debug!(target: REQUEST_LOG_TARGET, node = self.id.0, connection = connection.0; "connected");
                 self.open.insert(connection, OpenConnection { stream, writer });
                 self.step(Input::Connected(connection));
             }
@@ -109,7 +111,7 @@
     fn connection_changed(&mut self, input: Input) {
         if let Input::ReadEnded(id) = &input {
             if self.open.remove(id).is_some() {
-                Counters::add(&self.context.counters.links_broken);
+                Counters::add(&self.context.counters.connections_broken);
             }
         }
         self.step(input);
@@ -118,7 +120,7 @@
     fn frames_received(&mut self, connection: ConnectionId, received: ReceivedFrames) {
         for frame in received.frames {
             log::debug!(
-                target: REQUEST,
+                target: REQUEST_LOG_TARGET,
                 node = self.id.0,
                 connection = connection.0,
                 frame:% = frame;
@@ -170,9 +172,9 @@
     }
 
     fn close(&mut self, id: ConnectionId) {
-        log::debug!(target: REQUEST, node = self.id.0, connection = id.0; "connection closed");
+        log::debug!(target: REQUEST_LOG_TARGET, node = self.id.0, connection = id.0; "connection closed");
         if let Some(connection) = self.open.remove(&id) {
-            connection.stream.shut();
+            connection.stream.shutdown();
         }
     }
 
@@ -180,7 +182,7 @@
     fn connect(&mut self, id: ConnectionId) -> bool {
         let permit = self.context.permits.take();
         let (Some(address), Some(permit)) = (self.address, permit) else {
-            self.log_no_socket(LogLimit::occurred);
+            self.log_no_socket(LogRateLimit::occurred);
             return false;
         };
         Counters::add(&self.context.counters.dials);
@@ -195,7 +197,7 @@
     }
 
     /// Logs that there was no socket, if `is_due` says so.
-    fn log_no_socket(&self, is_due: fn(&mut LogLimit, Nanos) -> Option<u64>) {
+    fn log_no_socket(&self, is_due: fn(&mut LogRateLimit, Nanos) -> Option<u64>) {
         let occurrences = is_due(&mut lock(&self.context.no_socket_log), self.context.clock.now());
         if let Some(occurrences) = occurrences {
             log::warn!(occurrences = occurrences; "no socket left for a connection to a data node");
@@ -208,10 +210,10 @@
     PoolLimits {
         parts_per_connection: connections.multiplex,
         idle_timeout: nanos(limits.usable_idle(Duration::from_nanos(connections.idle))),
-        health_check_timeout: nanos(limits.probe),
-        queued_parts: limits.node_backlog,
-        closed_attempts: limits.past_parts,
-        silence_timeout: nanos(limits.silence(context.shortest_aim)),
-        no_socket_pause: nanos(limits.no_socket_pause),
+        health_check_timeout: nanos(limits.health_check_timeout),
+        queued_parts: limits.queued_parts_per_node,
+        closed_attempts: limits.remembered_parts,
+        silence_timeout: nanos(limits.connection_silence_for(context.shortest_latency_objective)),
+        no_socket_pause: nanos(limits.no_socket_backoff),
     }
 }
--- a/src/net/node/connection.rs
+++ b/src/net/node/connection.rs
@@ -8,7 +8,7 @@
 
 use crate::counters::Counters;
 use crate::net::connection_pool::{ConnectionId, Input};
-use crate::net::dial_error::is_own_lack;
+use crate::net::dial_error::is_local_shortage;
 use crate::net::frame::OutboundFrame;
 use crate::net::messages::{DrainGate, NodeMessage};
 use crate::net::node::reader::read_frames;
@@ -49,19 +49,20 @@
             return; // The actor has ended, and nobody else would close this.
         }
         self.read(&stream);
-        stream.shut();
+        stream.shutdown();
         report(&self.node, Input::ReadEnded(self.id));
     }
 
     fn connect(&self, permit: Permit) -> Option<Arc<Stream>> {
         let timeout = Duration::from_nanos(self.context.connections.connect_timeout);
-        match Stream::dial(&self.address, timeout, Some(permit)) {
+        match Stream::connect(&self.address, timeout, Some(permit)) {
             Ok(stream) => Some(Arc::new(stream)),
             Err(error) => {
                 log::debug!(address:% = self.address, error:% = error; "a connection could not be opened");
                 Counters::add(&self.context.counters.dials_failed);
                 // A local shortage says nothing of the data node.
-                let input = if is_own_lack(&error) { Input::NoSocketAvailable } else { Input::ConnectFailed };
+                let input =
+                    if is_local_shortage(&error) { Input::NoSocketAvailable } else { Input::ConnectFailed };
                 report(&self.node, input(self.id));
                 None
             }
@@ -77,10 +78,10 @@
             stream,
             node: self.node.clone(),
             gate: self.gate.clone(),
-            timeout: self.context.limits.node_write,
+            timeout: self.context.limits.node_write_timeout,
             counters: self.context.counters.clone(),
             clock: self.context.clock,
-            pending_updates: self.context.freshness.clone(),
+            pending_updates: self.context.pending_updates.clone(),
         };
         let stack_words = self.context.limits.stack_words;
         spawn("connection writer", stack_words, move || writer.run(&frames)).ok()?;
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -14,7 +14,7 @@
 use crate::api::ServerId;
 use crate::counters::Counters;
 use crate::limits::Limits;
-use crate::net::log_limit::LogLimit;
+use crate::net::log_limit::LogRateLimit;
 use crate::net::messages::{CoreMailbox, DrainGate, NodeMessage};
 use crate::net::node::actor::NodeActor;
 use crate::net::pending_updates::PendingUpdates;
@@ -31,17 +31,17 @@
     /// The settings of connections.
     pub connections: Connections,
     /// The shortest latency objective of all classes.
-    pub shortest_aim: Duration,
+    pub shortest_latency_objective: Duration,
     /// Sockets that all data nodes may hold together.
     pub permits: Permits,
     /// Limits the log line that says that no socket is left.
-    pub no_socket_log: Arc<Mutex<LogLimit>>,
+    pub no_socket_log: Arc<Mutex<LogRateLimit>>,
     /// Counters.
     pub counters: Arc<Counters>,
     /// The clock.
     pub clock: Clock,
     /// Updates of the endpoint list that were received and not yet applied.
-    pub freshness: PendingUpdates,
+    pub pending_updates: PendingUpdates,
 }
 
 /// Starts the actor; returns its mailbox.
--- a/src/net/node/reader.rs
+++ b/src/net/node/reader.rs
@@ -53,8 +53,10 @@
         let limits = &context.limits;
         Self {
             context,
-            limits: FrameLimits { frame: limits.frame, line: limits.frame_line },
-            frame_timeout: limits.frame_read.max(limits.silence(context.shortest_aim)),
+            limits: FrameLimits { frame: limits.max_frame_bytes, line: limits.max_frame_line_bytes },
+            frame_timeout: limits
+                .frame_read_timeout
+                .max(limits.connection_silence_for(context.shortest_latency_objective)),
             buffered: Vec::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
             frame_begun_at: None,
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -26,15 +26,15 @@
     let (core, core_inbox) = messages::mailbox();
     let context = NodeContext {
         core,
-        limits: Arc::new(Limits { no_socket_pause: Duration::from_secs(3600), ..Limits::default() }),
+        limits: Arc::new(Limits { no_socket_backoff: Duration::from_secs(3600), ..Limits::default() }),
         // Each part needs a connection of its own.
         connections: Connections { idle: Nanos::MAX, connect_timeout: 60_000_000_000, multiplex: 1 },
-        shortest_aim: Duration::from_secs(1),
+        shortest_latency_objective: Duration::from_secs(1),
         permits: Permits::new(permits),
-        no_socket_log: Arc::new(Mutex::new(LogLimit::new(Nanos::MAX))),
+        no_socket_log: Arc::new(Mutex::new(LogRateLimit::new(Nanos::MAX))),
         counters: Arc::default(),
         clock: Clock::start(),
-        freshness: PendingUpdates::default(),
+        pending_updates: PendingUpdates::default(),
     };
     (context, core_inbox)
 }
@@ -114,7 +114,7 @@
             ) => {}
             _ => panic!("it did not end as not sent"),
         }
-        stream.shut();
+        stream.shutdown();
         let mut received = Vec::new();
         std::io::Read::read_to_end(&mut listener.accept().unwrap().0, &mut received).unwrap();
         assert!(received.is_empty(), "{received:?}");
--- a/src/net/node/writer.rs
+++ b/src/net/node/writer.rs
@@ -11,7 +11,7 @@
 use crate::counters::Counters;
 use crate::net::connection_pool::{ConnectionId, Input};
 use crate::net::frame::{EncodedFrame, OutboundFrame};
-use crate::net::messages::{DrainGate, NodeMessage, REQUEST};
+use crate::net::messages::{DrainGate, NodeMessage, REQUEST_LOG_TARGET};
 use crate::net::node::connection::report;
 use crate::net::pending_updates::PendingUpdates;
 use crate::runtime::{Clock, Stream, WriteError};
@@ -46,7 +46,7 @@
         let latest = RefCell::new(EncodedFrame::default());
         let current = || {
             if frame.is_call() {
-                self.pending_updates.establish(&self.clock);
+                self.pending_updates.wait_until_current(&self.clock);
             }
             let now = self.clock.now();
             let mut encoded = frame.encode_at(now, self.gate.is_open_for(self.address, now));
@@ -54,9 +54,9 @@
             latest.replace(encoded);
             bytes
         };
-        let is_timely = || !frame.is_call() || self.pending_updates.holds(self.clock.now());
+        let is_timely = || !frame.is_call() || self.pending_updates.is_current(self.clock.now());
         let is_wanted = || frame.is_wanted(&latest.borrow().sent);
-        let result = self.stream.write_current(current, is_timely, is_wanted, self.timeout);
+        let result = self.stream.write_latest(current, is_timely, is_wanted, self.timeout);
         (latest.into_inner(), result)
     }
 
@@ -91,14 +91,14 @@
 ) {
     match result {
         Ok(()) => log::debug!(
-            target: REQUEST,
+            target: REQUEST_LOG_TARGET,
             connection = connection.0,
             frame:% = frame,
             attempts_sent = attempts_sent;
             "frame written"
         ),
         Err(error) => log::debug!(
-            target: REQUEST,
+            target: REQUEST_LOG_TARGET,
             connection = connection.0,
             frame:% = frame,
             attempts_sent = attempts_sent,
--- a/src/net/pending_updates.rs
+++ b/src/net/pending_updates.rs
@@ -61,15 +61,15 @@
     }
 
     /// Whether the last check that found nothing pending is recent enough for something new to begin.
-    pub fn holds(&self, now: Nanos) -> bool {
+    pub fn is_current(&self, now: Nanos) -> bool {
         now.saturating_sub(self.0.current_at.load(Ordering::Acquire)) < nanos(CHECK_VALIDITY)
     }
 
     /// Returns once it holds: at once, or after pending updates have been read and taken by the core.
-    pub fn establish(&self, clock: &Clock) {
+    pub fn wait_until_current(&self, clock: &Clock) {
         let begun = clock.now();
         let mut now = begun;
-        while !self.holds(now) {
+        while !self.is_current(now) {
             if self.is_pending() && now.saturating_sub(begun) < nanos(WAIT_MAX) {
                 may::coroutine::sleep(RECHECK_INTERVAL);
                 now = clock.now();
@@ -84,7 +84,7 @@
     /// condition is evaluated is seen by the later ones.
     fn is_pending(&self) -> bool {
         let connections: Vec<_> = lock(&self.0.connections).iter().filter_map(Weak::upgrade).collect();
-        connections.iter().any(|connection| connection.stream.holds_unread())
+        connections.iter().any(|connection| connection.stream.has_unread())
             || connections.iter().any(|connection| connection.is_reading.load(Ordering::SeqCst))
             || self.0.read_updates.load(Ordering::SeqCst) > 0
     }
@@ -115,7 +115,8 @@
     /// # Errors
     /// `TimedOut`, or the connection has failed.
     pub fn read(&self, buf: &mut [u8], within: Duration) -> io::Result<usize> {
-        self.stream.read_noting(buf, within, |is_reading| self.is_reading.store(is_reading, Ordering::SeqCst))
+        self.stream
+            .read_observed(buf, within, |is_reading| self.is_reading.store(is_reading, Ordering::SeqCst))
     }
 }
 
--- a/src/net/pending_updates/tests.rs
+++ b/src/net/pending_updates/tests.rs
@@ -12,7 +12,7 @@
 fn waited_in_vain(pending_updates: &PendingUpdates) -> bool {
     let clock = Clock::start();
     let begun = clock.now();
-    pending_updates.establish(&clock);
+    pending_updates.wait_until_current(&clock);
     clock.now() - begun >= nanos(WAIT_MAX)
 }
 
@@ -27,7 +27,7 @@
     let stale = || pending_updates.0.current_at.store(0, Ordering::SeqCst);
     let mut buf = [0; 64];
     peer.write_all(b"update").unwrap();
-    stream.wait(Duration::from_secs(10)).unwrap();
+    stream.wait_readable(Duration::from_secs(10)).unwrap();
     stale();
     assert!(waited_in_vain(&pending_updates), "unread");
     watched.read(&mut buf, Duration::from_secs(10)).unwrap();
@@ -49,12 +49,12 @@
     let pending_updates = PendingUpdates::default();
     let watched = pending_updates.watch(stream.clone());
     drop(peer);
-    stream.wait(Duration::from_secs(10)).unwrap();
+    stream.wait_readable(Duration::from_secs(10)).unwrap();
     assert!(!waited_in_vain(&pending_updates), "its end is no update");
     let (unread, mut peer) = connection();
     drop(pending_updates.watch(unread.clone()));
     peer.write_all(b"update").unwrap();
-    unread.wait(Duration::from_secs(10)).unwrap();
+    unread.wait_readable(Duration::from_secs(10)).unwrap();
     pending_updates.0.current_at.store(0, Ordering::SeqCst);
     assert!(!waited_in_vain(&pending_updates), "its reader has ended");
     drop(watched);
@@ -65,8 +65,8 @@
 fn a_check_holds_for_a_bounded_time() {
     let pending_updates = PendingUpdates::default();
     let clock = Clock::start();
-    pending_updates.establish(&clock);
+    pending_updates.wait_until_current(&clock);
     let at = pending_updates.0.current_at.load(Ordering::SeqCst);
-    assert!(pending_updates.holds(at) && pending_updates.holds(at + nanos(CHECK_VALIDITY) - 1));
-    assert!(!pending_updates.holds(at + nanos(CHECK_VALIDITY)));
+    assert!(pending_updates.is_current(at) && pending_updates.is_current(at + nanos(CHECK_VALIDITY) - 1));
+    assert!(!pending_updates.is_current(at + nanos(CHECK_VALIDITY)));
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -59,8 +59,8 @@
             window: nanos(RETRY_WINDOW),
             first_pause: nanos(FIRST_BACKOFF),
             longest_pause: nanos(BACKOFF_MAX),
-            patience: nanos(READ_TIMEOUT),
-            given_up: MAX_ABANDONED_READS,
+            abandon_after: nanos(READ_TIMEOUT),
+            max_abandoned_reads: MAX_ABANDONED_READS,
         };
         let reload_thread = ReloadThread {
             coordinator,
@@ -128,9 +128,9 @@
     /// Carries out the steps that are due; returns when the next one is, if there is one.
     fn execute_steps(&mut self) -> Option<u64> {
         loop {
-            match self.reloads.next(self.now()) {
+            match self.reloads.next_step(self.now()) {
                 Step::Read(id) => self.start_read(id),
-                Step::GiveUp(verdict) => {
+                Step::Abandon(verdict) => {
                     let error = io::Error::new(io::ErrorKind::TimedOut, "it takes too long to read");
                     self.record_failure(verdict, &ConfigError::Unreadable(error));
                 }
@@ -170,7 +170,9 @@
         };
         let verdict = self.reloads.ended(returned, outcome, self.now());
         match result {
-            Ok(_) if verdict == Verdict::Taken => Counters::add(&self.coordinator.core.counters.reloads_ok),
+            Ok(_) if verdict == Verdict::Accepted => {
+                Counters::add(&self.coordinator.core.counters.reloads_applied)
+            }
             Ok(_) => {}
             Err(error) => self.record_failure(verdict, &error),
         }
@@ -180,14 +182,14 @@
     fn record_failure(&self, verdict: Verdict, error: &ConfigError) {
         let file = self.file.display();
         match verdict {
-            Verdict::TurnedDown => {
-                Counters::add(&self.coordinator.core.counters.reloads_failed);
+            Verdict::Rejected => {
+                Counters::add(&self.coordinator.core.counters.reloads_rejected);
                 log::warn!(file:% = file, error:% = error; "configuration rejected");
             }
-            Verdict::NoLongerRepeated => {
+            Verdict::RetriesEnded => {
                 log::warn!(file:% = file, error:% = error; "configuration still unusable after retries");
             }
-            Verdict::WillRepeat | Verdict::Taken | Verdict::TakenBefore => {}
+            Verdict::WillRetry | Verdict::Accepted | Verdict::AcceptedBefore => {}
         }
     }
 
--- a/src/runtime/connect.rs
+++ b/src/runtime/connect.rs
@@ -6,7 +6,7 @@
 
 use may::net::TcpStream;
 
-use crate::net::dial_error::is_own_lack;
+use crate::net::dial_error::is_local_shortage;
 
 /// Time-outs of sockets are rounded up to a multiple of this: `may` keeps a list for each length for good.
 const TIMEOUT_STEP: Duration = Duration::from_millis(50);
@@ -36,7 +36,7 @@
 /// peer.
 fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{Interrupted, NetworkUnreachable, WouldBlock};
-    is_own_lack(error) || matches!(error.kind(), Interrupted | NetworkUnreachable | WouldBlock)
+    is_local_shortage(error) || matches!(error.kind(), Interrupted | NetworkUnreachable | WouldBlock)
 }
 
 /// Calls `connect` with the time that remains, up to [`CONNECT_ATTEMPTS`] times while its error is transient.
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -10,9 +10,7 @@
 
 pub use clock::{nanos, Clock};
 pub use permits::{Permit, Permits};
-pub use spawn::{spawn, spawn_told, spawn_vital, thread, SpawnError, SMALL_STACK};
+pub use spawn::{spawn, spawn_reporting, spawn_vital, thread, SpawnError, SMALL_STACK};
 pub use stream::{Stream, WriteError};
 pub use sync::lock;
 pub use timer::Timer;
-/// The earlier name of [`Timer`].
-pub use timer::Timer as Alarm;
--- a/src/runtime/spawn.rs
+++ b/src/runtime/spawn.rs
@@ -81,7 +81,7 @@
 
 /// Starts a coroutine, and calls `on_end` once it has ended: with its result, or with none if it panicked or was never
 /// started.
-pub fn spawn_told<T: Send + 'static>(
+pub fn spawn_reporting<T: Send + 'static>(
     name: &'static str,
     stack_words: usize,
     run: impl FnOnce() -> T + Send + 'static,
--- a/src/runtime/spawn/tests.rs
+++ b/src/runtime/spawn/tests.rs
@@ -17,7 +17,7 @@
     let (ends, reports) = std::sync::mpsc::channel();
     let report = |name: &'static str, stack_words, run: fn() -> u8| {
         let ends = ends.clone();
-        spawn_told(name, stack_words, run, move |end| ends.send(end).unwrap());
+        spawn_reporting(name, stack_words, run, move |end| ends.send(end).unwrap());
         reports.recv_timeout(Duration::from_secs(60)).unwrap()
     };
     let stack_words = crate::limits::Limits::default().core_stack_words;
--- a/src/runtime/stream.rs
+++ b/src/runtime/stream.rs
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// It is refused or not up in time.
-    pub fn dial(address: &SocketAddr, within: Duration, permit: Option<Permit>) -> io::Result<Self> {
+    pub fn connect(address: &SocketAddr, within: Duration, permit: Option<Permit>) -> io::Result<Self> {
         Self::new(connect(address, within)?, permit)
     }
 
@@ -62,7 +62,7 @@
     /// # Errors
     /// `TimedOut`, or the connection has failed.
     pub fn read(&self, buffer: &mut [u8], within: Duration) -> io::Result<usize> {
-        self.read_noting(buffer, within, |_| ())
+        self.read_observed(buffer, within, |_| ())
     }
 
     /// The same; `note` is called with true before each read, which may take bytes from the socket, and with false before
@@ -70,16 +70,21 @@
     ///
     /// # Errors
     /// As [`Stream::read`].
-    pub fn read_noting(&self, buffer: &mut [u8], within: Duration, note: impl Fn(bool)) -> io::Result<usize> {
+    pub fn read_observed(
+        &self,
+        buffer: &mut [u8],
+        within: Duration,
+        note: impl Fn(bool),
+    ) -> io::Result<usize> {
         loop {
             note(true);
-            match self.read_now(buffer) {
+            match self.try_read(buffer) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     note(false);
-                    self.wait(within)?;
+                    self.wait_readable(within)?;
                 }
                 result => {
-                    self.leave_room();
+                    self.yield_if_busy();
                     return result;
                 }
             }
@@ -88,7 +93,7 @@
 
     /// Lets other coroutines run, and their sockets be polled, if this one has been read often without a wait: a peer
     /// that sends without end would have the worker to itself otherwise.
-    pub fn leave_room(&self) {
+    pub fn yield_if_busy(&self) {
         if self.consecutive_reads.load(Ordering::Relaxed) >= MAX_CONSECUTIVE_READS {
             self.consecutive_reads.store(0, Ordering::Relaxed);
             may::coroutine::sleep(READ_PAUSE);
@@ -99,7 +104,7 @@
     ///
     /// # Errors
     /// `WouldBlock`, or the connection has failed.
-    pub fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize> {
+    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         loop {
             match (&mut self.inner.inner()).read(buffer) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -120,7 +125,7 @@
     ///
     /// # Errors
     /// `TimedOut`, or the connection has failed.
-    pub fn wait(&self, within: Duration) -> io::Result<()> {
+    pub fn wait_readable(&self, within: Duration) -> io::Result<()> {
         retry_interrupted(within, |remaining| {
             self.inner.set_read_timeout(Some(round_timeout(remaining)))?;
             self.inner.peek(&mut [0]).map(drop)
@@ -138,17 +143,17 @@
     }
 
     /// Whether a read would not wait: there are bytes, the peer has closed its side, or the connection has failed.
-    pub fn readable(&self) -> bool {
+    pub fn is_readable(&self) -> bool {
         !matches!(self.peek_now(), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Whether there are bytes to be read. That the peer has closed its side does not count.
-    pub fn holds_unread(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         self.peek_now().is_ok_and(|count| count > 0)
     }
 
     /// Whether the peer has not closed its side, as far as can be seen: unread bytes hide an end behind them.
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.peek_now().map_or_else(|e| e.kind() == io::ErrorKind::WouldBlock, |count| count > 0)
     }
 
@@ -167,7 +172,7 @@
     ///
     /// # Errors
     /// As [`Stream::write_all`], or it was begun and is no longer wanted: the connection is of no further use.
-    pub fn write_current(
+    pub fn write_latest(
         &self,
         current: impl FnMut() -> Option<Vec<u8>>,
         is_timely: impl Fn() -> bool,
@@ -191,7 +196,7 @@
     ) -> io::Result<Vec<u8>> {
         let mut next = current();
         while let Some(bytes) = next.as_mut().filter(|bytes| !bytes.is_empty()) {
-            if !self.open() {
+            if !self.is_open() {
                 return Err(io::ErrorKind::NotConnected.into());
             }
             if !is_timely() {
@@ -237,13 +242,13 @@
     }
 
     /// Closes the write side: the peer reads to the end of what was written.
-    pub fn end_writing(&self) {
+    pub fn shutdown_write(&self) {
         // It fails where the peer has reset the connection already.
         let _ = self.inner.shutdown(std::net::Shutdown::Write);
     }
 
     /// Closes both sides; a reader that waits is woken.
-    pub fn shut(&self) {
+    pub fn shutdown(&self) {
         // It fails where the peer has reset the connection already.
         let _ = self.inner.shutdown(std::net::Shutdown::Both);
     }
--- a/src/runtime/stream/tests.rs
+++ b/src/runtime/stream/tests.rs
@@ -23,7 +23,7 @@
             wanted.load(Ordering::SeqCst).then(|| b"frame".to_vec())
         };
         let writer =
-            scope.spawn(move || stream.write_current(current, || true, || true, Duration::from_secs(10)));
+            scope.spawn(move || stream.write_latest(current, || true, || true, Duration::from_secs(10)));
         while looks.load(Ordering::SeqCst) == 0 {
             std::thread::yield_now();
         }
@@ -31,7 +31,7 @@
         wanted.store(false, Ordering::SeqCst);
         writer.join().unwrap().unwrap();
     });
-    stream.shut();
+    stream.shutdown();
     let mut got = Vec::new();
     peer.read_to_end(&mut got).unwrap();
     assert!(got.len() == filled && got.iter().all(|&b| b == 0), "it was sent on");
@@ -62,7 +62,7 @@
     let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Stream::new(listener.accept().unwrap().0, None).unwrap();
     peer.write_all(&[0; 64]).unwrap();
-    stream.wait(Duration::from_secs(60)).unwrap();
+    stream.wait_readable(Duration::from_secs(60)).unwrap();
     let mut byte = [0];
     for reads in 1..MAX_CONSECUTIVE_READS {
         stream.read(&mut byte, Duration::from_secs(60)).unwrap();
@@ -72,6 +72,6 @@
     stream.read(&mut byte, Duration::from_secs(60)).unwrap();
     assert_eq!(stream.consecutive_reads.load(Ordering::Relaxed), 0);
     assert!(begun.elapsed() >= READ_PAUSE);
-    while stream.read_now(&mut byte).is_ok() {}
+    while stream.try_read(&mut byte).is_ok() {}
     assert_eq!(stream.consecutive_reads.load(Ordering::Relaxed), 0);
 }
--- a/src/runtime/timer.rs
+++ b/src/runtime/timer.rs
@@ -39,7 +39,7 @@
     }
 
     /// To be called when it has fired: the next time is set anew.
-    pub fn rung(&mut self) {
+    pub fn fired(&mut self) {
         self.next = None;
     }
 }
--- a/src/runtime/timer/tests.rs
+++ b/src/runtime/timer/tests.rs
@@ -11,7 +11,7 @@
     for at in [clock.now(), clock.now() + 3_000_000, 0] {
         timer.set(at);
         assert!(events.recv().unwrap() >= at);
-        timer.rung();
+        timer.fired();
     }
     timer.set(clock.now() + hour);
     assert!(events.try_recv().is_err());
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -36,9 +36,9 @@
     /// The second address, if there is one.
     pub control: Option<SocketAddr>,
     /// Where the features frontend listens, if it is on.
-    pub ogc: Option<SocketAddr>,
+    pub features: Option<SocketAddr>,
     /// Where the aggregation frontend listens, if it is on.
-    pub desk: Option<SocketAddr>,
+    pub aggregation: Option<SocketAddr>,
     /// Where the management agent listens, if it is on.
     pub snmp: Option<SocketAddr>,
     /// Where clients of the replication group are answered, if this process is a member of one.
@@ -76,17 +76,17 @@
     pub fn apply_config(&self, config: Config) -> Result<ConfigChange, ConfigError> {
         let mut applied = lock(&self.applied_config);
         config.can_replace(&applied)?;
-        self.edge.check_settings(&config.info)?;
+        self.edge.check_settings(&config.deployment)?;
         if applied.discovery_in_file != config.discovery_in_file {
             self.tell_discovery(DiscoveryMessage::Moved(config.discovery_in_file));
         }
         if applied.document[SETTINGS_KEY] != config.document[SETTINGS_KEY] {
-            self.core.update_settings(config.info.clone().sharing_with(self.other_processes));
+            self.core.update_settings(config.deployment.clone().sharing_with(self.other_processes));
         }
         let change =
             if applied.document == config.document { ConfigChange::Unchanged } else { ConfigChange::Changed };
         *applied = config;
-        log::info!(classes = applied.info.class_names.len(); "configuration applied");
+        log::info!(classes = applied.deployment.class_names.len(); "configuration applied");
         Ok(change)
     }
 
@@ -107,13 +107,13 @@
     }
 
     /// A snapshot of the request ledger; none if the core does not answer in time. Not called from a coroutine.
-    pub fn accounts(&self) -> Option<LedgerSnapshot> {
+    pub fn ledger_snapshot(&self) -> Option<LedgerSnapshot> {
         self.core.ledger_snapshot_within(LEDGER_SNAPSHOT_TIMEOUT)
     }
 
     /// The counters, and the request ledger by class and by data node, a line each. Not called from a coroutine.
     pub fn report(&self) -> String {
-        let ledger = self.accounts().map_or_else(String::new, |snapshot| ledger_report(&snapshot));
+        let ledger = self.ledger_snapshot().map_or_else(String::new, |snapshot| ledger_report(&snapshot));
         format!("{}{ledger}", self.core.counters.text())
     }
 
@@ -126,11 +126,11 @@
         }
         let answered_by = {
             let mut lifecycle = self.service.lifecycle();
-            lifecycle.term(self.service.now(), finish);
+            lifecycle.terminate(self.service.now(), finish);
             lifecycle.answered_by()
         };
         self.core.shut_down_by(answered_by);
-        while self.service.closing() < Closing::Resting {
+        while self.service.closing() < Closing::IdleToo {
             std::thread::sleep(CLOSING_CHECK_INTERVAL);
         }
         self.close_connections();
@@ -141,7 +141,7 @@
 
     /// How long after SIGTERM requests are accepted, and until when all are answered.
     fn finish_times(&self) -> Finish {
-        let deployment = self.core.info();
+        let deployment = self.core.deployment();
         let deadlines = deployment.settings.classes.iter().map(|class| class.deadline);
         let longest = Duration::from_nanos(deadlines.max().unwrap_or(0));
         let (accept, answered) = self.limits.term(longest);
@@ -153,7 +153,8 @@
         let start = Instant::now();
         let mut idle_checks = 0;
         while idle_checks < IDLE_CHECKS_BEFORE_END && start.elapsed() < self.limits.term_finish {
-            let all_closed = self.service.close_idle(self.limits.client_silent, self.limits.linger);
+            let all_closed =
+                self.service.close_idle(self.limits.client_evictable_silence, self.limits.linger);
             idle_checks = if all_closed { idle_checks + 1 } else { 0 };
             std::thread::sleep(CLOSING_CHECK_INTERVAL);
         }
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -47,9 +47,9 @@
             drain_rest: nanos(limits.drain_rest),
             shared_listener,
         };
-        let service = Service::new(process.clock, Lifecycle::new(spans), nanos(limits.client_log));
+        let service = Service::new(process.clock, Lifecycle::new(spans), nanos(limits.client_log_interval));
         let permits = Permits::new(limits.clients);
-        let turned_away = Permits::new(limits.turned_away);
+        let turned_away = Permits::new(limits.rejected_clients);
         Self { shared: Shared { core, limits, service: Arc::new(service), permits, turned_away } }
     }
 
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -36,7 +36,7 @@
 /// # Errors
 /// The first step that failed, in one line.
 pub fn start(mut config: Config, edge: Edge) -> Result<Coordinator, StartError> {
-    edge.check(&config.info)?;
+    edge.check(&config.deployment)?;
     let applied_config = config.clone();
     let inherited = take_inherited_listener(&config)?;
     // Another version may serve beside this one from the same socket, within the same bounds.
@@ -54,8 +54,8 @@
     Ok(Coordinator {
         listen: started.listen,
         control: started.control,
-        ogc: started.features,
-        desk: started.aggregation,
+        features: started.features,
+        aggregation: started.aggregation,
         snmp: started.snmp,
         group: subsystems.group.map(|group| group.clients),
         core: subsystems.core,
--- a/src/startup/operations.rs
+++ b/src/startup/operations.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use curlewdeck_lifecycle::{Called, Closing};
+use curlewdeck_lifecycle::{Closing, TransitionResult};
 
 use super::CLOSING_CHECK_INTERVAL;
 use crate::control::OperatorCommands;
@@ -32,7 +32,7 @@
             let mut lifecycle = self.service.lifecycle();
             (lifecycle.drain_start(self.service.now()), lifecycle.changes())
         };
-        if called == Called::Changed {
+        if called == TransitionResult::Changed {
             log::info!("drained by an operator");
             self.close_idle_connections_until_changed(change);
         }
@@ -41,9 +41,9 @@
 
     fn resume(&self) -> Result<(), &'static str> {
         match self.service.lifecycle().drain_stop() {
-            Called::Changed => log::info!("resumed by an operator"),
-            Called::Already => {}
-            Called::Finishing => return Err("the process ends"),
+            TransitionResult::Changed => log::info!("resumed by an operator"),
+            TransitionResult::Already => {}
+            TransitionResult::Finishing => return Err("the process ends"),
         }
         Ok(())
     }
@@ -55,8 +55,8 @@
         let (service, limits) = (self.service.clone(), self.limits.clone());
         let close = move || {
             while service.lifecycle().changes() == change {
-                if service.closing() == Closing::Resting {
-                    service.close_idle(limits.client_silent, limits.linger);
+                if service.closing() == Closing::IdleToo {
+                    service.close_idle(limits.client_evictable_silence, limits.linger);
                 }
                 std::thread::sleep(CLOSING_CHECK_INTERVAL);
             }
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -19,7 +19,7 @@
 use crate::net::endpoints::EndpointUpdate;
 use crate::net::feature_node;
 use crate::net::features::Names;
-use crate::net::log_limit::LogLimit;
+use crate::net::log_limit::LogRateLimit;
 use crate::net::messages::{self, CoreMailbox, DiscoveryMessage};
 use crate::net::node::{self, NodeContext};
 use crate::net::pending_updates::PendingUpdates;
@@ -79,8 +79,8 @@
         let snapshot_store = load_snapshot_store(edge, &config.name, group.as_ref())?;
         let restored = snapshot_store.as_ref().map(|store| store.kept());
         let core_config = CoreConfig {
-            restored: restored.as_ref().map(|restored| restored.books.clone()),
-            started: range_memory.as_ref().map(Memory::forgetting),
+            restored_ledger: restored.as_ref().map(|restored| restored.books.clone()),
+            on_endpoints_started: range_memory.as_ref().map(Memory::forgetting),
             ..process.core_config(engine, list_state.lease, config.control.is_some())
         };
         let to_discovery = discovery.clone();
@@ -103,13 +103,13 @@
             limits: Arc::new(Limits::within(config.platform(other_processes as usize))?),
             clock: Clock::start(),
             counters: Arc::default(),
-            deployment: Arc::new(config.info.clone().sharing_with(other_processes)),
+            deployment: Arc::new(config.deployment.clone().sharing_with(other_processes)),
         })
     }
 
     fn engine(&self, seed: u64) -> Result<Engine, StartError> {
         let (deployment, limits) = (Deployment::clone(&self.deployment), &self.limits);
-        Ok(Engine::new(deployment, seed, nanos(limits.backstop), nanos(limits.name_rest))?)
+        Ok(Engine::new(deployment, seed, nanos(limits.backstop), nanos(limits.query_name_quarantine))?)
     }
 
     /// Starts the actor of discovery; returns its mailbox, and the endpoint list from before the start.
@@ -123,7 +123,7 @@
             discovery: self.deployment.settings.discovery,
             coordinators: self.deployment.settings.coordinators,
             seed: config.seed,
-            known: config.known.take(),
+            known: config.known_endpoints.take(),
         };
         let context = DiscoveryContext {
             core: list_state.core,
@@ -143,12 +143,12 @@
             core: list_state.core.clone(),
             limits: self.limits.clone(),
             connections: self.deployment.connections,
-            shortest_aim: Duration::from_nanos(shortest),
+            shortest_latency_objective: Duration::from_nanos(shortest),
             permits: Permits::new(self.limits.node_sockets),
-            no_socket_log: Arc::new(Mutex::new(LogLimit::new(nanos(self.limits.no_socket_log)))),
+            no_socket_log: Arc::new(Mutex::new(LogRateLimit::new(nanos(self.limits.no_socket_log_interval)))),
             counters: self.counters.clone(),
             clock: self.clock,
-            freshness: list_state.pending_updates.clone(),
+            pending_updates: list_state.pending_updates.clone(),
         }
     }
 
@@ -163,16 +163,19 @@
         let limits = &self.limits;
         CoreConfig {
             engine,
-            info: self.deployment.clone(),
-            figures_every: has_control.then(|| nanos(limits.figures_every)),
+            deployment: self.deployment.clone(),
+            stats_interval: has_control.then(|| nanos(limits.stats_interval)),
             clock: self.clock,
             counters: self.counters.clone(),
-            backlog: limits.core_backlog,
+            max_mailbox_queries: limits.core_backlog,
             stack_words: limits.core_stack_words,
             lease,
-            nodes: NodeBounds { max_rows: limits.node_rows, retention: nanos(limits.node_row_keep) },
-            restored: None,
-            started: None,
+            node_table_bounds: NodeBounds {
+                max_rows: limits.node_rows,
+                retention: nanos(limits.node_row_retention),
+            },
+            restored_ledger: None,
+            on_endpoints_started: None,
         }
     }
 }
--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -129,8 +129,13 @@
 /// Waits until the query of a client that leaves has ended: with its leaving, or with an answer that was quicker.
 fn gone(coordinator: &Coordinator) {
     let c = &coordinator.core.counters;
-    let ended =
-        [&c.clients_gone, &c.answers_whole, &c.answers_partial, &c.queries_refused, &c.queries_failed];
+    let ended = [
+        &c.clients_disconnected,
+        &c.answers_complete,
+        &c.answers_partial,
+        &c.queries_rejected,
+        &c.queries_failed,
+    ];
     until("the leaving", || ended.iter().any(|end| count(end) > 0));
 }
 
@@ -184,7 +189,7 @@
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
     let (coordinator, mut call) = unconfirmed(&nodes);
     let asked = Asked::new(coordinator.listen, "tag-lookup", &[0, 1]);
-    until("the query", || count(&coordinator.core.counters.queries_taken) == 1);
+    until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
     let left = asked.closes();
     gone(&coordinator);
     confirmed(&mut call, &nodes);
@@ -377,7 +382,7 @@
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
     let (coordinator, mut call) = unconfirmed(&nodes);
     let asked = Asked::new(coordinator.listen, "tag-lookup", &[0, 1]);
-    until("the query", || count(&coordinator.core.counters.queries_taken) == 1);
+    until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
     thread::sleep(Duration::from_millis(600));
     confirmed(&mut call, &nodes);
     assert_eq!(asked.answer().unwrap().status, 200);
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -130,7 +130,7 @@
         let cluster = TestCluster { cells: 4, in_a_row: 2, ..TestCluster::default() };
         let coordinator = cluster.start(discovery.addr, edge);
         ready(&coordinator);
-        let desk = coordinator.desk.unwrap();
+        let desk = coordinator.aggregation.unwrap();
         Self { coordinator, discovery, world, nodes, desk }
     }
 
@@ -171,13 +171,13 @@
     /// Every query that was taken has exactly one end, and the front's answers are as many as were asked for.
     fn counted_once(&self) {
         let ends = || {
-            self.count(|c| &c.answers_whole)
+            self.count(|c| &c.answers_complete)
                 + self.count(|c| &c.answers_partial)
                 + self.count(|c| &c.queries_failed)
-                + self.count(|c| &c.queries_refused)
-                + self.count(|c| &c.clients_gone)
+                + self.count(|c| &c.queries_rejected)
+                + self.count(|c| &c.clients_disconnected)
         };
-        assert_eq!(self.count(|c| &c.queries_taken), ends());
+        assert_eq!(self.count(|c| &c.queries_accepted), ends());
     }
 }
 
@@ -230,7 +230,7 @@
             count += 1;
         }
     }
-    assert_eq!((fleet.count(|c| &c.queries_taken), fleet.count(|c| &c.answers_whole)), (count, count));
+    assert_eq!((fleet.count(|c| &c.queries_accepted), fleet.count(|c| &c.answers_complete)), (count, count));
     fleet.counted_once();
     // Each part has its own text, which names its range.
     for node in &fleet.nodes {
@@ -275,7 +275,7 @@
     ] {
         assert_eq!(problem(&exchange(fleet.desk, &bytes).unwrap()).0, status);
     }
-    assert_eq!(fleet.count(|c| &c.queries_taken), 0);
+    assert_eq!(fleet.count(|c| &c.queries_accepted), 0);
 }
 
 /// The hard cases of cursors: one changed character, another query, a foreign key.
@@ -422,7 +422,7 @@
         checker::check(&asked("rank", false, 3, 0.5), &json, &fleet.data()).unwrap();
         until("a value that is refused", || {
             checked(&fleet.ask("passages", &body));
-            fleet.count(|c| &c.values_unfit) > 0
+            fleet.count(|c| &c.values_invalid) > 0
         });
         fleet.counted_once();
     }
@@ -477,12 +477,12 @@
     let json = fleet.ask_until("passages", &body, waits);
     assert_eq!(json["missing"][0]["boundedAtVersion"], 1);
     checker::check(&asked("rank", false, 3, 0.5), &json, &fleet.data()).unwrap();
-    assert!(fleet.count(|c| &c.recall_hits) > 0);
+    assert!(fleet.count(|c| &c.range_cache_hits) > 0);
     // A further holder of ranges 1 and 0, in the place of one that is gone, is new: it may have older data.
-    let (changes, world) = (fleet.count(|c| &c.list_changes), fleet.world.clone());
+    let (changes, world) = (fleet.count(|c| &c.endpoint_list_changes), fleet.world.clone());
     let node = DataNode::start(move |part| serve(&world, 1, part));
     fleet.discovery.add(member("s9", 1, node.addr));
-    until("the list's change", || fleet.count(|c| &c.list_changes) > changes);
+    until("the list's change", || fleet.count(|c| &c.endpoint_list_changes) > changes);
     let json = fleet.ask_until("passages", &body, waits);
     assert_eq!((json["missing"][0].get("boundedAtVersion"), &json["certain"]), (None, &0.into()));
 }
@@ -495,7 +495,7 @@
         let mut world = fleet.world.lock().unwrap();
         world.fail_from = world.served + 3 * RANGES;
     }
-    let turned_away = || fleet.count(|c| &c.queries_failed) + fleet.count(|c| &c.queries_refused);
+    let turned_away = || fleet.count(|c| &c.queries_failed) + fleet.count(|c| &c.queries_rejected);
     let before = turned_away();
     let child = client.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
     until("a query that is turned away", || turned_away() > before);
@@ -571,7 +571,7 @@
         &TestCluster::default().config("127.0.0.1:1".parse().unwrap()),
         |_| None,
     );
-    let info = info.unwrap().info;
+    let info = info.unwrap().deployment;
     for (from, to, why) in [
         ("plaza-ranking", "none", "there is no class 'none'"),
         ("plaza-ranking", "monthly-settle", "has a second step"),
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -86,7 +86,7 @@
 
     /// Tells news of the list, and waits until it is heard; returns the moment before it was told.
     fn tell(&self, news: impl FnOnce(&Discovery)) -> Instant {
-        let changes = || self.coordinator.core.counters.list_changes.load(Ordering::SeqCst);
+        let changes = || self.coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
         let (before, told) = (changes(), Instant::now());
         news(&self.discovery);
         until("the list's news", || changes() > before);
@@ -375,7 +375,7 @@
     let told = fleet.change(&[in_state("draining", "drains", drains.addr)]);
     fleet.ask_past_the_grace(told);
     let copies = || -> u64 {
-        let books = fleet.coordinator.accounts().expect("the core answers");
+        let books = fleet.coordinator.ledger_snapshot().expect("the core answers");
         books.nodes.iter().map(|node| node.attempts.hedges).sum()
     };
     until("two copies", || {
@@ -463,7 +463,7 @@
     let fleet = Fleet::start(wide, "", vec![up("full", full.addr)]);
     let addr = fleet.addr();
     let started = || -> usize {
-        let books = fleet.coordinator.accounts().expect("the core answers");
+        let books = fleet.coordinator.ledger_snapshot().expect("the core answers");
         books.nodes.iter().map(|node| node.attempts.started as usize).sum()
     };
     let ask = |name: &'static str, parts, text| {
@@ -559,7 +559,7 @@
 fn the_desk_does_not_send_to_one_that_drains() {
     let (drains, stays) = (StallingDataNode::serving(desk_value), StallingDataNode::serving(desk_value));
     let fleet = Fleet::start(patient, DESK, vec![up("drains", drains.addr), up("stays", stays.addr)]);
-    let desk = fleet.coordinator.desk.unwrap();
+    let desk = fleet.coordinator.aggregation.unwrap();
     let ask = || {
         let answer = exchange(desk, &post_bytes("/v1/sets/accounts/query", r#"{"op":"rank"}"#)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
@@ -619,7 +619,7 @@
         let late = StallingDataNode::unreachable(served);
         let stays = FeatureServer::start(|query| store(query, COUNT, PAGE));
         let fleet = Fleet::start(patient_features, FEATURES, vec![up("late", late.addr)]);
-        let waiting = features(fleet.coordinator.ogc.unwrap());
+        let waiting = features(fleet.coordinator.features.unwrap());
         until("the dials", || fleet.dials() > 0);
         match word {
             Some(word) => {
@@ -644,7 +644,7 @@
     });
     let new = FeatureServer::start(|query| store(query, COUNT, PAGE));
     let fleet = Fleet::start(patient_features, FEATURES, vec![up("moves", old.addr)]);
-    let ogc = fleet.coordinator.ogc.unwrap();
+    let ogc = fleet.coordinator.features.unwrap();
     let reading = features(ogc);
     // The first of each range: what is asked for later was asked for after the move.
     until("the pages", || old.seen().len() == RANGES);
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -37,7 +37,7 @@
     let coordinator = cluster.start(discovery.addr, EDGE);
     ready(&coordinator);
     until("the watch", || discovery.watches() > 0);
-    let ogc = coordinator.ogc.unwrap();
+    let ogc = coordinator.features.unwrap();
     (coordinator, discovery, ogc)
 }
 
@@ -183,8 +183,8 @@
         stalled.load(Ordering::SeqCst)
     });
     let counters = &coordinator.core.counters;
-    let taken = counters.queries_taken.load(Ordering::SeqCst);
-    assert_eq!(counters.answers_whole.load(Ordering::SeqCst), taken);
+    let taken = counters.queries_accepted.load(Ordering::SeqCst);
+    assert_eq!(counters.answers_complete.load(Ordering::SeqCst), taken);
 }
 
 /// A drain between two pages: the second page is new work, so it is not asked for; another replica gives the
@@ -264,7 +264,13 @@
     assert_eq!(statuses.len(), CLIENTS * EACH);
     assert!(statuses.iter().all(|s| matches!(s, 200 | 404 | 503 | 504)), "{statuses:?}");
     let c = &coordinator.core.counters;
-    let sum = [&c.answers_whole, &c.answers_partial, &c.queries_refused, &c.queries_failed, &c.queries_full];
+    let sum = [
+        &c.answers_complete,
+        &c.answers_partial,
+        &c.queries_rejected,
+        &c.queries_failed,
+        &c.queries_over_limit,
+    ];
     let sum: u64 = sum.iter().map(|c| c.load(Ordering::SeqCst)).sum();
     assert_eq!(sum, (CLIENTS * EACH) as u64);
 }
@@ -282,7 +288,7 @@
     let edge = EDGE.replace("\"features\"", "\"frames\"");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
-    let body = json(&get(coordinator.ogc.unwrap(), "/collections/plazas/items").unwrap());
+    let body = json(&get(coordinator.features.unwrap(), "/collections/plazas/items").unwrap());
     assert_eq!(ids(&body), ["0-0", "1-0", "2-0", "3-0"]);
     let texts: BTreeSet<String> = a.parts().into_iter().chain(b.parts()).map(|p| p.text).collect();
     assert_eq!(texts.into_iter().collect::<Vec<_>>(), ["/collections/plazas/items?limit=10&cursor=0.0"]);
@@ -336,7 +342,7 @@
     // Each range has one holder.
     let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, &edge);
     ready(&coordinator);
-    let ogc = coordinator.ogc.unwrap();
+    let ogc = coordinator.features.unwrap();
     let mut target = "/collections/segments/items?limit=5".to_string();
     let (mut got, mut gone, mut late) = (Vec::new(), BTreeSet::new(), 0);
     for page in 0..100 {
@@ -400,9 +406,9 @@
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
-    let unfit = || coordinator.core.counters.values_unfit.load(Ordering::SeqCst);
+    let unfit = || coordinator.core.counters.values_invalid.load(Ordering::SeqCst);
     until("a value that does not count", || {
-        let body = json(&get(coordinator.ogc.unwrap(), "/collections/plazas/items").unwrap());
+        let body = json(&get(coordinator.features.unwrap(), "/collections/plazas/items").unwrap());
         assert_eq!((ids(&body), &body["complete"]), (vec!["a".to_string()], &Json::Bool(true)));
         unfit() > 0
     });
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -68,7 +68,7 @@
 fn all_listed(coordinator: &Coordinator) {
     ready(coordinator);
     let in_service = || {
-        let books = coordinator.accounts().unwrap();
+        let books = coordinator.ledger_snapshot().unwrap();
         assert_eq!((books.nodes_unlisted, books.nodes_evicted), (0, 0));
         books.nodes.iter().filter(|n| n.state == EndpointState::Active).count()
     };
@@ -76,7 +76,7 @@
 }
 
 fn list_errors(coordinator: &Coordinator) -> u64 {
-    coordinator.core.counters.list_errors.load(Ordering::SeqCst)
+    coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst)
 }
 
 /// Guards the whole list as an answer with a length, and in chunks.
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -138,7 +138,7 @@
 // ---- Whole lists. ----
 
 fn phase(coordinator: &Coordinator, name: &str) -> EndpointState {
-    let books = coordinator.accounts().expect("the core answers");
+    let books = coordinator.ledger_snapshot().expect("the core answers");
     books.nodes.iter().find(|node| node.name == name).map_or(EndpointState::Removed, |node| node.state)
 }
 
@@ -166,7 +166,7 @@
         }
         let coordinator = harness::start(&config, "");
         let (mut watch, target) = discovery.call();
-        let changes = || coordinator.core.counters.list_changes.load(Ordering::SeqCst);
+        let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
         let tell = |watch: &mut TcpStream, text: String| {
             let before = changes();
             watch.write_all(&chunk(&(text + "\n"))).unwrap();
@@ -253,7 +253,7 @@
         let (mut next, target) = discovery.call();
         assert!(target.ends_with("stream=1&index=1"), "{target}");
         // Paced by the program's own bound of a call.
-        thread::sleep(Limits::default().discovery_call - CALL_LEAVES);
+        thread::sleep(Limits::default().discovery_call_timeout - CALL_LEAVES);
         let text = news(2, false, &[("old", 0, old.addr, "removed"), ("new", 0, new.addr, "up")]);
         next.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
         until("a part at the new one", || {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -117,7 +117,7 @@
 
 /// Changes a member's state, and waits until the coordinator has heard of it.
 pub fn change(coordinator: &Coordinator, discovery: &Discovery, uid: &str, state: &'static str) {
-    let changes = || coordinator.core.counters.list_changes.load(Ordering::SeqCst);
+    let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
     let before = changes();
     discovery.set(uid, state);
     until("the list's change", || changes() > before);
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -355,7 +355,7 @@
     answer(open);
     let log = program.ended();
     let told = log.lines().filter(|l| l.contains("no socket left for a connection to a data node")).count();
-    let most = 1 + begun.elapsed().as_nanos() / limits.no_socket_log.as_nanos();
+    let most = 1 + begun.elapsed().as_nanos() / limits.no_socket_log_interval.as_nanos();
     assert!((1..=most).contains(&(told as u128)), "{told} lines: {log}");
     assert!(
         log.lines().filter(|l| l.trim().starts_with("node ")).all(|l| l.contains(" noRoute=0 ")),
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -118,7 +118,7 @@
 fn whole(coordinator: &Coordinator, class: &str, client: ClientLiveness) -> QueryRequest {
     QueryRequest {
         name: format!("whole-{class}"),
-        class: coordinator.core.info().class_named(class).unwrap(),
+        class: coordinator.core.deployment().class_named(class).unwrap(),
         is_retry: false,
         deadline: coordinator.core.clock.now() + 60_000_000_000,
         parts: (0..4).map(|shard| (ShardId(shard), 0.25)).collect(),
@@ -213,7 +213,7 @@
     until("the watch", || discovery.watches() == 1);
     discovery.silence(true);
     until("another watch", || discovery.watches() > 1);
-    assert!(coordinator.core.counters.list_errors.load(Ordering::SeqCst) > 0);
+    assert!(coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst) > 0);
 }
 
 /// Guards settings under which the module does not ask for the list: it is watched all the same.
@@ -347,7 +347,7 @@
     ready(&coordinator);
     let addr = coordinator.listen;
     let open = std::thread::spawn(move || query(addr, "tag-lookup", &[3]).unwrap());
-    until("the open request", || coordinator.core.counters.queries_taken.load(Ordering::SeqCst) == 1);
+    until("the open request", || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst) == 1);
     let ask = || {
         let mut stream = TcpStream::connect(addr).unwrap();
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
@@ -398,7 +398,7 @@
     let answer = query(coordinator.listen, "tag-lookup", &[0, 1, 2, 3]).unwrap();
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some_and(|s| s.parse::<f64>().unwrap() > 0.0));
-    assert_eq!(coordinator.core.counters.queries_full.load(Ordering::SeqCst), 1);
+    assert_eq!(coordinator.core.counters.queries_over_limit.load(Ordering::SeqCst), 1);
 }
 
 /// A query that no data node answers is refused or given up within its own time.
@@ -421,7 +421,9 @@
     stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).unwrap();
     until("the parts", || a.parts().len() + b.parts().len() >= 2);
     drop(stream);
-    until("the client's leaving", || coordinator.core.counters.clients_gone.load(Ordering::SeqCst) == 1);
+    until("the client's leaving", || {
+        coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
+    });
     until("the parts given up", || a.given_up().len() + b.given_up().len() >= 2);
 }
 
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -146,7 +146,7 @@
     let addr = coordinator.listen;
     let places =
         Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap().clients;
-    let taken = || coordinator.core.counters.queries_taken.load(Ordering::SeqCst);
+    let taken = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
     let open: Vec<TcpStream> = (1..=places as u64)
         .map(|n| {
             let mut stream = connect(addr);
@@ -181,7 +181,7 @@
         let ahead: Vec<u8> = (0..behind).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
         stream.write_all(&ahead).unwrap();
         drop(stream);
-        until("the leaving", || coordinator.core.counters.clients_gone.load(Ordering::SeqCst) == 1);
+        until("the leaving", || coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1);
         until("the part given up", || a.given_up().len() + b.given_up().len() == parts().len());
         assert!(parts().iter().all(|p| p.shard == 0), "sent on for a client that has left");
     }
@@ -224,7 +224,7 @@
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
         stream
     };
-    let taken = || coordinator.core.counters.queries_taken.load(Ordering::SeqCst);
+    let taken = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
     let parts = || a.parts().len() + b.parts().len();
     // Until one more is taken and waits.
     let mut open = Vec::new();
@@ -242,7 +242,7 @@
     }
     let (waits, sent) = (open.pop().unwrap(), parts());
     drop(waits);
-    until("the leaving", || coordinator.core.counters.clients_gone.load(Ordering::SeqCst) == 1);
+    until("the leaving", || coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1);
     release.store(true, Ordering::SeqCst);
     open.iter().for_each(|stream| assert_eq!(answer_on(stream).unwrap().status, 200));
     assert_eq!(parts(), sent);
@@ -340,7 +340,7 @@
             watch.write_all(&[b"HTTP/1.1 200 OK\r\n\r\n", indented.as_bytes()].concat()).unwrap();
         }
         ready(&coordinator);
-        assert_eq!(coordinator.core.counters.list_errors.load(Ordering::SeqCst), 0);
+        assert_eq!(coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst), 0);
     }
 }
 
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -10,7 +10,7 @@
 const CLASSES: [&str; 3] = ["tag-lookup", "plaza-ranking", "monthly-settle"];
 
 fn books(coordinator: &curlewdeck::startup::Coordinator) -> LedgerSnapshot {
-    let snapshot = coordinator.accounts().expect("the core answers");
+    let snapshot = coordinator.ledger_snapshot().expect("the core answers");
     assert_eq!(snapshot.check(), Ok(()));
     snapshot
 }
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -39,7 +39,7 @@
     };
     let text = format!("{:?}", got.0.variable_bindings[0].value);
     assert!(text.contains("Counter64(3)"), "{text}");
-    assert_eq!(coordinator.core.counters.answers_whole.load(Ordering::SeqCst), 3);
+    assert_eq!(coordinator.core.counters.answers_complete.load(Ordering::SeqCst), 3);
 }
 
 use curlewdeck_snmp::manager::{Ask, Fault, Reply, Security, Session, Walk};
@@ -98,12 +98,12 @@
         query(coordinator.listen, class, &[0, 3]).unwrap();
     }
     harness::until("all attempts have ended", || {
-        coordinator.accounts().is_some_and(|b| b.attempts.in_flight() == 0)
+        coordinator.ledger_snapshot().is_some_and(|b| b.attempts.in_flight() == 0)
     });
     let agent = coordinator.snmp.unwrap();
     let mut noc = Session::new(Security::User(User::read_all(&users).unwrap().remove(0)), 1, 7);
     let met = walk(agent, &mut noc);
-    let (books, counters) = (coordinator.accounts().unwrap(), &coordinator.core.counters);
+    let (books, counters) = (coordinator.ledger_snapshot().unwrap(), &coordinator.core.counters);
     let expected = curlewdeck::mib::objects(counters, &books, 0, None);
     // What goes on while one looks: time, and what counts this very walk or the list's beat.
     let module = curlewdeck::mib::module();
