--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,8 +1,15 @@
-//! Small state that outlives a process: what is written, when, and what is believed of what is found.
+//! Small state that outlives a process: how it is encoded, when it is written, and in which steps a file is replaced.
 //!
-//! A file is written whole under another name, synced, renamed over the one before, and its folder synced: whenever the
-//! process or the machine stops, the file is the one before or the new one. What is found is believed only with its
-//! seal; anything else is put aside, never overwritten, and the process goes on from nothing.
+//! [`record`] seals a value for a file of its own, [`tagged`] seals one for an entry of a log; both end in a
+//! [`checksum`], so that torn or changed bytes are found before they are used. [`atomic_write`] names the steps in
+//! which a file is replaced: whenever the process or the machine stops, the file is the old one or the new one.
+//! [`write_schedule`] bounds how often it is replaced. The crate does no I/O.
 
-pub mod plan;
+pub mod atomic_write;
+pub mod checksum;
+mod error;
 pub mod record;
+pub mod tagged;
+pub mod write_schedule;
+
+pub use error::RecordError;
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::control;
 use crate::limits::Limits;
-use crate::snapshot_store::SnapshotReplica;
+use crate::snapshot_store::{ReplicaError, ReplicaValue, SnapshotReplica};
 use config::GroupConfig;
 use driver::{Ask, Inbox, Standings};
 
@@ -72,24 +72,26 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 impl SnapshotReplica for StateCopy {
-    fn read(&mut self) -> Result<(Option<Vec<u8>>, u64), String> {
+    fn read(&mut self) -> Result<ReplicaValue, ReplicaError> {
         let begun = Instant::now();
         loop {
             match self.inbox.ask(Ask::Read(self.key.clone()), self.wait) {
-                Answer::Read(Some(slot)) => return Ok((Some(slot.value), slot.version)),
-                Answer::Read(None) => return Ok((None, 0)),
+                Answer::Read(Some(slot)) => {
+                    return Ok(ReplicaValue { bytes: Some(slot.value), version: slot.version })
+                }
+                Answer::Read(None) => return Ok(ReplicaValue { bytes: None, version: 0 }),
                 _ if begun.elapsed() < START => std::thread::sleep(AGAIN),
-                answer => return Err(format!("the group does not say what it holds: {answer:?}")),
+                answer => return Err(ReplicaError::Unreadable(format!("{answer:?}"))),
             }
         }
     }
 
-    fn write(&mut self, bytes: &[u8], version: u64) -> Result<u64, String> {
+    fn write(&mut self, bytes: &[u8], version: u64) -> Result<u64, ReplicaError> {
         let swap = Command::Swap { key: self.key.clone(), version, value: Some(bytes.to_vec()) };
         match self.inbox.ask(Ask::Do(swap), self.wait) {
             Answer::Promised(Outcome::Written { version }) => Ok(version),
-            Answer::Promised(Outcome::Refused(why)) => Err(why.to_string()),
-            answer => Err(format!("not promised: {answer:?}")),
+            Answer::Promised(Outcome::Refused(why)) => Err(ReplicaError::Rejected(why.to_string())),
+            answer => Err(ReplicaError::NotCommitted(format!("{answer:?}"))),
         }
     }
 }
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -326,7 +326,7 @@
     clients.go_on(30);
     clients.judge(group.member(lost).control);
     // What it counted itself before, its starts, goes on from the copy.
-    until("its state", || lock(&group.member(lost).log).contains(" start 2 with the state in "));
+    until("its state", || lock(&group.member(lost).log).contains("] state loaded start=2 directory="));
     assert_eq!(group.member(lost).status()["voters"].split(',').count(), 3);
     // A snapshot bounds the log, and the members go on from it.
     group.done("POST", "snapshot", "", lost);
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -1,24 +1,28 @@
-//! The books on loopback: every figure against what the stand-in clients and data nodes have counted themselves.
+//! The request ledger on loopback: every count against what the stand-in clients and data nodes have counted themselves.
 
 mod harness;
 
+use std::path::Path;
+
 use curlewdeck::api::{EndpointState, Outcome};
+use curlewdeck::snapshot_store::{SnapshotContents, STATE_RECORD};
 use curlewdeck_accounting::{ClassRow, LedgerSnapshot, QueryEnd};
+use curlewdeck_snapshot::record;
 use harness::stand_in::{DataNode, Discovery, NodeReply};
 use harness::{change, member, query, ready, until, TestCluster};
 
 const CLASSES: [&str; 3] = ["tag-lookup", "plaza-ranking", "monthly-settle"];
 
-fn books(coordinator: &curlewdeck::startup::Coordinator) -> LedgerSnapshot {
+fn ledger(coordinator: &curlewdeck::startup::Coordinator) -> LedgerSnapshot {
     let snapshot = coordinator.accounts().expect("the core answers");
     assert_eq!(snapshot.check(), Ok(()));
     snapshot
 }
 
-/// Class by class and outcome by outcome: what clients were answered is what is booked, and what data nodes were sent
-/// is what is booked of them.
+/// Class by class and outcome by outcome: what clients were answered is what is counted, and so is what data nodes were
+/// sent.
 #[test]
-fn the_books_are_what_clients_and_nodes_counted() {
+fn the_ledger_agrees_with_what_clients_and_nodes_counted() {
     // Odd shards fail at one node, so that there are repeats and partial answers.
     let nodes = [
         DataNode::start(|_| NodeReply::Answer(200, 1, "v".to_string())),
@@ -46,8 +50,8 @@
         }
     }
     // Calls that were still on their way when their query ended.
-    until("all attempts have ended", || books(&coordinator).attempts.in_flight() == 0);
-    let s = books(&coordinator);
+    until("all attempts have ended", || ledger(&coordinator).attempts.in_flight() == 0);
+    let s = ledger(&coordinator);
     for (class, name) in CLASSES.iter().enumerate() {
         let row: &ClassRow = &s.classes[class];
         assert_eq!((row.name.as_str(), row.accepted, row.open()), (*name, 6, 0));
@@ -77,18 +81,27 @@
     // A drain and an end are seen, and the row stays for a while.
     change(&coordinator, &discovery, "s1", "draining");
     assert_eq!(
-        (books(&coordinator).nodes[1].state, books(&coordinator).nodes[1].drains),
+        (ledger(&coordinator).nodes[1].state, ledger(&coordinator).nodes[1].drains),
         (EndpointState::Draining, 1)
     );
     change(&coordinator, &discovery, "s1", "removed");
-    until("the core forgets the node", || books(&coordinator).nodes[1].removed_at.is_some());
-    assert_eq!(books(&coordinator).nodes[1].attempts, s.nodes[1].attempts);
+    until("the core forgets the node", || ledger(&coordinator).nodes[1].removed_at.is_some());
+    assert_eq!(ledger(&coordinator).nodes[1].attempts, s.nodes[1].attempts);
+}
+
+/// The state that is stored in a folder.
+fn stored(folder: &Path) -> SnapshotContents {
+    record::open(STATE_RECORD, &std::fs::read(folder.join("books")).unwrap()).unwrap()
+}
+
+fn total_ended(contents: &SnapshotContents) -> u64 {
+    contents.books.classes.iter().flat_map(|class| class.ended).sum()
 }
 
 /// A process that ends by itself, and one that is killed, go on from what was written: totals never fall below that and
 /// never rise above what was served.
 #[test]
-fn totals_go_on_after_a_restart() {
+fn totals_continue_after_a_restart() {
     use std::process::{Child, Command, Stdio};
     let folder = std::env::temp_dir().join(format!("curlewdeck-books-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -122,24 +135,18 @@
         until("health", || harness::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200));
         (child, addr)
     };
-    let kept = || {
-        let bytes = std::fs::read(folder.join("books")).unwrap();
-        let kind = curlewdeck_snapshot::record::Kind { what: 1, form: 1 };
-        curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::SnapshotContents>(kind, &bytes)
-            .unwrap()
-    };
-    let total = || kept().books.classes.iter().flat_map(|c| c.ended).sum::<u64>();
+    let total = || total_ended(&stored(&folder));
     let mut served = 0;
     for round in 0..4 {
         let (mut child, addr) = start();
-        assert_eq!(kept().boots, round + 1);
+        assert_eq!(stored(&folder).boots, round + 1);
         for _ in 0..5 {
             served += u64::from(query(addr, "tag-lookup", &[0, 1]).unwrap().status == 200);
         }
         if round % 2 == 0 {
             let ended = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
             assert!(ended.success() && child.wait().unwrap().success());
-            assert_eq!(total(), served, "what was served is kept at the end");
+            assert_eq!(total(), served, "what was served is stored at the end");
         } else {
             let before = total();
             child.kill().unwrap();
@@ -165,14 +172,7 @@
     let edge = format!("[state]\nfolder = {folder:?}\nevery_s = 1\n");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
-    let total = || {
-        let bytes = std::fs::read(folder.join("books")).unwrap();
-        let kind = curlewdeck_snapshot::record::Kind { what: 1, form: 1 };
-        let kept =
-            curlewdeck_snapshot::record::open::<curlewdeck::snapshot_store::SnapshotContents>(kind, &bytes)
-                .unwrap();
-        kept.books.classes.iter().flat_map(|c| c.ended).sum::<u64>()
-    };
+    let total = || total_ended(&stored(&folder));
     // Every write goes to this name first, and a folder of it fails all of them.
     let obstacle = folder.join("books.new");
     std::fs::create_dir(&obstacle).unwrap();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -10,14 +10,14 @@
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use curlewdeck::replication::disk::{Disk, DiskError, Found};
-use curlewdeck::snapshot_store::{SnapshotContents, SnapshotStore, StateConfig};
+use curlewdeck::snapshot_store::{SnapshotContents, SnapshotStore, StateConfig, STATE_RECORD};
 use curlewdeck_accounting::saved::{SavedClass, SavedLedger};
 use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, Place, Reached};
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_replication::codec::{self, COMMAND};
 use curlewdeck_replication::store::to_disk;
 use curlewdeck_replication::{Bounds, Command, Member, Store};
-use curlewdeck_snapshot::record::{self, Kind};
+use curlewdeck_snapshot::record;
 use raft::eraftpb::EntryType;
 
 fn fixture(path: &str) -> PathBuf {
@@ -49,8 +49,6 @@
 
 // ---- The state folder. ----
 
-const STATE_KIND: Kind = Kind { what: 1, form: 1 };
-
 /// What the process that wrote the fixture had counted at its first start.
 fn state() -> SnapshotContents {
     let class = |name: &str, queue_full, ended, value_requested, value_served, latency_sum_ms| SavedClass {
@@ -88,8 +86,8 @@
 #[test]
 fn the_state_of_an_earlier_version_is_read() {
     let bytes = std::fs::read(fixture("state/books")).unwrap();
-    assert_eq!(record::open(STATE_KIND, &bytes), Ok(state()));
-    assert_eq!(record::seal(STATE_KIND, &state()), Some(bytes.clone()), "it is written in another form");
+    assert_eq!(record::open(STATE_RECORD, &bytes), Ok(state()));
+    assert_eq!(record::seal(STATE_RECORD, &state()), Some(bytes.clone()), "it is written in another form");
     let copy = Copy::of("state", "books", &bytes);
     let expected = SnapshotContents { boots: state().boots + 1, ..state() };
     assert_eq!(load(&copy.folder), expected);
@@ -103,7 +101,7 @@
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
             assert!(
-                record::open::<SnapshotContents>(STATE_KIND, &changed).is_err(),
+                record::open::<SnapshotContents>(STATE_RECORD, &changed).is_err(),
                 "bit {bit} of byte {at} changed and not found"
             );
         }
