--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -43,7 +43,7 @@
 
     fn config(&self, id: u64) -> GroupConfig {
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-        let members = self.proxies.iter().map(|(id, p)| (id.to_string(), p.addr())).collect();
+        let members = self.proxies.iter().map(|(id, p)| (id.to_string(), p.address())).collect();
         GroupConfig { folder: self.dir.join(id.to_string()), listen: any, control: any, members, tick_ms: 50 }
     }
 
@@ -118,14 +118,14 @@
             if late {
                 let leader = group.leader().unwrap().id;
                 let slow = group.proxies.iter().find(|(&id, _)| id != leader).unwrap().1;
-                slow.set(Faults { delay: LATE, ..Faults::default() });
+                slow.set_faults(Faults { delay: LATE, ..Faults::default() });
             }
             let (rate, median, last) = group.load();
             let ratio = rate / *first.get_or_insert(rate);
             let one = if late { ", one reached 20 ms late" } else { "" };
             println!("{size} members{one}: {rate:.0} promises a second ({ratio:.2}), p50 {median:.2?}, p99 {last:.2?}");
         }
-        group.proxies.values().for_each(Proxy::heal);
+        group.proxies.values().for_each(Proxy::clear_faults);
         if size == 3 {
             let mut least = None;
             for keys in [10, 100, 500] {
--- a/crates/replication/tests/cluster.rs
+++ b/crates/replication/tests/cluster.rs
@@ -8,7 +8,7 @@
 
 use curlewdeck_replication::member::Rejected;
 use curlewdeck_replication::{Answer, Bounds, Command, Letter, Member, Out, Outcome, Persist, Store, Ticket};
-use curlewdeck_testkit::history::{self, Event, Op};
+use curlewdeck_testkit::history::{self, Action, Operation};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Message, MessageType, Snapshot};
 
@@ -293,20 +293,22 @@
     fn check_history(&self) -> usize {
         let mut events = Vec::new();
         for call in self.calls.values() {
-            let (op, done) = match (&call.asked, &call.answer) {
+            let (action, completed_at) = match (&call.asked, &call.answer) {
                 (Asked::Put(_, value), Some((at, Answer::Promised(Outcome::Written { .. })))) => {
-                    (Op::Write(value.clone()), Some(*at))
+                    (Action::Write(value.clone()), Some(*at))
+                }
+                (Asked::Put(_, value), None | Some((_, Answer::Unknown))) => {
+                    (Action::Write(value.clone()), None)
                 }
-                (Asked::Put(_, value), None | Some((_, Answer::Unknown))) => (Op::Write(value.clone()), None),
                 (Asked::Read(_), Some((at, Answer::Read(seen)))) => {
-                    (Op::Read(seen.as_ref().map(|s| s.value.clone())), Some(*at))
+                    (Action::Read(seen.as_ref().map(|s| s.value.clone())), Some(*at))
                 }
                 _ => continue,
             };
             let (Asked::Put(key, _) | Asked::Read(key) | Asked::Swap(key, _)) = &call.asked;
-            events.push(Event { key: key.clone(), op, call: call.at, done });
+            events.push(Operation { key: key.clone(), action, called_at: call.at, completed_at });
         }
-        history::check(&events).unwrap_or_else(|v| panic!("{v}: {:?}", v.events))
+        history::check(&events).unwrap_or_else(|v| panic!("{v}: {:?}", v.operations))
     }
 
     fn answered(&self, f: impl Fn(&Answer) -> bool) -> usize {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! For tests and benches that start many processes: [`history`] judges what clients were told against what a register
-//! may have done, and [`proxy`] puts faults between processes on loopback.
+//! For tests and benches of several processes: [`history`] checks whether what clients saw is linearizable, and [`proxy`]
+//! injects faults between processes on loopback.
 
 pub mod history;
 pub mod proxy;
--- /dev/null
+++ b/crates/testkit/src/proxy/forward.rs
@@ -0,0 +1,65 @@
+//! Forwards one direction of a connection, with the faults that are injected.
+
+use std::io::{ErrorKind, Read, Write};
+use std::net::TcpStream;
+use std::thread;
+
+use super::reorder::Reorderer;
+use super::{close, lock, Faults, Shared, POLL_INTERVAL};
+
+const BUFFER_BYTES: usize = 16 * 1024;
+
+/// A direction of a connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Direction {
+    /// From the client to the target.
+    Forward,
+    /// From the target to the client.
+    Backward,
+}
+
+impl Direction {
+    fn is_dropped(self, faults: &Faults) -> bool {
+        match self {
+            Self::Forward => faults.drop_forward,
+            Self::Backward => faults.drop_backward,
+        }
+    }
+}
+
+/// Forwards until one side closes the connection or the proxy stops; closes both sides then.
+pub(super) fn forward(mut from: TcpStream, mut to: TcpStream, direction: Direction, shared: &Shared) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
+    let (mut buffer, mut reorderer) = (vec![0; BUFFER_BYTES], Reorderer::default());
+    while !shared.is_stopping() {
+        let read = match from.read(&mut buffer) {
+            Ok(0) => break,
+            Ok(read) => read,
+            Err(e) if is_transient(e.kind()) => continue,
+            Err(_) => break,
+        };
+        let faults = *lock(&shared.faults);
+        if direction.is_dropped(&faults) {
+            lock(&shared.dropped).add(direction, read);
+            continue;
+        }
+        if !faults.delay.is_zero() {
+            thread::sleep(faults.delay);
+        }
+        let bytes = match faults.reorder.filter(|_| direction == Direction::Forward) {
+            Some(message_length) => reorderer.forward(&buffer[..read], message_length),
+            None => [&reorderer.take_held(), &buffer[..read]].concat(),
+        };
+        if to.write_all(&bytes).is_err() {
+            break;
+        }
+        lock(&shared.forwarded).add(direction, read);
+    }
+    // What one side still had to say is lost, as with a process that is killed.
+    close(&to);
+    close(&from);
+}
+
+fn is_transient(kind: ErrorKind) -> bool {
+    matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
+}
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 use curlewdeck::replication::wire::HEAD;
-use curlewdeck_testkit::history::{self, Event, Op};
-use curlewdeck_testkit::proxy::{Cut, Faults, Proxy};
+use curlewdeck_testkit::history::{self, Action, Operation};
+use curlewdeck_testkit::proxy::{Faults, MessageLength, Proxy};
 
 use harness::stand_in::{read_answer, Answer};
 use harness::{call_bytes, until, TestCluster};
@@ -105,7 +105,7 @@
             std::fs::create_dir_all(&at).unwrap();
             let config = TestCluster::default().config(nowhere).replace("\"n1\"", &format!("\"n{n}\""));
             std::fs::write(at.join("config.json"), config).unwrap();
-            let named = |to| group.proxies.get(&(n, to)).map_or(nowhere, Proxy::addr);
+            let named = |to| group.proxies.get(&(n, to)).map_or(nowhere, Proxy::address);
             let members: Vec<String> =
                 (0..size).map(|to| format!("{} = \"{}\"\n", to + 1, named(to))).collect();
             std::fs::create_dir_all(at.join("state")).unwrap();
@@ -194,11 +194,11 @@
     /// Cuts what goes from each of `from` to each of `to`.
     fn cut(&self, from: &[usize], to: &[usize], faults: Faults) {
         let ways = from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b)));
-        ways.filter_map(|way| self.proxies.get(&way)).for_each(|p| p.set(faults));
+        ways.filter_map(|way| self.proxies.get(&way)).for_each(|p| p.set_faults(faults));
     }
 
     fn heal(&self) {
-        self.proxies.values().for_each(Proxy::heal);
+        self.proxies.values().for_each(Proxy::clear_faults);
     }
 }
 
@@ -213,7 +213,7 @@
 struct Clients {
     stop: Arc<AtomicBool>,
     promised: Arc<AtomicU64>,
-    threads: Vec<JoinHandle<Vec<Event>>>,
+    threads: Vec<JoinHandle<Vec<Operation>>>,
     begun: Instant,
 }
 
@@ -239,7 +239,7 @@
                     let (key, value) = (format!("k{}", n / ON_A_KEY), format!("{who}-{n}"));
                     let (kept, read) = (put(begun, at, &key, &value), get(begun, at, &key));
                     promised.fetch_add(
-                        u64::from(kept.as_ref().is_some_and(|e| e.done.is_some())),
+                        u64::from(kept.as_ref().is_some_and(|e| e.completed_at.is_some())),
                         Ordering::SeqCst,
                     );
                     if read.is_none() {
@@ -268,8 +268,8 @@
     /// Stops them, reads every key again at that member, and judges the whole history.
     fn judge(self, at: SocketAddr) {
         self.stop.store(true, Ordering::SeqCst);
-        let mut events: Vec<Event> = self.threads.into_iter().flat_map(|t| t.join().unwrap()).collect();
-        let written = |e: &&Event| matches!(e.op, Op::Write(_)) && e.done.is_some();
+        let mut events: Vec<Operation> = self.threads.into_iter().flat_map(|t| t.join().unwrap()).collect();
+        let written = |e: &&Operation| matches!(e.action, Action::Write(_)) && e.completed_at.is_some();
         let keys: std::collections::BTreeSet<String> =
             events.iter().filter(written).map(|e| e.key.clone()).collect();
         for key in &keys {
@@ -279,10 +279,10 @@
                 last.is_some()
             });
             let last = last.unwrap();
-            assert_ne!(last.op, Op::Read(None), "{key} was promised and is gone");
+            assert_ne!(last.action, Action::Read(None), "{key} was promised and is gone");
             events.push(last);
         }
-        let judged = history::check(&events).unwrap_or_else(|v| panic!("{v}: {:?}", v.events));
+        let judged = history::check(&events).unwrap_or_else(|v| panic!("{v}: {:?}", v.operations));
         assert!(judged >= keys.len() && !keys.is_empty());
     }
 }
@@ -292,23 +292,28 @@
 }
 
 /// A put that was promised, or of which nothing is known; nothing where it was refused.
-fn put(begun: Instant, at: SocketAddr, key: &str, value: &str) -> Option<Event> {
+fn put(begun: Instant, at: SocketAddr, key: &str, value: &str) -> Option<Operation> {
     let (called, answer) = (micros(begun), call(at, "PUT", &format!("keys/{key}"), value));
     let status = answer.map_or(0, |a| a.status);
     let done = (status == 200).then(|| micros(begun));
-    let event = Event { key: key.into(), op: Op::Write(value.into()), call: called, done };
+    let event = Operation {
+        key: key.into(),
+        action: Action::Write(value.into()),
+        called_at: called,
+        completed_at: done,
+    };
     (!matches!(status, 503 | 410)).then_some(event)
 }
 
 /// A read that was answered.
-fn get(begun: Instant, at: SocketAddr, key: &str) -> Option<Event> {
+fn get(begun: Instant, at: SocketAddr, key: &str) -> Option<Operation> {
     let (called, answer) = (micros(begun), call(at, "GET", &format!("keys/{key}"), "").ok()?);
-    let op = match answer.status {
-        200 => Op::Read(Some(answer.body.into_bytes())),
-        404 => Op::Read(None),
+    let action = match answer.status {
+        200 => Action::Read(Some(answer.body.into_bytes())),
+        404 => Action::Read(None),
         _ => return None,
     };
-    Some(Event { key: key.into(), op, call: called, done: Some(micros(begun)) })
+    Some(Operation { key: key.into(), action, called_at: called, completed_at: Some(micros(begun)) })
 }
 
 /// Guards every promise given before a leader is lost with its disk in a burst of them; it comes back as a new member.
@@ -366,7 +371,7 @@
     });
     let leader = group.leader();
     let others: Vec<usize> = (0..5).filter(|&n| n != leader).collect();
-    group.cut(&[leader], &others, Faults { cut_forward: true, ..Faults::default() });
+    group.cut(&[leader], &others, Faults { drop_forward: true, ..Faults::default() });
     let next = group.leader_but(&[leader]);
     group.done("PUT", "keys/one-way", "heard", next);
     group.heal();
@@ -388,11 +393,11 @@
     group.cut(&all, &all, Faults { delay: Duration::from_millis(20), ..Faults::default() });
     clients.go_on(20);
     // Frames that come twice and overtake each other: the sender and the length come first, as in `group::wire`.
-    let cut: Cut = |bytes| {
+    let message_length: MessageLength = |bytes| {
         let length = bytes.get(8..12)?.try_into().map(u32::from_le_bytes).ok()?;
         Some(HEAD + length as usize)
     };
-    group.cut(&all, &all, Faults { shuffle: Some(cut), ..Faults::default() });
+    group.cut(&all, &all, Faults { reorder: Some(message_length), ..Faults::default() });
     clients.go_on(60);
     group.heal();
     clients.judge(group.member(leader).control);
