--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -1,6 +1,6 @@
-//! Promises a second and how long one takes, in groups of 3 and of 5 members on loopback, with and without a member to
-//! which everything comes late; and how long a member with an empty folder takes to catch up, by the size of the state.
-//! All members run in this process, each with threads, sockets and a folder of its own. `cargo bench --bench group`.
+//! Commits a second and the latency of one, in groups of 3 and of 5 members on loopback, with and without a member to
+//! which everything is delayed; and how long a member with an empty folder takes to catch up, by the size of the state.
+//! All members run in this process, each with threads, sockets and a folder of its own. `cargo bench --bench replication`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,18 +9,20 @@
 use std::time::{Duration, Instant};
 
 use curlewdeck::replication::config::GroupConfig;
-use curlewdeck::replication::driver::{self, Ask, Role, Running};
-use curlewdeck_replication::{Answer, Command, Outcome};
+use curlewdeck::replication::member_handle::ClientRequest;
+use curlewdeck::replication::startup::{self, RunningMember};
+use curlewdeck::replication::status::Role;
+use curlewdeck_replication::{Command, CommandOutcome, RequestOutcome};
 use curlewdeck_testkit::proxy::{Faults, Proxy};
 
 const CLIENTS: usize = 16;
-const PROMISES: usize = 4000;
-const WAIT: Duration = Duration::from_secs(10);
-const LATE: Duration = Duration::from_millis(20);
+const COMMITS: usize = 4000;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const DELAY: Duration = Duration::from_millis(20);
 
 struct Group {
     dir: PathBuf,
-    members: Vec<Running>,
+    members: Vec<RunningMember>,
     proxies: BTreeMap<u64, Proxy>,
 }
 
@@ -32,8 +34,8 @@
         let mut group = Self { dir, members: Vec::new(), proxies };
         for id in 1..=size {
             let config = group.config(id);
-            driver::found(&config, id).unwrap();
-            let member = driver::start(&config).unwrap();
+            startup::found(&config, id).unwrap();
+            let member = startup::start(&config).unwrap();
             group.proxies[&id].forward_to(member.listen);
             group.members.push(member);
         }
@@ -47,23 +49,29 @@
         GroupConfig { folder: self.dir.join(id.to_string()), listen: any, control: any, members, tick_ms: 50 }
     }
 
-    fn leader(&self) -> Option<&Running> {
-        self.members.iter().find(|m| m.standings.now().role == Role::Leader)
+    fn leader(&self) -> Option<&RunningMember> {
+        self.members.iter().find(|m| m.status.now().role == Role::Leader)
     }
 
-    /// Promises a second, and the median and the 99th percentile of one.
+    /// Commits a second, and the median and the 99th percentile of the latency of one.
     fn load(&self) -> (f64, Duration, Duration) {
         let (leader, next, begun) = (self.leader().unwrap(), AtomicUsize::new(0), Instant::now());
         let client = || {
             let mut took = Vec::new();
             loop {
                 let n = next.fetch_add(1, Ordering::Relaxed);
-                if n >= PROMISES {
+                if n >= COMMITS {
                     return took;
                 }
                 let (at, key) = (Instant::now(), format!("k{}", n % 256));
-                let answer = leader.inbox.ask(Ask::Do(Command::Put { key, value: vec![7; 64] }), WAIT);
-                assert!(matches!(answer, Answer::Promised(Outcome::Written { .. })), "{answer:?}");
+                let answer = leader.handle.request(
+                    ClientRequest::Propose(Command::Put { key, value: vec![7; 64] }),
+                    REQUEST_TIMEOUT,
+                );
+                assert!(
+                    matches!(answer, RequestOutcome::Committed(CommandOutcome::Written { .. })),
+                    "{answer:?}"
+                );
                 took.push(at.elapsed());
             }
         };
@@ -81,17 +89,28 @@
         let leader = self.leader().unwrap();
         let put = |n: usize| Command::Put { key: format!("s{n}"), value: vec![7; 8 * 1024] };
         for n in 0..keys {
-            assert!(matches!(leader.inbox.ask(Ask::Do(put(n)), WAIT), Answer::Promised(_)));
+            assert!(matches!(
+                leader.handle.request(ClientRequest::Propose(put(n)), REQUEST_TIMEOUT),
+                RequestOutcome::Committed(_)
+            ));
         }
-        leader.inbox.ask(Ask::Snapshot, WAIT);
+        leader.handle.request(ClientRequest::CreateSnapshot, REQUEST_TIMEOUT);
         let config = GroupConfig { folder: self.dir.join(format!("new-{keys}")), ..self.config(1) };
-        let (new, begun) = (driver::start(&config).unwrap(), Instant::now());
-        assert!(matches!(leader.inbox.ask(Ask::Add(new.id, new.listen), WAIT), Answer::Promised(_)));
-        let applied = |m: &Running| m.standings.now().applied;
+        let (new, begun) = (startup::start(&config).unwrap(), Instant::now());
+        assert!(matches!(
+            leader
+                .handle
+                .request(ClientRequest::AddMember { id: new.id, address: new.listen }, REQUEST_TIMEOUT),
+            RequestOutcome::Committed(_)
+        ));
+        let applied = |m: &RunningMember| m.status.now().applied;
         let want = applied(leader);
         until(|| applied(&new) >= want);
         let took = begun.elapsed();
-        assert!(matches!(leader.inbox.ask(Ask::Remove(new.id), WAIT), Answer::Promised(_)));
+        assert!(matches!(
+            leader.handle.request(ClientRequest::RemoveMember(new.id), REQUEST_TIMEOUT),
+            RequestOutcome::Committed(_)
+        ));
         took
     }
 }
@@ -114,15 +133,15 @@
     let mut first = None;
     for size in [3, 5] {
         let group = Group::start(size);
-        for late in [false, true] {
-            if late {
+        for delayed in [false, true] {
+            if delayed {
                 let leader = group.leader().unwrap().id;
                 let slow = group.proxies.iter().find(|(&id, _)| id != leader).unwrap().1;
-                slow.set_faults(Faults { delay: LATE, ..Faults::default() });
+                slow.set_faults(Faults { delay: DELAY, ..Faults::default() });
             }
             let (rate, median, last) = group.load();
             let ratio = rate / *first.get_or_insert(rate);
-            let one = if late { ", one reached 20 ms late" } else { "" };
+            let one = if delayed { ", one reached 20 ms late" } else { "" };
             println!("{size} members{one}: {rate:.0} promises a second ({ratio:.2}), p50 {median:.2?}, p99 {last:.2?}");
         }
         group.proxies.values().for_each(Proxy::clear_faults);
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,20 +1,27 @@
-//! Promised state copied to further coordinators.
+//! A key-value map replicated to several coordinators by raft.
 //!
-//! A group of 3 or 5 coordinators keeps a replicated log with raft-rs (`raft`, of TiKV), and every member builds the
-//! same map of promised keys from it ([`promised`]). A client is told "promised" only once a majority has the command
-//! on disk; reads go by read index, so that a member cut off from most of the group never answers stale. This crate does
-//! no I/O and reads no clock: [`member::Member`] is ticked and fed bytes, and hands back what to write, what to send and
-//! what to answer. The driver in the root package carries that out over TCP and an embedded store.
+//! A group of 3 or 5 members keeps a replicated log with raft-rs (`raft`, of TiKV), and every member applies the same
+//! commands to its own [`ReplicatedMap`]. A command is reported as committed only once a majority has it on disk; reads go
+//! by read index, so that a member cut off from most of the group never answers with a stale value. This crate does no
+//! I/O and reads no clock: a [`Member`] is ticked and fed bytes, and returns what is to be written, sent and completed.
+//! The driver in the root package carries that out over TCP and an embedded store.
 //!
 //! `docs/design/replication.md` weighs the options; `docs/replication.md` is for operators.
 
-pub mod bounds;
-pub mod codec;
+mod command;
+pub mod disk_format;
+mod limits;
 pub mod member;
-pub mod promised;
-pub mod store;
+mod output;
+mod raft_log;
+mod replicated_map;
+mod request;
+mod value_kind;
 
-pub use bounds::Bounds;
-pub use member::{Answer, Letter, Member, Out, Persist, Refusal, Ticket};
-pub use promised::{Command, Outcome, Promised, Slot};
-pub use store::Store;
+pub use command::{Command, CommandOutcome, CommandRejection};
+pub use limits::ReplicationLimits;
+pub use member::{Member, MembershipChange, MessageError, StartError};
+pub use output::{Completion, DurableWrites, MemberOutput, OutboundMessage};
+pub use raft_log::RaftLog;
+pub use replicated_map::{ReplicatedMap, VersionedValue};
+pub use request::{RejectReason, RequestHandle, RequestOutcome};
--- a/crates/replication/tests/changes.rs
+++ b/crates/replication/tests/membership_changes.rs
@@ -1,9 +1,9 @@
-//! A model check of changes of members, over every order of elections, copies of the log, proposals, commits and a lost
-//! disk in small groups: one change at a time, as raft-rs has it (a configuration holds once it is committed, and a leader
-//! proposes one only after an entry of its own term is). A member whose disk is lost never comes back under its id.
+//! A model check of membership changes, over every order of elections, replication of the log, proposals, commits and a
+//! lost disk in small groups: one change at a time, as raft-rs has it (a configuration holds once it is committed, and a
+//! leader proposes one only after an entry of its own term is). A member whose disk is lost never comes back under its id.
 //!
-//! Steps are whole: an election takes all its votes at once, a copy all of the leader's log. What comes between is the
-//! matter of the tests over scripted networks and over TCP.
+//! Steps are atomic: an election takes all its votes at once, a replication all of the leader's log. The tests over
+//! scripted networks and over TCP cover what comes between.
 
 use stateright::{Checker, Model, Property};
 
@@ -26,15 +26,15 @@
     nodes: Vec<Node>,
     disks_lost: u8,
     /// What was ever committed, by any.
-    promised: Vec<(u8, Members)>,
-    /// Somebody committed another entry at a place where one was promised.
+    committed: Vec<(u8, Members)>,
+    /// Somebody committed another entry at a place where one was committed.
     broken: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Step {
     Elect(usize, Members),
-    Copy(usize, usize),
+    Replicate(usize, usize),
     Propose(usize, Members),
     Commit(usize),
     LoseDisk(usize),
@@ -47,7 +47,7 @@
     terms: u8,
     entries: usize,
     /// One whose disk is lost is another member from then on.
-    renamed: bool,
+    gets_new_id: bool,
     losses: u8,
 }
 
@@ -55,7 +55,7 @@
     members >> node & 1 == 1
 }
 
-fn most(of: Members, members: Members) -> bool {
+fn is_majority(of: Members, members: Members) -> bool {
     2 * (of & members).count_ones() > members.count_ones()
 }
 
@@ -75,7 +75,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let node = Node { term: 0, leads: false, log: Vec::new(), commit: 0, lost: false };
-        vec![State { nodes: vec![node; self.all], disks_lost: 0, promised: Vec::new(), broken: false }]
+        vec![State { nodes: vec![node; self.all], disks_lost: 0, committed: Vec::new(), broken: false }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
@@ -88,8 +88,8 @@
                     let voter = &state.nodes[v];
                     v == n || voter.term < term && Self::newest(&voter.log) <= Self::newest(&node.log)
                 };
-                let sets =
-                    (0..1_u8 << self.all).filter(|&of| of & !members == 0 && has(of, n) && most(of, members));
+                let sets = (0..1_u8 << self.all)
+                    .filter(|&of| of & !members == 0 && has(of, n) && is_majority(of, members));
                 let least = |of: &Members| 2 * (of.count_ones() - 1) <= members.count_ones();
                 let given = |of: &Members| {
                     (0..self.all).filter(|&v| has(*of, v)).all(|v| votes(v) && !state.nodes[v].lost)
@@ -108,7 +108,7 @@
                             && other.term <= node.term
                             && (other.log != node.log || other.term < node.term || other.commit < node.commit)
                     })
-                    .map(|to| Step::Copy(n, to)),
+                    .map(|to| Step::Replicate(n, to)),
             );
             steps.push(Step::Commit(n));
             let last_change = (0..node.log.len()).rev().find(|&i| {
@@ -142,7 +142,7 @@
                 state.nodes[n].leads = true;
                 state.nodes[n].log.push((term, members));
             }
-            Step::Copy(n, to) => {
+            Step::Replicate(n, to) => {
                 let leader = state.nodes[n].clone();
                 let other = &mut state.nodes[to];
                 let commit = leader.commit.max(other.commit).min(leader.log.len());
@@ -168,22 +168,22 @@
                 let next = leader.commit + 1;
                 let upto = (next..=leader.log.len()).find(|&i| leader.log[i - 1].0 == leader.term)?;
                 let first_change = (next..=upto).find(|&i| leader.log[i - 1].1 != members).unwrap_or(upto);
-                if !most(held(upto), members) {
+                if !is_majority(held(upto), members) {
                     return None;
                 }
                 let commit = first_change.max(next);
                 state.nodes[n].commit = commit;
                 let log = state.nodes[n].log[..commit].to_vec();
-                let common = log.len().min(state.promised.len());
-                state.broken |= log[..common] != state.promised[..common];
-                if log.len() > state.promised.len() {
-                    state.promised = log;
+                let common = log.len().min(state.committed.len());
+                state.broken |= log[..common] != state.committed[..common];
+                if log.len() > state.committed.len() {
+                    state.committed = log;
                 }
             }
             Step::LoseDisk(n) => {
                 state.disks_lost += 1;
                 state.nodes[n] =
-                    Node { term: 0, leads: false, log: Vec::new(), commit: 0, lost: self.renamed };
+                    Node { term: 0, leads: false, log: Vec::new(), commit: 0, lost: self.gets_new_id };
             }
         }
         Some(state)
@@ -191,13 +191,13 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what was promised stays", |_: &Self, state: &State| !state.broken),
+            Property::always("what was committed stays", |_: &Self, state: &State| !state.broken),
             Property::always("one leader a term", |_: &Self, state: &State| {
                 let leads = |term: u8| state.nodes.iter().filter(|n| n.leads && n.term == term).count();
                 state.nodes.iter().all(|n| leads(n.term) <= 1)
             }),
             Property::sometimes("a change is committed", |group: &Self, state: &State| {
-                state.promised.iter().any(|e| e.1 != (1 << group.founders) - 1)
+                state.committed.iter().any(|e| e.1 != (1 << group.founders) - 1)
             }),
         ]
     }
@@ -210,17 +210,17 @@
     found
 }
 
-const SMALL: Group = Group { founders: 3, all: 4, terms: 3, entries: 3, renamed: true, losses: 1 };
+const SMALL: Group = Group { founders: 3, all: 4, terms: 3, entries: 3, gets_new_id: true, losses: 1 };
 
-/// Every order of steps: nothing promised is lost, and a change is committed in some.
+/// Every order of steps: nothing committed is lost, and a change is committed in some.
 #[test]
-fn one_change_at_a_time_loses_nothing_that_was_promised() {
+fn one_change_at_a_time_loses_nothing_that_was_committed() {
     assert_eq!(check(SMALL), ["a change is committed"]);
 }
 
 /// The model finds what the rules are there for: a member that comes back under its id without its disk.
 #[test]
 fn a_lost_disk_under_the_same_id_would_be_found() {
-    let found = check(Group { renamed: false, ..SMALL });
-    assert!(found.contains(&"what was promised stays") || found.contains(&"one leader a term"), "{found:?}");
+    let found = check(Group { gets_new_id: false, ..SMALL });
+    assert!(found.contains(&"what was committed stays") || found.contains(&"one leader a term"), "{found:?}");
 }
--- a/src/replication/api.rs
+++ b/src/replication/api.rs
@@ -1,66 +1,69 @@
-//! What clients and operators of a group call, over HTTP/1.1, one call to a connection.
+//! The HTTP/1.1 calls of a group's clients and operators, one call a connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use curlewdeck_replication::promised::Refusal as NotWritten;
-use curlewdeck_replication::{Answer, Command, Outcome, Refusal};
+use curlewdeck_replication::{Command, CommandOutcome, CommandRejection, RejectReason, RequestOutcome};
 
-use super::driver::{Ask, Inbox, Standings};
+use super::member_handle::{ClientRequest, MemberHandle};
+use super::status::SharedStatus;
 use crate::control::Calls;
 use crate::frontend::http_server::Reply;
 use crate::net::http::Request;
 
 /// The calls of one member.
-pub struct Api {
-    /// The way to it.
-    pub inbox: Inbox,
-    /// How it stands.
-    pub standings: Standings,
-    /// How long a call may wait.
-    pub wait: Duration,
-    /// When a client that was refused should come again.
-    pub retry_after: Duration,
+pub(super) struct ClientApi {
+    /// Sends requests to the member.
+    pub(super) member: MemberHandle,
+    /// The member's status.
+    pub(super) status: SharedStatus,
+    /// How long a call may wait for the member.
+    pub(super) request_timeout: Duration,
+    /// When a client that was rejected should retry.
+    pub(super) retry_after: Duration,
 }
 
-const KEYS: &str = "/group/keys/";
-const MEMBERS: &str = "/group/members/";
-const METHODS: &str = "GET, PUT, DELETE";
+const KEYS_PATH: &str = "/group/keys/";
+const MEMBERS_PATH: &str = "/group/members/";
+const KEY_METHODS: &str = "GET, PUT, DELETE";
+/// Keys that the group itself writes: where members listen, and the replicas of coordinators' states.
+const INTERNAL_KEY_PREFIXES: [&str; 2] = ["member/", "state/"];
 
-impl Api {
-    fn ask(&self, ask: Ask) -> Reply {
-        self.reply(self.inbox.ask(ask, self.wait))
+impl ClientApi {
+    fn request(&self, request: ClientRequest) -> Reply {
+        self.reply_to(self.member.request(request, self.request_timeout))
     }
 
-    fn reply(&self, answer: Answer) -> Reply {
-        let busy = |text: &str| {
+    fn reply_to(&self, outcome: RequestOutcome) -> Reply {
+        let unavailable = |text: &str| {
             Reply::text(503, text).with("Retry-After", &format!("{:.3}", self.retry_after.as_secs_f64()))
         };
-        match answer {
-            Answer::Promised(Outcome::Written { version }) => {
+        match outcome {
+            RequestOutcome::Committed(CommandOutcome::Written { version }) => {
                 Reply::text(200, "promised").with("Version", &version.to_string())
             }
-            Answer::Promised(Outcome::Stale { current }) => {
+            RequestOutcome::Committed(CommandOutcome::VersionMismatch { current }) => {
                 Reply::text(412, &format!("it is at version {current}")).with("Version", &current.to_string())
             }
-            Answer::Promised(Outcome::Refused(why @ NotWritten::Full)) => Reply::text(507, &why.to_string()),
-            Answer::Promised(Outcome::Refused(why)) => Reply::text(413, &why.to_string()),
-            Answer::Promised(Outcome::Nothing) => Reply::text(200, "done"),
-            Answer::Read(Some(slot)) => {
-                let reply = Reply { body: slot.value, ..Reply::text(200, "") };
-                reply.with("Version", &slot.version.to_string())
+            RequestOutcome::Committed(CommandOutcome::Rejected(why @ CommandRejection::TooManyKeys)) => {
+                Reply::text(507, &why.to_string())
             }
-            Answer::Read(None) => Reply::text(404, "there is no such key"),
-            Answer::Refused(why @ Refusal::Gone) => Reply::text(410, &why.to_string()),
-            Answer::Refused(why) => busy(&why.to_string()),
-            Answer::Unknown => Reply::text(504, "not known: it may be done yet, or never"),
+            RequestOutcome::Committed(CommandOutcome::Rejected(why)) => Reply::text(413, &why.to_string()),
+            RequestOutcome::Committed(CommandOutcome::NoEffect) => Reply::text(200, "done"),
+            RequestOutcome::Read(Some(value)) => {
+                let reply = Reply { body: value.value, ..Reply::text(200, "") };
+                reply.with("Version", &value.version.to_string())
+            }
+            RequestOutcome::Read(None) => Reply::text(404, "there is no such key"),
+            RequestOutcome::Rejected(why @ RejectReason::Stopped) => Reply::text(410, &why.to_string()),
+            RequestOutcome::Rejected(why) => unavailable(&why.to_string()),
+            RequestOutcome::Unknown => Reply::text(504, "not known: it may be done yet, or never"),
         }
     }
 
     fn key(&self, key: &str, request: &Request) -> Reply {
-        // Members' addresses and coordinators' states are kept among the keys; who writes those is no client.
-        let own = ["member/", "state/"].iter().any(|own| key.starts_with(own));
-        if key.is_empty() || own && request.method != "GET" {
+        let is_internal = INTERNAL_KEY_PREFIXES.iter().any(|prefix| key.starts_with(prefix));
+        if key.is_empty() || is_internal && request.method != "GET" {
             return Reply::text(400, "this is no key that clients may write");
         }
         let (key, value) = (key.to_string(), request.body.clone());
@@ -70,14 +73,19 @@
             Some(Err(_)) => return Reply::text(400, "If-Version: a number, 0 where the key must be absent"),
         };
         match (request.method.as_str(), version) {
-            ("GET", _) => self.ask(Ask::Read(key)),
-            ("PUT", None) => self.ask(Ask::Do(Command::Put { key, value })),
-            ("PUT", Some(version)) => self.ask(Ask::Do(Command::Swap { key, version, value: Some(value) })),
-            ("DELETE", Some(version)) => self.ask(Ask::Do(Command::Swap { key, version, value: None })),
-            ("DELETE", None) => Reply::text(400, "If-Version is needed: the version that is to go"),
-            _ => {
-                Reply::text(405, "keys are read by GET, and changed by PUT and DELETE").with("Allow", METHODS)
+            ("GET", _) => self.request(ClientRequest::Read(key)),
+            ("PUT", None) => self.request(ClientRequest::Propose(Command::Put { key, value })),
+            ("PUT", Some(version)) => self.request(ClientRequest::Propose(Command::CompareAndSet {
+                key,
+                version,
+                value: Some(value),
+            })),
+            ("DELETE", Some(version)) => {
+                self.request(ClientRequest::Propose(Command::CompareAndSet { key, version, value: None }))
             }
+            ("DELETE", None) => Reply::text(400, "If-Version is needed: the version that is to go"),
+            _ => Reply::text(405, "keys are read by GET, and changed by PUT and DELETE")
+                .with("Allow", KEY_METHODS),
         }
     }
 
@@ -90,30 +98,30 @@
                 .ok()
                 .and_then(|t| t.trim().parse::<SocketAddr>().ok())
             {
-                Some(addr) => self.ask(Ask::Add(id, addr)),
+                Some(address) => self.request(ClientRequest::AddMember { id, address }),
                 None => Reply::text(400, "the body is the address at which the member listens"),
             },
-            "DELETE" => self.ask(Ask::Remove(id)),
+            "DELETE" => self.request(ClientRequest::RemoveMember(id)),
             _ => Reply::text(405, "members are added by PUT and removed by DELETE")
                 .with("Allow", "PUT, DELETE"),
         }
     }
 }
 
-impl Calls for Api {
+impl Calls for ClientApi {
     fn answer(&self, request: &Request) -> Reply {
         let path = request.path.as_str();
-        if let Some(key) = path.strip_prefix(KEYS) {
+        if let Some(key) = path.strip_prefix(KEYS_PATH) {
             return self.key(key, request);
         }
-        if let Some(id) = path.strip_prefix(MEMBERS) {
+        if let Some(id) = path.strip_prefix(MEMBERS_PATH) {
             return self.member(id, request);
         }
         match (path, request.method.as_str()) {
             ("/group/status", "GET") => {
-                Reply { body: self.standings.now().text().into_bytes(), ..Reply::text(200, "") }
+                Reply { body: self.status.now().text().into_bytes(), ..Reply::text(200, "") }
             }
-            ("/group/snapshot", "POST") => self.ask(Ask::Snapshot),
+            ("/group/snapshot", "POST") => self.request(ClientRequest::CreateSnapshot),
             ("/group/status", _) => Reply::text(405, "the status is read by GET").with("Allow", "GET"),
             ("/group/snapshot", _) => Reply::text(405, "a snapshot is made by POST").with("Allow", "POST"),
             _ => Reply::text(404, "no such call"),
--- a/src/replication/disk.rs
+++ b/src/replication/disk.rs
@@ -1,319 +1,318 @@
-//! A member's log on disk, in one `redb` file: the entries by index, the hard state, the last snapshot and the member's
-//! own id. Each [`Persist`] is written in one transaction, synced before it returns (redb's immediate durability), so a
-//! step's messages and answers leave only after its writes are on disk. Each value carries a CRC-32 of ours beside
-//! redb's own checksums; anything not believed sets the whole folder aside, and the member comes back as a new one.
+//! A member's log on disk, in one `redb` file: the entries by index, the hard state, the last snapshot, the member's id and
+//! the number of its starts.
+//!
+//! The [`DurableWrites`] of a step are one transaction, which is synced before [`LogStorage::write`] returns, so that the
+//! messages and completions of the step leave the process only after it. Each record carries a checksum of its own beside
+//! those of redb. If anything is torn or changed the whole folder is [quarantined](quarantine), and the member comes back as a
+//! new one.
 
 use std::fmt;
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-use curlewdeck_replication::codec::Unsound;
-use curlewdeck_replication::store::{from_disk, to_disk};
-use curlewdeck_replication::{Persist, Store};
+use curlewdeck_replication::{disk_format, DurableWrites, RaftLog, StartError};
+use curlewdeck_snapshot::RecordError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
-use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableError, WriteTransaction};
+use redb::{
+    Database, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, TableError, WriteTransaction,
+};
 
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-const FILE: &str = "group.redb";
+const MEMBER_ID_KEY: &str = "id";
+const START_COUNT_KEY: &str = "boot";
+const SNAPSHOT_KEY: &str = "image";
+const HARD_STATE_KEY: &str = "hard";
+/// The file in a member's folder.
+const LOG_FILE: &str = "group.redb";
+const MAX_QUARANTINED_FOLDERS: u32 = 999;
 
-/// Why a member's folder is of no use now.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// Why a member's folder cannot be used.
+#[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// What is on the disk is torn or changed, and is not believed.
-    Unsound(String),
-    /// It could not be read or written now, or another process uses it; what is on it may be sound.
-    Failed(String),
+    /// redb finds its file torn or changed.
+    #[error("the group's disk: {operation}: {source}")]
+    CorruptStore {
+        /// What was done.
+        operation: &'static str,
+        /// What redb found.
+        source: redb::Error,
+    },
+    /// redb cannot read or write its file now, or another process uses it. What it holds may be sound.
+    #[error("the group's disk: {operation}: {source}")]
+    StoreUnavailable {
+        /// What was done.
+        operation: &'static str,
+        /// Why it failed.
+        source: redb::Error,
+    },
+    /// A record is torn or changed.
+    #[error("the group's disk: the {record} is not believed: {source}")]
+    CorruptRecord {
+        /// Which one.
+        record: &'static str,
+        /// What is wrong with it.
+        source: RecordError,
+    },
+    /// A number has another length than it should have.
+    #[error("the group's disk: {0} is torn")]
+    CorruptNumber(&'static str),
+    /// An entry is missing.
+    #[error("the group's disk: the log has a gap at {0}")]
+    LogGap(u64),
+    /// The member cannot start with the log.
+    #[error("the group's disk: {0}")]
+    Unrecoverable(#[from] StartError),
+    /// The folder cannot be made.
+    #[error("the group's disk: cannot make {}: {source}", .folder.display())]
+    CannotCreate {
+        /// The folder.
+        folder: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The folder cannot be quarantined.
+    #[error("the group's disk: cannot set {} aside: {source}", .folder.display())]
+    CannotQuarantine {
+        /// The folder.
+        folder: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
+    /// No name is free for one more folder.
+    #[error("the group's disk: {} has been set aside {} times", .0.display(), MAX_QUARANTINED_FOLDERS)]
+    TooManyQuarantined(PathBuf),
 }
 
-impl fmt::Display for DiskError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (Self::Unsound(why) | Self::Failed(why)) = self;
-        write!(f, "the group's disk: {why}")
+impl DiskError {
+    /// Whether what is on the disk is torn or changed. If it is not, it may be sound, and must stay as it is.
+    pub fn is_corrupt(&self) -> bool {
+        match self {
+            Self::CorruptStore { .. }
+            | Self::CorruptRecord { .. }
+            | Self::CorruptNumber(_)
+            | Self::LogGap(_)
+            | Self::Unrecoverable(_) => true,
+            Self::StoreUnavailable { .. }
+            | Self::CannotCreate { .. }
+            | Self::CannotQuarantine { .. }
+            | Self::TooManyQuarantined(_) => false,
+        }
     }
-}
-
-impl std::error::Error for DiskError {}
 
-fn fault(what: &str, e: impl Into<redb::Error>) -> DiskError {
-    let error = e.into();
-    let why = format!("{what}: {error}");
-    match error {
-        // A file that ends too soon, or is none of the store's.
-        redb::Error::Io(e) if matches!(e.kind(), ErrorKind::UnexpectedEof | ErrorKind::InvalidData) => {
-            DiskError::Unsound(why)
-        }
-        redb::Error::Io(_) | redb::Error::PreviousIo | redb::Error::DatabaseAlreadyOpen => {
-            DiskError::Failed(why)
+    fn of_store(operation: &'static str, error: impl Into<redb::Error>) -> Self {
+        let source = error.into();
+        let is_unavailable = match &source {
+            // A file that ends too soon, or is none of redb's.
+            redb::Error::Io(e) => !matches!(e.kind(), ErrorKind::UnexpectedEof | ErrorKind::InvalidData),
+            redb::Error::PreviousIo | redb::Error::DatabaseAlreadyOpen => true,
+            _ => false,
+        };
+        match is_unavailable {
+            true => Self::StoreUnavailable { operation, source },
+            false => Self::CorruptStore { operation, source },
         }
-        _ => DiskError::Unsound(why),
     }
 }
 
-fn read_fault(e: impl Into<redb::Error>) -> DiskError {
-    fault("read", e)
+fn open_error(error: impl Into<redb::Error>) -> DiskError {
+    DiskError::of_store("cannot open the file", error)
+}
+
+fn read_error(error: impl Into<redb::Error>) -> DiskError {
+    DiskError::of_store("read", error)
 }
 
-fn write_fault(e: impl Into<redb::Error>) -> DiskError {
-    fault("write", e)
+fn write_error(error: impl Into<redb::Error>) -> DiskError {
+    DiskError::of_store("write", error)
 }
 
-/// What was found in a member's folder.
+fn sync_error(error: impl Into<redb::Error>) -> DiskError {
+    DiskError::of_store("sync", error)
+}
+
+fn corrupt(record: &'static str) -> impl FnOnce(RecordError) -> DiskError {
+    move |source| DiskError::CorruptRecord { record, source }
+}
+
+/// What a member's folder holds when it is opened.
 #[derive(Debug)]
-pub enum Found {
-    /// Nothing: a new member, under a new id.
-    Nothing,
-    /// The member's id and its log.
-    Member(u64, Box<Store>),
+pub enum StoredLog {
+    /// Nothing: the member is new.
+    Empty,
+    /// A member's log.
+    Member {
+        /// The member's id.
+        id: u64,
+        /// The log.
+        log: Box<RaftLog>,
+    },
 }
 
 /// A member's folder, open.
-pub struct Disk {
-    db: Database,
+pub struct LogStorage {
+    database: Database,
     folder: PathBuf,
 }
 
-impl fmt::Debug for Disk {
+impl fmt::Debug for LogStorage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Disk").field("folder", &self.folder).finish()
+        f.debug_struct("LogStorage").field("folder", &self.folder).finish()
     }
 }
 
-impl Disk {
-    /// Opens the folder, made if it is missing, and reads what it holds.
+impl LogStorage {
+    /// Opens a folder, which is made if it is missing, and reads what it holds.
     ///
     /// # Errors
-    /// If the folder or file cannot be made or opened, or a value in it is torn or changed. The caller then calls
-    /// [`set_aside`] and opens it again.
-    pub fn open(folder: &Path) -> Result<(Self, Found), DiskError> {
+    /// The folder or the file cannot be made or opened, or a record is torn or changed.
+    pub fn open(folder: &Path) -> Result<(Self, StoredLog), DiskError> {
         std::fs::create_dir_all(folder)
-            .map_err(|e| DiskError::Failed(format!("cannot make {}: {e}", folder.display())))?;
-        let db = Database::create(folder.join(FILE)).map_err(|e| fault("cannot open the file", e))?;
-        let disk = Self { db, folder: folder.to_owned() };
-        let found = disk.load()?;
-        Ok((disk, found))
+            .map_err(|source| DiskError::CannotCreate { folder: folder.to_owned(), source })?;
+        let database = Database::create(folder.join(LOG_FILE)).map_err(open_error)?;
+        let storage = Self { database, folder: folder.to_owned() };
+        let stored = storage.load()?;
+        Ok((storage, stored))
     }
 
-    fn load(&self) -> Result<Found, DiskError> {
-        let tx = self.db.begin_read().map_err(read_fault)?;
-        let meta = match tx.open_table(META) {
+    fn load(&self) -> Result<StoredLog, DiskError> {
+        let transaction = self.database.begin_read().map_err(read_error)?;
+        let meta = match transaction.open_table(META) {
             Ok(meta) => meta,
-            Err(TableError::TableDoesNotExist(_)) => return Ok(Found::Nothing),
-            Err(e) => return Err(read_fault(e)),
+            Err(TableError::TableDoesNotExist(_)) => return Ok(StoredLog::Empty),
+            Err(e) => return Err(read_error(e)),
         };
         let get = |key: &str| -> Result<Option<Vec<u8>>, DiskError> {
-            Ok(meta.get(key).map_err(read_fault)?.map(|v| v.value().to_vec()))
+            Ok(meta.get(key).map_err(read_error)?.map(|value| value.value().to_vec()))
         };
-        let Some(id) = get("id")? else { return Ok(Found::Nothing) };
-        let id: [u8; 8] = id.try_into().map_err(|_| DiskError::Unsound("the member's id is torn".into()))?;
-        let unsound = |what: &'static str| {
-            move |why: Unsound| DiskError::Unsound(format!("the {what} is not believed: {why}"))
-        };
-        let image: Snapshot = match get("image")? {
-            Some(bytes) => from_disk(&bytes).map_err(unsound("snapshot"))?,
+        let Some(id) = get(MEMBER_ID_KEY)? else { return Ok(StoredLog::Empty) };
+        let id: [u8; 8] = id.try_into().map_err(|_| DiskError::CorruptNumber("the member's id"))?;
+        let snapshot: Snapshot = match get(SNAPSHOT_KEY)? {
+            Some(bytes) => disk_format::decode(&bytes).map_err(corrupt("snapshot"))?,
             None => Snapshot::default(),
         };
-        let hard: HardState = match get("hard")? {
-            Some(bytes) => from_disk(&bytes).map_err(unsound("hard state"))?,
+        let hard_state: HardState = match get(HARD_STATE_KEY)? {
+            Some(bytes) => disk_format::decode(&bytes).map_err(corrupt("hard state"))?,
             None => HardState::default(),
         };
-        let mut entries = Vec::new();
-        let table = match tx.open_table(ENTRIES) {
-            Ok(table) => Some(table),
-            Err(TableError::TableDoesNotExist(_)) => None,
-            Err(e) => return Err(read_fault(e)),
-        };
-        if let Some(table) = table {
-            let rows = table.iter().map_err(read_fault)?;
-            for (want, row) in (image.get_metadata().index + 1..).zip(rows) {
-                let (index, bytes) = row.map_err(read_fault)?;
-                let entry: Entry = from_disk(bytes.value()).map_err(unsound("log"))?;
-                if index.value() != want || entry.index != want {
-                    return Err(DiskError::Unsound(format!("the log has a gap at {want}")));
-                }
-                entries.push(entry);
-            }
-        }
-        Ok(Found::Member(u64::from_le_bytes(id), Box::new(Store::recovered(image, hard, entries))))
+        let entries = load_entries(&transaction, snapshot.get_metadata().index + 1)?;
+        let log = Box::new(RaftLog::recovered(snapshot, hard_state, entries));
+        Ok(StoredLog::Member { id: u64::from_le_bytes(id), log })
     }
 
-    /// Committed in two phases: otherwise a store whose last commit has changed on disk goes back to the one before it,
-    /// without a word, and the member takes back what it has promised.
-    fn begin(&self) -> Result<WriteTransaction, DiskError> {
-        let mut tx = self.db.begin_write().map_err(write_fault)?;
-        tx.set_two_phase_commit(true);
-        Ok(tx)
+    /// Begins a transaction that is committed in two phases. Otherwise redb would silently go back to the commit before
+    /// the last one if that has changed on disk, and the member would lose entries that it has acknowledged.
+    fn begin_write(&self) -> Result<WriteTransaction, DiskError> {
+        let mut transaction = self.database.begin_write().map_err(write_error)?;
+        transaction.set_two_phase_commit(true);
+        Ok(transaction)
     }
 
-    /// Marks the folder as the one of member `id`.
+    /// Makes the folder the one of this member.
     ///
     /// # Errors
-    /// If it cannot be written.
-    pub fn claim(&self, id: u64) -> Result<(), DiskError> {
-        let tx = self.begin()?;
+    /// It cannot be written.
+    pub fn set_member_id(&self, id: u64) -> Result<(), DiskError> {
+        let transaction = self.begin_write()?;
         {
-            let mut meta = tx.open_table(META).map_err(write_fault)?;
-            meta.insert("id", id.to_le_bytes().as_slice()).map_err(write_fault)?;
+            let mut meta = transaction.open_table(META).map_err(write_error)?;
+            meta.insert(MEMBER_ID_KEY, id.to_le_bytes().as_slice()).map_err(write_error)?;
         }
-        tx.commit().map_err(|e| fault("sync", e))
+        transaction.commit().map_err(sync_error)
     }
 
-    /// Counts a start with this folder: tickets of this life then differ from those of earlier ones.
+    /// Counts a start of the member, by which its requests differ from those of earlier starts; returns its number.
     ///
     /// # Errors
-    /// If it cannot be read or written.
-    pub fn boot(&self) -> Result<u32, DiskError> {
-        let tx = self.begin()?;
-        let boot = {
-            let mut meta = tx.open_table(META).map_err(write_fault)?;
-            let before = meta.get("boot").map_err(read_fault)?.map_or(Ok([0; 4]), |v| v.value().try_into());
-            let before = before.map_err(|_| DiskError::Unsound("the count of starts is torn".into()))?;
-            let boot = u32::from_le_bytes(before).saturating_add(1);
-            meta.insert("boot", boot.to_le_bytes().as_slice()).map_err(write_fault)?;
-            boot
+    /// It cannot be read or written.
+    pub fn count_start(&self) -> Result<u32, DiskError> {
+        let transaction = self.begin_write()?;
+        let start = {
+            let mut meta = transaction.open_table(META).map_err(write_error)?;
+            let before = meta.get(START_COUNT_KEY).map_err(read_error)?;
+            let before = before.map_or(Ok([0; 4]), |value| value.value().try_into());
+            let before = before.map_err(|_| DiskError::CorruptNumber("the count of starts"))?;
+            let start = u32::from_le_bytes(before).saturating_add(1);
+            meta.insert(START_COUNT_KEY, start.to_le_bytes().as_slice()).map_err(write_error)?;
+            start
         };
-        tx.commit().map_err(|e| fault("sync", e))?;
-        Ok(boot)
+        transaction.commit().map_err(sync_error)?;
+        Ok(start)
     }
 
-    /// Writes what a step hands out, in one transaction, synced.
+    /// Writes what a step returns, in one synced transaction.
     ///
     /// # Errors
-    /// If it cannot be written: the member must then stop, since what it would send next may rest on it.
-    pub fn write(&self, persist: &Persist) -> Result<(), DiskError> {
-        if persist.is_empty() {
+    /// It cannot be written. The member must then stop: what it would send next may rest on it.
+    pub fn write(&self, writes: &DurableWrites) -> Result<(), DiskError> {
+        if writes.is_empty() {
             return Ok(());
         }
-        let tx = self.begin()?;
+        let transaction = self.begin_write()?;
         {
-            let mut entries = tx.open_table(ENTRIES).map_err(write_fault)?;
-            let mut meta = tx.open_table(META).map_err(write_fault)?;
-            if let Some(image) = &persist.image {
-                let index = image.get_metadata().index;
-                if persist.fresh {
-                    entries.retain(|_, _| false).map_err(write_fault)?;
+            let mut entries = transaction.open_table(ENTRIES).map_err(write_error)?;
+            let mut meta = transaction.open_table(META).map_err(write_error)?;
+            if let Some(snapshot) = &writes.snapshot {
+                let covered = snapshot.get_metadata().index;
+                if writes.replaces_log {
+                    entries.retain(|_, _| false).map_err(write_error)?;
                 } else {
-                    entries.retain_in(0u64..=index, |_, _| false).map_err(write_fault)?;
+                    entries.retain_in(0u64..=covered, |_, _| false).map_err(write_error)?;
                 }
-                meta.insert("image", to_disk(image).as_slice()).map_err(write_fault)?;
+                let bytes = disk_format::encode(snapshot);
+                meta.insert(SNAPSHOT_KEY, bytes.as_slice()).map_err(write_error)?;
             }
-            if let Some(first) = persist.entries.first() {
-                // An entry replaces any at its index and all after it.
-                entries.retain_in(first.index.., |_, _| false).map_err(write_fault)?;
+            if let Some(first) = writes.entries.first() {
+                // It replaces the entry at its index and all after it.
+                entries.retain_in(first.index.., |_, _| false).map_err(write_error)?;
             }
-            for entry in &persist.entries {
-                entries.insert(entry.index, to_disk(entry).as_slice()).map_err(write_fault)?;
+            for entry in &writes.entries {
+                let bytes = disk_format::encode(entry);
+                entries.insert(entry.index, bytes.as_slice()).map_err(write_error)?;
             }
-            if let Some(hard) = &persist.hard {
-                meta.insert("hard", to_disk(hard).as_slice()).map_err(write_fault)?;
+            if let Some(hard_state) = &writes.hard_state {
+                let bytes = disk_format::encode(hard_state);
+                meta.insert(HARD_STATE_KEY, bytes.as_slice()).map_err(write_error)?;
             }
         }
-        tx.commit().map_err(|e| fault("sync", e))
+        transaction.commit().map_err(sync_error)
     }
+}
 
-    /// The folder.
-    pub fn folder(&self) -> &Path {
-        &self.folder
+/// The entries of the log, which must follow each other from `first` on.
+fn load_entries(transaction: &ReadTransaction, first: u64) -> Result<Vec<Entry>, DiskError> {
+    let table = match transaction.open_table(ENTRIES) {
+        Ok(table) => table,
+        Err(TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
+        Err(e) => return Err(read_error(e)),
+    };
+    let mut entries = Vec::new();
+    for (expected, row) in (first..).zip(table.iter().map_err(read_error)?) {
+        let (index, bytes) = row.map_err(read_error)?;
+        let entry: Entry = disk_format::decode(bytes.value()).map_err(corrupt("log"))?;
+        if index.value() != expected || entry.index != expected {
+            return Err(DiskError::LogGap(expected));
+        }
+        entries.push(entry);
     }
+    Ok(entries)
 }
 
-/// Moves a folder that is not believed out of the way, never over anything: `NAME.aside-N`.
+/// Moves a folder that cannot be used out of the way, never over another one: to `NAME.aside-N`.
 ///
 /// # Errors
-/// If it cannot be moved.
-pub fn set_aside(folder: &Path) -> Result<PathBuf, DiskError> {
-    for n in 1..1000 {
-        let aside = PathBuf::from(format!("{}.aside-{n}", folder.display()));
-        if !aside.exists() {
-            std::fs::rename(folder, &aside)
-                .map_err(|e| DiskError::Failed(format!("cannot set {} aside: {e}", folder.display())))?;
-            return Ok(aside);
+/// It cannot be moved.
+pub fn quarantine(folder: &Path) -> Result<PathBuf, DiskError> {
+    for n in 1..=MAX_QUARANTINED_FOLDERS {
+        let target = PathBuf::from(format!("{}.aside-{n}", folder.display()));
+        if !target.exists() {
+            std::fs::rename(folder, &target)
+                .map_err(|source| DiskError::CannotQuarantine { folder: folder.to_owned(), source })?;
+            return Ok(target);
         }
     }
-    Err(DiskError::Failed(format!("{} has been set aside 999 times", folder.display())))
+    Err(DiskError::TooManyQuarantined(folder.to_owned()))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use curlewdeck_replication::{Bounds, Member};
-
-    fn folder(name: &str) -> PathBuf {
-        let dir = std::env::temp_dir().join(format!("curlewdeck-disk-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&dir);
-        dir
-    }
-
-    #[test]
-    fn what_a_member_wrote_comes_back_and_a_flipped_byte_sets_the_folder_aside() {
-        let dir = folder("back");
-        let (disk, found) = Disk::open(&dir).unwrap();
-        assert!(matches!(found, Found::Nothing));
-        disk.claim(41).unwrap();
-        let (_, out) = Member::found(41, &[41], Bounds::default()).unwrap();
-        disk.write(&out.persist).unwrap();
-        let mut entries = Vec::new();
-        for index in 2..6 {
-            let mut e = Entry::default();
-            (e.index, e.term) = (index, 2);
-            entries.push(e);
-        }
-        disk.write(&Persist { entries: entries.clone(), ..Persist::default() }).unwrap();
-        let mut replaced = Entry::default();
-        (replaced.index, replaced.term) = (4, 3);
-        disk.write(&Persist { entries: vec![replaced.clone()], ..Persist::default() }).unwrap();
-        drop(disk);
-        let (disk, found) = Disk::open(&dir).unwrap();
-        let Found::Member(id, store) = found else { panic!("nothing found") };
-        assert_eq!(id, 41);
-        assert_eq!(store.log(), &[entries[0].clone(), entries[1].clone(), replaced]);
-        assert_eq!(store.image_index(), 1);
-        drop(disk);
-        // A byte of the last entry flipped on disk: found, and the folder goes aside whole.
-        flip(&dir.join(FILE), &to_disk(&store.log()[2]));
-        let err = Disk::open(&dir).expect_err("a changed entry was believed");
-        let said = err.to_string();
-        assert!(["not believed", "read", "cannot open"].iter().any(|w| said.contains(w)), "{err}");
-        assert!(matches!(err, DiskError::Unsound(_)), "{err:?}");
-        let aside = set_aside(&dir).unwrap();
-        let (_, found) = Disk::open(&dir).unwrap();
-        assert!(matches!(found, Found::Nothing));
-        let _ = std::fs::remove_dir_all(&dir);
-        let _ = std::fs::remove_dir_all(aside);
-    }
-
-    /// Flips a bit wherever the file has these bytes.
-    fn flip(file: &Path, mark: &[u8]) {
-        let mut bytes = std::fs::read(file).unwrap();
-        let found = |(at, bytes): (usize, &[u8])| (bytes == mark).then_some(at);
-        let places: Vec<usize> = bytes.windows(mark.len()).enumerate().filter_map(found).collect();
-        assert!(!places.is_empty(), "the entry is not on disk as written");
-        places.into_iter().for_each(|at| bytes[at + 1] ^= 0x40);
-        std::fs::write(file, bytes).unwrap();
-    }
-
-    /// Guards against a store that goes back to the commit before the last where that one has changed, after a process
-    /// was killed: the member had told others that it holds it.
-    #[test]
-    fn a_changed_last_commit_is_not_taken_back() {
-        let (dir, killed) = (folder("last"), folder("killed"));
-        let (disk, _) = Disk::open(&dir).unwrap();
-        disk.claim(7).unwrap();
-        let (_, out) = Member::found(7, &[7], Bounds::default()).unwrap();
-        disk.write(&out.persist).unwrap();
-        for index in 2..5 {
-            let mut entry = Entry::default();
-            (entry.index, entry.term) = (index, 2);
-            entry.set_data(format!("the entry at {index}").into_bytes().into());
-            disk.write(&Persist { entries: vec![entry], ..Persist::default() }).unwrap();
-        }
-        // What a process leaves that never came to close its file.
-        std::fs::create_dir_all(&killed).unwrap();
-        std::fs::copy(dir.join(FILE), killed.join(FILE)).unwrap();
-        flip(&killed.join(FILE), b"the entry at 4");
-        let opened = Disk::open(&killed);
-        assert!(matches!(opened, Err(DiskError::Unsound(_))), "it came back without its last entry");
-        let _ = std::fs::remove_dir_all(&dir);
-        let _ = std::fs::remove_dir_all(killed);
-    }
-}
+mod tests;
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,97 +1,77 @@
-//! A member of a group (`crates/replication`), carried out: its disk, the frames between members, its thread and the calls of
-//! its clients. Off unless the operator's file names a group; never on the platform, which gives no lasting disk and no
-//! talk between instances. Queries never wait for it: it has threads of its own. `docs/replication.md` is for operators.
+//! A member of a replication group (`crates/replication`) as part of this process: its disk, its connections to other
+//! members, its thread, and the calls of its clients.
+//!
+//! There is one only if the operator's file names a group; on the platform, which gives no lasting disk and no connections
+//! between instances, there is none. Queries never wait for it: it has threads of its own. `docs/replication.md` is for
+//! operators.
 
-pub mod api;
+mod api;
 pub mod config;
 pub mod disk;
 pub mod driver;
-pub mod peers;
+pub mod member_handle;
+mod peers;
+mod snapshot_replica;
+pub mod startup;
+pub mod status;
 pub mod tool;
 pub mod wire;
 
-use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-use curlewdeck_replication::{Answer, Bounds, Command, Outcome};
+use curlewdeck_replication::ReplicationLimits;
 
 use crate::control;
 use crate::limits::Limits;
-use crate::snapshot_store::{ReplicaError, ReplicaValue, SnapshotReplica};
+use crate::snapshot_store::SnapshotReplica;
+use api::ClientApi;
 use config::GroupConfig;
-use driver::{Ask, Inbox, Standings};
+use member_handle::MemberHandle;
+use snapshot_replica::ReplicatedSnapshot;
+use startup::GroupStartError;
+use status::SharedStatus;
 
-/// A member that runs in this process.
+/// A member that runs in this process, with the calls of its clients.
 #[derive(Debug)]
 pub struct Group {
-    /// Where its clients are answered.
+    /// Where its clients are served.
     pub clients: SocketAddr,
-    /// How it stands.
-    pub standings: Standings,
-    inbox: Inbox,
-    wait: Duration,
+    /// Its status.
+    pub standings: SharedStatus,
+    member: MemberHandle,
+    request_timeout: Duration,
 }
 
-/// Starts the member and its calls.
+/// Starts the member, and serves its clients.
 ///
 /// # Errors
-/// Says in one line what is out of place or cannot be had.
-pub fn start(config: &GroupConfig, limits: &Arc<Limits>) -> Result<Group, String> {
-    let running = driver::start(config)?;
-    let bounds = Bounds::default();
-    let retry_after = config.retry_after(&bounds);
-    let wait = config.wait(&bounds) + retry_after;
-    let (inbox, standings) = (running.inbox, running.standings);
-    let api = api::Api { inbox: inbox.clone(), standings: standings.clone(), wait, retry_after };
-    let cannot = |e: io::Error| format!("cannot listen for clients of the group at {}: {e}", config.control);
-    let clients =
-        control::start(config.control, Arc::new(api), limits.group_calls, limits.clone()).map_err(cannot)?;
-    log::info!(target: "group", "member {} listens at {}, its clients at {clients}", running.id, running.listen);
-    Ok(Group { clients, standings, inbox, wait })
+/// The configuration is not usable, or the disk, an address or a thread cannot be had.
+pub fn start(config: &GroupConfig, limits: &Arc<Limits>) -> Result<Group, GroupStartError> {
+    let running = startup::start(config)?;
+    let replication_limits = ReplicationLimits::default();
+    let retry_after = config.retry_after(&replication_limits);
+    let request_timeout = config.request_timeout(&replication_limits) + retry_after;
+    let api = ClientApi {
+        member: running.handle.clone(),
+        status: running.status.clone(),
+        request_timeout,
+        retry_after,
+    };
+    let clients = control::start(config.control, Arc::new(api), limits.group_calls, limits.clone())
+        .map_err(|source| GroupStartError::ListenForClients { address: config.control, source })?;
+    log::info!(
+        target: "group", member = running.id, members_address:% = running.listen,
+        clients_address:% = clients;
+        "member started"
+    );
+    Ok(Group { clients, standings: running.status, member: running.handle, request_timeout })
 }
 
 impl Group {
-    /// A copy of the state of the coordinator of that name.
+    /// The replica of the state of the coordinator with this name.
     pub fn copy_of(&self, name: &str) -> Box<dyn SnapshotReplica> {
-        Box::new(StateCopy { inbox: self.inbox.clone(), wait: self.wait, key: format!("state/{name}") })
-    }
-}
-
-/// A coordinator's state as a key of the group.
-#[derive(Debug)]
-struct StateCopy {
-    inbox: Inbox,
-    wait: Duration,
-    key: String,
-}
-
-/// A start waits so long for the group: one that came back with an empty folder has to be added first.
-const START: Duration = Duration::from_secs(60);
-const AGAIN: Duration = Duration::from_millis(200);
-
-impl SnapshotReplica for StateCopy {
-    fn read(&mut self) -> Result<ReplicaValue, ReplicaError> {
-        let begun = Instant::now();
-        loop {
-            match self.inbox.ask(Ask::Read(self.key.clone()), self.wait) {
-                Answer::Read(Some(slot)) => {
-                    return Ok(ReplicaValue { bytes: Some(slot.value), version: slot.version })
-                }
-                Answer::Read(None) => return Ok(ReplicaValue { bytes: None, version: 0 }),
-                _ if begun.elapsed() < START => std::thread::sleep(AGAIN),
-                answer => return Err(ReplicaError::Unreadable(format!("{answer:?}"))),
-            }
-        }
-    }
-
-    fn write(&mut self, bytes: &[u8], version: u64) -> Result<u64, ReplicaError> {
-        let swap = Command::Swap { key: self.key.clone(), version, value: Some(bytes.to_vec()) };
-        match self.inbox.ask(Ask::Do(swap), self.wait) {
-            Answer::Promised(Outcome::Written { version }) => Ok(version),
-            Answer::Promised(Outcome::Refused(why)) => Err(ReplicaError::Rejected(why.to_string())),
-            answer => Err(ReplicaError::NotCommitted(format!("{answer:?}"))),
-        }
+        Box::new(ReplicatedSnapshot::new(self.member.clone(), self.request_timeout, name))
     }
 }
--- a/src/replication/peers.rs
+++ b/src/replication/peers.rs
@@ -1,5 +1,6 @@
-//! The frames between members over TCP. Each member dials those it sends to, and reads from those that dialled it; a
-//! thread a connection, since a slow member must hold up neither the log's thread nor the worker that serves queries.
+//! The connections between members. Each member dials those that it sends to, and reads from those that have dialled it. Each
+//! connection has a thread of its own: a slow member must hold up neither the thread of the log nor the worker that serves
+//! queries.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -9,164 +10,188 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use curlewdeck_replication::Letter;
+use curlewdeck_replication::OutboundMessage;
 
-use super::driver::{Inbox, Msg};
-use super::wire;
+use super::member_handle::{MemberHandle, MemberMessage};
+use super::wire::{self, FrameReader};
 use crate::runtime::thread;
 
 /// Messages that wait for one member; past them new ones are dropped, as a network drops them.
-const WAITING: usize = 256;
-/// Members that are sent to at once, and connections that are read.
-const MOST: usize = 32;
-const DIAL: Duration = Duration::from_secs(1);
-const WRITE: Duration = Duration::from_secs(5);
+const PEER_QUEUE_CAPACITY: usize = 256;
+/// Members that are sent to at once, and connections that are read at once.
+const MAX_CONNECTIONS: usize = 32;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Heartbeats come far more often than this.
-const SILENT: Duration = Duration::from_secs(60);
-/// Between two tries to reach a member that is not there.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Bytes of a frame: a snapshot of all keys that the bounds allow.
-const FRAME: usize = 32 * 1024 * 1024;
-const STACK: usize = 256 * 1024;
-const READ: usize = 16 * 1024;
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// A snapshot of all keys that the limits allow is shorter.
+const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// The members that this one sends to.
-pub struct Peers {
-    own: u64,
-    inbox: Inbox,
-    to: HashMap<u64, (SocketAddr, SyncSender<Letter>)>,
+pub(super) struct Peers {
+    own_id: u64,
+    member: MemberHandle,
+    peers: HashMap<u64, Peer>,
+}
+
+/// The thread that sends to one member.
+struct Peer {
+    address: SocketAddr,
+    queue: SyncSender<OutboundMessage>,
 }
 
 impl Peers {
-    /// Nobody yet. What becomes of messages is told to `inbox`.
-    pub fn new(own: u64, inbox: Inbox) -> Self {
-        Self { own, inbox, to: HashMap::new() }
+    /// No connections yet. What becomes of messages is reported to `member`.
+    pub(super) fn new(own_id: u64, member: MemberHandle) -> Self {
+        Self { own_id, member, peers: HashMap::new() }
     }
 
-    /// Sends a message, or drops it: raft sends again what matters. Returns whether it is on its way.
-    pub fn send(&mut self, addr: SocketAddr, letter: Letter) -> bool {
-        let to = letter.to;
-        if self.to.get(&to).is_none_or(|peer| peer.0 != addr) {
-            if self.to.len() >= MOST {
-                self.to.clear();
-            }
-            let (letters, waiting) = sync_channel(WAITING);
-            let (own, inbox) = (self.own, self.inbox.clone());
-            let run = move || deliver(own, to, addr, &waiting, &inbox);
-            if let Err(e) = thread(&format!("to {to}"), STACK, run) {
-                log::warn!(target: "group", "no thread to send to member {to}: {e}");
-                return false;
-            }
-            self.to.insert(to, (addr, letters));
-        }
-        let Some((_, letters)) = self.to.get(&to) else { return false };
-        match letters.try_send(letter) {
+    /// Queues a message, or drops it: raft sends again what matters. Returns whether it is queued.
+    pub(super) fn send(&mut self, address: SocketAddr, message: OutboundMessage) -> bool {
+        let to = message.to;
+        let Some(queue) = self.queue_to(to, address) else { return false };
+        match queue.try_send(message) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => false,
             Err(TrySendError::Disconnected(_)) => {
-                self.to.remove(&to);
+                self.peers.remove(&to);
                 false
             }
         }
     }
+
+    /// The queue of the thread that sends to a member at an address; starts it if there is none.
+    fn queue_to(&mut self, to: u64, address: SocketAddr) -> Option<&SyncSender<OutboundMessage>> {
+        if self.peers.get(&to).is_none_or(|peer| peer.address != address) {
+            if self.peers.len() >= MAX_CONNECTIONS {
+                self.peers.clear();
+            }
+            let (queue, messages) = sync_channel(PEER_QUEUE_CAPACITY);
+            let (own_id, member) = (self.own_id, self.member.clone());
+            let run = move || send_messages(own_id, to, address, &messages, &member);
+            if let Err(e) = thread(&format!("to {to}"), STACK_BYTES, run) {
+                log::warn!(target: "group", peer = to, error:% = e; "cannot start a thread to send to a member");
+                return None;
+            }
+            self.peers.insert(to, Peer { address, queue });
+        }
+        self.peers.get(&to).map(|peer| &peer.queue)
+    }
 }
 
-/// Writes messages until nobody has any more. One that could not be written whole is told; so is each snapshot, since
-/// raft waits for that word.
-fn deliver(own: u64, to: u64, addr: SocketAddr, letters: &Receiver<Letter>, inbox: &Inbox) {
-    let mut open: Option<TcpStream> = None;
-    let mut failed: Option<Instant> = None;
-    for letter in letters {
-        // Members answer over connections of their own: nothing ever comes on this one but its end.
-        open = open.filter(|stream| !ended(stream));
-        if open.is_none() && failed.is_none_or(|at| at.elapsed() >= AGAIN) {
-            open =
-                dial(&addr).inspect_err(|e| log::debug!(target: "group", "member {to} at {addr}: {e}")).ok();
+/// Writes messages until no more can be queued. Reports those that could not be written, and whether each snapshot was.
+fn send_messages(
+    own_id: u64,
+    to: u64,
+    address: SocketAddr,
+    messages: &Receiver<OutboundMessage>,
+    member: &MemberHandle,
+) {
+    let mut connection: Option<TcpStream> = None;
+    let mut failed_at: Option<Instant> = None;
+    for message in messages {
+        connection = connection.filter(|stream| !is_closed(stream));
+        let may_connect = failed_at.is_none_or(|at| at.elapsed() >= RECONNECT_INTERVAL);
+        if connection.is_none() && may_connect {
+            connection = connect(&address)
+                .inspect_err(|e| {
+                    log::debug!(target: "group", peer = to, address:% = address, error:% = e; "cannot connect to a member");
+                })
+                .ok();
         }
-        let written = open.as_ref().map(|mut stream| stream.write_all(&wire::encode(own, &letter.bytes)));
-        let done = matches!(written, Some(Ok(())));
-        if !done {
-            open = None;
-            failed = Some(Instant::now());
-            inbox.tell(Msg::Unreachable(to));
+        let frame = wire::encode(own_id, &message.bytes);
+        let written = connection.as_ref().is_some_and(|mut stream| stream.write_all(&frame).is_ok());
+        if !written {
+            connection = None;
+            failed_at = Some(Instant::now());
+            member.send_or_drop(MemberMessage::Unreachable(to));
         }
-        if letter.snapshot {
-            inbox.hand(Msg::SnapshotSent(to, done));
+        if message.has_snapshot {
+            // Raft waits for this report: it must not be lost.
+            member.send(MemberMessage::SnapshotSent { to, delivered: written });
         }
     }
 }
 
-/// Whether the member has closed it: what is still written to it would be lost without a word.
-fn ended(stream: &TcpStream) -> bool {
-    let look = || {
+/// Whether the other member has closed a connection: what is still written to it would be lost without an error. Members
+/// answer over connections of their own, so that nothing ever arrives on this one but its end.
+fn is_closed(stream: &TcpStream) -> bool {
+    let peek = || {
         stream.set_nonblocking(true)?;
-        let seen = stream.peek(&mut [0]);
+        let peeked = stream.peek(&mut [0]);
         stream.set_nonblocking(false)?;
-        seen
+        peeked
     };
-    !matches!(look(), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    !matches!(peek(), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-fn dial(addr: &SocketAddr) -> io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(addr, DIAL)?;
+fn connect(address: &SocketAddr) -> io::Result<TcpStream> {
+    let stream = TcpStream::connect_timeout(address, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
-    stream.set_write_timeout(Some(WRITE))?;
+    stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Listens for other members; returns where.
+/// Listens for other members; returns the address.
 ///
 /// # Errors
-/// The address cannot be listened at, or there is no thread.
-pub fn listen(addr: SocketAddr, inbox: Inbox) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind(addr)?;
+/// The address cannot be used, or there is no thread.
+pub(super) fn listen(address: SocketAddr, member: MemberHandle) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind(address)?;
     let local = listener.local_addr()?;
-    let held = Arc::new(AtomicUsize::new(0));
+    let open = Arc::new(AtomicUsize::new(0));
     let accept = move || loop {
         match listener.accept() {
-            Ok((stream, from)) => {
-                if held.fetch_add(1, Ordering::AcqRel) >= MOST {
-                    held.fetch_sub(1, Ordering::AcqRel);
-                    log::warn!(target: "group", "connection from {from} closed: {MOST} are open");
-                    continue;
-                }
-                let (inbox, count) = (inbox.clone(), held.clone());
-                let read = move || {
-                    if let Err(e) = read(stream, &inbox) {
-                        log::debug!(target: "group", "connection from {from}: {e}");
-                    }
-                    count.fetch_sub(1, Ordering::AcqRel);
-                };
-                if let Err(e) = thread("from member", STACK, read) {
-                    held.fetch_sub(1, Ordering::AcqRel);
-                    log::warn!(target: "group", "no thread to read from {from}: {e}");
-                }
-            }
+            Ok((stream, from)) => serve_connection(stream, from, &open, &member),
             Err(e) => {
-                log::warn!(target: "group", "accept: {e}");
-                std::thread::sleep(AGAIN);
+                log::warn!(target: "group", error:% = e; "cannot accept a connection");
+                std::thread::sleep(RECONNECT_INTERVAL);
             }
         }
     };
-    thread("members", STACK, accept)?;
+    thread("members", STACK_BYTES, accept)?;
     Ok(local)
 }
 
-fn read(mut stream: TcpStream, inbox: &Inbox) -> io::Result<()> {
-    stream.set_read_timeout(Some(SILENT))?;
-    let (mut frames, mut buf) = (wire::Reader::new(FRAME), vec![0; READ]);
+/// Starts a thread that reads a connection, if not too many are open.
+fn serve_connection(stream: TcpStream, from: SocketAddr, open: &Arc<AtomicUsize>, member: &MemberHandle) {
+    if open.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
+        open.fetch_sub(1, Ordering::AcqRel);
+        log::warn!(target: "group", from:% = from, open = MAX_CONNECTIONS; "connection closed: too many are open");
+        return;
+    }
+    let (member, open_in_thread) = (member.clone(), open.clone());
+    let read = move || {
+        if let Err(e) = read_frames(stream, &member) {
+            log::debug!(target: "group", from:% = from, error:% = e; "connection failed");
+        }
+        open_in_thread.fetch_sub(1, Ordering::AcqRel);
+    };
+    if let Err(e) = thread("from member", STACK_BYTES, read) {
+        open.fetch_sub(1, Ordering::AcqRel);
+        log::warn!(target: "group", from:% = from, error:% = e; "cannot start a thread to read a connection");
+    }
+}
+
+fn read_frames(mut stream: TcpStream, member: &MemberHandle) -> io::Result<()> {
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
+    let (mut reader, mut buffer) = (FrameReader::new(MAX_MESSAGE_BYTES), vec![0; READ_BUFFER_BYTES]);
     loop {
-        let n = match stream.read(&mut buf) {
+        let read = match stream.read(&mut buffer) {
             Ok(0) => return Ok(()),
-            Ok(n) => n,
-            // A wait with a time-out is interrupted where the process is stopped and goes on.
+            Ok(read) => read,
+            // A read with a timeout is interrupted when the process is stopped and continued.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
             Err(e) => return Err(e),
         };
-        let come = frames.feed(&buf[..n]).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
-        for frame in come {
-            // Waits where the log's thread is behind: the sender's socket fills, and it drops what is too much.
-            if !inbox.hand(Msg::Frame(frame.message)) {
+        let frames =
+            reader.feed(&buffer[..read]).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
+        for frame in frames {
+            // Waits while the thread of the log is behind: the sender's socket fills, and it drops what is too much.
+            if !member.send(MemberMessage::Received(frame.message)) {
                 return Ok(());
             }
         }
@@ -174,28 +199,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a leader that waits for ever to hear of a snapshot: that word must not be lost, however much waits
-    /// for its thread.
-    #[test]
-    fn the_word_on_a_snapshot_waits_for_room() {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let addr = listener.local_addr().unwrap();
-        let (inbox, told) = Inbox::of(1);
-        inbox.tell(Msg::Frame(Vec::new()));
-        let (letters, waiting) = sync_channel(1);
-        letters.send(Letter { to: 2, bytes: vec![7], snapshot: true }).unwrap();
-        drop(letters);
-        let sender = std::thread::spawn(move || deliver(1, 2, addr, &waiting, &inbox));
-        let (mut stream, _) = listener.accept().unwrap();
-        stream.read_exact(&mut [0; wire::HEAD + 1]).unwrap();
-        // One that did not wait would have ended by now, and closed its connection.
-        stream.set_read_timeout(Some(AGAIN)).unwrap();
-        let _ = stream.read(&mut [0]);
-        let told: Vec<Msg> = told.iter().collect();
-        sender.join().unwrap();
-        assert!(matches!(told[..], [Msg::Frame(_), Msg::SnapshotSent(2, true)]), "{told:?}");
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/replication/status.rs
@@ -0,0 +1,140 @@
+//! The status of a member, published for whoever does not wait for its thread.
+
+use std::sync::{Arc, Mutex};
+
+use curlewdeck_replication::Member;
+
+use crate::runtime::lock;
+
+/// The role of a member in its group.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum Role {
+    /// It knows no leader.
+    #[default]
+    WithoutLeader,
+    /// It follows a leader.
+    Follower,
+    /// It is the leader.
+    Leader,
+    /// It was removed from the group, or has stopped after an error.
+    Gone,
+}
+
+impl Role {
+    /// Its name in the status text.
+    pub fn word(self) -> &'static str {
+        match self {
+            Self::WithoutLeader => "without a leader",
+            Self::Follower => "follower",
+            Self::Leader => "leader",
+            Self::Gone => "gone",
+        }
+    }
+}
+
+/// The status of a member at one moment.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct MemberStatus {
+    /// Its id.
+    pub id: u64,
+    /// Its role.
+    pub role: Role,
+    /// Its term.
+    pub term: u64,
+    /// The member for which it has voted in this term; 0 if none.
+    pub vote: u64,
+    /// The leader that it knows; 0 if none.
+    pub leader: u64,
+    /// The voters as of the last change of membership applied.
+    pub voters: Vec<u64>,
+    /// The index of the last entry applied.
+    pub applied: u64,
+    /// The index of the last entry that its snapshot covers.
+    pub snapshot: u64,
+    /// Entries after the snapshot.
+    pub log: u64,
+    /// Keys of the replicated map.
+    pub keys: u64,
+    /// Requests that are pending.
+    pub waiting: u64,
+}
+
+impl MemberStatus {
+    pub(super) fn of(member: &Member) -> Self {
+        let (log, map) = (member.log(), member.map());
+        let role = match (member.is_stopped(), member.is_leader(), member.leader()) {
+            (true, ..) => Role::Gone,
+            (_, true, _) => Role::Leader,
+            (_, _, Some(_)) => Role::Follower,
+            _ => Role::WithoutLeader,
+        };
+        Self {
+            id: member.id(),
+            role,
+            term: member.term(),
+            vote: log.hard_state().vote,
+            leader: member.leader().unwrap_or(0),
+            voters: member.voters(),
+            applied: map.applied_index(),
+            snapshot: log.snapshot_index(),
+            log: log.entries_after_snapshot().len() as u64,
+            keys: map.len() as u64,
+            waiting: member.pending_requests() as u64,
+        }
+    }
+
+    /// The status as text, one `NAME=VALUE` a line.
+    pub fn text(&self) -> String {
+        let voters: Vec<String> = self.voters.iter().map(u64::to_string).collect();
+        let Self { id, term, leader, applied, snapshot, log, keys, waiting, .. } = self;
+        format!(
+            "id={id}\nrole={}\nterm={term}\nleader={leader}\nvoters={}\napplied={applied}\nsnapshot={snapshot}\nlog={log}\nkeys={keys}\nwaiting={waiting}\n",
+            self.role.word(),
+            voters.join(",")
+        )
+    }
+}
+
+/// The status that a member has published last.
+#[derive(Debug, Clone)]
+pub struct SharedStatus(Arc<Mutex<Arc<MemberStatus>>>);
+
+impl SharedStatus {
+    pub(super) fn new(status: MemberStatus) -> Self {
+        Self(Arc::new(Mutex::new(Arc::new(status))))
+    }
+
+    /// The status that was published last.
+    pub fn now(&self) -> Arc<MemberStatus> {
+        lock(&self.0).clone()
+    }
+
+    /// Publishes the status, and logs what has changed of the term, the vote, the membership and the snapshot.
+    pub(super) fn publish_changes(&self, status: MemberStatus) {
+        let before = self.now();
+        if status != *before {
+            log_changes(&before, &status);
+            self.publish(status);
+        }
+    }
+
+    pub(super) fn publish(&self, status: MemberStatus) {
+        *lock(&self.0) = Arc::new(status);
+    }
+}
+
+fn log_changes(before: &MemberStatus, now: &MemberStatus) {
+    let member = now.id;
+    if (now.term, now.leader) != (before.term, before.leader) {
+        log::info!(target: "group", member, term = now.term, leader = now.leader; "term or leader changed");
+    }
+    if now.vote != before.vote && now.vote != 0 {
+        log::info!(target: "group", member, term = now.term, candidate = now.vote; "vote granted");
+    }
+    if now.voters != before.voters {
+        log::info!(target: "group", member, voters:? = now.voters; "membership applied");
+    }
+    if now.snapshot != before.snapshot {
+        log::info!(target: "group", member, index = now.snapshot; "snapshot stored");
+    }
+}
--- a/src/replication/wire.rs
+++ b/src/replication/wire.rs
@@ -1,13 +1,11 @@
-//! Frames between members over TCP: the sender's id (8 bytes), the length of the message (4), a CRC-32 of the message
-//! (4), then the message, a raft message in protobuf's encoding. All little-endian. Pure: bytes in, frames out.
+//! Frames between members over TCP: the sender's id (8 bytes), the length of the message (4), a CRC-32 of the message (4),
+//! then the message, a raft message in protobuf's encoding. All little-endian. Pure: bytes in, frames out.
 //!
-//! A frame that is longer than the bound, or whose checksum does not match, ends the connection: after it nothing on
-//! the stream can be trusted to begin a frame.
-
-use std::fmt;
+//! A frame that is longer than the limit, or whose checksum does not match, ends the connection: after it nothing on the
+//! stream can be trusted to begin a frame.
 
 /// Bytes before the message.
-pub const HEAD: usize = 16;
+pub const HEADER_BYTES: usize = 16;
 
 /// One frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,28 +17,19 @@
 }
 
 /// Why a stream cannot be read on.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// A frame says it is longer than the bound (bytes).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// A frame's message is longer than the limit, by its header (bytes).
+    #[error("a frame of {0} bytes is longer than allowed")]
     TooLong(usize),
     /// A message's checksum does not match.
-    Changed,
+    #[error("a frame's checksum does not match")]
+    ChecksumMismatch,
 }
 
-impl fmt::Display for Broken {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::TooLong(n) => write!(f, "a frame of {n} bytes is longer than allowed"),
-            Self::Changed => f.write_str("a frame's checksum does not match"),
-        }
-    }
-}
-
-impl std::error::Error for Broken {}
-
-/// A frame as bytes.
+/// The bytes of a frame.
 pub fn encode(from: u64, message: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD + message.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + message.len());
     bytes.extend(from.to_le_bytes());
     bytes.extend(u32::try_from(message.len()).unwrap_or(u32::MAX).to_le_bytes());
     bytes.extend(crc32fast::hash(message).to_le_bytes());
@@ -48,102 +37,66 @@
     bytes
 }
 
-/// Reads frames off a stream as its bytes come, holding at most one frame's bytes.
+/// What stands before a message.
+struct Header {
+    from: u64,
+    message_bytes: usize,
+    checksum: u32,
+}
+
+impl Header {
+    fn parse(header: &[u8; HEADER_BYTES]) -> Self {
+        let word = |at: usize| {
+            let mut word = [0; 4];
+            word.copy_from_slice(&header[at..at + 4]);
+            u32::from_le_bytes(word)
+        };
+        let mut from = [0; 8];
+        from.copy_from_slice(&header[..8]);
+        Self { from: u64::from_le_bytes(from), message_bytes: word(8) as usize, checksum: word(12) }
+    }
+}
+
+/// Reads frames from a stream as its bytes arrive; buffers at most one frame that is not complete.
 #[derive(Debug)]
-pub struct Reader {
-    buf: Vec<u8>,
-    most: usize,
+pub struct FrameReader {
+    buffer: Vec<u8>,
+    max_message_bytes: usize,
 }
 
-impl Reader {
-    /// A reader of frames whose message is at most `most` bytes.
-    pub fn new(most: usize) -> Self {
-        Self { buf: Vec::new(), most }
+impl FrameReader {
+    /// A reader of frames with messages up to this length.
+    pub fn new(max_message_bytes: usize) -> Self {
+        Self { buffer: Vec::new(), max_message_bytes }
     }
 
-    /// Takes bytes as they came and gives the frames that are whole now.
+    /// Takes bytes that have arrived, and returns the frames that are complete now.
     ///
     /// # Errors
-    /// If a frame is too long or changed; the stream must then be closed.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Frame>, Broken> {
-        self.buf.extend_from_slice(bytes);
+    /// A frame is too long or has changed; the stream must then be closed.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Frame>, FrameError> {
+        self.buffer.extend_from_slice(bytes);
         let mut frames = Vec::new();
-        let mut at = 0;
-        while self.buf.len() - at >= HEAD {
-            let head = &self.buf[at..at + HEAD];
-            let word = |r: std::ops::Range<usize>| {
-                let mut w = [0; 4];
-                w.copy_from_slice(&head[r]);
-                u32::from_le_bytes(w)
-            };
-            let mut from = [0; 8];
-            from.copy_from_slice(&head[..8]);
-            let len = word(8..12) as usize;
-            if len > self.most {
-                return Err(Broken::TooLong(len));
+        let mut rest = self.buffer.as_slice();
+        while let Some((header, after_header)) = rest.split_first_chunk::<HEADER_BYTES>() {
+            let header = Header::parse(header);
+            if header.message_bytes > self.max_message_bytes {
+                return Err(FrameError::TooLong(header.message_bytes));
             }
-            if self.buf.len() - at < HEAD + len {
+            let Some((message, after_frame)) = after_header.split_at_checked(header.message_bytes) else {
                 break;
+            };
+            if crc32fast::hash(message) != header.checksum {
+                return Err(FrameError::ChecksumMismatch);
             }
-            let message = &self.buf[at + HEAD..at + HEAD + len];
-            if crc32fast::hash(message) != word(12..16) {
-                return Err(Broken::Changed);
-            }
-            frames.push(Frame { from: u64::from_le_bytes(from), message: message.to_vec() });
-            at += HEAD + len;
+            frames.push(Frame { from: header.from, message: message.to_vec() });
+            rest = after_frame;
         }
-        self.buf.drain(..at);
+        let read = self.buffer.len() - rest.len();
+        self.buffer.drain(..read);
         Ok(frames)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn frames_come_out_as_they_went_in_however_the_bytes_are_cut(
-            messages in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..64), 0..8),
-            cuts in proptest::collection::vec(1usize..40, 1..20),
-        ) {
-            let stream: Vec<u8> = messages.iter().enumerate().flat_map(|(i, m)| encode(i as u64, m)).collect();
-            let mut reader = Reader::new(64);
-            let mut got = Vec::new();
-            let (mut at, mut cut) = (0, cuts.iter().cycle());
-            while at < stream.len() {
-                let n = (*cut.next().unwrap()).min(stream.len() - at);
-                got.extend(reader.feed(&stream[at..at + n]).unwrap());
-                at += n;
-            }
-            prop_assert_eq!(got.len(), messages.len());
-            for (i, (frame, message)) in got.iter().zip(&messages).enumerate() {
-                prop_assert_eq!(frame.from, i as u64);
-                prop_assert_eq!(&frame.message, message);
-            }
-        }
-
-        #[test]
-        fn a_flipped_bit_or_a_long_frame_breaks_the_stream_and_nothing_panics(
-            message in proptest::collection::vec(any::<u8>(), 1..64),
-            bit in 0usize..512,
-        ) {
-            let mut bytes = encode(3, &message);
-            let bit = bit % ((bytes.len() - 8) * 8);
-            bytes[8 + bit / 8] ^= 1 << (bit % 8);
-            let mut reader = Reader::new(64);
-            // A flip in the length may make it wait for more, name a frame too long, or fail the checksum; never pass.
-            if let Ok(frames) = reader.feed(&bytes) {
-                prop_assert!(frames.is_empty());
-            }
-        }
-    }
-
-    #[test]
-    fn a_frame_over_the_bound_is_refused_before_its_bytes_come() {
-        let mut reader = Reader::new(8);
-        let bytes = encode(1, &[0; 9]);
-        assert_eq!(reader.feed(&bytes[..HEAD]), Err(Broken::TooLong(9)));
-    }
-}
+mod tests;
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -1,5 +1,5 @@
 //! Groups of several processes of the program on loopback, with a fault proxy on the way from each member to each other
-//! one. Every run's history of puts and reads is judged for linearizability, and every promise is read again at its end.
+//! one. Every run's history of puts and reads is checked for linearizability, and every committed key is read again at its end.
 
 mod harness;
 
@@ -13,7 +13,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use curlewdeck::replication::wire::HEAD;
+use curlewdeck::replication::wire::HEADER_BYTES;
 use curlewdeck_testkit::history::{self, Action, Operation};
 use curlewdeck_testkit::proxy::{Faults, MessageLength, Proxy};
 
@@ -21,7 +21,7 @@
 use harness::{call_bytes, until, TestCluster};
 
 /// Longer than any call may wait: only a process that stands still takes so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -29,11 +29,23 @@
 
 fn call(at: SocketAddr, method: &str, path: &str, body: &str) -> std::io::Result<Answer> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     stream.write_all(&call_bytes(method, &format!("/group/{path}"), body))?;
     read_answer(&mut BufReader::new(stream))
 }
 
+/// The first line of a log with this message, and only with its fields after it.
+fn log_line(log: &str, message: &str) -> Option<String> {
+    let line = log.lines().find(|line| line.contains(&format!(" group] {message} ")))?;
+    Some(line.to_string())
+}
+
+/// A field of a line.
+fn log_field<'a>(line: &'a str, name: &str) -> &'a str {
+    let field = |word: &'a str| word.strip_prefix(name)?.strip_prefix('=');
+    line.split(' ').find_map(field).unwrap_or_else(|| panic!("no {name} in {line}"))
+}
+
 /// One process of the program, a member of the group.
 struct Member {
     child: Child,
@@ -49,21 +61,17 @@
         command.args(["serve", "--config", "config.json", "--edge", "edge.toml"]).current_dir(dir);
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let log = Arc::new(Mutex::new(String::new()));
-        let (lines, told) = (BufReader::new(child.stderr.take().unwrap()), log.clone());
+        let (lines, log_in_thread) = (BufReader::new(child.stderr.take().unwrap()), log.clone());
         std::thread::spawn(move || {
-            lines.lines().map_while(Result::ok).for_each(|l| *lock(&told) += &(l + "\n"))
+            lines.lines().map_while(Result::ok).for_each(|l| *lock(&log_in_thread) += &(l + "\n"))
         });
-        let words = || -> Option<Vec<String>> {
-            let log = lock(&log);
-            let line = log.lines().find(|l| l.contains(", its clients at "))?;
-            let words = line.split_once(" member ")?.1.split([' ', ',']).filter(|w| !w.is_empty());
-            Some(words.map(str::to_string).collect())
-        };
-        until("the member", || words().is_some());
-        // N listens at A its clients at B
-        let words = words().unwrap();
-        let (id, listen, control) = (words[0].parse(), words[3].parse(), words[7].parse());
-        Self { child, log, id: id.unwrap(), listen: listen.unwrap(), control: control.unwrap() }
+        let started = || log_line(&lock(&log), "member started");
+        until("the member", || started().is_some());
+        let started = started().unwrap();
+        let id = log_field(&started, "member").parse().unwrap();
+        let listen = log_field(&started, "members_address").parse().unwrap();
+        let control = log_field(&started, "clients_address").parse().unwrap();
+        Self { child, log, id, listen, control }
     }
 
     fn status(&self) -> BTreeMap<String, String> {
@@ -212,22 +220,22 @@
 /// Clients that put and read the same keys at whichever member, until they are told to stop.
 struct Clients {
     stop: Arc<AtomicBool>,
-    promised: Arc<AtomicU64>,
+    committed: Arc<AtomicU64>,
     threads: Vec<JoinHandle<Vec<Operation>>>,
     begun: Instant,
 }
 
 /// Puts on one key by one client: few enough for the checker.
-const ON_A_KEY: u64 = 4;
+const PUTS_PER_KEY: u64 = 4;
 
 impl Clients {
     fn start(group: &Group) -> Self {
-        let (stop, promised, begun) =
+        let (stop, committed, begun) =
             (Arc::<AtomicBool>::default(), Arc::<AtomicU64>::default(), Instant::now());
         let client = |who: u64| {
-            let (stop, promised, controls) = (stop.clone(), promised.clone(), group.controls.clone());
+            let (stop, committed, controls) = (stop.clone(), committed.clone(), group.controls.clone());
             std::thread::spawn(move || {
-                let mut events = Vec::new();
+                let mut operations = Vec::new();
                 for n in 0.. {
                     if stop.load(Ordering::SeqCst) {
                         break;
@@ -236,42 +244,43 @@
                         let controls = lock(&controls);
                         controls[((n + who) % controls.len() as u64) as usize]
                     };
-                    let (key, value) = (format!("k{}", n / ON_A_KEY), format!("{who}-{n}"));
-                    let (kept, read) = (put(begun, at, &key, &value), get(begun, at, &key));
-                    promised.fetch_add(
-                        u64::from(kept.as_ref().is_some_and(|e| e.completed_at.is_some())),
+                    let (key, value) = (format!("k{}", n / PUTS_PER_KEY), format!("{who}-{n}"));
+                    let (written, read) = (put(begun, at, &key, &value), get(begun, at, &key));
+                    committed.fetch_add(
+                        u64::from(written.as_ref().is_some_and(|e| e.completed_at.is_some())),
                         Ordering::SeqCst,
                     );
                     if read.is_none() {
                         // No leader: it takes a while to find one.
                         std::thread::sleep(Duration::from_millis(10));
                     }
-                    events.extend(kept.into_iter().chain(read));
+                    operations.extend(written.into_iter().chain(read));
                 }
-                events
+                operations
             })
         };
         let threads = (0..3).map(client).collect();
-        Self { stop, promised, threads, begun }
+        Self { stop, committed, threads, begun }
     }
 
-    fn promised(&self) -> u64 {
-        self.promised.load(Ordering::SeqCst)
+    fn committed(&self) -> u64 {
+        self.committed.load(Ordering::SeqCst)
     }
 
-    /// Waits until so many more puts were promised.
+    /// Waits until so many more puts were committed.
     fn go_on(&self, more: u64) {
-        let before = self.promised();
-        until("promises", || self.promised() >= before + more);
+        let before = self.committed();
+        until("commits", || self.committed() >= before + more);
     }
 
     /// Stops them, reads every key again at that member, and judges the whole history.
     fn judge(self, at: SocketAddr) {
         self.stop.store(true, Ordering::SeqCst);
-        let mut events: Vec<Operation> = self.threads.into_iter().flat_map(|t| t.join().unwrap()).collect();
+        let mut operations: Vec<Operation> =
+            self.threads.into_iter().flat_map(|t| t.join().unwrap()).collect();
         let written = |e: &&Operation| matches!(e.action, Action::Write(_)) && e.completed_at.is_some();
         let keys: std::collections::BTreeSet<String> =
-            events.iter().filter(written).map(|e| e.key.clone()).collect();
+            operations.iter().filter(written).map(|e| e.key.clone()).collect();
         for key in &keys {
             let mut last = None;
             until("a last read", || {
@@ -279,11 +288,11 @@
                 last.is_some()
             });
             let last = last.unwrap();
-            assert_ne!(last.action, Action::Read(None), "{key} was promised and is gone");
-            events.push(last);
+            assert_ne!(last.action, Action::Read(None), "{key} was committed and is gone");
+            operations.push(last);
         }
-        let judged = history::check(&events).unwrap_or_else(|v| panic!("{v}: {:?}", v.operations));
-        assert!(judged >= keys.len() && !keys.is_empty());
+        let checked_keys = history::check(&operations).unwrap_or_else(|v| panic!("{v}: {:?}", v.operations));
+        assert!(checked_keys >= keys.len() && !keys.is_empty());
     }
 }
 
@@ -291,34 +300,30 @@
     u64::try_from(begun.elapsed().as_micros()).unwrap()
 }
 
-/// A put that was promised, or of which nothing is known; nothing where it was refused.
+/// A put that was committed, or of which nothing is known; nothing where it was refused.
 fn put(begun: Instant, at: SocketAddr, key: &str, value: &str) -> Option<Operation> {
-    let (called, answer) = (micros(begun), call(at, "PUT", &format!("keys/{key}"), value));
+    let (called_at, answer) = (micros(begun), call(at, "PUT", &format!("keys/{key}"), value));
     let status = answer.map_or(0, |a| a.status);
-    let done = (status == 200).then(|| micros(begun));
-    let event = Operation {
-        key: key.into(),
-        action: Action::Write(value.into()),
-        called_at: called,
-        completed_at: done,
-    };
-    (!matches!(status, 503 | 410)).then_some(event)
+    let completed_at = (status == 200).then(|| micros(begun));
+    let action = Action::Write(value.into());
+    let operation = Operation { key: key.into(), action, called_at, completed_at };
+    (!matches!(status, 503 | 410)).then_some(operation)
 }
 
 /// A read that was answered.
 fn get(begun: Instant, at: SocketAddr, key: &str) -> Option<Operation> {
-    let (called, answer) = (micros(begun), call(at, "GET", &format!("keys/{key}"), "").ok()?);
+    let (called_at, answer) = (micros(begun), call(at, "GET", &format!("keys/{key}"), "").ok()?);
     let action = match answer.status {
         200 => Action::Read(Some(answer.body.into_bytes())),
         404 => Action::Read(None),
         _ => return None,
     };
-    Some(Operation { key: key.into(), action, called_at: called, completed_at: Some(micros(begun)) })
+    Some(Operation { key: key.into(), action, called_at, completed_at: Some(micros(begun)) })
 }
 
-/// Guards every promise given before a leader is lost with its disk in a burst of them; it comes back as a new member.
+/// Guards every write committed before a leader is lost with its disk in a burst of writes; it comes back as a new member.
 #[test]
-fn a_leader_lost_with_its_disk_takes_no_promise_with_it() {
+fn a_leader_lost_with_its_disk_loses_no_committed_write() {
     let mut group = Group::start("leader", 3);
     let clients = Clients::start(&group);
     clients.go_on(60);
@@ -348,7 +353,7 @@
 /// Guards against a side without most of the group that answers stale or holds its clients, against a leader that
 /// hears and is not heard, and against a member that stood still for longer than an election.
 #[test]
-fn cuts_pauses_and_delays_neither_lose_nor_bend_what_was_promised() {
+fn cuts_pauses_and_delays_neither_lose_nor_change_what_was_committed() {
     let group = Group::start("cuts", 5);
     let clients = Clients::start(&group);
     clients.go_on(30);
@@ -366,7 +371,7 @@
     group.done("PUT", "keys/cut", "most", by);
     assert!(refused(leader) && refused(with), "the few answer while they are cut off");
     group.heal();
-    until("the few to read what most promised", || {
+    until("the few to read what most committed", || {
         call(group.member(with).control, "GET", "keys/cut", "").is_ok_and(|a| a.body == "most")
     });
     let leader = group.leader();
@@ -392,10 +397,10 @@
     let all = [0, 1, 2, 3, 4];
     group.cut(&all, &all, Faults { delay: Duration::from_millis(20), ..Faults::default() });
     clients.go_on(20);
-    // Frames that come twice and overtake each other: the sender and the length come first, as in `group::wire`.
+    // Frames that come twice and overtake each other: the sender and the length come first, as in `replication::wire`.
     let message_length: MessageLength = |bytes| {
         let length = bytes.get(8..12)?.try_into().map(u32::from_le_bytes).ok()?;
-        Some(HEAD + length as usize)
+        Some(HEADER_BYTES + length as usize)
     };
     group.cut(&all, &all, Faults { reorder: Some(message_length), ..Faults::default() });
     clients.go_on(60);
@@ -405,7 +410,7 @@
 
 /// Guards a group of five that loses two machines with their disks at once.
 #[test]
-fn two_lost_with_their_disks_are_replaced() {
+fn two_members_lost_with_their_disks_are_replaced() {
     let mut group = Group::start("two", 5);
     let clients = Clients::start(&group);
     clients.go_on(40);
@@ -429,7 +434,7 @@
 /// Guards against a log that has changed on the disk or was torn there: it is not believed, the member comes back as a new
 /// one and gets all from others.
 #[test]
-fn a_changed_or_torn_log_is_set_aside_and_its_member_catches_up() {
+fn a_changed_or_torn_log_is_quarantined_and_its_member_catches_up() {
     let damages: [(&str, Damage); 2] =
         [("flipped", |bytes| bytes[0] ^= 1), ("torn", |bytes| bytes[9..].fill(0))];
     for (name, damage) in damages {
@@ -448,7 +453,11 @@
         places.iter().for_each(|&at| damage(&mut bytes[at..at + value.len()]));
         std::fs::write(&file, bytes).unwrap();
         group.begin(changed);
-        assert!(lock(&group.member(changed).log).contains("is set aside as "), "{name}");
+        assert!(
+            lock(&group.member(changed).log)
+                .contains(" group] log cannot be used: folder quarantined error="),
+            "{name}"
+        );
         group.replace(changed, old, leader);
         until("the value from others", || {
             let answer = call(group.member(changed).control, "GET", "keys/plaza", "").unwrap();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -9,14 +9,12 @@
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
-use curlewdeck::replication::disk::{Disk, DiskError, Found};
+use curlewdeck::replication::disk::{DiskError, LogStorage, StoredLog};
 use curlewdeck::snapshot_store::{SnapshotContents, SnapshotStore, StateConfig, STATE_RECORD};
 use curlewdeck_accounting::saved::{SavedClass, SavedLedger};
 use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, Place, Reached};
 use curlewdeck_merge::query::{Op, Order, Query};
-use curlewdeck_replication::codec::{self, COMMAND};
-use curlewdeck_replication::store::to_disk;
-use curlewdeck_replication::{Bounds, Command, Member, Store};
+use curlewdeck_replication::{disk_format, Command, Member, RaftLog, ReplicationLimits};
 use curlewdeck_snapshot::record;
 use raft::eraftpb::EntryType;
 
@@ -124,19 +122,15 @@
 }
 
 /// What is stored, for comparison.
-type StoredLog = (u64, Store);
+type MemberLog = (u64, RaftLog);
 
-fn read_log(folder: &Path) -> Result<StoredLog, DiskError> {
-    match Disk::open(folder)?.1 {
-        Found::Member(id, log) => Ok((id, *log)),
-        Found::Nothing => panic!("the log is gone without a word"),
+fn read_log(folder: &Path) -> Result<MemberLog, DiskError> {
+    match LogStorage::open(folder)?.1 {
+        StoredLog::Member { id, log } => Ok((id, *log)),
+        StoredLog::Empty => panic!("the log is gone without a word"),
     }
 }
 
-fn is_corrupt(error: &DiskError) -> bool {
-    matches!(error, DiskError::Unsound(_))
-}
-
 /// What stands beside the commands: the member that proposed them, the number of its start and that of its request.
 const PROPOSALS: [&str; 3] = ["03018580808010300c8634", "03018780808010505f464e", "0301888080801081c816cc"];
 
@@ -145,42 +139,47 @@
     let value = |text: &str| text.as_bytes().to_vec();
     vec![
         (7, Command::Put { key: "plaza-a".into(), value: value("value after the snapshot") }),
-        (8, Command::Swap { key: "plaza-b".into(), version: 4, value: None }),
+        (8, Command::CompareAndSet { key: "plaza-b".into(), version: 4, value: None }),
         (9, Command::Put { key: "plaza-d".into(), value: value("new key") }),
     ]
 }
 
-fn check_log((id, log): &StoredLog) {
+fn check_log((id, log): &MemberLog) {
     assert_eq!(*id, 1);
-    let hard = log.hard();
+    let hard = log.hard_state();
     assert_eq!((hard.term, hard.vote, hard.commit), (2, 1, 9));
-    assert_eq!(log.conf().voters, [1]);
-    assert_eq!((log.image_index(), log.image().get_metadata().term), (6, 2));
-    let entries: Vec<(u64, Command)> =
-        log.log().iter().map(|e| (e.index, codec::open::<Command>(COMMAND, e.get_data()).unwrap())).collect();
+    assert_eq!(log.conf_state().voters, [1]);
+    assert_eq!((log.snapshot_index(), log.last_snapshot().get_metadata().term), (6, 2));
+    let entries: Vec<(u64, Command)> = log
+        .entries_after_snapshot()
+        .iter()
+        .map(|e| (e.index, Command::from_entry_data(e.get_data()).unwrap()))
+        .collect();
     assert_eq!(entries, commands());
-    for (entry, request) in log.log().iter().zip(PROPOSALS) {
+    for (entry, request) in log.entries_after_snapshot().iter().zip(PROPOSALS) {
         assert_eq!((entry.term, entry.get_entry_type()), (2, EntryType::EntryNormal));
         assert_eq!(hex::encode(entry.get_context()), request);
     }
-    let member = Member::recover(*id, log.clone(), Bounds::default()).unwrap();
-    let map = member.state();
-    let values: BTreeMap<&str, (&[u8], u64)> =
-        map.scan("", 9).map(|(key, slot)| (key, (&slot.value[..], slot.version))).collect();
+    let member = Member::recover(*id, log.clone(), ReplicationLimits::default()).unwrap();
+    let map = member.map();
     let expected: [(&str, (&[u8], u64)); 4] = [
         ("lease", (b"holder 7", 6)),
         ("plaza-a", (b"value of plaza-a", 3)),
         ("plaza-b", (b"value of plaza-b", 4)),
         ("plaza-c", (b"value of plaza-c", 5)),
     ];
-    assert_eq!((map.applied(), values), (6, BTreeMap::from(expected)));
+    for (key, (value, version)) in expected {
+        let stored = map.get(key).unwrap_or_else(|| panic!("{key} is missing"));
+        assert_eq!((&stored.value[..], stored.version), (value, version), "{key}");
+    }
+    assert_eq!((map.applied_index(), map.len()), (6, expected.len()));
 }
 
 #[test]
 fn the_log_of_an_earlier_version_is_read() {
     let copy = Copy::of("log", LOG_FILE, &log_fixture());
     check_log(&read_log(&copy.folder).unwrap());
-    assert_eq!(Disk::open(&copy.folder).unwrap().0.boot().unwrap(), 2, "the count of starts");
+    assert_eq!(LogStorage::open(&copy.folder).unwrap().0.count_start().unwrap(), 2, "the count of starts");
     check_log(&read_log(&copy.folder).unwrap());
 }
 
@@ -190,8 +189,8 @@
     let bytes = log_fixture();
     let copy = Copy::of("changed-record", LOG_FILE, &bytes);
     let (_, log) = read_log(&copy.folder).unwrap();
-    let mut records = vec![to_disk(log.image()), to_disk(log.hard())];
-    records.extend(log.log().iter().map(to_disk));
+    let mut records = vec![disk_format::encode(log.last_snapshot()), disk_format::encode(log.hard_state())];
+    records.extend(log.entries_after_snapshot().iter().map(disk_format::encode));
     for record in records {
         let found = |(at, window): (usize, &[u8])| (window == record).then_some(at);
         let places: Vec<usize> = bytes.windows(record.len()).enumerate().filter_map(found).collect();
@@ -201,7 +200,7 @@
             places.iter().for_each(|place| changed[place + at] ^= 1);
             std::fs::write(&copy.file, changed).unwrap();
             let error = read_log(&copy.folder).expect_err("a changed record was believed");
-            assert!(is_corrupt(&error), "{error}");
+            assert!(error.is_corrupt(), "{error}");
         }
     }
 }
@@ -223,7 +222,7 @@
                 unchanged += 1;
             }
             Err(error) => {
-                assert!(is_corrupt(&error), "byte {at}: {error}");
+                assert!(error.is_corrupt(), "byte {at}: {error}");
                 found += 1;
             }
         }
