--- a/crates/accounting/src/node_table.rs
+++ b/crates/accounting/src/node_table.rs
@@ -48,7 +48,7 @@
     /// Nodes that get no row as long as the core knows them: a row that came later would count the ends of attempts
     /// whose starts it has not counted.
     unlisted_ids: HashSet<ServerId>,
-    next: u32,
+    next_index: u32,
     evicted: u64,
     unlisted: u64,
 }
@@ -61,20 +61,20 @@
             rows: BTreeMap::new(),
             by_id: HashMap::new(),
             unlisted_ids: HashSet::new(),
-            next: 1,
+            next_index: 1,
             evicted: 0,
             unlisted: 0,
         }
     }
 
     /// The index of the next node.
-    pub fn next(&self) -> u32 {
-        self.next
+    pub fn next_index(&self) -> u32 {
+        self.next_index
     }
 
     /// Continues from the counts of an earlier process.
-    pub fn restore(&mut self, next: u32, evicted: u64, unlisted: u64) {
-        (self.next, self.evicted, self.unlisted) = (self.next.max(next), evicted, unlisted);
+    pub fn restore(&mut self, next_index: u32, evicted: u64, unlisted: u64) {
+        (self.next_index, self.evicted, self.unlisted) = (self.next_index.max(next_index), evicted, unlisted);
     }
 
     /// Rows that were evicted before their retention was over.
@@ -128,8 +128,8 @@
             self.evicted += 1;
         }
         // No process ever sees as many nodes as there are indices.
-        let index = self.next;
-        self.next = self.next.saturating_add(1);
+        let index = self.next_index;
+        self.next_index = self.next_index.saturating_add(1);
         let row = NodeRow {
             index,
             name: name.to_string(),
--- a/crates/accounting/src/request_ledger.rs
+++ b/crates/accounting/src/request_ledger.rs
@@ -119,7 +119,7 @@
             retries: self.attempts.retries.min(ended),
             hedges: self.attempts.hedges.min(ended),
             ended: self.attempts.ended,
-            next_node_index: self.nodes.next(),
+            next_node_index: self.nodes.next_index(),
             nodes_evicted: self.nodes.evicted(),
             nodes_unlisted: self.nodes.unlisted(),
         }
--- a/src/replication/peers.rs
+++ b/src/replication/peers.rs
@@ -102,8 +102,9 @@
                 })
                 .ok();
         }
-        let frame = wire::encode(own_id, &message.bytes);
-        let written = connection.as_ref().is_some_and(|mut stream| stream.write_all(&frame).is_ok());
+        let written = connection
+            .as_ref()
+            .is_some_and(|mut stream| stream.write_all(&wire::encode(own_id, &message.bytes)).is_ok());
         if !written {
             connection = None;
             failed_at = Some(Instant::now());
--- a/src/replication/snapshot_replica.rs
+++ b/src/replication/snapshot_replica.rs
@@ -71,3 +71,6 @@
         RequestOutcome::Unknown => "Unknown".to_owned(),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -366,12 +366,12 @@
         let answer = call(group.member(n).control, "GET", "keys/k0", "").unwrap();
         answer.status == 503 && answer.header("retry-after").is_some()
     };
-    until("the few to refuse", || refused(leader) && refused(with));
+    until("the minority to reject", || refused(leader) && refused(with));
     let by = group.leader_but(&[leader, with]);
     group.done("PUT", "keys/cut", "most", by);
-    assert!(refused(leader) && refused(with), "the few answer while they are cut off");
+    assert!(refused(leader) && refused(with), "the minority answers while it is cut off");
     group.heal();
-    until("the few to read what most committed", || {
+    until("the minority to read what the majority committed", || {
         call(group.member(with).control, "GET", "keys/cut", "").is_ok_and(|a| a.body == "most")
     });
     let leader = group.leader();
