--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -289,8 +289,8 @@
     /// The shards that any of these partition groups holds.
     fn shards_held_by(&self, partition_groups: &[u32]) -> Vec<ShardId> {
         let layout = &self.deployment.settings.layout;
-        let is_held =
+        let is_in_a_group =
             |&shard: &ShardId| partition_groups.iter().any(|&group| group_holds(layout, group, shard));
-        (0..self.deployment.shards).map(ShardId).filter(is_held).collect()
+        (0..self.deployment.shards).map(ShardId).filter(is_in_a_group).collect()
     }
 }
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -76,7 +76,7 @@
     dispatch: Dispatch,
 }
 
-/// Clients, data nodes and discovery round an engine, and what they have seen of it.
+/// Clients, data nodes and discovery around an engine, and what they have seen of it.
 #[derive(Default)]
 struct Simulation {
     now: Nanos,
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -37,8 +37,8 @@
     }
 
     /// Bytes were read, or requests taken out of them: whether the beginning of a request is left.
-    pub fn part(&mut self, held: bool) {
-        self.has_partial_request = held;
+    pub fn part(&mut self, is_partial: bool) {
+        self.has_partial_request = is_partial;
     }
 
     /// A request has been read; returns whether it is to be answered.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -35,5 +35,6 @@
 /// [`CALL_GAP`] after the other, so that a slow service is still heard.
 pub const CALL_LIFETIME: Nanos = 2 * CALL_GAP;
 
+/// The former name of [`NOTIFIED_AFTER`].
 #[doc(hidden)]
 pub use self::NOTIFIED_AFTER as TOLD_AFTER;
