--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -50,7 +50,7 @@
     }
 
     fn leader(&self) -> Option<&RunningMember> {
-        self.members.iter().find(|m| m.status.now().role == Role::Leader)
+        self.members.iter().find(|m| m.status.latest().role == Role::Leader)
     }
 
     /// Commits a second, and the median and the 99th percentile of the latency of one.
@@ -103,7 +103,7 @@
                 .request(ClientRequest::AddMember { id: new.id, address: new.listen }, REQUEST_TIMEOUT),
             RequestOutcome::Committed(_)
         ));
-        let applied = |m: &RunningMember| m.status.now().applied;
+        let applied = |m: &RunningMember| m.status.latest().applied;
         let want = applied(leader);
         until(|| applied(&new) >= want);
         let took = begun.elapsed();
--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -12,11 +12,11 @@
 use curlewdeck_snmp::notify::{Bounds, Notice, Notifier, Send, Target};
 
 use crate::api::Nanos;
+use crate::config::{NotifyConfig, SnmpConfig};
 use crate::limits::Limits;
 use crate::mib;
 use crate::net::coordinator::CoreHandle;
 use crate::runtime::nanos;
-use crate::config::{NotifyConfig, SnmpConfig};
 use detector::{AlertDetector, DescriptorUse, Observation};
 
 /// Between two checks whether something is due or the process is shutting down.
@@ -50,11 +50,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct ShutdownSignal(Arc<AtomicBool>);
 
-pub use ShutdownSignal as Stopping;
-
 impl ShutdownSignal {
     /// The process has begun to shut down.
-    pub fn now(&self) {
+    pub fn send(&self) {
         self.0.store(true, Ordering::Release);
     }
 
--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -146,10 +146,10 @@
 
     fn check_state(&self) -> Result<(), EdgeError> {
         let Some(state) = &self.state else { return Ok(()) };
-        if !state.folder.is_dir() || state.every_s == 0 {
+        if !state.folder.is_dir() || state.write_interval_s == 0 {
             return Err(EdgeError::State { folder: state.folder.clone() });
         }
-        if state.copied && self.group.is_none() {
+        if state.replicated && self.group.is_none() {
             return Err(EdgeError::NoReplicationGroup);
         }
         Ok(())
--- a/src/mib.rs
+++ b/src/mib.rs
@@ -10,7 +10,7 @@
 
 use crate::api::{EndpointState, Nanos};
 use crate::counters::Counters;
-use crate::replication::driver::{Role, Standing};
+use crate::replication::driver::{MemberStatus, Role};
 
 /// `curlewdeck` of the MIB.
 pub const ROOT: [u32; 8] = [1, 3, 6, 1, 4, 1, 32473, 1];
@@ -254,7 +254,7 @@
     counters: &Counters,
     books: &LedgerSnapshot,
     begun: Nanos,
-    standing: Option<&Standing>,
+    standing: Option<&MemberStatus>,
 ) -> Vec<(Oid, Value)> {
     let mut all = Vec::new();
     let mut put = |base: &[u32], arcs: &[u32], value: Value| all.push(([base, arcs].concat(), value));
@@ -278,12 +278,12 @@
     }
     let role = match standing.map(|s| s.role) {
         None => 1,
-        Some(Role::WithoutLeader) => 2,
+        Some(Role::NoLeader) => 2,
         Some(Role::Follower) => 3,
         Some(Role::Leader) => 4,
-        Some(Role::Gone) => 5,
+        Some(Role::Stopped) => 5,
     };
-    let none = Standing::default();
+    let none = MemberStatus::default();
     let group = standing.unwrap_or(&none);
     let number = |id: u64| Value::Text(id.to_string().into_bytes());
     let row = [
@@ -382,7 +382,7 @@
     /// Every object of the registry is served with its kind, and nothing else below the module's root.
     #[test]
     fn what_is_served_is_what_the_registry_says() {
-        let group = Standing { voters: vec![1 << 40], ..Standing::default() };
+        let group = MemberStatus { voters: vec![1 << 40], ..MemberStatus::default() };
         let (module, served) = (module(), objects(&Counters::default(), &books(), 0, Some(&group)));
         for (oid, object) in module.objects() {
             let mut values = served.iter().filter(|o| o.0.starts_with(&oid)).peekable();
--- a/src/replication/api.rs
+++ b/src/replication/api.rs
@@ -119,7 +119,7 @@
         }
         match (path, request.method.as_str()) {
             ("/group/status", "GET") => {
-                Reply { body: self.status.now().text().into_bytes(), ..Reply::text(200, "") }
+                Reply { body: self.status.latest().text().into_bytes(), ..Reply::text(200, "") }
             }
             ("/group/snapshot", "POST") => self.request(ClientRequest::CreateSnapshot),
             ("/group/status", _) => Reply::text(405, "the status is read by GET").with("Allow", "GET"),
--- a/src/replication/driver.rs
+++ b/src/replication/driver.rs
@@ -15,9 +15,8 @@
 use super::disk::{DiskError, LogStorage};
 use super::member_handle::{ClientRequest, MemberMessage};
 use super::peers::Peers;
-use super::status::{MemberStatus, SharedStatus};
 
-pub use super::status::{MemberStatus as Standing, Role, SharedStatus as Standings};
+pub use super::status::{MemberStatus, Role, SharedStatus};
 
 /// Messages that are processed together before their writes are synced.
 const MAX_BATCH_MESSAGES: usize = 256;
@@ -106,7 +105,7 @@
 
     fn stop_after(&self, error: &DiskError) {
         log::error!(target: "group", member = self.member.id(), error:% = error; "member stopped: disk failed");
-        let status = MemberStatus { role: Role::Gone, leader: 0, ..MemberStatus::of(&self.member) };
+        let status = MemberStatus { role: Role::Stopped, leader: 0, ..MemberStatus::of(&self.member) };
         self.status.publish(status);
     }
 
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -37,9 +37,9 @@
 #[derive(Debug)]
 pub struct Group {
     /// Where its clients are served.
-    pub clients: SocketAddr,
+    pub clients_address: SocketAddr,
     /// Its status.
-    pub standings: SharedStatus,
+    pub status: SharedStatus,
     member: MemberHandle,
     request_timeout: Duration,
 }
@@ -66,12 +66,12 @@
         clients_address:% = clients;
         "member started"
     );
-    Ok(Group { clients, standings: running.status, member: running.handle, request_timeout })
+    Ok(Group { clients_address: clients, status: running.status, member: running.handle, request_timeout })
 }
 
 impl Group {
     /// The replica of the state of the coordinator with this name.
-    pub fn copy_of(&self, name: &str) -> Box<dyn SnapshotReplica> {
+    pub fn snapshot_replica(&self, name: &str) -> Box<dyn SnapshotReplica> {
         Box::new(ReplicatedSnapshot::new(self.member.clone(), self.request_timeout, name))
     }
 }
--- a/src/replication/status.rs
+++ b/src/replication/status.rs
@@ -11,23 +11,23 @@
 pub enum Role {
     /// It knows no leader.
     #[default]
-    WithoutLeader,
+    NoLeader,
     /// It follows a leader.
     Follower,
     /// It is the leader.
     Leader,
     /// It was removed from the group, or has stopped after an error.
-    Gone,
+    Stopped,
 }
 
 impl Role {
     /// Its name in the status text.
     pub fn word(self) -> &'static str {
         match self {
-            Self::WithoutLeader => "without a leader",
+            Self::NoLeader => "without a leader",
             Self::Follower => "follower",
             Self::Leader => "leader",
-            Self::Gone => "gone",
+            Self::Stopped => "gone",
         }
     }
 }
@@ -63,10 +63,10 @@
     pub(super) fn of(member: &Member) -> Self {
         let (log, map) = (member.log(), member.map());
         let role = match (member.is_stopped(), member.is_leader(), member.leader()) {
-            (true, ..) => Role::Gone,
+            (true, ..) => Role::Stopped,
             (_, true, _) => Role::Leader,
             (_, _, Some(_)) => Role::Follower,
-            _ => Role::WithoutLeader,
+            _ => Role::NoLeader,
         };
         Self {
             id: member.id(),
@@ -105,13 +105,13 @@
     }
 
     /// The status that was published last.
-    pub fn now(&self) -> Arc<MemberStatus> {
+    pub fn latest(&self) -> Arc<MemberStatus> {
         lock(&self.0).clone()
     }
 
     /// Publishes the status, and logs what has changed of the term, the vote, the membership and the snapshot.
     pub(super) fn publish_changes(&self, status: MemberStatus) {
-        let before = self.now();
+        let before = self.latest();
         if status != *before {
             log_changes(&before, &status);
             self.publish(status);
--- a/src/snapshot_store.rs
+++ b/src/snapshot_store.rs
@@ -34,11 +34,11 @@
     /// The state folder; it must exist, and belong to this instance alone.
     pub folder: PathBuf,
     /// Seconds between two writes of a state that has changed.
-    #[serde(default = "default_write_interval_s")]
-    pub every_s: u64,
+    #[serde(rename = "every_s", default = "default_write_interval_s")]
+    pub write_interval_s: u64,
     /// Whether the state is replicated to the group too, under the coordinator's name.
-    #[serde(default)]
-    pub copied: bool,
+    #[serde(rename = "copied", default)]
+    pub replicated: bool,
 }
 
 fn default_write_interval_s() -> u64 {
@@ -54,9 +54,11 @@
     /// How often a process has started with this state.
     pub boots: u32,
     /// The management agent's engine id.
-    pub engine: Vec<u8>,
+    #[serde(rename = "engine")]
+    pub engine_id: Vec<u8>,
     /// The totals of the request ledger.
-    pub books: SavedLedger,
+    #[serde(rename = "books")]
+    pub ledger: SavedLedger,
 }
 
 /// The state of this process, and where it is stored.
@@ -91,7 +93,7 @@
         replica: Option<Box<dyn SnapshotReplica>>,
     ) -> Result<Self, SnapshotError> {
         let in_directory = |source| SnapshotError::Directory { directory: config.folder.clone(), source };
-        if config.every_s == 0 {
+        if config.write_interval_s == 0 {
             return Err(in_directory(DirectoryError::ZeroWriteInterval));
         }
         let directory = SnapshotDirectory::lock(&config.folder).map_err(in_directory)?;
@@ -105,12 +107,12 @@
             contents = replicated.filter(|other| other.boots > contents.boots).unwrap_or(contents);
         }
         contents.boots = contents.boots.saturating_add(1);
-        if contents.engine.is_empty() {
-            contents.engine = engine;
+        if contents.engine_id.is_empty() {
+            contents.engine_id = engine;
         }
         let bytes = record::seal(STATE_RECORD, &contents).ok_or(SnapshotError::TooLarge)?;
         let boots = contents.boots;
-        let write_interval = Duration::from_secs(config.every_s);
+        let write_interval = Duration::from_secs(config.write_interval_s);
         let store = Self {
             directory,
             write_interval,
@@ -129,7 +131,7 @@
     }
 
     /// The state as it was restored, with the number of this start.
-    pub fn kept(&self) -> SnapshotContents {
+    pub fn contents(&self) -> SnapshotContents {
         self.state().contents.clone()
     }
 
@@ -137,7 +139,7 @@
     ///
     /// # Errors
     /// The thread cannot be started.
-    pub fn start(self: &Arc<Self>, core: CoreHandle) -> io::Result<()> {
+    pub fn start_writing(self: &Arc<Self>, core: CoreHandle) -> io::Result<()> {
         let store = self.clone();
         std::thread::Builder::new().name("snapshot".into()).spawn(move || loop {
             std::thread::sleep(store.write_interval);
@@ -153,7 +155,7 @@
             return;
         };
         let mut state = self.state();
-        state.contents.books = ledger;
+        state.contents.ledger = ledger;
         let Some(bytes) = record::seal(STATE_RECORD, &state.contents) else {
             log::error!("state not written: it is too large");
             return;
--- a/src/snapshot_store/tests.rs
+++ b/src/snapshot_store/tests.rs
@@ -14,7 +14,7 @@
     }
 
     fn config(&self) -> StateConfig {
-        StateConfig { folder: self.0.clone(), every_s: 1, copied: false }
+        StateConfig { folder: self.0.clone(), write_interval_s: 1, replicated: false }
     }
 
     fn load(&self) -> Result<SnapshotStore, SnapshotError> {
@@ -32,8 +32,8 @@
 fn boots_never_come_twice_and_the_engine_stays() {
     let folder = Folder::new("boots");
     for boots in 1..5 {
-        let contents = folder.load().unwrap().kept();
-        assert_eq!((contents.boots, contents.engine), (boots, vec![1, 2, 3, 4, 5]));
+        let contents = folder.load().unwrap().contents();
+        assert_eq!((contents.boots, contents.engine_id), (boots, vec![1, 2, 3, 4, 5]));
     }
 }
 
@@ -78,7 +78,7 @@
     let first = Folder::new("replicated");
     drop(load(&first).unwrap());
     let lost = load(&first).unwrap();
-    assert_eq!(lost.kept().boots, 2);
+    assert_eq!(lost.contents().boots, 2);
     let contents = SnapshotContents { boots: 2, ..SnapshotContents::default() };
     let bytes = record::seal(STATE_RECORD, &contents).unwrap();
     replica.0.lock().unwrap().answers_are_lost = true;
@@ -86,7 +86,7 @@
     replica.0.lock().unwrap().answers_are_lost = false;
     lost.replicate(&bytes, 2).unwrap();
     let other = Folder::new("replaced");
-    assert_eq!(load(&other).unwrap().kept().boots, 3);
+    assert_eq!(load(&other).unwrap().contents().boots, 3);
     assert!(lost.replicate(&bytes, 2).is_err(), "it wrote over the one that took its place");
     assert_eq!(lost.replicate(&bytes, 2), Err(ReplicaError::Superseded));
     assert!(ReplicaError::Superseded.to_string().contains("another process"));
@@ -99,7 +99,7 @@
     let first = folder.load().unwrap();
     assert!(folder.load().unwrap_err().to_string().contains("another process uses it"));
     drop(first);
-    assert_eq!(folder.load().unwrap().kept().boots, 2);
+    assert_eq!(folder.load().unwrap().contents().boots, 2);
 }
 
 /// A torn or foreign file is quarantined, never overwritten; what is left of a write that was cut off is not read.
@@ -109,10 +109,10 @@
     folder.load().unwrap();
     let good = fs::read(folder.0.join(STATE_FILE)).unwrap();
     fs::write(folder.0.join("books.new"), &good[..5]).unwrap();
-    assert_eq!(folder.load().unwrap().kept().boots, 2);
+    assert_eq!(folder.load().unwrap().contents().boots, 2);
     for (n, bad) in [&good[..good.len() - 1], b"somebody else's", b""].iter().enumerate() {
         fs::write(folder.0.join(STATE_FILE), bad).unwrap();
-        assert_eq!(folder.load().unwrap().kept().boots, 1);
+        assert_eq!(folder.load().unwrap().contents().boots, 1);
         let quarantined = folder.0.join(format!("books.bad-{}", n + 1));
         assert_eq!(fs::read(quarantined).unwrap(), *bad);
     }
@@ -128,10 +128,10 @@
 /// Guards the texts that an operator sees at the start.
 #[test]
 fn errors_name_the_folder_and_what_is_wrong_with_it() {
-    let config = StateConfig { folder: "/nowhere/at/all".into(), every_s: 1, copied: false };
+    let config = StateConfig { folder: "/nowhere/at/all".into(), write_interval_s: 1, replicated: false };
     let error = SnapshotStore::load(&config, Vec::new(), None).unwrap_err().to_string();
     assert!(error.starts_with("state folder /nowhere/at/all: "), "{error}");
-    let config = StateConfig { every_s: 0, ..config };
+    let config = StateConfig { write_interval_s: 0, ..config };
     let error = SnapshotStore::load(&config, Vec::new(), None).unwrap_err().to_string();
     assert_eq!(error, "state folder /nowhere/at/all: every_s must be above 0");
 }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -18,7 +18,7 @@
 use crate::limits::Limits;
 use crate::mib;
 use crate::net::coordinator::CoreHandle;
-use crate::replication::driver::Standings;
+use crate::replication::driver::SharedStatus;
 use crate::runtime::{nanos, spawn, SpawnError};
 
 /// Why the management agent cannot be started.
@@ -84,7 +84,7 @@
     agent: Agent,
     core: CoreHandle,
     counters: Arc<Counters>,
-    group: Option<Standings>,
+    group: Option<SharedStatus>,
     walkers: Walkers<SocketAddr>,
     begun: Nanos,
 }
@@ -96,7 +96,7 @@
         // Nobody waits any more after the time-out.
         self.core.ledger_snapshot(move |snapshot| drop(told.send(snapshot)));
         let books = figures.recv_timeout(BOOKS).ok()?;
-        let standing = self.group.as_ref().map(Standings::now);
+        let standing = self.group.as_ref().map(SharedStatus::latest);
         let mut objects = mib::objects(&self.counters, &books, self.begun, standing.as_deref());
         objects.extend(self.agent.objects(time));
         Some(Tree::new(objects))
@@ -134,7 +134,7 @@
     config: &SnmpConfig,
     core: CoreHandle,
     counters: Arc<Counters>,
-    group: Option<Standings>,
+    group: Option<SharedStatus>,
     limits: Arc<Limits>,
     restored: Option<(Vec<u8>, u32)>,
 ) -> Result<SocketAddr, SnmpStartError> {
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -10,7 +10,7 @@
 
 use super::report::ledger_report;
 use super::CLOSING_CHECK_INTERVAL;
-use crate::alerts::Stopping;
+use crate::alerts::ShutdownSignal;
 use crate::config::{Config, ConfigError, Edge};
 use crate::frontend::http_server::Service;
 use crate::limits::Limits;
@@ -50,7 +50,7 @@
     pub(super) discovery: Sender<DiscoveryMessage>,
     pub(super) snapshot_store: Option<Arc<SnapshotStore>>,
     /// Has the notification sent that the process ends.
-    pub(super) stopping: Option<Stopping>,
+    pub(super) stopping: Option<ShutdownSignal>,
     /// The configuration that was applied last.
     pub(super) applied_config: Mutex<Config>,
     pub(super) edge: Edge,
@@ -122,7 +122,7 @@
     pub fn finish(&self) {
         let finish = self.finish_times();
         if let Some(stopping) = &self.stopping {
-            stopping.now();
+            stopping.send();
         }
         let answered_by = {
             let mut lifecycle = self.service.lifecycle();
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -9,7 +9,7 @@
 use super::operations::CoordinatorOperations;
 use super::subsystems::{ProcessContext, Subsystems};
 use super::StartError;
-use crate::alerts::{self, Stopping};
+use crate::alerts::{self, ShutdownSignal};
 use crate::config::{AggregationConfig, Config, Edge, FeaturesConfig, SnmpConfig};
 use crate::control::{self, Operations};
 use crate::frontend::aggregation::{AggregationFrontend, Memory};
@@ -36,7 +36,7 @@
     pub(super) aggregation: Option<SocketAddr>,
     pub(super) snmp: Option<SocketAddr>,
     /// Has the notification sent that the process ends.
-    pub(super) stopping: Option<Stopping>,
+    pub(super) stopping: Option<ShutdownSignal>,
 }
 
 impl Frontends {
@@ -106,7 +106,7 @@
         &self,
         config: Option<&SnmpConfig>,
         sockets: usize,
-    ) -> Result<Option<Stopping>, StartError> {
+    ) -> Result<Option<ShutdownSignal>, StartError> {
         let Some(config) = config else { return Ok(None) };
         let started = alerts::start(config, self.shared.core.clone(), &self.shared.limits, sockets);
         started.map_err(|error| StartError::Alerts(error.into()))
@@ -122,9 +122,9 @@
         let Some(config) = config else { return Ok(None) };
         let Shared { core, limits, .. } = self.shared.clone();
         let engine = restored
-            .filter(|restored| !restored.engine.is_empty())
-            .map(|restored| (restored.engine, restored.boots));
-        let standings = group.map(|group| group.standings.clone());
+            .filter(|restored| !restored.engine_id.is_empty())
+            .map(|restored| (restored.engine_id, restored.boots));
+        let standings = group.map(|group| group.status.clone());
         let counters = core.counters.clone();
         Ok(Some(snmp::start(config, core, counters, standings, limits, engine)?))
     }
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -49,7 +49,7 @@
     service.lifecycle().listening();
     log_addresses(&config.name, &started);
     if let Some(store) = &subsystems.snapshot_store {
-        store.start(subsystems.core.clone()).map_err(StartError::SnapshotWriter)?;
+        store.start_writing(subsystems.core.clone()).map_err(StartError::SnapshotWriter)?;
     }
     Ok(Coordinator {
         listen: started.listen,
@@ -57,7 +57,7 @@
         features: started.features,
         aggregation: started.aggregation,
         snmp: started.snmp,
-        group: subsystems.group.map(|group| group.clients),
+        group: subsystems.group.map(|group| group.clients_address),
         core: subsystems.core,
         service,
         limits: process.limits,
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -77,9 +77,9 @@
             edge.aggregation.as_ref().map(|_| Memory::new(&process.limits, process.deployment.shards));
         let group = process.start_replication(edge.group.as_ref())?;
         let snapshot_store = load_snapshot_store(edge, &config.name, group.as_ref())?;
-        let restored = snapshot_store.as_ref().map(|store| store.kept());
+        let restored = snapshot_store.as_ref().map(|store| store.contents());
         let core_config = CoreConfig {
-            restored_ledger: restored.as_ref().map(|restored| restored.books.clone()),
+            restored_ledger: restored.as_ref().map(|restored| restored.ledger.clone()),
             on_endpoints_started: range_memory.as_ref().map(Memory::forgetting),
             ..process.core_config(engine, list_state.lease, config.control.is_some())
         };
@@ -202,7 +202,7 @@
 ) -> Result<Option<Arc<SnapshotStore>>, StartError> {
     let Some(state) = &edge.state else { return Ok(None) };
     let engine_id = edge.snmp.as_ref().map_or(Ok(Vec::new()), SnmpConfig::engine_id)?;
-    let replica = group.filter(|_| state.copied).map(|group| group.copy_of(name));
+    let replica = group.filter(|_| state.replicated).map(|group| group.snapshot_replica(name));
     let store = SnapshotStore::load(state, engine_id, replica);
     Ok(Some(Arc::new(store.map_err(|error| StartError::SnapshotStore(error.into()))?)))
 }
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -95,7 +95,7 @@
 }
 
 fn total_ended(contents: &SnapshotContents) -> u64 {
-    contents.books.classes.iter().flat_map(|class| class.ended).sum()
+    contents.ledger.classes.iter().flat_map(|class| class.ended).sum()
 }
 
 /// A process that ends by itself, and one that is killed, go on from what was written: totals never fall below that and
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -59,8 +59,8 @@
     };
     SnapshotContents {
         boots: 1,
-        engine: vec![0x80, 0, 0x7e, 0xd9, 5, 1, 2, 3, 4, 5, 6, 7, 8],
-        books: SavedLedger {
+        engine_id: vec![0x80, 0, 0x7e, 0xd9, 5, 1, 2, 3, 4, 5, 6, 7, 8],
+        ledger: SavedLedger {
             classes: vec![
                 class("monthly-settle", 0, [0; 6], 0, 0, 0),
                 class("tag-lookup", 0, [7, 0, 0, 2, 0, 0], 9_000_000, 7_000_000, 15),
@@ -77,8 +77,8 @@
 }
 
 fn load(folder: &Path) -> SnapshotContents {
-    let config = StateConfig { folder: folder.to_owned(), every_s: 1, copied: false };
-    SnapshotStore::load(&config, vec![9; 5], None).unwrap().kept()
+    let config = StateConfig { folder: folder.to_owned(), write_interval_s: 1, replicated: false };
+    SnapshotStore::load(&config, vec![9; 5], None).unwrap().contents()
 }
 
 #[test]
@@ -107,7 +107,7 @@
     let mut changed = bytes.clone();
     changed[bytes.len() / 2] ^= 1;
     let copy = Copy::of("changed-state", "books", &changed);
-    let begun_anew = SnapshotContents { boots: 1, engine: vec![9; 5], ..SnapshotContents::default() };
+    let begun_anew = SnapshotContents { boots: 1, engine_id: vec![9; 5], ..SnapshotContents::default() };
     assert_eq!(load(&copy.folder), begun_anew);
     let set_aside = std::fs::read(copy.folder.join("books.bad-1")).unwrap();
     assert_eq!(set_aside, changed, "it is lost");
