--- a/crates/core/tests/client_timeout.rs
+++ b/crates/core/tests/client_timeout.rs
@@ -19,8 +19,8 @@
     let mut harness = PolicyHarness::new(settings(), 3);
     for i in 0..40 {
         // Every eighth client is patient; the others do not look cut short for it.
-        let valid = if i % 8 == 0 { 4000 * MS } else { 2000 * MS };
-        let (_, actions) = query_with_deadline(&mut harness, 1, valid, false);
+        let client_timeout = if i % 8 == 0 { 4000 * MS } else { 2000 * MS };
+        let (_, actions) = query_with_deadline(&mut harness, 1, client_timeout, false);
         assert_eq!(sends(&actions).len(), 1, "{i}: {actions:?}");
         harness.now += 100 * MS;
         let done = sends(&actions).iter().map(|s| harness.ended(s, 0, Outcome::Success)).collect();
--- a/crates/core/tests/common/policy_harness.rs
+++ b/crates/core/tests/common/policy_harness.rs
@@ -5,7 +5,7 @@
 
 use super::{record, sends, Sent, MS, START};
 
-/// One policy and the time it is told.
+/// One policy and the time that it is told.
 pub struct PolicyHarness {
     pub policy: Policy,
     pub now: Nanos,
@@ -131,15 +131,22 @@
     used
 }
 
+/// A query of class 0 whose deadline is `client_timeout` from now; returns its id and the actions.
 pub fn query_with_deadline(
     harness: &mut PolicyHarness,
     parts: u64,
-    valid: Nanos,
+    client_timeout: Nanos,
     is_retry: bool,
 ) -> (QueryId, Vec<Action>) {
     let (id, mut events) = harness.query_events(0, parts);
     let (now, key) = (harness.now, Some(KeyId(7)));
-    events[0] =
-        Event::QueryArrived { id, class: ClassId(0), tenant: None, key, is_retry, deadline: now + valid };
+    events[0] = Event::QueryArrived {
+        id,
+        class: ClassId(0),
+        tenant: None,
+        key,
+        is_retry,
+        deadline: now + client_timeout,
+    };
     (id, harness.round(events))
 }
--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -15,7 +15,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 const SERVERS: u32 = 6;
-const CELLS: u32 = 3;
+const PARTITION_GROUPS: u32 = 3;
 const SHARDS: u32 = 3;
 const ZONES: u32 = 2;
 
@@ -108,9 +108,9 @@
     exercised: &'a RefCell<Exercised>,
 }
 
-/// two phases, partial answers, hedges and health checks, two zones, and no bound on further attempts but
+/// Two phases, partial answers, hedges and health checks, two zones, and no bound on further attempts but
 /// those of the classes.
-fn all_ways() -> Settings {
+fn settings_with_all_kinds_of_attempts() -> Settings {
     let mut settings = settings();
     settings.classes[0].second_phase_parts = 2;
     settings.classes[1] = Class {
@@ -120,14 +120,18 @@
         max_attempts: 4,
         ..class(RetrySafety::Idempotent)
     };
-    settings.layout =
-        ShardLayout { partition_groups: CELLS, groups_per_shard: 2, max_batch: 1, call_overhead: 0 };
+    settings.layout = ShardLayout {
+        partition_groups: PARTITION_GROUPS,
+        groups_per_shard: 2,
+        max_batch: 1,
+        call_overhead: 0,
+    };
     Settings { zones: ZONES, retry_budget: None, connection_idle_timeout: Some(5000 * MS), ..settings }
 }
 
 impl<'a> Harness<'a> {
     fn new(exercised: &'a RefCell<Exercised>) -> Self {
-        let settings = all_ways();
+        let settings = settings_with_all_kinds_of_attempts();
         let policy = Policy::new(settings.clone(), 11).unwrap();
         let mut harness = Self {
             settings,
@@ -160,8 +164,8 @@
             }
         }
         let to_record = |&(server, state): &(u32, EndpointState)| EndpointRecord {
-            partition_group: server % CELLS,
-            zone: Some(ZoneId(server / CELLS % ZONES)),
+            partition_group: server % PARTITION_GROUPS,
+            zone: Some(ZoneId(server / PARTITION_GROUPS % ZONES)),
             ..record(server, state)
         };
         Event::EndpointsUpdated { kind, records: records.iter().map(to_record).collect() }
--- a/crates/core/tests/replica_selection.rs
+++ b/crates/core/tests/replica_selection.rs
@@ -14,7 +14,7 @@
     assert_eq!(servers, [0, 1, 2]);
 }
 
-/// Guards against paying for the way between zones where nothing is gained by it; fewest parts out comes
+/// Guards against paying for traffic between zones where nothing is gained by it; fewest calls in flight comes
 /// before that.
 #[test]
 fn the_local_zone_comes_first_among_equal_replicas() {
