--- a/crates/core/src/policy/connection_health.rs
+++ b/crates/core/src/policy/connection_health.rs
@@ -56,11 +56,11 @@
     pub(super) fn has_trusted_connection(&self, server: &Server) -> bool {
         let idle = server.connection_used_at.map_or(Nanos::MAX, |used_at| self.now.saturating_sub(used_at));
         let open_for = self.settings.connection_idle_timeout.unwrap_or(0);
-        !server.in_flight.is_empty() || !self.is_suspect(idle) && idle < open_for
+        !server.in_flight.is_empty() || !self.may_be_dropped(idle) && idle < open_for
     }
 
     /// Whether a connection that has been idle for so long may have been dropped unseen.
-    fn is_suspect(&self, idle: Nanos) -> bool {
+    fn may_be_dropped(&self, idle: Nanos) -> bool {
         self.counts_as_idle(idle) && self.connections.idle_is_suspect()
     }
 
@@ -77,7 +77,7 @@
             return other.connection_idle;
         }
         let idle = self.now.saturating_sub(server.connection_used_at?);
-        if self.is_suspect(idle) && self.rng.u32(0..SUSPECT_TRIAL_INTERVAL) > 0 {
+        if self.may_be_dropped(idle) && self.rng.u32(0..SUSPECT_TRIAL_INTERVAL) > 0 {
             self.actions.push(Action::CloseIdleConnections { server: id });
             return None;
         }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -3,7 +3,7 @@
 //! [`Policy::round`] takes what has happened and returns what to do. A query is taken in (`arrivals`), waits
 //! for `admission`, which sends its parts to the best replicas (`replica_selection`, `dispatch`), and is
 //! reviewed after each event and from time to time (`answer`): answered, ended, or sent what it lacks
-//! (`retry`, `hedging`). Outcomes are held against their cause (`outcome_attribution`): a server
+//! (`retry`, `hedging`). Each outcome counts for or against its cause (`outcome_attribution`): a server
 //! (`outlier_detection`), a zone (`zone_health`), a connection (`connection_health`) or load
 //! (`concurrency_limit`). What may be sent to a server that has just started is for `slow_start`.
 //!
