--- a/crates/accounting/tests/common/mod.rs
+++ b/crates/accounting/tests/common/mod.rs
@@ -2,9 +2,9 @@
 
 use curlewdeck_core::api::{Class, Nanos, RetrySafety};
 
-pub const MS: Nanos = 1_000_000;
+pub(crate) const MS: Nanos = 1_000_000;
 
-pub fn class() -> Class {
+pub(crate) fn class() -> Class {
     Class {
         latency_objective: 100 * MS,
         deadline: 1000 * MS,
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A harness for tests of the policy: settings, endpoint lists and queries in few words.
-#![allow(dead_code, unused_imports)]
+#![allow(dead_code, unused_imports, unreachable_pub)]
 
 use curlewdeck_core::api::*;
 
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -2,9 +2,11 @@
 //! `features` three feature servers, or with `desk` three data nodes whose values can be merged.
 //! `examples/README.md` shows how to try the program with it.
 
+#[allow(unreachable_pub)]
 #[path = "../../crates/merge/examples/merge_check/stand_in.rs"]
 mod merge_node;
 
+#[allow(unreachable_pub)]
 #[path = "stand_in.rs"]
 mod stand_in;
 
--- a/src/bin/curlewdeck-simulator-adapter/host.rs
+++ b/src/bin/curlewdeck-simulator-adapter/host.rs
@@ -28,7 +28,7 @@
 }
 
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     instances: BTreeMap<u32, Instance>,
     endpoint_lists: [Option<Vec<EndpointLine>>; MAX_LISTS],
     registering: Option<(usize, usize)>,
@@ -39,7 +39,7 @@
 
 impl Host {
     /// Takes one line; true once a batch is complete and its reply written to `reply`.
-    pub fn take_line(&mut self, text: &str, reply: &mut String) -> Result<bool, String> {
+    pub(crate) fn take_line(&mut self, text: &str, reply: &mut String) -> Result<bool, String> {
         let mut fields = Fields::new(text);
         if let Some((list, left)) = self.registering {
             self.read_record(&mut fields, list)?;
@@ -131,7 +131,7 @@
     }
 
     /// Checks that input ended between batches.
-    pub fn at_end(&self) -> Result<(), String> {
+    pub(crate) fn at_end(&self) -> Result<(), String> {
         match self.clock {
             None => Ok(()),
             Some(_) => Err("input ended inside a batch, expected 'eob'".to_string()),
--- a/src/bin/curlewdeck-simulator-adapter/instance.rs
+++ b/src/bin/curlewdeck-simulator-adapter/instance.rs
@@ -10,31 +10,31 @@
 use crate::wire::{CALL_REMINDER, TIMER_REMINDER};
 
 /// The policy of one coordinator, and what ties the simulator's names to its ids.
-pub struct Instance {
-    pub policy: Policy,
-    pub subscriber: Subscriber,
-    pub class_names: Vec<String>,
-    pub has_second_phase: Vec<bool>,
-    pub tenant_names: Vec<String>,
-    pub zone_names: Vec<String>,
+pub(crate) struct Instance {
+    pub(crate) policy: Policy,
+    pub(crate) subscriber: Subscriber,
+    pub(crate) class_names: Vec<String>,
+    pub(crate) has_second_phase: Vec<bool>,
+    pub(crate) tenant_names: Vec<String>,
+    pub(crate) zone_names: Vec<String>,
     /// Ids are given in the order in which this instance meets the names.
-    pub server_ids: HashMap<String, ServerId>,
-    pub server_names: Vec<String>,
-    pub queries_by_request: HashMap<u64, QueryId>,
-    pub open: HashMap<QueryId, Open>,
-    pub events: Vec<Event>,
-    pub in_round: bool,
+    pub(crate) server_ids: HashMap<String, ServerId>,
+    pub(crate) server_names: Vec<String>,
+    pub(crate) queries_by_request: HashMap<u64, QueryId>,
+    pub(crate) open: HashMap<QueryId, Open>,
+    pub(crate) events: Vec<Event>,
+    pub(crate) in_round: bool,
 }
 
 /// What the adapter must know of an open query to tie later parts to it.
-pub struct Open {
-    pub request_number: u64,
-    pub answers_left: u8,
+pub(crate) struct Open {
+    pub(crate) request_number: u64,
+    pub(crate) answers_left: u8,
 }
 
 impl Instance {
     /// Begins the call to discovery that is due, or asks for a reminder of it.
-    pub fn call_discovery(&mut self, now: u64, coordinator: u32, out: &mut String) {
+    pub(crate) fn call_discovery(&mut self, now: u64, coordinator: u32, out: &mut String) {
         if self.subscriber.call_due(now) {
             // Writing to a string cannot fail.
             let _ = writeln!(out, "watch {coordinator} 1");
@@ -45,7 +45,7 @@
     }
 
     /// The id of a server: ids are given in the order in which names are met.
-    pub fn intern(&mut self, name: &str) -> ServerId {
+    pub(crate) fn intern(&mut self, name: &str) -> ServerId {
         if let Some(&id) = self.server_ids.get(name) {
             return id;
         }
@@ -56,20 +56,20 @@
     }
 
     /// A zone that the settings do not name is not known.
-    pub fn zone(&self, zone: Option<&str>) -> Option<ZoneId> {
+    pub(crate) fn zone(&self, zone: Option<&str>) -> Option<ZoneId> {
         let at = self.zone_names.iter().position(|z| Some(z.as_str()) == zone)?;
         Some(ZoneId(at as u32))
     }
 
     /// Forgets a query that has its final answer or whose client has left.
-    pub fn close(&mut self, query: QueryId) {
+    pub(crate) fn close(&mut self, query: QueryId) {
         if let Some(open) = self.open.remove(&query) {
             self.queries_by_request.remove(&open.request_number);
         }
     }
 
     /// Writes an action as a line of the simulator.
-    pub fn write(&mut self, coordinator: u32, action: &Action, out: &mut String) {
+    pub(crate) fn write(&mut self, coordinator: u32, action: &Action, out: &mut String) {
         // Writing to a string cannot fail.
         let _ = match action {
             Action::StartAttempt { part, server, timeout } => {
--- a/src/bin/curlewdeck-simulator-adapter/subscriber.rs
+++ b/src/bin/curlewdeck-simulator-adapter/subscriber.rs
@@ -8,7 +8,7 @@
 
 /// The calls of one instance.
 #[derive(Debug)]
-pub struct Subscriber {
+pub(crate) struct Subscriber {
     pacing: Pacing,
     /// When the next call begins; nothing while one is out, after an answer, and where lists are pushed.
     call_at: Option<Nanos>,
@@ -20,7 +20,7 @@
 
 impl Subscriber {
     /// The calls of an instance that starts now.
-    pub fn new(settings: &Settings, seed: u64, now: Nanos) -> Self {
+    pub(crate) fn new(settings: &Settings, seed: u64, now: Nanos) -> Self {
         let mut pacing = Pacing::new(settings.discovery, settings.coordinators, SPANS, seed);
         let asks = matches!(settings.discovery, DiscoveryMode::Poll { .. });
         let call_at = asks.then(|| now + pacing.first_pause());
@@ -28,19 +28,19 @@
     }
 
     /// A list or a change has come.
-    pub fn heard(&mut self, now: Nanos) {
+    pub(crate) fn heard(&mut self, now: Nanos) {
         self.pacing.watch_ended(Nanos::MAX);
         self.last_contact = now;
     }
 
     /// A call has failed, or the subscription has dropped.
-    pub fn failed(&mut self, now: Nanos) {
+    pub(crate) fn failed(&mut self, now: Nanos) {
         let gone = now.saturating_sub(self.last_contact);
         self.call_at = Some(now + self.pacing.pause(gone, false, CallEnd::Busy));
     }
 
     /// Whether a call begins now.
-    pub fn call_due(&mut self, now: Nanos) -> bool {
+    pub(crate) fn call_due(&mut self, now: Nanos) -> bool {
         let due = self.call_at.take_if(|at| *at <= now).is_some();
         if due {
             self.last_contact = now;
@@ -49,7 +49,7 @@
     }
 
     /// After how long a reminder is needed, if none has been asked for yet.
-    pub fn reminder(&mut self, now: Nanos) -> Option<Nanos> {
+    pub(crate) fn reminder(&mut self, now: Nanos) -> Option<Nanos> {
         let at = self.call_at?;
         if self.armed.is_some_and(|armed| now < armed && armed <= at) {
             return None;
--- a/src/bin/curlewdeck-simulator-adapter/wire.rs
+++ b/src/bin/curlewdeck-simulator-adapter/wire.rs
@@ -3,47 +3,47 @@
 use curlewdeck::api::{EndpointState, Outcome};
 
 /// The reminder for the policy's timer.
-pub const TIMER_REMINDER: &str = "wake";
+pub(crate) const TIMER_REMINDER: &str = "wake";
 /// The reminder for the next call to discovery.
-pub const CALL_REMINDER: &str = "call";
+pub(crate) const CALL_REMINDER: &str = "call";
 
 /// The words that begin the simulator's messages.
-pub mod message {
-    pub const BATCH_BEGIN: &str = "mark";
-    pub const BATCH_END: &str = "eob";
-    pub const REGISTER_LIST: &str = "register";
-    pub const ADD_COORDINATOR: &str = "enlist";
-    pub const REMOVE_COORDINATOR: &str = "destroy";
-    pub const QUERY_OR_PART: &str = "inbound";
-    pub const ATTEMPT_ENDED: &str = "closed_attempt";
-    pub const LIST_CHANGED: &str = "backends_changed";
-    pub const CLIENT_DISCONNECTED: &str = "client_gone";
-    pub const REMINDER: &str = "reminder";
-    pub const HEALTH_CHECKED: &str = "pong";
-    pub const RESPONSE_BEGUN: &str = "head_received";
-    pub const PEER_MESSAGE: &str = "inbox";
+pub(crate) mod message {
+    pub(crate) const BATCH_BEGIN: &str = "mark";
+    pub(crate) const BATCH_END: &str = "eob";
+    pub(crate) const REGISTER_LIST: &str = "register";
+    pub(crate) const ADD_COORDINATOR: &str = "enlist";
+    pub(crate) const REMOVE_COORDINATOR: &str = "destroy";
+    pub(crate) const QUERY_OR_PART: &str = "inbound";
+    pub(crate) const ATTEMPT_ENDED: &str = "closed_attempt";
+    pub(crate) const LIST_CHANGED: &str = "backends_changed";
+    pub(crate) const CLIENT_DISCONNECTED: &str = "client_gone";
+    pub(crate) const REMINDER: &str = "reminder";
+    pub(crate) const HEALTH_CHECKED: &str = "pong";
+    pub(crate) const RESPONSE_BEGUN: &str = "head_received";
+    pub(crate) const PEER_MESSAGE: &str = "inbox";
 }
 
 /// The fields of one line, taken from left to right.
-pub struct Fields<'a> {
+pub(crate) struct Fields<'a> {
     name: &'a str,
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(line: &'a str) -> Self {
+    pub(crate) fn new(line: &'a str) -> Self {
         match line.split_once(' ') {
             Some((name, rest)) => Self { name, rest: Some(rest) },
             None => Self { name: line, rest: None },
         }
     }
 
-    pub fn name(&self) -> &'a str {
+    pub(crate) fn name(&self) -> &'a str {
         self.name
     }
 
     /// The next field; `-` is an absent value.
-    pub fn optional(&mut self, what: &str) -> Result<Option<&'a str>, String> {
+    pub(crate) fn optional(&mut self, what: &str) -> Result<Option<&'a str>, String> {
         let rest = self.rest.ok_or_else(|| format!("{}: expected {what}", self.name))?;
         let field = match rest.split_once(' ') {
             Some((field, rest)) => {
@@ -62,25 +62,25 @@
         }
     }
 
-    pub fn text(&mut self, what: &str) -> Result<&'a str, String> {
+    pub(crate) fn text(&mut self, what: &str) -> Result<&'a str, String> {
         let name = self.name;
         self.optional(what)?.ok_or_else(|| format!("{name}: expected {what}, found '-'"))
     }
 
-    pub fn number<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
+    pub(crate) fn number<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
         let name = self.name;
         let text = self.text(what)?;
         text.parse().map_err(|_| format!("{name}: expected {what}, a number, found '{text}'"))
     }
 
-    pub fn optional_number<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
+    pub(crate) fn optional_number<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
         let name = self.name;
         let Some(text) = self.optional(what)? else { return Ok(None) };
         let bad = |_| format!("{name}: expected {what}, a number or '-', found '{text}'");
         text.parse().map(Some).map_err(bad)
     }
 
-    pub fn bool(&mut self, what: &str) -> Result<bool, String> {
+    pub(crate) fn bool(&mut self, what: &str) -> Result<bool, String> {
         match self.optional(what)? {
             Some("1") => Ok(true),
             Some("0") | None => Ok(false),
@@ -89,11 +89,11 @@
     }
 
     /// All that is left of the line.
-    pub fn rest(&mut self, what: &str) -> Result<&'a str, String> {
+    pub(crate) fn rest(&mut self, what: &str) -> Result<&'a str, String> {
         self.rest.take().ok_or_else(|| format!("{}: expected {what}", self.name))
     }
 
-    pub fn end(&self) -> Result<(), String> {
+    pub(crate) fn end(&self) -> Result<(), String> {
         match self.rest {
             None => Ok(()),
             Some(extra) => Err(format!("{}: expected the end of the line, found '{extra}'", self.name)),
@@ -101,7 +101,7 @@
     }
 }
 
-pub fn outcome(text: &str) -> Result<Outcome, String> {
+pub(crate) fn outcome(text: &str) -> Result<Outcome, String> {
     Ok(match text {
         "pass" => Outcome::Success,
         "fault" => Outcome::ServerError,
@@ -115,7 +115,7 @@
     })
 }
 
-pub fn phase(text: &str) -> Result<EndpointState, String> {
+pub(crate) fn phase(text: &str) -> Result<EndpointState, String> {
     Ok(match text {
         "IN" => EndpointState::Active,
         "LAME" => EndpointState::Draining,
@@ -125,7 +125,7 @@
 }
 
 /// A load report must be well-formed; no decision uses its values.
-pub fn check_load(text: &str) -> Result<(), String> {
+pub(crate) fn check_load(text: &str) -> Result<(), String> {
     for pair in text.split(',') {
         let value = pair.split_once(':').and_then(|(_, value)| value.parse::<f64>().ok());
         value.ok_or_else(|| format!("expected name:value pairs, found '{pair}'"))?;
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -1,9 +1,11 @@
 //! The desk front on loopback, against stand-in data nodes with known data that are killed, put behind and changed by
 //! script: answers against the exact ones, and every query counted once.
 
+#[allow(unreachable_pub)]
 #[path = "../crates/merge/examples/merge_check/checker.rs"]
 mod checker;
 mod harness;
+#[allow(unreachable_pub)]
 #[path = "../crates/merge/examples/merge_check/stand_in.rs"]
 mod stand_in;
 
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -3,6 +3,7 @@
 //! socket, pages of features, a second process on an inherited listener, the desk. Each crossing is forced on real
 //! sockets.
 
+#[allow(unreachable_pub)]
 #[path = "../crates/merge/examples/merge_check/stand_in.rs"]
 mod desk_stand_in;
 mod harness;
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
 //! A coordinator on loopback, with stand-ins round it: the test harness of the integration tests.
-#![allow(dead_code)]
+#![allow(dead_code, unreachable_pub)]
 
 pub mod catalog;
 mod discovery_connection;
