--- a/crates/merge/benches/merge.rs
+++ b/crates/merge/benches/merge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use curlewdeck_merge::cursor::Place;
+use curlewdeck_merge::cursor::Position;
 use curlewdeck_merge::page;
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_merge::rank;
@@ -81,7 +81,7 @@
         };
         bencher.bench(|| {
             for (range, text) in (0..).zip(&texts) {
-                let expected = Expected { range, place: Place::Start, at_least: None };
+                let expected = Expected { range, position: Position::Start, at_least: None };
                 check(text, &query, &expected).expect("a good value");
             }
         });
@@ -130,7 +130,7 @@
             let mut sums: BTreeMap<String, i128> = BTreeMap::new();
             for group in values.iter().flat_map(|v| v.rows::<Group>()) {
                 let group = group.expect("a group");
-                *sums.entry(group.key.into_owned()).or_default() += group.fold.sum.0;
+                *sums.entry(group.key.into_owned()).or_default() += group.aggregate.sum.0;
             }
             sums.len()
         });
--- a/crates/merge/examples/merge_check/run.rs
+++ b/crates/merge/examples/merge_check/run.rs
@@ -3,10 +3,10 @@
 
 use std::sync::Arc;
 
-use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, Reached};
-use curlewdeck_merge::merging::{Fault, Merged, Merging};
+use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, RangeProgress};
+use curlewdeck_merge::merger::{MergeError, MergeResult, QueryMerger};
 use curlewdeck_merge::query::{Op, Order, Query};
-use curlewdeck_merge::recall::{Bounds, Recall};
+use curlewdeck_merge::range_cache::{CacheLimits, RangeCache};
 use fastrand::Rng;
 use serde_json::Value as Json;
 
@@ -85,13 +85,13 @@
     data: Vec<History>,
     /// By range: the version that each replica serves; none: it is dead.
     replicas: Vec<Vec<Option<u64>>>,
-    recall: Recall,
+    cache: RangeCache,
     now: u64,
     sabotage: Option<Sabotage>,
 }
 
 /// An answer, and where the next page begins.
-type Paged = (Json, Option<Vec<Reached>>);
+type Paged = (Json, Option<Vec<RangeProgress>>);
 
 const STEPS: usize = 12;
 const SCALE: u8 = 2;
@@ -108,8 +108,8 @@
         history.change(|snapshot| (0..rows).for_each(|_| insert(&mut rng, snapshot, keys, measures)));
     }
     let replicas = (0..ranges).map(|_| vec![Some(1); rng.usize(1..5)]).collect();
-    let recall = Recall::new(Bounds { entries: 64, ranges: 64, age: 10_000 });
-    let mut fleet = Fleet { rng, data, replicas, recall, now: 0, sabotage };
+    let cache = RangeCache::new(CacheLimits { max_entries: 64, max_ranges: 64, max_age_ns: 10_000 });
+    let mut fleet = Fleet { rng, data, replicas, cache, now: 0, sabotage };
     for step in 0..STEPS {
         fleet.now += fleet.rng.u64(0..3000);
         fleet.change(keys, measures);
@@ -149,7 +149,7 @@
             }
             // A process that starts anew may have older data: the list tells of it.
             if self.rng.u8(..) < 10 {
-                self.recall.restarted(range as u32);
+                self.cache.invalidate_range(range as u32);
             }
         }
     }
@@ -175,8 +175,8 @@
             [ops.iter().position(|o| *o == op).unwrap_or(0)];
         let asked = Asked { op: name, descending: order == Order::Desc, grouped, limit, floor };
         if !query.paged() {
-            let mut merging = Merging::new(query, self.data.len() as u32);
-            return self.round(&mut merging, &asked).map(drop);
+            let mut merger = QueryMerger::new(query, self.data.len() as u32);
+            return self.round(&mut merger, &asked).map(drop);
         }
         self.walk(&query, &asked, keys, measures)
     }
@@ -186,7 +186,7 @@
         let cursors = Keys::fresh([self.rng.u8(..); 32]);
         let mut walk = Walk::default();
         let ranges = self.data.len();
-        let mut merging = Merging::new(query.clone(), ranges as u32);
+        let mut merger = QueryMerger::new(query.clone(), ranges as u32);
         for page in 0..4000 {
             if page > 60 {
                 // Let the walk come to an end.
@@ -194,38 +194,38 @@
             } else {
                 self.change(keys, measures);
             }
-            let Some((answer, next)) = self.round(&mut merging, asked)? else { continue };
+            let Some((answer, next)) = self.round(&mut merger, asked)? else { continue };
             walk.page(asked, &answer, &self.data).map_err(|why| format!("page {page}: {why}"))?;
-            let Some(reached) = next else { return Ok(()) };
-            let cursor = Cursor { query: query.digest(), until: 1000, ranges: reached };
+            let Some(progress) = next else { return Ok(()) };
+            let cursor = Cursor { query: query.digest(), until: 1000, ranges: progress };
             let text = cursors.seal(&cursor);
             let opened = cursors.open(&text, &query.digest(), ranges, 1).map_err(|e| e.to_string())?;
             if cursors.open(&text, &query.digest(), ranges, 1000) != Err(BadCursor::Expired) {
                 return Err("an expired cursor was opened".into());
             }
-            merging = Merging::resume(query.clone(), opened);
+            merger = QueryMerger::resume(query.clone(), opened);
         }
         Err("a listing does not end".into())
     }
 
     /// One query: each range is tried a few times, and what comes is offered as the core would.
-    fn round(&mut self, merging: &mut Merging, asked: &Asked) -> Result<Option<Paged>, String> {
+    fn round(&mut self, merger: &mut QueryMerger, asked: &Asked) -> Result<Option<Paged>, String> {
         let mut values: Vec<(u32, Arc<str>)> = Vec::new();
         for range in 0..self.data.len() as u32 {
             for _ in 0..self.rng.usize(1..4) {
-                let Some(text) = self.attempt(merging, range)? else { continue };
+                let Some(text) = self.attempt(merger, range)? else { continue };
                 values.push((range, text.into()));
                 // A twin whose answer comes all the same: it must add nothing.
                 if self.rng.u8(..) < 40 {
-                    if let Some(twin) = self.attempt(merging, range)? {
+                    if let Some(twin) = self.attempt(merger, range)? {
                         values.push((range, twin.into()));
                     }
                 }
                 break;
             }
         }
-        match merging.finish(&values, asked.floor, &mut self.recall, self.now) {
-            Ok(Merged { answer, next }) => {
+        match merger.finish(&values, asked.floor, &mut self.cache, self.now) {
+            Ok(MergeResult { answer, next }) => {
                 let mut json: Json = serde_json::from_str(&answer.text()).map_err(|e| e.to_string())?;
                 if let Some(sabotage) = self.sabotage {
                     sabotage.spoil(&mut json);
@@ -233,16 +233,18 @@
                 checker::check(asked, &json, &self.data)?;
                 Ok(Some((json, next)))
             }
-            Err(Fault::Below(cover)) if cover.reaches(asked.floor) && !cover.versions.is_empty() => {
+            Err(MergeError::BelowMinimumCoverage(coverage))
+                if coverage.meets_minimum(asked.floor) && !coverage.versions.is_empty() =>
+            {
                 Err("given up above the floor".into())
             }
-            Err(Fault::Below(_)) => Ok(None),
+            Err(MergeError::BelowMinimumCoverage(_)) => Ok(None),
             Err(fault) => Err(fault.to_string()),
         }
     }
 
     /// One replica's answer, if it is alive and its value counts. A spoilt one must not.
-    fn attempt(&mut self, merging: &mut Merging, range: u32) -> Result<Option<String>, String> {
+    fn attempt(&mut self, merger: &mut QueryMerger, range: u32) -> Result<Option<String>, String> {
         let replicas = &self.replicas[range as usize];
         let Some(version) = replicas[self.rng.usize(..replicas.len())] else { return Ok(None) };
         let manner = Manner {
@@ -252,16 +254,16 @@
             ..Manner::default()
         };
         let snapshot = self.data[range as usize].at(version);
-        let text =
-            answer(snapshot, version, &merging.text(range), manner).ok_or("a text that cannot be used")?;
+        let text = answer(snapshot, version, &merger.request_text(range), manner)
+            .ok_or("a text that cannot be used")?;
         if self.rng.u8(..) < 25 {
             let spoilt = self.spoil(&text);
-            if merging.offer(range, &spoilt).is_ok() && spoilt != text {
+            if merger.accept_value(range, &spoilt).is_ok() && spoilt != text {
                 return Err(format!("a spoilt value counts: {spoilt}"));
             }
             return Ok(None);
         }
-        Ok(merging.offer(range, &text).is_ok().then_some(text))
+        Ok(merger.accept_value(range, &text).is_ok().then_some(text))
     }
 
     /// One thing is wrong with it that must be noticed.
--- a/crates/merge/src/fold.rs
+++ b/crates/merge/src/aggregate.rs
@@ -4,12 +4,12 @@
 
 use crate::query::Op;
 use crate::units::{Overflow, Units};
-use crate::value::{Header, Unfit};
+use crate::value::{Header, InvalidValue};
 use crate::{Range, Version};
 
 /// Exact figures over some rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Fold {
+pub struct Aggregate {
     /// How many rows.
     pub rows: u64,
     /// Their sum.
@@ -18,9 +18,9 @@
     pub ends: Option<(Units, Units)>,
 }
 
-impl Fold {
+impl Aggregate {
     /// Of one row.
-    pub fn one(measure: Units) -> Self {
+    pub fn of_row(measure: Units) -> Self {
         Self { rows: 1, sum: measure, ends: Some((measure, measure)) }
     }
 
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// A figure does not fit.
-    pub fn join(&self, other: &Self) -> Result<Self, Overflow> {
+    pub fn merge(&self, other: &Self) -> Result<Self, Overflow> {
         let ends = match (self.ends, other.ends) {
             (Some(a), Some(b)) => Some((a.0.min(b.0), a.1.max(b.1))),
             (a, b) => a.or(b),
@@ -48,43 +48,43 @@
 }
 
 /// What an operation makes of figures.
-pub fn figure(op: Op, fold: &Fold, scale: u8) -> Figure {
+pub fn figure(op: Op, aggregate: &Aggregate, scale: u8) -> Figure {
     let value = match op {
-        Op::Count => Some(fold.rows.to_string()),
-        Op::Min => fold.ends.map(|e| e.0.decimal(scale)),
-        Op::Max => fold.ends.map(|e| e.1.decimal(scale)),
+        Op::Count => Some(aggregate.rows.to_string()),
+        Op::Min => aggregate.ends.map(|e| e.0.decimal(scale)),
+        Op::Max => aggregate.ends.map(|e| e.1.decimal(scale)),
         Op::Mean => {
-            let mean = fold.sum.mean(fold.rows);
+            let mean = aggregate.sum.mean(aggregate.rows);
             let exact = mean.is_none_or(|m| m.1);
             return Figure { value: mean.map(|m| m.0.decimal(scale)), exact };
         }
-        Op::Sum | Op::Rank | Op::List => Some(fold.sum.decimal(scale)),
+        Op::Sum | Op::Rank | Op::List => Some(aggregate.sum.decimal(scale)),
     };
     Figure { value, exact: true }
 }
 
 /// Adds up what ranges gave, each once.
 #[derive(Debug, Clone, Default)]
-pub struct Folding {
-    ranges: BTreeMap<Range, (Version, Fold)>,
+pub struct Aggregator {
+    ranges: BTreeMap<Range, (Version, Aggregate)>,
 }
 
-impl Folding {
+impl Aggregator {
     /// Takes a range's value; the first one counts, and a further one adds nothing. Returns whether it counted.
     ///
     /// # Errors
     /// The value has no total.
-    pub fn add(&mut self, header: &Header) -> Result<bool, Unfit> {
-        let total = header.total.ok_or_else(|| Unfit::Malformed("a total is expected".into()))?;
+    pub fn add(&mut self, header: &Header) -> Result<bool, InvalidValue> {
+        let total = header.total.ok_or_else(|| InvalidValue::Malformed("a total is expected".into()))?;
         let first = !self.ranges.contains_key(&header.range);
         if first {
-            self.ranges.insert(header.range, (header.version, total.fold()));
+            self.ranges.insert(header.range, (header.version, total.aggregate()));
         }
         Ok(first)
     }
 
     /// Each range's version and figures.
-    pub fn ranges(&self) -> &BTreeMap<Range, (Version, Fold)> {
+    pub fn ranges(&self) -> &BTreeMap<Range, (Version, Aggregate)> {
         &self.ranges
     }
 
@@ -92,8 +92,8 @@
     ///
     /// # Errors
     /// They do not fit.
-    pub fn total(&self) -> Result<Fold, Overflow> {
-        self.ranges.values().try_fold(Fold::default(), |sum, (_, fold)| sum.join(fold))
+    pub fn total(&self) -> Result<Aggregate, Overflow> {
+        self.ranges.values().try_fold(Aggregate::default(), |sum, (_, aggregate)| sum.merge(aggregate))
     }
 }
 
@@ -102,11 +102,11 @@
 ///
 /// # Errors
 /// A figure does not fit.
-pub fn interval(known: &Fold, missing: &[Option<Fold>]) -> Result<Option<Fold>, Overflow> {
+pub fn interval(known: &Aggregate, missing: &[Option<Aggregate>]) -> Result<Option<Aggregate>, Overflow> {
     let mut sum = *known;
-    for fold in missing {
-        let Some(fold) = fold else { return Ok(None) };
-        sum = sum.join(fold)?;
+    for aggregate in missing {
+        let Some(aggregate) = aggregate else { return Ok(None) };
+        sum = sum.merge(aggregate)?;
     }
     Ok(Some(sum))
 }
@@ -129,25 +129,27 @@
     #[test]
     fn a_range_that_answers_twice_counts_once() {
         for (first, second) in [((5, 100), (5, 100)), ((5, 100), (6, 120)), ((6, 120), (5, 100))] {
-            let mut folding = Folding::default();
-            assert!(folding.add(&header(3, first.0, first.1)).unwrap());
-            assert!(!folding.add(&header(3, second.0, second.1)).unwrap());
-            assert!(folding.add(&header(4, 1, 10)).unwrap());
-            assert_eq!(folding.total().unwrap().sum, Units(first.1 + 10));
-            assert_eq!(folding.ranges()[&3].0, first.0);
+            let mut aggregator = Aggregator::default();
+            assert!(aggregator.add(&header(3, first.0, first.1)).unwrap());
+            assert!(!aggregator.add(&header(3, second.0, second.1)).unwrap());
+            assert!(aggregator.add(&header(4, 1, 10)).unwrap());
+            assert_eq!(aggregator.total().unwrap().sum, Units(first.1 + 10));
+            assert_eq!(aggregator.ranges()[&3].0, first.0);
         }
     }
 
     #[test]
     fn an_overflow_is_an_error() {
-        let huge = Fold { rows: 1, sum: Units(i128::MAX), ends: None };
-        assert!(huge.join(&Fold::one(Units(1))).is_err());
-        assert!(Fold { rows: u64::MAX, ..Fold::default() }.join(&Fold::one(Units(1))).is_err());
+        let huge = Aggregate { rows: 1, sum: Units(i128::MAX), ends: None };
+        assert!(huge.merge(&Aggregate::of_row(Units(1))).is_err());
+        assert!(Aggregate { rows: u64::MAX, ..Aggregate::default() }
+            .merge(&Aggregate::of_row(Units(1)))
+            .is_err());
     }
 
     #[test]
     fn an_interval_needs_all_that_is_missing() {
-        let known = Fold::one(Units(5));
+        let known = Aggregate::of_row(Units(5));
         assert_eq!(interval(&known, &[Some(known), None]).unwrap(), None);
         assert_eq!(interval(&known, &[Some(known)]).unwrap().unwrap().sum, Units(10));
     }
--- a/crates/merge/src/answer.rs
+++ b/crates/merge/src/answer.rs
@@ -3,8 +3,8 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-use crate::cover::Cover;
-use crate::fold::{figure, Fold};
+use crate::aggregate::{figure, Aggregate};
+use crate::coverage::Coverage;
 use crate::query::{Op, Query};
 use crate::units::Units;
 use crate::{Range, Version};
@@ -36,7 +36,7 @@
 
 /// A range that is missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Gap {
+pub struct MissingRange {
     /// Which.
     pub range: Range,
     /// A word for why.
@@ -50,7 +50,7 @@
 
 /// A range that is in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct In {
+pub struct IncludedRange {
     /// Which.
     pub range: Range,
     /// The version of its data.
@@ -59,7 +59,7 @@
 
 /// What stands before an answer's rows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Head {
+pub struct AnswerHeader {
     /// The set of data.
     pub set: String,
     /// The operation.
@@ -71,9 +71,9 @@
     /// The share of the ranges that are in, rounded down.
     pub coverage: String,
     /// The ranges that are in.
-    pub ranges: Vec<In>,
+    pub ranges: Vec<IncludedRange>,
     /// Those that are not.
-    pub missing: Vec<Gap>,
+    pub missing: Vec<MissingRange>,
     /// Of a ranking: so many rows, from the first on, stand in the exact answer at that place.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub certain: Option<usize>,
@@ -90,7 +90,7 @@
 
 /// A row as answers write it.
 #[derive(Debug, Clone, Serialize)]
-pub struct RowOut<'a> {
+pub struct AnswerRow<'a> {
     /// Its key.
     pub key: &'a str,
     /// Its measure or figure, as a decimal.
@@ -124,7 +124,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// What stands before the rows.
-    pub head: Head,
+    pub head: AnswerHeader,
     /// The rows, each as JSON.
     pub rows: Vec<String>,
 }
@@ -162,7 +162,7 @@
 }
 
 /// The figure of an operation over all ranges that are in, with the interval of the exact one where it is bounded.
-pub(crate) fn figure_of(query: &Query, known: &Fold, within: Option<&Fold>, whole: bool) -> Figure {
+pub(crate) fn figure_of(query: &Query, known: &Aggregate, within: Option<&Aggregate>, whole: bool) -> Figure {
     let own = figure(query.op, known, query.scale);
     let within = within.filter(|_| !whole).and_then(|all| {
         let figure = figure(query.op, all, query.scale);
@@ -188,13 +188,16 @@
 }
 
 /// The ranges of an answer, and what is known of those that are missing.
-pub(crate) fn ranges(cover: &Cover, bounded: impl Fn(Range) -> Option<Version>) -> (Vec<In>, Vec<Gap>) {
-    let there = cover.versions.iter().map(|(&range, &version)| In { range, version }).collect();
-    let gap = |(&range, reason): (&Range, &crate::cover::Reason)| Gap {
+pub(crate) fn ranges(
+    coverage: &Coverage,
+    bounded: impl Fn(Range) -> Option<Version>,
+) -> (Vec<IncludedRange>, Vec<MissingRange>) {
+    let there = coverage.versions.iter().map(|(&range, &version)| IncludedRange { range, version }).collect();
+    let gap = |(&range, reason): (&Range, &crate::coverage::MissingReason)| MissingRange {
         range,
-        reason: reason.word(),
+        reason: reason.code(),
         detail: reason.to_string(),
         bounded_at: bounded(range),
     };
-    (there, cover.missing.iter().map(gap).collect())
+    (there, coverage.missing.iter().map(gap).collect())
 }
--- a/crates/merge/src/cover.rs
+++ b/crates/merge/src/coverage.rs
@@ -3,37 +3,37 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::value::{TooLarge, Unfit};
+use crate::value::{InvalidValue, TooLarge};
 use crate::{Range, Version};
 
 /// Why a range is missing from an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reason {
+pub enum MissingReason {
     /// None of its data nodes answered in time.
     NoAnswer,
     /// What came could not be used; the last fault seen.
-    Unfit(Unfit),
+    InvalidValue(InvalidValue),
     /// One of its rows is larger than any value may be: no replica can give it.
     TooLarge(TooLarge),
 }
 
-impl Reason {
+impl MissingReason {
     /// The word that answers use for it.
-    pub fn word(&self) -> &'static str {
+    pub fn code(&self) -> &'static str {
         match self {
             Self::NoAnswer => "no-answer",
-            Self::Unfit(Unfit::Behind(..)) => "behind",
-            Self::Unfit(_) => "spoilt",
+            Self::InvalidValue(InvalidValue::StaleVersion(..)) => "behind",
+            Self::InvalidValue(_) => "spoilt",
             Self::TooLarge(_) => "row-too-large",
         }
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for MissingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoAnswer => f.write_str("no data node answered in time"),
-            Self::Unfit(unfit) => unfit.fmt(f),
+            Self::InvalidValue(invalid) => invalid.fmt(f),
             Self::TooLarge(row) => write!(f, "the row '{}' is larger than a value may be", row.key),
         }
     }
@@ -41,37 +41,37 @@
 
 /// What an answer rests on.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Cover {
+pub struct Coverage {
     /// The ranges that are in, with the version of their data.
     pub versions: BTreeMap<Range, Version>,
     /// The ranges that are not.
-    pub missing: BTreeMap<Range, Reason>,
+    pub missing: BTreeMap<Range, MissingReason>,
 }
 
 /// Parts of one in which shares are written.
-const PARTS: u128 = 1_000_000;
+const MILLIONTHS_PER_UNIT: u128 = 1_000_000;
 
-impl Cover {
+impl Coverage {
     /// Whether every range is in.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.missing.is_empty() && !self.versions.is_empty()
     }
 
     /// The share of the ranges that are in, in millionths, rounded down: never more than there is, and a million
     /// only where all are.
-    pub fn share(&self) -> u32 {
+    pub fn ratio_millionths(&self) -> u32 {
         let (there, all) = (self.versions.len() as u128, (self.versions.len() + self.missing.len()) as u128);
-        // At most PARTS.
-        (there * PARTS).checked_div(all).unwrap_or(0) as u32
+        // At most MILLIONTHS_PER_UNIT.
+        (there * MILLIONTHS_PER_UNIT).checked_div(all).unwrap_or(0) as u32
     }
 
     /// The same as a decimal.
     pub fn decimal(&self) -> String {
-        crate::units::Units(self.share().into()).decimal(6)
+        crate::units::Units(self.ratio_millionths().into()).decimal(6)
     }
 
     /// Whether the share reaches this floor.
-    pub fn reaches(&self, floor: f64) -> bool {
+    pub fn meets_minimum(&self, floor: f64) -> bool {
         let all = self.versions.len() + self.missing.len();
         all > 0 && self.versions.len() as f64 >= floor * all as f64 - 1e-9
     }
@@ -84,14 +84,16 @@
     #[test]
     fn shares_are_never_rounded_up() {
         let versions = (0..999_999).map(|r| (r, 1)).collect();
-        let missing = [(999_999, Reason::NoAnswer), (1_000_000, Reason::NoAnswer)].into();
-        let cover = Cover { versions, missing };
-        assert_eq!((cover.share(), cover.decimal().as_str()), (999_998, "0.999998"));
-        let whole = Cover { versions: [(0, 1)].into(), ..Cover::default() };
-        assert!(whole.whole() && whole.decimal() == "1.000000");
-        assert!(!Cover::default().whole() && Cover::default().share() == 0);
-        let four =
-            Cover { versions: (0..4).map(|r| (r, 1)).collect(), missing: [(4, Reason::NoAnswer)].into() };
-        assert!(four.reaches(0.8) && !four.reaches(0.81));
+        let missing = [(999_999, MissingReason::NoAnswer), (1_000_000, MissingReason::NoAnswer)].into();
+        let coverage = Coverage { versions, missing };
+        assert_eq!((coverage.ratio_millionths(), coverage.decimal().as_str()), (999_998, "0.999998"));
+        let whole = Coverage { versions: [(0, 1)].into(), ..Coverage::default() };
+        assert!(whole.is_complete() && whole.decimal() == "1.000000");
+        assert!(!Coverage::default().is_complete() && Coverage::default().ratio_millionths() == 0);
+        let four = Coverage {
+            versions: (0..4).map(|r| (r, 1)).collect(),
+            missing: [(4, MissingReason::NoAnswer)].into(),
+        };
+        assert!(four.meets_minimum(0.8) && !four.meets_minimum(0.81));
     }
 }
--- a/crates/merge/src/cursor.rs
+++ b/crates/merge/src/cursor.rs
@@ -17,7 +17,7 @@
 
 /// Where a range's rows begin. Places are ordered as the rows are.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub enum Place {
+pub enum Position {
     /// At its first row.
     #[default]
     Start,
@@ -27,7 +27,7 @@
     After(Arc<str>),
 }
 
-impl Place {
+impl Position {
     /// Whether a row of this key lies here or behind.
     pub fn admits(&self, key: &str) -> bool {
         match self {
@@ -37,7 +37,7 @@
         }
     }
 
-    fn rank(&self) -> (Option<&str>, bool) {
+    fn sort_key(&self) -> (Option<&str>, bool) {
         match self {
             Self::Start => (None, false),
             Self::From(key) => (Some(key), false),
@@ -47,8 +47,8 @@
 
     /// The later of two: a range never goes back.
     #[must_use]
-    pub fn later(&self, other: &Self) -> Self {
-        if other.rank() > self.rank() {
+    pub fn furthest(&self, other: &Self) -> Self {
+        if other.sort_key() > self.sort_key() {
             other.clone()
         } else {
             self.clone()
@@ -58,9 +58,9 @@
 
 /// Where one range has got to.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Reached {
+pub struct RangeProgress {
     /// Where its next rows begin.
-    pub place: Place,
+    pub position: Position,
     /// The version of its data that was seen last, if any was.
     pub version: Option<Version>,
 }
@@ -73,7 +73,7 @@
     /// Until when it can be used, in seconds of Unix time.
     pub until: u64,
     /// Where each range has got to, by its number.
-    pub ranges: Vec<Reached>,
+    pub ranges: Vec<RangeProgress>,
 }
 
 /// The record's version.
@@ -211,13 +211,13 @@
             });
             at as u64 * 2
         };
-        let mut place = |p: &Place| match p {
-            Place::Start => 0,
-            Place::From(key) => number(key) + 1,
-            Place::After(key) => number(key) + 2,
+        let mut position = |p: &Position| match p {
+            Position::Start => 0,
+            Position::From(key) => number(key) + 1,
+            Position::After(key) => number(key) + 2,
         };
         let version = |v: Option<Version>| v.map_or(0, |v| v.saturating_add(1));
-        let ranges = cursor.ranges.iter().map(|r| (place(&r.place), version(r.version))).collect();
+        let ranges = cursor.ranges.iter().map(|r| (position(&r.position), version(r.version))).collect();
         let record = Record { form: FORM, query: cursor.query, until: cursor.until, keys, ranges };
         let mut bytes = self.0[0].name.to_vec();
         // Nothing in the record can fail to be written.
@@ -259,16 +259,16 @@
         if record.ranges.len() != ranges {
             return Err(BadCursor::OtherRanges);
         }
-        let reached = |&(place, version): &(u64, u64)| {
+        let progress = |&(position, version): &(u64, u64)| {
             let key = |n: u64| record.keys.get((n / 2) as usize).cloned().ok_or(BadCursor::Malformed);
-            let place = match place {
-                0 => Place::Start,
-                n if n % 2 == 1 => Place::From(key(n - 1)?),
-                n => Place::After(key(n - 2)?),
+            let position = match position {
+                0 => Position::Start,
+                n if n % 2 == 1 => Position::From(key(n - 1)?),
+                n => Position::After(key(n - 2)?),
             };
-            Ok(Reached { place, version: version.checked_sub(1) })
+            Ok(RangeProgress { position, version: version.checked_sub(1) })
         };
-        let ranges = record.ranges.iter().map(reached).collect::<Result<_, _>>()?;
+        let ranges = record.ranges.iter().map(progress).collect::<Result<_, _>>()?;
         Ok(Cursor { query: record.query, until: record.until, ranges })
     }
 }
@@ -281,12 +281,12 @@
     const QUERY: [u8; 16] = [7; 16];
 
     fn cursor() -> Cursor {
-        let reached = |place, version| Reached { place, version };
+        let progress = |position, version| RangeProgress { position, version };
         let ranges = vec![
-            reached(Place::After("kızıl".into()), Some(0)),
-            reached(Place::From("kızıl".into()), Some(u64::MAX - 1)),
-            reached(Place::Start, None),
-            reached(Place::After("b".into()), Some(17)),
+            progress(Position::After("kızıl".into()), Some(0)),
+            progress(Position::From("kızıl".into()), Some(u64::MAX - 1)),
+            progress(Position::Start, None),
+            progress(Position::After("b".into()), Some(17)),
         ];
         Cursor { query: QUERY, until: 100, ranges }
     }
@@ -354,15 +354,15 @@
 
         #[test]
         fn places_never_go_back(a in 0..3u8, b in 0..3u8, x in "[ab]{0,2}", y in "[ab]{0,2}", key in "[ab]{0,3}") {
-            let place = |kind, k: &str| match kind {
-                0 => Place::Start,
-                1 => Place::From(k.into()),
-                _ => Place::After(k.into()),
+            let position = |kind, k: &str| match kind {
+                0 => Position::Start,
+                1 => Position::From(k.into()),
+                _ => Position::After(k.into()),
             };
-            let (a, b) = (place(a, &x), place(b, &y));
-            let later = a.later(&b);
+            let (a, b) = (position(a, &x), position(b, &y));
+            let later = a.furthest(&b);
             prop_assert_eq!(later.admits(&key), a.admits(&key) && b.admits(&key));
-            prop_assert_eq!(later, b.later(&a));
+            prop_assert_eq!(later, b.furthest(&a));
         }
     }
 }
--- a/crates/merge/src/lib.rs
+++ b/crates/merge/src/lib.rs
@@ -2,19 +2,19 @@
 //!
 //! A [`query::Query`] goes to each range as a text ([`query::Query::text`]). What a range answers is a
 //! [`value::Value`], checked when it comes ([`value::check`]): one that is malformed, speaks for another range or
-//! contradicts itself never counts. From the values that are in, [`rank`], [`fold`] and [`page`] make the answer;
-//! [`cover`] says what it rests on, [`recall`] what is known of ranges that are missing, and [`cursor`] carries a
+//! contradicts itself never counts. From the values that are in, [`rank`], [`aggregate`] and [`page`] make the answer;
+//! [`coverage`] says what it rests on, [`range_cache`] what is known of ranges that are missing, and [`cursor`] carries a
 //! listing from page to page. Nothing here does I/O or reads a clock.
 
+pub mod aggregate;
 pub mod answer;
-pub mod cover;
+pub mod coverage;
 pub mod cursor;
-pub mod fold;
-pub mod merging;
+pub mod merger;
 pub mod page;
 pub mod query;
+pub mod range_cache;
 pub mod rank;
-pub mod recall;
 pub mod units;
 pub mod value;
 
--- a/crates/merge/src/page.rs
+++ b/crates/merge/src/page.rs
@@ -10,16 +10,16 @@
 
 use serde_json::value::RawValue;
 
-use crate::cursor::Place;
-use crate::fold::Fold;
-use crate::rank::Fault;
+use crate::aggregate::Aggregate;
+use crate::cursor::Position;
+use crate::rank::RowError;
 use crate::units::Units;
-use crate::value::{Entry, Group, Keyed, Row, Unfit, Value};
+use crate::value::{Entry, Group, InvalidValue, Row, RowKey, Value};
 use crate::Range;
 
 /// A row of a listing.
 #[derive(Debug, Clone)]
-pub struct Listed<'a> {
+pub struct ListedRow<'a> {
     /// Where it lies.
     pub range: Range,
     /// Its key.
@@ -32,11 +32,11 @@
 
 /// A group, its rows added up over all ranges.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Summed<'a> {
+pub struct GroupRow<'a> {
     /// Its key.
     pub key: Cow<'a, str>,
     /// Its figures.
-    pub fold: Fold,
+    pub aggregate: Aggregate,
 }
 
 /// A page.
@@ -87,8 +87,8 @@
     cut: bool,
 }
 
-impl<'a, R: Keyed<'a> + Clone, I: Iterator<Item = Result<R, Unfit>>> Merge<'a, R, I> {
-    fn push(&mut self, range: Range, mut left: I, rest: bool) -> Result<(), Unfit> {
+impl<'a, R: RowKey<'a> + Clone, I: Iterator<Item = Result<R, InvalidValue>>> Merge<'a, R, I> {
+    fn push(&mut self, range: Range, mut left: I, rest: bool) -> Result<(), InvalidValue> {
         match left.next().transpose()? {
             Some(row) => {
                 self.heads.push(Head { key: row.key().clone(), range, source: self.sources.len() });
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    fn next(&mut self) -> Result<Option<(Range, R)>, Unfit> {
+    fn next(&mut self) -> Result<Option<(Range, R)>, InvalidValue> {
         let Some(mut head) = self.heads.peek_mut() else { return Ok(None) };
         let source = &mut self.sources[head.source];
         let range = head.range;
@@ -133,9 +133,9 @@
     pub rest: bool,
 }
 
-fn start<'a, R: Keyed<'a> + Clone, I: Iterator<Item = Result<R, Unfit>>>(
+fn start<'a, R: RowKey<'a> + Clone, I: Iterator<Item = Result<R, InvalidValue>>>(
     ranges: impl ExactSizeIterator<Item = Rows<I>>,
-) -> Result<Merge<'a, R, I>, Unfit> {
+) -> Result<Merge<'a, R, I>, InvalidValue> {
     let (heads, sources) = (BinaryHeap::with_capacity(ranges.len()), Vec::with_capacity(ranges.len()));
     let mut merge = Merge { heads, sources, cut: false };
     for Rows { range, rows, rest } in ranges {
@@ -146,9 +146,13 @@
 
 fn rows_of<'a, 'v, R: Row<'a>>(
     values: &'v [Value<'a>],
-) -> impl ExactSizeIterator<Item = Rows<impl Iterator<Item = Result<R, Unfit>> + use<'a, R>>> + use<'a, 'v, R>
+) -> impl ExactSizeIterator<Item = Rows<impl Iterator<Item = Result<R, InvalidValue>> + use<'a, R>>> + use<'a, 'v, R>
 {
-    values.iter().map(|v| Rows { range: v.header.range, rows: v.rows::<R>(), rest: v.header.rest.is_some() })
+    values.iter().map(|v| Rows {
+        range: v.header.range,
+        rows: v.rows::<R>(),
+        rest: v.header.remainder.is_some(),
+    })
 }
 
 /// At most `limit` rows of these ranges by key and range, with the range of each. Ends behind the last row of a range
@@ -156,10 +160,10 @@
 ///
 /// # Errors
 /// A row cannot be read.
-pub fn merge<'a, R: Keyed<'a> + Clone, I: Iterator<Item = Result<R, Unfit>>>(
+pub fn merge<'a, R: RowKey<'a> + Clone, I: Iterator<Item = Result<R, InvalidValue>>>(
     ranges: impl ExactSizeIterator<Item = Rows<I>>,
     limit: usize,
-) -> Result<Page<(Range, R)>, Unfit> {
+) -> Result<Page<(Range, R)>, InvalidValue> {
     let mut merge = start(ranges)?;
     let mut rows: Vec<(Range, R)> = Vec::new();
     while rows.len() < limit && !merge.cut {
@@ -174,9 +178,9 @@
 ///
 /// # Errors
 /// A row cannot be read.
-pub fn list<'a>(values: &[Value<'a>], limit: usize) -> Result<Page<Listed<'a>>, Unfit> {
+pub fn list<'a>(values: &[Value<'a>], limit: usize) -> Result<Page<ListedRow<'a>>, InvalidValue> {
     let Page { rows, last, more } = merge(rows_of::<Entry>(values), limit)?;
-    let listed = |(range, Entry { key, measure, body })| Listed { range, key, measure, body };
+    let listed = |(range, Entry { key, measure, body })| ListedRow { range, key, measure, body };
     Ok(Page { rows: rows.into_iter().map(listed).collect(), last, more })
 }
 
@@ -184,17 +188,17 @@
 ///
 /// # Errors
 /// A row cannot be read, or a sum does not fit.
-pub fn groups<'a>(values: &[Value<'a>], limit: usize) -> Result<Page<Summed<'a>>, Fault> {
+pub fn groups<'a>(values: &[Value<'a>], limit: usize) -> Result<Page<GroupRow<'a>>, RowError> {
     let mut merge = start(rows_of::<Group>(values))?;
-    let mut rows: Vec<Summed> = Vec::new();
+    let mut rows: Vec<GroupRow> = Vec::new();
     while rows.len() < limit && !merge.cut {
-        let Some((_, Group { key, mut fold })) = merge.next()? else { break };
+        let Some((_, Group { key, mut aggregate })) = merge.next()? else { break };
         // The same key of other ranges: they are next, and none can come later, since keys grow in each range.
         while merge.next_key() == Some(&*key) {
             let Some((_, other)) = merge.next()? else { break };
-            fold = fold.join(&other.fold)?;
+            aggregate = aggregate.merge(&other.aggregate)?;
         }
-        rows.push(Summed { key, fold });
+        rows.push(GroupRow { key, aggregate });
     }
     // A group is over for all ranges at once.
     let last = rows.last().map(|r| (Arc::from(&*r.key), Range::MAX));
@@ -202,10 +206,10 @@
 }
 
 /// Where a range that was in begins on the next page.
-pub fn reached(last: &(Arc<str>, Range), range: Range) -> Place {
+pub fn next_position(last: &(Arc<str>, Range), range: Range) -> Position {
     match range <= last.1 {
-        true => Place::After(last.0.clone()),
-        false => Place::From(last.0.clone()),
+        true => Position::After(last.0.clone()),
+        false => Position::From(last.0.clone()),
     }
 }
 
@@ -237,8 +241,8 @@
             |names: &[(&str, Range)]| -> Vec<_> { names.iter().map(|r| (r.0.to_string(), r.1)).collect() };
         assert_eq!(listed(&texts, 9), (rows(&[("a", 0), ("b", 1), ("c", 0), ("c", 1)]), false));
         assert_eq!(listed(&texts, 3), (rows(&[("a", 0), ("b", 1), ("c", 0)]), true));
-        assert_eq!(reached(&("c".into(), 0), 0), Place::After("c".into()));
-        assert_eq!(reached(&("c".into(), 0), 1), Place::From("c".into()));
+        assert_eq!(next_position(&("c".into(), 0), 0), Position::After("c".into()));
+        assert_eq!(next_position(&("c".into(), 0), 1), Position::From("c".into()));
         assert_eq!(listed(&[text(0, &[], false)], 3), (vec![], false));
     }
 
@@ -258,10 +262,10 @@
         ];
         let values: Vec<Value> = texts.iter().map(|t| Value::read(t).unwrap()).collect();
         let page = groups(&values, 9).unwrap();
-        let b = Fold { rows: 3, sum: Units(5), ends: Some((Units(-1), Units(4))) };
+        let b = Aggregate { rows: 3, sum: Units(5), ends: Some((Units(-1), Units(4))) };
         assert_eq!(page.rows.len(), 2);
-        assert_eq!(page.rows[1], Summed { key: "b".into(), fold: b });
+        assert_eq!(page.rows[1], GroupRow { key: "b".into(), aggregate: b });
         assert!(page.more);
-        assert_eq!(reached(&page.last.unwrap(), 7), Place::After("b".into()));
+        assert_eq!(next_position(&page.last.unwrap(), 7), Position::After("b".into()));
     }
 }
--- a/crates/merge/src/query.rs
+++ b/crates/merge/src/query.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::cursor::Place;
+use crate::cursor::Position;
 use crate::{Range, Version};
 
 /// An operation over the rows of all ranges.
@@ -29,8 +29,8 @@
 }
 
 impl Op {
-    /// Whether it folds rows into one figure.
-    pub fn folds(self) -> bool {
+    /// Whether it aggregates rows into one figure.
+    pub fn is_aggregate(self) -> bool {
         !matches!(self, Self::Rank | Self::List)
     }
 }
@@ -100,7 +100,7 @@
 impl Query {
     /// Whether its answer comes page by page: listings, and grouped figures in the order of their keys.
     pub fn paged(&self) -> bool {
-        self.op == Op::List || (self.op.folds() && self.grouped)
+        self.op == Op::List || (self.op.is_aggregate() && self.grouped)
     }
 
     fn shape(&self) -> Shape<'_> {
@@ -128,11 +128,11 @@
 
     /// The text for one range (JSON, `docs/merge-format.md`): where its rows begin, and the version of the data
     /// that it must have at least.
-    pub fn text(&self, range: Range, place: &Place, at_least: Option<Version>) -> String {
-        let (after, from) = match place {
-            Place::Start => (None, None),
-            Place::After(key) => (Some(key.as_ref()), None),
-            Place::From(key) => (None, Some(key.as_ref())),
+    pub fn text(&self, range: Range, position: &Position, at_least: Option<Version>) -> String {
+        let (after, from) = match position {
+            Position::Start => (None, None),
+            Position::After(key) => (Some(key.as_ref()), None),
+            Position::From(key) => (None, Some(key.as_ref())),
         };
         let text = Text { shape: self.shape(), limit: self.limit, range, after, from, at_least };
         serde_json::to_string(&text).unwrap_or_default()
--- a/crates/merge/src/recall.rs
+++ b/crates/merge/src/range_cache.rs
@@ -7,8 +7,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::fold::Fold;
-use crate::rank::Known;
+use crate::aggregate::Aggregate;
+use crate::rank::RangeBounds;
 use crate::{Range, Version};
 
 /// Nanoseconds of one clock that never runs backwards.
@@ -19,27 +19,27 @@
 
 /// What is remembered of a range for a query's shape.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fact {
+pub enum RangeSummary {
     /// Its figures.
-    Total(Fold),
+    Total(Aggregate),
     /// Between what its rows lie.
-    Rows(Known),
+    Rows(RangeBounds),
 }
 
 /// Bounds of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct CacheLimits {
     /// Entries.
-    pub entries: usize,
+    pub max_entries: usize,
     /// Ranges of which a version is kept.
-    pub ranges: usize,
+    pub max_ranges: usize,
     /// An entry is forgotten after this.
-    pub age: Nanos,
+    pub max_age_ns: Nanos,
 }
 
 /// What has happened to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct CacheCounts {
     /// A missing range was bounded.
     pub hits: u64,
     /// It was not.
@@ -54,37 +54,37 @@
 
 struct Entry {
     version: Version,
-    fact: Fact,
+    fact: RangeSummary,
     at: Nanos,
     turn: u64,
 }
 
 /// The table.
-pub struct Recall {
-    bounds: Bounds,
+pub struct RangeCache {
+    limits: CacheLimits,
     versions: BTreeMap<Range, Version>,
     entries: HashMap<(Shape, Range), Entry>,
     /// By the turn in which they were last learnt.
     turns: BTreeMap<u64, (Shape, Range)>,
     next: u64,
-    counts: Counts,
+    counts: CacheCounts,
 }
 
-impl Recall {
+impl RangeCache {
     /// An empty table.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(limits: CacheLimits) -> Self {
         Self {
-            bounds,
+            limits,
             versions: BTreeMap::new(),
             entries: HashMap::new(),
             turns: BTreeMap::new(),
             next: 0,
-            counts: Counts::default(),
+            counts: CacheCounts::default(),
         }
     }
 
     /// What has happened so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> CacheCounts {
         self.counts
     }
 
@@ -99,8 +99,8 @@
     }
 
     /// A range's data was seen at this version.
-    pub fn seen(&mut self, range: Range, version: Version) {
-        if range as usize >= self.bounds.ranges {
+    pub fn observe_version(&mut self, range: Range, version: Version) {
+        if range as usize >= self.limits.max_ranges {
             return;
         }
         let known = self.versions.entry(range).or_insert(version);
@@ -108,38 +108,42 @@
     }
 
     /// What a range said at a version.
-    pub fn learn(&mut self, now: Nanos, shape: Shape, range: Range, version: Version, fact: Fact) {
-        self.seen(range, version);
+    pub fn insert(&mut self, now: Nanos, shape: Shape, range: Range, version: Version, fact: RangeSummary) {
+        self.observe_version(range, version);
         if self.versions.get(&range) != Some(&version) {
             return; // Of an older replica: it bounds nothing.
         }
-        if self.entries.get(&(shape, range)).is_some_and(|e| e.version == version && !fits(&e.fact, &fact)) {
+        if self
+            .entries
+            .get(&(shape, range))
+            .is_some_and(|e| e.version == version && !is_consistent(&e.fact, &fact))
+        {
             // Neither can be trusted.
             self.counts.contradictions += 1;
-            self.forget(&(shape, range));
+            self.remove_entry(&(shape, range));
             return;
         }
-        self.forget(&(shape, range));
+        self.remove_entry(&(shape, range));
         let turn = self.next;
         self.next += 1;
         self.turns.insert(turn, (shape, range));
         self.entries.insert((shape, range), Entry { version, fact, at: now, turn });
-        while self.entries.len() > self.bounds.entries {
+        while self.entries.len() > self.limits.max_entries {
             let Some((_, &oldest)) = self.turns.first_key_value() else { break };
             self.counts.evicted += 1;
-            self.forget(&oldest);
+            self.remove_entry(&oldest);
         }
     }
 
     /// What is known of a missing range, and at which version: the last one that was seen of its data.
-    pub fn recall(&mut self, now: Nanos, shape: Shape, range: Range) -> Option<(Version, Fact)> {
+    pub fn get(&mut self, now: Nanos, shape: Shape, range: Range) -> Option<(Version, RangeSummary)> {
         let key = (shape, range);
         let found = self.entries.get(&key).map(|e| (e.version, e.fact, e.at));
         let Some((version, fact, at)) = found else {
             self.counts.misses += 1;
             return None;
         };
-        let old = now.saturating_sub(at) > self.bounds.age;
+        let old = now.saturating_sub(at) > self.limits.max_age_ns;
         let outdated = self.versions.get(&range).is_some_and(|&last| last != version);
         if old || outdated {
             match old {
@@ -147,7 +151,7 @@
                 false => self.counts.outdated += 1,
             }
             self.counts.misses += 1;
-            self.forget(&key);
+            self.remove_entry(&key);
             return None;
         }
         self.counts.hits += 1;
@@ -155,16 +159,16 @@
     }
 
     /// A data node that holds this range has started anew: its data may be older than what was seen.
-    pub fn restarted(&mut self, range: Range) {
+    pub fn invalidate_range(&mut self, range: Range) {
         self.versions.remove(&range);
         let keys: Vec<_> = self.entries.keys().filter(|k| k.1 == range).copied().collect();
         for key in keys {
             self.counts.outdated += 1;
-            self.forget(&key);
+            self.remove_entry(&key);
         }
     }
 
-    fn forget(&mut self, key: &(Shape, Range)) {
+    fn remove_entry(&mut self, key: &(Shape, Range)) {
         if let Some(entry) = self.entries.remove(key) {
             self.turns.remove(&entry.turn);
         }
@@ -173,13 +177,16 @@
 
 /// Whether two facts of one version can both be true. Totals and the best row must be the same; how far a value
 /// reached depends on the limit.
-fn fits(a: &Fact, b: &Fact) -> bool {
+fn is_consistent(a: &RangeSummary, b: &RangeSummary) -> bool {
     match (a, b) {
-        (Fact::Total(a), Fact::Total(b)) => a == b,
-        (Fact::Rows(Known::Within(l1, h1)), Fact::Rows(Known::Within(l2, h2))) => {
-            l1.zip(*l2).is_none_or(|(a, b)| a == b) || h1.zip(*h2).is_none_or(|(a, b)| a == b)
+        (RangeSummary::Total(a), RangeSummary::Total(b)) => a == b,
+        (
+            RangeSummary::Rows(RangeBounds::Within(l1, h1)),
+            RangeSummary::Rows(RangeBounds::Within(l2, h2)),
+        ) => l1.zip(*l2).is_none_or(|(a, b)| a == b) || h1.zip(*h2).is_none_or(|(a, b)| a == b),
+        (RangeSummary::Rows(a), RangeSummary::Rows(b)) => {
+            (*a == RangeBounds::Empty) == (*b == RangeBounds::Empty)
         }
-        (Fact::Rows(a), Fact::Rows(b)) => (*a == Known::Empty) == (*b == Known::Empty),
         _ => false,
     }
 }
@@ -192,26 +199,26 @@
 
     const SHAPE: Shape = [1; 16];
 
-    fn table() -> Recall {
-        Recall::new(Bounds { entries: 3, ranges: 8, age: 100 })
+    fn table() -> RangeCache {
+        RangeCache::new(CacheLimits { max_entries: 3, max_ranges: 8, max_age_ns: 100 })
     }
 
-    fn total(sum: i128) -> Fact {
-        Fact::Total(Fold::one(Units(sum)))
+    fn total(sum: i128) -> RangeSummary {
+        RangeSummary::Total(Aggregate::of_row(Units(sum)))
     }
 
     #[test]
     fn only_the_last_version_known_bounds_a_range() {
         let mut t = table();
-        t.learn(0, SHAPE, 1, 7, total(5));
-        assert_eq!(t.recall(100, SHAPE, 1), Some((7, total(5))));
-        assert_eq!(t.recall(101, SHAPE, 1), None, "too old");
-        t.learn(0, SHAPE, 1, 7, total(5));
+        t.insert(0, SHAPE, 1, 7, total(5));
+        assert_eq!(t.get(100, SHAPE, 1), Some((7, total(5))));
+        assert_eq!(t.get(101, SHAPE, 1), None, "too old");
+        t.insert(0, SHAPE, 1, 7, total(5));
         // Another query saw that the data has changed.
-        t.seen(1, 8);
-        assert_eq!(t.recall(1, SHAPE, 1), None);
-        t.learn(1, SHAPE, 1, 7, total(5));
-        assert_eq!(t.recall(1, SHAPE, 1), None, "learnt of an older replica");
+        t.observe_version(1, 8);
+        assert_eq!(t.get(1, SHAPE, 1), None);
+        t.insert(1, SHAPE, 1, 7, total(5));
+        assert_eq!(t.get(1, SHAPE, 1), None, "learnt of an older replica");
         assert_eq!((t.counts().hits, t.counts().misses), (1, 3));
         assert_eq!((t.counts().evicted, t.counts().outdated), (1, 1));
     }
@@ -219,14 +226,14 @@
     #[test]
     fn a_restart_and_a_contradiction_forget() {
         let mut t = table();
-        t.learn(0, SHAPE, 1, 7, total(5));
-        t.restarted(1);
-        assert_eq!(t.recall(0, SHAPE, 1), None);
+        t.insert(0, SHAPE, 1, 7, total(5));
+        t.invalidate_range(1);
+        assert_eq!(t.get(0, SHAPE, 1), None);
         // The data may be older now, and is not measured against what was seen before.
-        t.learn(0, SHAPE, 1, 6, total(4));
-        assert_eq!(t.recall(0, SHAPE, 1), Some((6, total(4))));
-        t.learn(0, SHAPE, 1, 6, total(9));
-        assert_eq!((t.recall(0, SHAPE, 1), t.counts().contradictions), (None, 1));
+        t.insert(0, SHAPE, 1, 6, total(4));
+        assert_eq!(t.get(0, SHAPE, 1), Some((6, total(4))));
+        t.insert(0, SHAPE, 1, 6, total(9));
+        assert_eq!((t.get(0, SHAPE, 1), t.counts().contradictions), (None, 1));
     }
 
     proptest! {
@@ -239,9 +246,9 @@
             for (now, (kind, range, version, shape)) in (0..).step_by(30).zip(steps) {
                 let shape = [shape % 3; 16];
                 match kind {
-                    0..=2 => t.learn(now, shape, range, version, total(version.into())),
-                    3 => t.restarted(range),
-                    _ => drop(t.recall(now, shape, range)),
+                    0..=2 => t.insert(now, shape, range, version, total(version.into())),
+                    3 => t.invalidate_range(range),
+                    _ => drop(t.get(now, shape, range)),
                 }
                 prop_assert!(t.len() <= 3 && t.versions.len() <= 8);
                 prop_assert_eq!(t.turns.len(), t.len());
--- a/crates/merge/src/rank.rs
+++ b/crates/merge/src/rank.rs
@@ -13,7 +13,7 @@
 
 use crate::query::Order;
 use crate::units::{Overflow, Units};
-use crate::value::{Entry, Rest, Unfit, Value};
+use crate::value::{Entry, InvalidValue, Remainder, Value};
 use crate::Range;
 
 /// The order of two measures, the better one first.
@@ -31,9 +31,9 @@
 
 /// What is known of a range that is missing, from an earlier answer at the last version known of its data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum RangeBounds {
     /// Nothing: any row may lie there.
-    Nothing,
+    Unknown,
     /// It has no rows.
     Empty,
     /// All its rows lie between these measures; none: it is not bounded on that side.
@@ -42,7 +42,7 @@
 
 /// A row of a ranking.
 #[derive(Debug, Clone)]
-pub struct Placed<'a> {
+pub struct RankedRow<'a> {
     /// Its key.
     pub key: Cow<'a, str>,
     /// The measure as far as it is known.
@@ -57,9 +57,9 @@
     pub body: Option<&'a RawValue>,
 }
 
-impl Placed<'_> {
+impl RankedRow<'_> {
     /// Whether the measure is exact.
-    pub fn exact(&self) -> bool {
+    pub fn is_exact(&self) -> bool {
         self.low == self.high && self.low == Some(self.measure)
     }
 }
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Ranking<'a> {
     /// Its rows, best first.
-    pub rows: Vec<Placed<'a>>,
+    pub rows: Vec<RankedRow<'a>>,
     /// So many of them, from the first on, stand in the exact answer at that place.
     pub certain: usize,
     /// Whether further rows follow the last one.
@@ -77,13 +77,13 @@
 
 /// The best that an unseen row of one range can be.
 #[derive(Debug, Clone)]
-struct Unseen {
+struct UnseenRows {
     best: Option<Units>,
     /// It stands behind this row, the last that the range gave.
     behind: Option<(Units, String)>,
 }
 
-impl Unseen {
+impl UnseenRows {
     /// Whether a row is sure to stand before whatever lies here.
     fn is_behind(&self, order: Order, row: (Units, &str)) -> bool {
         let Some(best) = self.best else { return false };
@@ -141,14 +141,14 @@
 }
 
 /// The best side of what is known of a missing range.
-fn best_of(order: Order, known: Known) -> Option<Unseen> {
+fn best_of(order: Order, known: RangeBounds) -> Option<UnseenRows> {
     let best = match (known, order) {
-        (Known::Empty, _) => return None,
-        (Known::Nothing, _) => None,
-        (Known::Within(_, most), Order::Desc) => most,
-        (Known::Within(least, _), Order::Asc) => least,
+        (RangeBounds::Empty, _) => return None,
+        (RangeBounds::Unknown, _) => None,
+        (RangeBounds::Within(_, most), Order::Desc) => most,
+        (RangeBounds::Within(least, _), Order::Asc) => least,
     };
-    Some(Unseen { best, behind: None })
+    Some(UnseenRows { best, behind: None })
 }
 
 /// The first `limit` rows of these values. Reads no more rows than it gives, and one of each range.
@@ -157,20 +157,20 @@
 /// A row cannot be read.
 pub fn merge<'a>(
     values: &[Value<'a>],
-    missing: &[Known],
+    missing: &[RangeBounds],
     order: Order,
     limit: usize,
-) -> Result<Ranking<'a>, Unfit> {
+) -> Result<Ranking<'a>, InvalidValue> {
     let mut heads = BinaryHeap::with_capacity(values.len());
-    let mut unseen: Vec<Unseen> = missing.iter().filter_map(|&k| best_of(order, k)).collect();
+    let mut unseen: Vec<UnseenRows> = missing.iter().filter_map(|&k| best_of(order, k)).collect();
     for value in values {
         let mut left = value.rows::<Entry>();
-        let told = value.header.rest.map(|r| if order == Order::Desc { r.most } else { r.least });
+        let told = value.header.remainder.map(|r| if order == Order::Desc { r.max } else { r.min });
         if let Some(row) = left.next().transpose()? {
             heads.push(Head { order, row, range: value.header.range, left, rest: told });
         }
     }
-    let mut rows: Vec<Placed> = Vec::with_capacity(limit.min(1024));
+    let mut rows: Vec<RankedRow> = Vec::with_capacity(limit.min(1024));
     while rows.len() < limit {
         let Some(mut head) = heads.pop() else { break };
         let Entry { key, measure, body } = head.row;
@@ -178,13 +178,13 @@
             heads.push(Head { row, ..head });
         } else if let Some(told) = head.rest.take() {
             let best = Some(following(order, told, measure));
-            unseen.push(Unseen { best, behind: Some((measure, key.to_string())) });
+            unseen.push(UnseenRows { best, behind: Some((measure, key.to_string())) });
         }
         let range = Some(head.range);
-        rows.push(Placed { key, measure, low: Some(measure), high: Some(measure), range, body });
+        rows.push(RankedRow { key, measure, low: Some(measure), high: Some(measure), range, body });
     }
     // Ranges with given rows left: what follows those comes behind them, and they come behind what is given.
-    let sure = |row: &Placed| unseen.iter().all(|u| u.is_behind(order, (row.measure, &row.key)));
+    let sure = |row: &RankedRow| unseen.iter().all(|u| u.is_behind(order, (row.measure, &row.key)));
     let certain = rows.iter().take_while(|r| sure(r)).count();
     let more = !heads.is_empty() || !unseen.is_empty();
     Ok(Ranking { rows, certain, more })
@@ -229,20 +229,20 @@
 
 /// Why groups cannot be ranked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum RowError {
     /// A row cannot be read.
-    Unfit(Unfit),
+    InvalidValue(InvalidValue),
     /// A sum does not fit.
     Overflow,
 }
 
-impl From<Unfit> for Fault {
-    fn from(unfit: Unfit) -> Self {
-        Self::Unfit(unfit)
+impl From<InvalidValue> for RowError {
+    fn from(invalid: InvalidValue) -> Self {
+        Self::InvalidValue(invalid)
     }
 }
 
-impl From<Overflow> for Fault {
+impl From<Overflow> for RowError {
     fn from(_: Overflow) -> Self {
         Self::Overflow
     }
@@ -254,10 +254,10 @@
 /// A row cannot be read, or a sum does not fit.
 pub fn merge_groups<'a>(
     values: &[Value<'a>],
-    missing: &[Known],
+    missing: &[RangeBounds],
     order: Order,
     limit: usize,
-) -> Result<Ranking<'a>, Fault> {
+) -> Result<Ranking<'a>, RowError> {
     let (mut low, mut high) = (Bound::default(), Bound::default());
     let mut hidden = false;
     let mut sums: HashMap<Cow<'a, str>, Sum> = HashMap::new();
@@ -269,16 +269,16 @@
             last = Some(row.measure);
             listed.push(row);
         }
-        let bounds = match (value.header.rest, last, order) {
+        let bounds = match (value.header.remainder, last, order) {
             (None, _, _) | (_, None, _) => (Some(Units(0)), Some(Units(0))),
             (Some(rest), Some(last), Order::Desc) => {
-                unlisted(rest.least, Some(following(order, rest.most, last)))
+                unlisted(rest.min, Some(following(order, rest.max, last)))
             }
             (Some(rest), Some(last), Order::Asc) => {
-                unlisted(Some(following(order, rest.least, last)), rest.most)
+                unlisted(Some(following(order, rest.min, last)), rest.max)
             }
         };
-        hidden |= value.header.rest.is_some();
+        hidden |= value.header.remainder.is_some();
         low.add(bounds.0)?;
         high.add(bounds.1)?;
         for row in listed {
@@ -290,9 +290,9 @@
     }
     for known in missing {
         let bounds = match *known {
-            Known::Empty => continue,
-            Known::Nothing => (None, None),
-            Known::Within(least, most) => unlisted(least, most),
+            RangeBounds::Empty => continue,
+            RangeBounds::Unknown => (None, None),
+            RangeBounds::Within(least, most) => unlisted(least, most),
         };
         hidden = true;
         low.add(bounds.0)?;
@@ -305,7 +305,7 @@
             None => Ok(None),
         };
         let (low, high) = (bound(&low, &sum.low)?, bound(&high, &sum.high)?);
-        rows.push(Placed { key, measure: sum.known, low, high, range: None, body: None });
+        rows.push(RankedRow { key, measure: sum.known, low, high, range: None, body: None });
     }
     rows.sort_unstable_by(|a, b| by_measure(order, a.measure, b.measure).then_with(|| a.key.cmp(&b.key)));
     let none = Bound::default();
@@ -321,8 +321,8 @@
 
 /// How many leading groups are sure of their place: at its worst each stands before all that follow at their best,
 /// and before groups that no range listed, whose best is `hidden`.
-fn certain(rows: &[Placed<'_>], order: Order, hidden: Option<Option<Units>>) -> usize {
-    let sides = |r: &Placed| if order == Order::Desc { (r.low, r.high) } else { (r.high, r.low) };
+fn certain(rows: &[RankedRow<'_>], order: Order, hidden: Option<Option<Units>>) -> usize {
+    let sides = |r: &RankedRow| if order == Order::Desc { (r.low, r.high) } else { (r.high, r.low) };
     // From the last to the first: the best of all that follow; an open bound is better than any.
     let mut open = false;
     let mut best: Option<(Units, &str)> = None;
@@ -352,13 +352,13 @@
 
 /// Between what all rows of a range lie, as a value's first and last row and its bound of what follows say; to be
 /// remembered.
-pub fn bounds(ends: Option<(Units, Units)>, rest: Option<&Rest>, order: Order) -> Known {
+pub fn bounds(ends: Option<(Units, Units)>, rest: Option<&Remainder>, order: Order) -> RangeBounds {
     let Some((first, last)) = ends else {
-        return if rest.is_none() { Known::Empty } else { Known::Nothing };
+        return if rest.is_none() { RangeBounds::Empty } else { RangeBounds::Unknown };
     };
     match order {
-        Order::Desc => Known::Within(rest.map_or(Some(last), |r| r.least), Some(first)),
-        Order::Asc => Known::Within(Some(first), rest.map_or(Some(last), |r| r.most)),
+        Order::Desc => RangeBounds::Within(rest.map_or(Some(last), |r| r.min), Some(first)),
+        Order::Asc => RangeBounds::Within(Some(first), rest.map_or(Some(last), |r| r.max)),
     }
 }
 
@@ -380,7 +380,7 @@
         r.rows.iter().map(|p| (p.key.to_string(), p.measure.0)).collect()
     }
 
-    fn flat(texts: &[String], missing: &[Known], limit: usize) -> (Vec<(String, i128)>, usize) {
+    fn flat(texts: &[String], missing: &[RangeBounds], limit: usize) -> (Vec<(String, i128)>, usize) {
         let values: Vec<Value> = texts.iter().map(|t| Value::read(t).unwrap()).collect();
         let r = merge(&values, missing, Order::Desc, limit).unwrap();
         (keys(&r), r.certain)
@@ -390,10 +390,14 @@
     #[test]
     fn nothing_is_certain_while_the_top_may_be_missing() {
         let texts = [text(0, &[("a", 9), ("b", 8)], None), text(1, &[], None)];
-        assert_eq!(flat(&texts, &[Known::Nothing], 2).1, 0);
-        assert_eq!(flat(&texts, &[Known::Empty], 2).1, 2);
-        assert_eq!(flat(&texts, &[Known::Within(None, Some(Units(8)))], 2).1, 1);
-        assert_eq!(flat(&texts, &[Known::Within(None, Some(Units(9)))], 2).1, 0, "a tie may go either way");
+        assert_eq!(flat(&texts, &[RangeBounds::Unknown], 2).1, 0);
+        assert_eq!(flat(&texts, &[RangeBounds::Empty], 2).1, 2);
+        assert_eq!(flat(&texts, &[RangeBounds::Within(None, Some(Units(8)))], 2).1, 1);
+        assert_eq!(
+            flat(&texts, &[RangeBounds::Within(None, Some(Units(9)))], 2).1,
+            0,
+            "a tie may go either way"
+        );
     }
 
     #[test]
@@ -424,15 +428,15 @@
         let r = merge_groups(&values, &[], Order::Desc, 2).unwrap();
         assert_eq!(keys(&r), [("b".into(), 15), ("a".into(), 10)]);
         assert_eq!(r.certain, 2);
-        assert!(r.rows.iter().all(Placed::exact));
+        assert!(r.rows.iter().all(RankedRow::is_exact));
         let r = merge_groups(&values, &[], Order::Desc, 3).unwrap();
         assert_eq!((r.rows[2].low, r.rows[2].high), (Some(Units(5)), Some(Units(7))));
         assert_eq!(r.certain, 3);
         // A missing range that may hold up to six of any group: b and a may change places.
-        let r =
-            merge_groups(&values, &[Known::Within(Some(Units(0)), Some(Units(6)))], Order::Desc, 2).unwrap();
+        let r = merge_groups(&values, &[RangeBounds::Within(Some(Units(0)), Some(Units(6)))], Order::Desc, 2)
+            .unwrap();
         assert_eq!(r.certain, 0);
-        let r = merge_groups(&values, &[Known::Nothing], Order::Desc, 2).unwrap();
+        let r = merge_groups(&values, &[RangeBounds::Unknown], Order::Desc, 2).unwrap();
         assert_eq!((r.certain, r.rows[0].low), (0, None));
     }
 
@@ -444,8 +448,8 @@
         assert_eq!(keys(&r), [("a".into(), 1), ("c".into(), 2), ("b".into(), 4)]);
         assert_eq!(r.certain, 3);
         assert_eq!(
-            bounds(Some((Units(1), Units(4))), Some(&values[0].header.rest.unwrap()), Order::Asc),
-            Known::Within(Some(Units(1)), None)
+            bounds(Some((Units(1), Units(4))), Some(&values[0].header.remainder.unwrap()), Order::Asc),
+            RangeBounds::Within(Some(Units(1)), None)
         );
     }
 }
--- a/crates/merge/src/value.rs
+++ b/crates/merge/src/value.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
-use crate::cursor::Place;
-use crate::fold::Fold;
+use crate::aggregate::Aggregate;
+use crate::cursor::Position;
 use crate::query::{Op, Order, Query, FORM};
 use crate::units::{Units, MAX_SCALE};
 use crate::{Range, Version};
@@ -35,8 +35,8 @@
     #[serde(default)]
     pub rows: usize,
     /// Rows of the range that follow the value's last one.
-    #[serde(default)]
-    pub rest: Option<Rest>,
+    #[serde(default, rename = "rest")]
+    pub remainder: Option<Remainder>,
     /// All rows of the range that match, whatever the value holds of them.
     #[serde(default)]
     pub total: Option<Total>,
@@ -47,17 +47,14 @@
 
 /// Rows that follow a value's last one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Rest {
+#[serde(from = "wire::Rest")]
+pub struct Remainder {
     /// How many, where the range knows.
-    #[serde(default)]
     pub rows: Option<u64>,
     /// None of them has a greater measure.
-    #[serde(default)]
-    pub most: Option<Units>,
+    pub max: Option<Units>,
     /// None of them has a lesser one.
-    #[serde(default)]
-    pub least: Option<Units>,
+    pub min: Option<Units>,
 }
 
 /// Exact figures over all rows of a range.
@@ -87,43 +84,69 @@
     pub bytes: u64,
 }
 
+/// The remainder as values write it.
+mod wire {
+    use serde::Deserialize;
+
+    use crate::units::Units;
+
+    #[derive(Deserialize)]
+    #[serde(deny_unknown_fields)]
+    pub struct Rest {
+        #[serde(default)]
+        rows: Option<u64>,
+        #[serde(default)]
+        most: Option<Units>,
+        #[serde(default)]
+        least: Option<Units>,
+    }
+
+    impl From<Rest> for super::Remainder {
+        fn from(rest: Rest) -> Self {
+            Self { rows: rest.rows, max: rest.most, min: rest.least }
+        }
+    }
+}
+
 /// Why a value does not count: it is spoilt or old, and its attempt is as one that may have run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unfit {
+pub enum InvalidValue {
     /// It is not in the form that is published; what is wrong with it.
     Malformed(String),
     /// It speaks for this range, and another was asked.
-    OtherRange(Range),
+    WrongRange(Range),
     /// Its data changed from one version to another while it was read.
-    TwoVersions(Version, Version),
+    MixedVersions(Version, Version),
     /// Its data is older than what the client has seen already: its version, and the least that will do.
-    Behind(Version, Version),
+    StaleVersion(Version, Version),
     /// It contradicts itself or the query.
-    Contradiction(String),
+    Inconsistent(String),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for InvalidValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(what) => write!(f, "the value is malformed: {what}"),
-            Self::OtherRange(range) => write!(f, "the value speaks for range {range}"),
-            Self::TwoVersions(a, b) => {
+            Self::WrongRange(range) => write!(f, "the value speaks for range {range}"),
+            Self::MixedVersions(a, b) => {
                 write!(f, "the data changed from version {a} to {b} while it was read")
             }
-            Self::Behind(at, least) => write!(f, "the replica is at version {at}, and {least} has been seen"),
-            Self::Contradiction(what) => write!(f, "the value contradicts itself: {what}"),
+            Self::StaleVersion(at, least) => {
+                write!(f, "the replica is at version {at}, and {least} has been seen")
+            }
+            Self::Inconsistent(what) => write!(f, "the value contradicts itself: {what}"),
         }
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for InvalidValue {}
 
-fn malformed(what: impl fmt::Display) -> Unfit {
-    Unfit::Malformed(what.to_string())
+fn malformed(what: impl fmt::Display) -> InvalidValue {
+    InvalidValue::Malformed(what.to_string())
 }
 
-fn contradiction(what: &str) -> Unfit {
-    Unfit::Contradiction(what.to_string())
+fn contradiction(what: &str) -> InvalidValue {
+    InvalidValue::Inconsistent(what.to_string())
 }
 
 /// A row of a ranking or a listing: `["key", measure]` or `["key", measure, body]`.
@@ -143,29 +166,29 @@
     /// The group's key.
     pub key: Cow<'a, str>,
     /// The figures of the group's rows in this range.
-    pub fold: Fold,
+    pub aggregate: Aggregate,
 }
 
 /// What has a key.
-pub trait Keyed<'a> {
+pub trait RowKey<'a> {
     /// Its key.
     fn key(&self) -> &Cow<'a, str>;
 }
 
 /// A row of either kind.
-pub trait Row<'a>: Deserialize<'a> + Keyed<'a> + 'a {}
+pub trait Row<'a>: Deserialize<'a> + RowKey<'a> + 'a {}
 
 impl<'a> Row<'a> for Entry<'a> {}
 
 impl<'a> Row<'a> for Group<'a> {}
 
-impl<'a> Keyed<'a> for Entry<'a> {
+impl<'a> RowKey<'a> for Entry<'a> {
     fn key(&self) -> &Cow<'a, str> {
         &self.key
     }
 }
 
-impl<'a> Keyed<'a> for Group<'a> {
+impl<'a> RowKey<'a> for Group<'a> {
     fn key(&self) -> &Cow<'a, str> {
         &self.key
     }
@@ -228,7 +251,7 @@
         let Key(key) = need(&mut seq, "key")?;
         let (rows, sum) = (need(&mut seq, "count of rows")?, need(&mut seq, "sum")?);
         let (min, max): (Units, Units) = (need(&mut seq, "least")?, need(&mut seq, "greatest")?);
-        Ok(Group { key, fold: Fold { rows, sum, ends: Some((min, max)) } })
+        Ok(Group { key, aggregate: Aggregate { rows, sum, ends: Some((min, max)) } })
     }
 }
 
@@ -257,7 +280,7 @@
     ///
     /// # Errors
     /// It is not in the form.
-    pub fn read(text: &'a str) -> Result<Self, Unfit> {
+    pub fn read(text: &'a str) -> Result<Self, InvalidValue> {
         let (line, rows) = text.split_once('\n').unwrap_or((text, ""));
         let header: Header = serde_json::from_str(line).map_err(malformed)?;
         if header.v != FORM {
@@ -270,7 +293,7 @@
     }
 
     /// Its rows, one by one.
-    pub fn rows<R: Row<'a> + 'a>(&self) -> impl Iterator<Item = Result<R, Unfit>> + 'a {
+    pub fn rows<R: Row<'a> + 'a>(&self) -> impl Iterator<Item = Result<R, InvalidValue>> + 'a {
         let rows = serde_json::Deserializer::from_str(self.rows).into_iter::<R>();
         rows.map(|r| r.map_err(malformed))
     }
@@ -282,7 +305,7 @@
     /// The range that was asked.
     pub range: Range,
     /// Where its rows were to begin.
-    pub place: Place,
+    pub position: Position,
     /// The least version that will do.
     pub at_least: Option<Version>,
 }
@@ -300,17 +323,17 @@
 ///
 /// # Errors
 /// Says why it does not count.
-pub fn check(text: &str, query: &Query, expected: &Expected) -> Result<Checked, Unfit> {
+pub fn check(text: &str, query: &Query, expected: &Expected) -> Result<Checked, InvalidValue> {
     let value = Value::read(text)?;
     let header = &value.header;
     if header.range != expected.range {
-        return Err(Unfit::OtherRange(header.range));
+        return Err(InvalidValue::WrongRange(header.range));
     }
     if header.version != header.until {
-        return Err(Unfit::TwoVersions(header.version, header.until));
+        return Err(InvalidValue::MixedVersions(header.version, header.until));
     }
     if let Some(least) = expected.at_least.filter(|&least| header.version < least) {
-        return Err(Unfit::Behind(header.version, least));
+        return Err(InvalidValue::StaleVersion(header.version, least));
     }
     if header.scale != query.scale {
         return Err(malformed(format_args!("scale {} where {} is agreed", header.scale, query.scale)));
@@ -318,7 +341,7 @@
     if header.too_large.is_some() {
         return Ok(Checked { header: value.header, ends: None });
     }
-    let ends = match (query.op.folds(), query.grouped) {
+    let ends = match (query.op.is_aggregate(), query.grouped) {
         (true, false) => {
             check_total(&value)?;
             None
@@ -329,22 +352,22 @@
     Ok(Checked { header: value.header, ends })
 }
 
-fn check_total(value: &Value<'_>) -> Result<(), Unfit> {
+fn check_total(value: &Value<'_>) -> Result<(), InvalidValue> {
     let header = &value.header;
     let total = header.total.ok_or_else(|| malformed("a total is expected"))?;
-    if header.rows > 0 || header.rest.is_some() || !value.rows.trim().is_empty() {
+    if header.rows > 0 || header.remainder.is_some() || !value.rows.trim().is_empty() {
         return Err(malformed("a total has no rows"));
     }
-    check_fold(&total.fold())
+    check_fold(&total.aggregate())
 }
 
-/// A fold's own figures: none without rows, and the sum within what they allow.
-fn check_fold(fold: &Fold) -> Result<(), Unfit> {
-    match (fold.rows, fold.ends) {
-        (0, None) if fold.sum == Units(0) => Ok(()),
+/// A aggregate's own figures: none without rows, and the sum within what they allow.
+fn check_fold(aggregate: &Aggregate) -> Result<(), InvalidValue> {
+    match (aggregate.rows, aggregate.ends) {
+        (0, None) if aggregate.sum == Units(0) => Ok(()),
         (1.., Some((min, max))) if min <= max => {
-            let within = |low: Units, high: Units| low <= fold.sum && fold.sum <= high;
-            match (min.times(fold.rows), max.times(fold.rows)) {
+            let within = |low: Units, high: Units| low <= aggregate.sum && aggregate.sum <= high;
+            match (min.times(aggregate.rows), max.times(aggregate.rows)) {
                 (Ok(low), Ok(high)) if within(low, high) => Ok(()),
                 // Rows that cannot add up to a figure that fits.
                 _ => Err(contradiction("the sum does not fit the rows, the least and the greatest")),
@@ -355,9 +378,9 @@
 }
 
 impl Total {
-    /// The same as a fold.
-    pub fn fold(&self) -> Fold {
-        Fold { rows: self.rows, sum: self.sum, ends: self.min.zip(self.max) }
+    /// The same as a aggregate.
+    pub fn aggregate(&self) -> Aggregate {
+        Aggregate { rows: self.rows, sum: self.sum, ends: self.min.zip(self.max) }
     }
 }
 
@@ -373,7 +396,7 @@
 /// What a row adds to the check.
 trait Tally<'a>: Row<'a> {
     fn measure(&self) -> Units;
-    fn fold(&self) -> Result<Fold, Unfit>;
+    fn aggregate(&self) -> Result<Aggregate, InvalidValue>;
 }
 
 impl<'a> Tally<'a> for Entry<'a> {
@@ -381,21 +404,21 @@
         self.measure
     }
 
-    fn fold(&self) -> Result<Fold, Unfit> {
-        Ok(Fold::one(self.measure))
+    fn aggregate(&self) -> Result<Aggregate, InvalidValue> {
+        Ok(Aggregate::of_row(self.measure))
     }
 }
 
 impl<'a> Tally<'a> for Group<'a> {
     fn measure(&self) -> Units {
-        self.fold.sum
+        self.aggregate.sum
     }
 
-    fn fold(&self) -> Result<Fold, Unfit> {
-        check_fold(&self.fold)?;
-        match self.fold.rows {
+    fn aggregate(&self) -> Result<Aggregate, InvalidValue> {
+        check_fold(&self.aggregate)?;
+        match self.aggregate.rows {
             0 => Err(contradiction("a group without rows")),
-            _ => Ok(self.fold),
+            _ => Ok(self.aggregate),
         }
     }
 }
@@ -406,12 +429,12 @@
     value: &Value<'a>,
     query: &Query,
     expected: &Expected,
-) -> Result<Option<(Units, Units)>, Unfit> {
+) -> Result<Option<(Units, Units)>, InvalidValue> {
     let header = &value.header;
     if header.rows > query.limit {
         return Err(contradiction("more rows than were asked for"));
     }
-    let (mut count, mut fold) = (0, Fold::default());
+    let (mut count, mut aggregate) = (0, Aggregate::default());
     let mut last: Option<R> = None;
     let mut first = None;
     for row in value.rows::<R>() {
@@ -424,51 +447,49 @@
             return Err(malformed("a key is longer than 256 bytes"));
         }
         let begins = last.is_none() && query.op != Op::Rank;
-        if begins && !expected.place.admits(row.key()) {
+        if begins && !expected.position.admits(row.key()) {
             return Err(contradiction("rows that were passed already"));
         }
         if last.as_ref().is_some_and(|last| !follows(last, &row, query)) {
             return Err(contradiction("rows are out of order"));
         }
-        fold = fold.join(&row.fold()?).map_err(|e| contradiction(&e.to_string()))?;
+        aggregate = aggregate.merge(&row.aggregate()?).map_err(|e| contradiction(&e.to_string()))?;
         first = first.or(Some(row.measure()));
         last = Some(row);
     }
     if count != header.rows {
         return Err(contradiction("fewer rows than it declares"));
     }
-    if count == 0 && header.rest.is_some() {
+    if count == 0 && header.remainder.is_some() {
         return Err(contradiction("rows follow, and none is given"));
     }
     let last = last.map(|r| r.measure());
     check_rest(header, query, last)?;
     // A total speaks for all rows of the range: only a value that begins at the start can be held against it.
     match &header.total {
-        Some(total) if expected.place == Place::Start => check_against(total, &fold, header.rest.as_ref())?,
+        Some(total) if expected.position == Position::Start => {
+            check_against(total, &aggregate, header.remainder.as_ref())?
+        }
         _ => {}
     }
     Ok(first.zip(last))
 }
 
 /// What follows in a ranking is bounded, and no better than the last row.
-fn check_rest(header: &Header, query: &Query, last: Option<Units>) -> Result<(), Unfit> {
-    let (Some(rest), Some(last)) = (&header.rest, last) else { return Ok(()) };
+fn check_rest(header: &Header, query: &Query, last: Option<Units>) -> Result<(), InvalidValue> {
+    let (Some(rest), Some(last)) = (&header.remainder, last) else { return Ok(()) };
     if rest.rows == Some(0) {
         return Err(contradiction("no rows follow, and yet some do"));
     }
-    if rest.most.zip(rest.least).is_some_and(|(most, least)| least > most) {
+    if rest.max.zip(rest.min).is_some_and(|(most, least)| least > most) {
         return Err(contradiction("the bounds of what follows are the wrong way round"));
     }
     if query.op != Op::Rank {
         return Ok(());
     }
     let better = match query.order {
-        Order::Desc => {
-            rest.most.is_some_and(|most| most > last) || rest.least.is_some_and(|least| least > last)
-        }
-        Order::Asc => {
-            rest.least.is_some_and(|least| least < last) || rest.most.is_some_and(|most| most < last)
-        }
+        Order::Desc => rest.max.is_some_and(|most| most > last) || rest.min.is_some_and(|least| least > last),
+        Order::Asc => rest.min.is_some_and(|least| least < last) || rest.max.is_some_and(|most| most < last),
     };
     match better {
         true => Err(contradiction("what follows is better than the last row")),
@@ -476,9 +497,9 @@
     }
 }
 
-fn check_against(total: &Total, given: &Fold, rest: Option<&Rest>) -> Result<(), Unfit> {
+fn check_against(total: &Total, given: &Aggregate, rest: Option<&Remainder>) -> Result<(), InvalidValue> {
     let wrong = || contradiction("the total does not match the rows");
-    let all = total.fold();
+    let all = total.aggregate();
     check_fold(&all)?;
     let follow = all.rows.checked_sub(given.rows).ok_or_else(wrong)?;
     let fits = match rest {
@@ -492,8 +513,8 @@
             };
             follow > 0
                 && rest.rows.is_none_or(|rows| rows == follow)
-                && within(rest.least, true)
-                && within(rest.most, false)
+                && within(rest.min, true)
+                && within(rest.max, false)
         }
     };
     match fits {
@@ -521,10 +542,10 @@
     }
 
     fn expected() -> Expected {
-        Expected { range: 4, place: Place::Start, at_least: Some(7) }
+        Expected { range: 4, position: Position::Start, at_least: Some(7) }
     }
 
-    fn fit(op: Op, text: &str) -> Result<Checked, Unfit> {
+    fn fit(op: Op, text: &str) -> Result<Checked, InvalidValue> {
         check(text, &query(op), &expected())
     }
 
@@ -602,13 +623,13 @@
     #[test]
     fn a_page_begins_where_it_was_asked_to() {
         let head = r#"{"v":1,"range":4,"version":7,"until":7,"scale":2,"rows":1}"#;
-        let page = |place, key: &str| {
-            check(&format!("{head}\n[\"{key}\",1]"), &query(Op::List), &Expected { place, ..expected() })
+        let page = |position, key: &str| {
+            check(&format!("{head}\n[\"{key}\",1]"), &query(Op::List), &Expected { position, ..expected() })
         };
-        assert!(page(Place::After("k".into()), "l").is_ok());
-        assert!(page(Place::After("k".into()), "k").is_err());
-        assert!(page(Place::From("k".into()), "k").is_ok());
-        assert!(page(Place::From("k".into()), "j").is_err());
+        assert!(page(Position::After("k".into()), "l").is_ok());
+        assert!(page(Position::After("k".into()), "k").is_err());
+        assert!(page(Position::From("k".into()), "k").is_ok());
+        assert!(page(Position::From("k".into()), "j").is_err());
     }
 
     proptest! {
