--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -2,7 +2,7 @@
 //! HTTP/1.1 and JSON, as `docs/desk-openapi.json` has it.
 //!
 //! Each request becomes one query of the core, with a part for each range and a text of its own for each part. A value
-//! is looked at as it comes ([`curlewdeck_merge::merging::Merging::offer`]): what does not count ends its attempt as
+//! is looked at as it comes ([`curlewdeck_merge::merger::QueryMerger::accept_value`]): what does not count ends its attempt as
 //! one that may have run, and the module tries elsewhere.
 
 use std::collections::BTreeMap;
@@ -12,9 +12,9 @@
 
 use curlewdeck_merge::answer::Answer as Merged;
 use curlewdeck_merge::cursor::{Cursor, Keys};
-use curlewdeck_merge::merging::{Fault, Merging};
+use curlewdeck_merge::merger::{MergeError, QueryMerger};
 use curlewdeck_merge::query::{Op, Order, Query};
-use curlewdeck_merge::recall::{Bounds, Recall};
+use curlewdeck_merge::range_cache::{CacheLimits, RangeCache};
 use serde::Deserialize;
 use serde_json::{json, Value as Json};
 
@@ -31,17 +31,17 @@
 
 /// What is remembered of ranges; shared with the core, which tells when a data node has started anew.
 #[derive(Clone)]
-pub struct Memory(Arc<Mutex<Recall>>);
+pub struct Memory(Arc<Mutex<RangeCache>>);
 
 impl Memory {
     /// An empty memory for so many ranges.
     pub fn new(limits: &Limits, ranges: u32) -> Self {
-        let bounds = Bounds {
-            entries: limits.range_cache_entries,
-            ranges: ranges as usize,
-            age: crate::runtime::nanos(limits.range_cache_age),
+        let bounds = CacheLimits {
+            max_entries: limits.range_cache_entries,
+            max_ranges: ranges as usize,
+            max_age_ns: crate::runtime::nanos(limits.range_cache_age),
         };
-        Self(Arc::new(Mutex::new(Recall::new(bounds))))
+        Self(Arc::new(Mutex::new(RangeCache::new(bounds))))
     }
 
     /// Forgets what data nodes told that have started anew.
@@ -49,12 +49,12 @@
         let memory = self.clone();
         Box::new(move |shards| {
             let mut recall = memory.recall();
-            shards.iter().for_each(|s| recall.restarted(s.0));
+            shards.iter().for_each(|s| recall.invalidate_range(s.0));
         })
     }
 
     /// Held while an answer is made, and never over a yield.
-    fn recall(&self) -> MutexGuard<'_, Recall> {
+    fn recall(&self) -> MutexGuard<'_, RangeCache> {
         lock(&self.0)
     }
 }
@@ -106,7 +106,7 @@
 
 /// One query, on its way to the core and back.
 struct Asked {
-    merging: Arc<Mutex<Merging>>,
+    merging: Arc<Mutex<QueryMerger>>,
     class: ClassId,
     wait: Duration,
 }
@@ -215,13 +215,13 @@
         };
         let ranges = self.core.deployment().shards;
         let merging = match &body.cursor {
-            None => Merging::new(query, ranges),
+            None => QueryMerger::new(query, ranges),
             Some(_) if !query.paged() => {
                 return Err(at_field("cursor", "only listings and grouped figures have pages"))
             }
             Some(text) => {
                 let cursor = self.keys.open(text, &query.digest(), ranges as usize, unix_now());
-                Merging::resume(query, cursor.map_err(|why| at_field("cursor", &why.to_string()))?)
+                QueryMerger::resume(query, cursor.map_err(|why| at_field("cursor", &why.to_string()))?)
             }
         };
         Ok(Asked {
@@ -238,17 +238,18 @@
         let share = 1.0 / f64::from(ranges);
         let part_texts = {
             let merging = lock(&merging);
-            (0..ranges).map(|r| merging.text(r).into()).collect()
+            (0..ranges).map(|r| merging.request_text(r).into()).collect()
         };
         let judge = merging.clone();
-        let validator =
-            ResponseValidator::new(move |shard, value| match lock(&judge).offer(shard.0, &value.data) {
+        let validator = ResponseValidator::new(move |shard, value| {
+            match lock(&judge).accept_value(shard.0, &value.data) {
                 Ok(()) => true,
                 Err(unfit) => {
                     log::warn!("tag range {}: {unfit}", shard.0);
                     false
                 }
-            });
+            }
+        });
         let ask = QueryRequest {
             name: format!("d{:016x}", self.next.fetch_add(1, Ordering::Relaxed)),
             class,
@@ -275,7 +276,7 @@
 
 /// What becomes of a query once the core has ended it.
 struct End {
-    merging: Arc<Mutex<Merging>>,
+    merging: Arc<Mutex<QueryMerger>>,
     floor: f64,
     memory: Memory,
     keys: Keys,
@@ -309,7 +310,7 @@
     }
 
     /// The answer of what the data nodes gave, with a sealed cursor where it goes on.
-    fn merge(&self, values: &[(u32, Arc<str>)]) -> Result<Merged, Fault> {
+    fn merge(&self, values: &[(u32, Arc<str>)]) -> Result<Merged, MergeError> {
         let merging = lock(&self.merging);
         let mut recall = self.memory.recall();
         let merged = merging.finish(values, self.floor, &mut recall, self.core.clock.now());
@@ -329,7 +330,7 @@
     fn unserved(&self, ended: &Result<QueryOutcome, RejectReason>) -> Option<Reply> {
         let reply = unserved(ended, self.core.queue_full_retry_after())?;
         let merging = lock(&self.merging);
-        let seen = merging.refused().next().map(|(range, unfit)| format!("tag range {range}: {unfit}"));
+        let seen = merging.rejected().next().map(|(range, unfit)| format!("tag range {range}: {unfit}"));
         match (ended, seen) {
             (Ok(QueryOutcome::Failed), Some(seen)) => {
                 Some(problem(504, &format!("no answer in time; {seen}")))
@@ -338,14 +339,16 @@
         }
     }
 
-    fn fault(&self, fault: &Fault) -> Reply {
+    fn fault(&self, fault: &MergeError) -> Reply {
         match fault {
             // What is missing may be back soon: a row that is too large stays.
-            Fault::Below(cover) if cover.missing.values().all(|r| r.word() != "row-too-large") => {
+            MergeError::BelowMinimumCoverage(cover)
+                if cover.missing.values().all(|r| r.code() != "row-too-large") =>
+            {
                 retry_after(problem(503, &fault.to_string()), self.core.queue_full_retry_after())
             }
-            Fault::Below(_) => problem(502, &fault.to_string()),
-            Fault::Overflow | Fault::Unfit(_) => problem(500, &fault.to_string()),
+            MergeError::BelowMinimumCoverage(_) => problem(502, &fault.to_string()),
+            MergeError::Overflow | MergeError::InvalidValue(_) => problem(500, &fault.to_string()),
         }
     }
 }
--- a/src/frontend/feature_pages.rs
+++ b/src/frontend/feature_pages.rs
@@ -4,9 +4,9 @@
 
 use std::borrow::Cow;
 
-use curlewdeck_merge::cursor::{Place, Reached};
+use curlewdeck_merge::cursor::{Position, RangeProgress};
 use curlewdeck_merge::page::{self, Rows};
-use curlewdeck_merge::value::{Keyed, Unfit, KEY_BYTES};
+use curlewdeck_merge::value::{InvalidValue, RowKey, KEY_BYTES};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -23,7 +23,7 @@
     feature: &'a RawValue,
 }
 
-impl<'a> Keyed<'a> for Feature<'a> {
+impl<'a> RowKey<'a> for Feature<'a> {
     fn key(&self) -> &Cow<'a, str> {
         &self.key
     }
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// Says what is wrong.
-pub fn check_ids(value: &str, place: &Place, limit: usize) -> Result<(), &'static str> {
+pub fn check_ids(value: &str, place: &Position, limit: usize) -> Result<(), &'static str> {
     let features = features::features_of(value)?;
     if features.len() > limit {
         return Err("more features than were asked for");
@@ -97,23 +97,24 @@
 /// A feature has no id; [`check_ids`] finds it first.
 pub fn by_id<'a>(
     ranges: &'a [Range],
-    reached: &[Reached],
+    reached: &[RangeProgress],
     limit: usize,
-) -> Result<(Vec<&'a RawValue>, Option<Vec<Reached>>), Unfit> {
+) -> Result<(Vec<&'a RawValue>, Option<Vec<RangeProgress>>), InvalidValue> {
     let rows = ranges.iter().map(|(range, features)| Rows {
         range: range.0,
         rows: features.iter().map(|f| {
-            let key = id(f).ok_or_else(|| Unfit::Malformed("a feature has no id".into()))?;
+            let key = id(f).ok_or_else(|| InvalidValue::Malformed("a feature has no id".into()))?;
             Ok(Feature { key, feature: f.as_ref() })
         }),
         rest: features.len() >= limit,
     });
     let page = page::merge(rows, limit)?;
     let there = |range: usize| ranges.iter().any(|r| r.0 .0 as usize == range);
-    let place = |(range, reached): (usize, &Reached)| match &page.last {
-        Some((id, _)) if there(range) => {
-            Reached { place: reached.place.later(&Place::After(id.clone())), ..reached.clone() }
-        }
+    let place = |(range, reached): (usize, &RangeProgress)| match &page.last {
+        Some((id, _)) if there(range) => RangeProgress {
+            position: reached.position.furthest(&Position::After(id.clone())),
+            ..reached.clone()
+        },
         _ => reached.clone(),
     };
     let more = page.more || ranges.len() < reached.len();
@@ -145,7 +146,7 @@
 
     #[test]
     fn values_out_of_order_or_place_are_refused() {
-        let after = Place::After("b".into());
+        let after = Position::After("b".into());
         assert_eq!(check_ids(&value(&["c", "d"]), &after, 2), Ok(()));
         assert!(check_ids(&value(&["c", "d"]), &after, 1).unwrap_err().contains("more features"));
         assert!(check_ids(&value(&["b"]), &after, 2).unwrap_err().contains("passed already"));
@@ -161,10 +162,10 @@
     fn a_feature_is_given_once_and_a_missing_range_waits() {
         let range = |shard, ids: &[&str]| (ShardId(shard), ids.iter().map(|i| feature(i)).collect());
         let ranges: Vec<Range> = vec![range(0, &["a", "b"]), range(2, &["b"])];
-        let (given, next) = by_id(&ranges, &vec![Reached::default(); 3], 5).unwrap();
+        let (given, next) = by_id(&ranges, &vec![RangeProgress::default(); 3], 5).unwrap();
         assert_eq!(given.len(), 2);
-        let places: Vec<Place> = next.unwrap().into_iter().map(|r| r.place).collect();
-        assert_eq!(places, [Place::After("b".into()), Place::Start, Place::After("b".into())]);
+        let places: Vec<Position> = next.unwrap().into_iter().map(|r| r.position).collect();
+        assert_eq!(places, [Position::After("b".into()), Position::Start, Position::After("b".into())]);
     }
 
     proptest! {
@@ -208,7 +209,7 @@
             let mut data: Vec<BTreeSet<String>> =
                 start.iter().enumerate().map(|(r, ids)| ids.iter().map(|i| format!("{i}{r}")).collect()).collect();
             let mut stayed: BTreeSet<String> = data.iter().flatten().cloned().collect();
-            let (mut got, mut reached) = (Vec::new(), vec![Reached::default(); data.len()]);
+            let (mut got, mut reached) = (Vec::new(), vec![RangeProgress::default(); data.len()]);
             let mut steps = steps.into_iter();
             for _ in 0..200 {
                 let step = steps.next();
@@ -226,7 +227,7 @@
                 let served: Vec<Range> = (0..data.len())
                     .filter(|&r| r != missing)
                     .map(|r| {
-                        let ids = data[r].iter().filter(|id| reached[r].place.admits(id)).take(limit);
+                        let ids = data[r].iter().filter(|id| reached[r].position.admits(id)).take(limit);
                         (ShardId(r as u32), ids.map(|i| feature(i)).collect())
                     })
                     .collect();
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use curlewdeck_merge::cursor::{Cursor as MergeCursor, Keys, Place, Reached};
+use curlewdeck_merge::cursor::{Cursor as MergeCursor, Keys, Position, RangeProgress};
 use curlewdeck_merge::query::{Op, Order, Query};
 use serde_json::value::RawValue;
 use serde_json::{json, Value as Json};
@@ -63,7 +63,7 @@
     /// Ranges follow each other; so many features are passed over.
     Offset(Cursor),
     /// Each range goes on behind an id; and the cursor as it came.
-    Ids(Vec<Reached>, Option<String>),
+    Ids(Vec<RangeProgress>, Option<String>),
 }
 
 /// What a request asks for.
@@ -202,7 +202,7 @@
 
     fn filter(&self, at: usize, query: &str) -> Result<Filter, Reply> {
         let start = match &self.by_id {
-            Some(_) => At::Ids(vec![Reached::default(); self.ranges as usize], None),
+            Some(_) => At::Ids(vec![RangeProgress::default(); self.ranges as usize], None),
             None => At::Offset(Cursor::START),
         };
         let mut filter = Filter { bbox: None, datetime: None, limit: LIMIT, at: start };
@@ -423,12 +423,12 @@
     }
 
     /// Each range goes on behind an id of its own, and gives features in the order of their ids or does not count.
-    fn by_id(own: &str, reached: &[Reached], limit: usize) -> Self {
-        let text = |r: &Reached| match &r.place {
-            Place::Start => own.into(),
-            Place::From(id) | Place::After(id) => format!("{own}&after={}", http::encode(id)).into(),
+    fn by_id(own: &str, reached: &[RangeProgress], limit: usize) -> Self {
+        let text = |r: &RangeProgress| match &r.position {
+            Position::Start => own.into(),
+            Position::From(id) | Position::After(id) => format!("{own}&after={}", http::encode(id)).into(),
         };
-        let places: Vec<Place> = reached.iter().map(|r| r.place.clone()).collect();
+        let places: Vec<Position> = reached.iter().map(|r| r.position.clone()).collect();
         let accept = ResponseValidator::new(move |shard, value| {
             let place = places.get(shard.0 as usize).cloned().unwrap_or_default();
             match check_ids(&value.data, &place, limit) {
@@ -450,7 +450,7 @@
 }
 
 impl Seal {
-    fn text(&self, ranges: Vec<Reached>) -> String {
+    fn text(&self, ranges: Vec<RangeProgress>) -> String {
         let until = unix_now().saturating_add(self.sealed.life);
         self.sealed.keys.seal(&MergeCursor { query: self.digest, until, ranges })
     }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -12,7 +12,7 @@
 use curlewdeck::replication::disk::{DiskError, LogStorage, StoredLog};
 use curlewdeck::snapshot_store::{SnapshotContents, SnapshotStore, StateConfig, STATE_RECORD};
 use curlewdeck_accounting::saved::{SavedClass, SavedLedger};
-use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, Place, Reached};
+use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, Position, RangeProgress};
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_replication::{disk_format, Command, Member, RaftLog, ReplicationLimits};
 use curlewdeck_snapshot::record;
@@ -274,9 +274,9 @@
 }
 
 fn cursors() -> [(&'static str, Cursor); 2] {
-    let reached = |place, version| Reached { place, version };
-    let after = reached(Place::After("plaza-04#1".into()), Some(1));
-    let from = reached(Place::From("plaza-04#1".into()), Some(1));
+    let reached = |place, version| RangeProgress { position: place, version };
+    let after = reached(Position::After("plaza-04#1".into()), Some(1));
+    let from = reached(Position::From("plaza-04#1".into()), Some(1));
     let aggregation = Cursor {
         query: aggregation_query().digest(),
         until: UNTIL,
@@ -285,7 +285,7 @@
     let features = Cursor {
         query: features_query().digest(),
         until: UNTIL,
-        ranges: vec![reached(Place::After("f0-4".into()), None); 6],
+        ranges: vec![reached(Position::After("f0-4".into()), None); 6],
     };
     [("aggregation", aggregation), ("features", features)]
 }
