--- a/crates/merge/src/aggregate.rs
+++ b/crates/merge/src/aggregate.rs
@@ -112,45 +112,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::value::Value;
-
-    fn header(range: Range, version: Version, sum: i128) -> Header {
-        let total = format!(r#"{{"rows":2,"sum":{sum},"min":{0},"max":{0}}}"#, sum / 2);
-        let text = format!(
-            r#"{{"v":1,"range":{range},"version":{version},"until":{version},"scale":2,"total":{total}}}"#
-        );
-        Value::read(&text).unwrap().header
-    }
-
-    /// Guards against adding a twin, a repeat or a late answer once more, in both orders, and against mixing
-    /// versions of one range.
-    #[test]
-    fn a_range_that_answers_twice_counts_once() {
-        for (first, second) in [((5, 100), (5, 100)), ((5, 100), (6, 120)), ((6, 120), (5, 100))] {
-            let mut aggregator = Aggregator::default();
-            assert!(aggregator.add(&header(3, first.0, first.1)).unwrap());
-            assert!(!aggregator.add(&header(3, second.0, second.1)).unwrap());
-            assert!(aggregator.add(&header(4, 1, 10)).unwrap());
-            assert_eq!(aggregator.total().unwrap().sum, Units(first.1 + 10));
-            assert_eq!(aggregator.ranges()[&3].0, first.0);
-        }
-    }
-
-    #[test]
-    fn an_overflow_is_an_error() {
-        let huge = Aggregate { rows: 1, sum: Units(i128::MAX), ends: None };
-        assert!(huge.merge(&Aggregate::of_row(Units(1))).is_err());
-        assert!(Aggregate { rows: u64::MAX, ..Aggregate::default() }
-            .merge(&Aggregate::of_row(Units(1)))
-            .is_err());
-    }
-
-    #[test]
-    fn an_interval_needs_all_that_is_missing() {
-        let known = Aggregate::of_row(Units(5));
-        assert_eq!(interval(&known, &[Some(known), None]).unwrap(), None);
-        assert_eq!(interval(&known, &[Some(known)]).unwrap().unwrap().sum, Units(10));
-    }
-}
+mod tests;
