--- a/crates/merge/src/aggregate.rs
+++ b/crates/merge/src/aggregate.rs
@@ -1,11 +1,7 @@
 //! Sums, counts, least, greatest and mean over all ranges: each range counts once, and what is missing is said.
 
-use std::collections::BTreeMap;
-
 use crate::query::Op;
 use crate::units::{Overflow, Units};
-use crate::value::{Header, InvalidValue};
-use crate::{Range, Version};
 
 /// Exact figures over some rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -63,40 +59,6 @@
     Figure { value, exact: true }
 }
 
-/// Adds up what ranges gave, each once.
-#[derive(Debug, Clone, Default)]
-pub struct Aggregator {
-    ranges: BTreeMap<Range, (Version, Aggregate)>,
-}
-
-impl Aggregator {
-    /// Takes a range's value; the first one counts, and a further one adds nothing. Returns whether it counted.
-    ///
-    /// # Errors
-    /// The value has no total.
-    pub fn add(&mut self, header: &Header) -> Result<bool, InvalidValue> {
-        let total = header.total.ok_or_else(|| InvalidValue::Malformed("a total is expected".into()))?;
-        let first = !self.ranges.contains_key(&header.range);
-        if first {
-            self.ranges.insert(header.range, (header.version, total.aggregate()));
-        }
-        Ok(first)
-    }
-
-    /// Each range's version and figures.
-    pub fn ranges(&self) -> &BTreeMap<Range, (Version, Aggregate)> {
-        &self.ranges
-    }
-
-    /// The figures over all ranges that are in.
-    ///
-    /// # Errors
-    /// They do not fit.
-    pub fn total(&self) -> Result<Aggregate, Overflow> {
-        self.ranges.values().try_fold(Aggregate::default(), |sum, (_, aggregate)| sum.merge(aggregate))
-    }
-}
-
 /// Where the exact figure lies, if ranges that are missing hold what is remembered of them at their last version
 /// known: none as soon as one of them is not remembered.
 ///
--- a/crates/merge/src/coverage.rs
+++ b/crates/merge/src/coverage.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::value::{InvalidValue, TooLarge};
+use crate::error::InvalidValue;
+use crate::value::TooLarge;
 use crate::{Range, Version};
 
 /// Why a range is missing from an answer.
--- a/crates/merge/src/lib.rs
+++ b/crates/merge/src/lib.rs
@@ -7,12 +7,16 @@
 //! listing from page to page. Nothing here does I/O or reads a clock.
 
 pub mod aggregate;
+pub mod aggregator;
 pub mod answer;
 pub mod coverage;
 pub mod cursor;
+pub mod error;
 pub mod merger;
+mod order;
 pub mod page;
 pub mod query;
+pub mod range_bounds;
 pub mod range_cache;
 pub mod rank;
 pub mod units;
--- a/crates/merge/src/merger.rs
+++ b/crates/merge/src/merger.rs
@@ -5,16 +5,19 @@
 use std::fmt;
 use std::sync::Arc;
 
-use crate::aggregate::{self, Aggregate, Aggregator};
+use crate::aggregate::{self, Aggregate};
+use crate::aggregator::Aggregator;
 use crate::answer::{figure_of, ranges, Answer, AnswerHeader, AnswerRow};
 use crate::coverage::{Coverage, MissingReason};
 use crate::cursor::{Cursor, RangeProgress};
+use crate::error::{InvalidValue, RowError};
 use crate::page;
 use crate::query::{Op, Query};
+use crate::range_bounds::RangeBounds;
 use crate::range_cache::{Nanos, RangeCache, RangeSummary};
-use crate::rank::{self, RangeBounds, RankedRow, RowError};
+use crate::rank::{self, RankedRow};
 use crate::units::{Overflow, Units};
-use crate::value::{check, Expected, InvalidValue, Value};
+use crate::value::{check, Expected, Value};
 use crate::Range;
 
 /// Why there is no answer.
@@ -134,7 +137,8 @@
                 let header = &checked.header;
                 self.rejected.remove(&range);
                 if let (Op::Rank, None) = (self.query.op, &header.too_large) {
-                    let known = rank::bounds(checked.ends, header.remainder.as_ref(), self.query.order);
+                    let known =
+                        RangeBounds::of_ranking(checked.ends, header.remainder.as_ref(), self.query.order);
                     self.facts.entry(range).or_insert(RangeSummary::Rows(known));
                 }
                 Ok(())
--- a/crates/merge/src/page.rs
+++ b/crates/merge/src/page.rs
@@ -12,9 +12,9 @@
 
 use crate::aggregate::Aggregate;
 use crate::cursor::Position;
-use crate::rank::RowError;
+use crate::error::{InvalidValue, RowError};
 use crate::units::Units;
-use crate::value::{Entry, Group, InvalidValue, Row, RowKey, Value};
+use crate::value::{Entry, Group, Row, RowKey, Value};
 use crate::Range;
 
 /// A row of a listing.
--- a/crates/merge/src/range_cache.rs
+++ b/crates/merge/src/range_cache.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::aggregate::Aggregate;
-use crate::rank::RangeBounds;
+use crate::range_bounds::RangeBounds;
 use crate::{Range, Version};
 
 /// Nanoseconds of one clock that never runs backwards.
--- a/crates/merge/src/rank/tests.rs
+++ b/crates/merge/src/rank/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::range_bounds::RangeBounds;
+use crate::value::Value;
 
 fn text(range: Range, rows: &[(&str, i128)], rest: Option<&str>) -> String {
     let rest = rest.map(|r| format!(",\"rest\":{r}")).unwrap_or_default();
@@ -76,7 +78,11 @@
     assert_eq!(keys(&r), [("a".into(), 1), ("c".into(), 2), ("b".into(), 4)]);
     assert_eq!(r.certain, 3);
     assert_eq!(
-        bounds(Some((Units(1), Units(4))), Some(&values[0].header.remainder.unwrap()), Order::Asc),
+        RangeBounds::of_ranking(
+            Some((Units(1), Units(4))),
+            Some(&values[0].header.remainder.unwrap()),
+            Order::Asc
+        ),
         RangeBounds::Within(Some(Units(1)), None)
     );
 }
--- a/crates/merge/src/value/tests.rs
+++ b/crates/merge/src/value/tests.rs
@@ -1,4 +1,9 @@
+use std::borrow::Cow;
+
 use super::*;
+use crate::cursor::Position;
+use crate::query::{Op, Order, Query};
+use crate::units::Units;
 use proptest::prelude::*;
 
 pub(crate) fn query(op: Op) -> Query {
