--- a/src/frontend/feature_pages.rs
+++ b/src/frontend/feature_pages.rs
@@ -5,8 +5,9 @@
 use std::borrow::Cow;
 
 use curlewdeck_merge::cursor::{Position, RangeProgress};
+use curlewdeck_merge::error::InvalidValue;
 use curlewdeck_merge::page::{self, Rows};
-use curlewdeck_merge::value::{InvalidValue, RowKey, KEY_BYTES};
+use curlewdeck_merge::value::{RowKey, MAX_KEY_BYTES};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -37,7 +38,7 @@
 
 /// A feature's id, if it is a text.
 fn id(feature: &RawValue) -> Option<Cow<'_, str>> {
-    serde_json::from_str::<WithId>(feature.get()).ok().map(|f| f.id).filter(|id| id.len() <= KEY_BYTES)
+    serde_json::from_str::<WithId>(feature.get()).ok().map(|f| f.id).filter(|id| id.len() <= MAX_KEY_BYTES)
 }
 
 /// Whether a range's value may be merged by id: what its server gave must be features in the order of the bytes of
