--- a/crates/merge/examples/merge_check/run.rs
+++ b/crates/merge/examples/merge_check/run.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, RangeProgress};
-use curlewdeck_merge::merger::{MergeError, MergeResult, QueryMerger};
+use curlewdeck_merge::error::MergeError;
+use curlewdeck_merge::merger::{MergeResult, QueryMerger};
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_merge::range_cache::{CacheLimits, RangeCache};
 use fastrand::Rng;
--- a/crates/merge/src/error.rs
+++ b/crates/merge/src/error.rs
@@ -1,7 +1,8 @@
-//! Errors of a value and of its rows.
+//! Errors of values, rows and queries.
 
 use std::fmt;
 
+use crate::coverage::Coverage;
 use crate::units::Overflow;
 use crate::{Range, Version};
 
@@ -66,3 +67,53 @@
         Self::Overflow
     }
 }
+
+/// Why a query has no answer.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum MergeError {
+    /// The coverage is below the minimum of the class.
+    BelowMinimumCoverage(Coverage),
+    /// A figure does not fit 128 bits.
+    Overflow,
+    /// A value that passed its checks cannot be read.
+    InvalidValue(InvalidValue),
+}
+
+impl fmt::Display for MergeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::BelowMinimumCoverage(coverage) => {
+                write!(f, "only {} of the data is in", coverage.decimal())?;
+                match coverage.missing.iter().next() {
+                    Some((range, reason)) => write!(f, "; range {range}: {reason}"),
+                    None => Ok(()),
+                }
+            }
+            Self::Overflow => Overflow.fmt(f),
+            Self::InvalidValue(invalid) => invalid.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for MergeError {}
+
+impl From<Overflow> for MergeError {
+    fn from(_: Overflow) -> Self {
+        Self::Overflow
+    }
+}
+
+impl From<InvalidValue> for MergeError {
+    fn from(invalid: InvalidValue) -> Self {
+        Self::InvalidValue(invalid)
+    }
+}
+
+impl From<RowError> for MergeError {
+    fn from(error: RowError) -> Self {
+        match error {
+            RowError::InvalidValue(invalid) => Self::InvalidValue(invalid),
+            RowError::Overflow => Self::Overflow,
+        }
+    }
+}
--- a/crates/merge/src/page.rs
+++ b/crates/merge/src/page.rs
@@ -39,13 +39,16 @@
     pub aggregate: Aggregate,
 }
 
+/// The key and range of the last row of a page.
+pub type LastRow = (Arc<str>, Range);
+
 /// A page.
 #[derive(Debug, Clone)]
 pub struct Page<R> {
     /// Its rows in key order.
     pub rows: Vec<R>,
     /// The last row's key and range; none where there is no row.
-    pub last: Option<(Arc<str>, Range)>,
+    pub last: Option<LastRow>,
     /// Whether ranges that are in have more.
     pub more: bool,
 }
@@ -206,7 +209,7 @@
 }
 
 /// Where a range that was in begins on the next page.
-pub fn next_position(last: &(Arc<str>, Range), range: Range) -> Position {
+pub fn next_position(last: &LastRow, range: Range) -> Position {
     match range <= last.1 {
         true => Position::After(last.0.clone()),
         false => Position::From(last.0.clone()),
