--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -12,7 +12,8 @@
 
 use curlewdeck_merge::answer::Answer as Merged;
 use curlewdeck_merge::cursor::{Cursor, Keys};
-use curlewdeck_merge::merger::{MergeError, QueryMerger};
+use curlewdeck_merge::error::MergeError;
+use curlewdeck_merge::merger::QueryMerger;
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_merge::range_cache::{CacheLimits, RangeCache};
 use serde::Deserialize;
