--- /dev/null
+++ b/crates/merge/src/aggregate/tests.rs
@@ -0,0 +1,17 @@
+use super::*;
+
+#[test]
+fn an_overflow_is_an_error() {
+    let huge = Aggregate { rows: 1, sum: Units(i128::MAX), ends: None };
+    assert!(huge.merge(&Aggregate::of_row(Units(1))).is_err());
+    assert!(Aggregate { rows: u64::MAX, ..Aggregate::default() }
+        .merge(&Aggregate::of_row(Units(1)))
+        .is_err());
+}
+
+#[test]
+fn an_interval_needs_all_that_is_missing() {
+    let known = Aggregate::of_row(Units(5));
+    assert_eq!(interval(&known, &[Some(known), None]).unwrap(), None);
+    assert_eq!(interval(&known, &[Some(known)]).unwrap().unwrap().sum, Units(10));
+}
