--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -67,7 +67,7 @@
     let tree = Tree::new(mib::objects(&Counters::default(), &books(), 0, None));
     let request = session().write(&asked(), 0).expect("a request");
     bencher.with_inputs(agent).bench_refs(|agent| match agent.read(&request, 0) {
-        Incoming::Ask(asked) => agent.answer(&asked, &tree, 0),
+        Incoming::Request(asked) => agent.answer(&asked, &tree, 0),
         _ => None,
     });
 }
@@ -99,7 +99,7 @@
         while let Some(what) = walk.ask() {
             session.begin();
             let request = session.write(&what, 0).expect("a request");
-            let Incoming::Ask(asked) = agent.read(&request, 0) else { break };
+            let Incoming::Request(asked) = agent.read(&request, 0) else { break };
             let answer = agent.answer(&asked, &tree, 0).expect("an answer");
             let Ok(Reply::Bindings(bindings)) = session.read(&answer, 0) else { break };
             met += walk.took(bindings).expect("objects").len();
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod registry;
 pub mod tree;
 pub mod usm;
+mod v3_message;
 pub mod walkers;
 
 /// The name of an object.
--- a/crates/snmp/src/manager.rs
+++ b/crates/snmp/src/manager.rs
@@ -6,10 +6,11 @@
 use rasn_snmp::v2::{BulkPdu, GetBulkRequest, GetNextRequest, GetRequest, Pdu, Pdus, VarBindValue};
 use rasn_snmp::{v2c, v3};
 
-use crate::agent::{seal, Sealing};
+use crate::agent::VERSION_2C;
 use crate::codec::{self, ask};
 use crate::tree::Value;
-use crate::usm::{digest_at, Keys, User, DIGEST_BYTES};
+use crate::usm::{Keys, User};
+use crate::v3_message::{self, has_valid_digest, Header, FLAG_AUTH, FLAG_PRIVACY, FLAG_REPORTABLE};
 use crate::{dotted, Oid};
 
 /// How a manager is known to an agent.
@@ -77,7 +78,7 @@
             Self::Malformed => f.write_str("the answer cannot be read"),
             Self::Status(1, _) => f.write_str("the answer would be too big"),
             Self::Status(status, index) => write!(f, "error status {status} for binding {index}"),
-            Self::Report(oid) => f.write_str(match oid.get(9) {
+            Self::Report(oid) => f.write_str(match oid.get(USM_STATS_ARC) {
                 Some(1) => "the agent does not serve this security level to this user",
                 Some(2) => "the agent's time differs too much",
                 Some(3) => "the agent does not know this user",
@@ -112,24 +113,26 @@
     request: i32,
     salt: u64,
     /// Reports that were followed for the open request.
-    again: u32,
+    reports_followed: u32,
 }
 
-const MOST_BYTES: usize = 65_507;
-const FLAGS: u8 = 4 | 1;
-/// Discovery and one correction of the time; a third report is an error.
-const AGAIN: u32 = 2;
+/// The largest payload of a UDP datagram over IPv4.
+const MAX_MESSAGE_BYTES: usize = 65_507;
+/// Discovery and one correction of the time.
+const MAX_REPORTS_FOLLOWED: u32 = 2;
+/// The place of the error's number in the name of an object of `usmStats`.
+const USM_STATS_ARC: usize = 9;
 
 impl Session {
     /// A session that has asked nothing; requests are numbered from `first`, salts from `salt`.
     pub fn new(security: Security, first: i32, salt: u64) -> Self {
-        Self { security, engine: None, request: first, salt, again: 0 }
+        Self { security, engine: None, request: first, salt, reports_followed: 0 }
     }
 
     /// Begins a further request.
     pub fn begin(&mut self) {
         self.request = self.request.wrapping_add(1) & i32::MAX;
-        self.again = 0;
+        self.reports_followed = 0;
     }
 
     /// The bytes that ask, at this time of ours in seconds. For an agent whose engine is not known yet they ask for
@@ -139,30 +142,56 @@
         match &self.security {
             Security::Community(community) => {
                 let community: OctetString = community.as_bytes().to_vec().into();
-                rasn::ber::encode(&v2c::Message { version: 1.into(), community, data }).ok()
+                rasn::ber::encode(&v2c::Message { version: VERSION_2C.into(), community, data }).ok()
             }
             Security::User(user) => {
                 self.salt = self.salt.wrapping_add(1);
-                let id = Integer::from(self.request);
-                let Some(engine) = &self.engine else {
-                    let empty = v3::ScopedPdu {
-                        engine_id: OctetString::default(),
-                        name: OctetString::default(),
-                        data: pdus(&Ask::Get(Vec::new()), self.request),
-                    };
-                    let with = Sealing { boots: 0, time: 0, salt: 0, most: MOST_BYTES };
-                    return seal(&id, 4, &[], "", None, empty, &with);
-                };
-                let scoped =
-                    v3::ScopedPdu { engine_id: engine.id.clone().into(), name: OctetString::default(), data };
-                let flags = FLAGS | if user.privacy.is_some() { 2 } else { 0 };
-                let time = engine.time.0.saturating_add(now.saturating_sub(engine.time.1));
-                let with = Sealing { boots: engine.boots, time, salt: self.salt, most: MOST_BYTES };
-                seal(&id, flags, &engine.id, &user.name, Some(&engine.keys), scoped, &with)
+                match &self.engine {
+                    Some(engine) => self.write_v3(user, engine, data, now),
+                    None => self.write_discovery(),
+                }
             }
         }
     }
 
+    /// A request of version 3 to a known engine.
+    fn write_v3(&self, user: &User, engine: &Engine, data: Pdus, now: u32) -> Option<Vec<u8>> {
+        let privacy_flag = if user.privacy.is_some() { FLAG_PRIVACY } else { 0 };
+        let header = Header {
+            message_id: &Integer::from(self.request),
+            flags: FLAG_REPORTABLE | FLAG_AUTH | privacy_flag,
+            engine_id: &engine.id,
+            boots: engine.boots,
+            time_s: engine.time.0.saturating_add(now.saturating_sub(engine.time.1)),
+            user: &user.name,
+            salt: self.salt,
+            max_bytes: MAX_MESSAGE_BYTES,
+        };
+        let scoped =
+            v3::ScopedPdu { engine_id: engine.id.clone().into(), name: OctetString::default(), data };
+        v3_message::encode(&header, Some(&engine.keys), scoped)
+    }
+
+    /// A request that the agent answers with a report of its engine (RFC 3414, section 4).
+    fn write_discovery(&self) -> Option<Vec<u8>> {
+        let header = Header {
+            message_id: &Integer::from(self.request),
+            flags: FLAG_REPORTABLE,
+            engine_id: &[],
+            boots: 0,
+            time_s: 0,
+            user: "",
+            salt: 0,
+            max_bytes: MAX_MESSAGE_BYTES,
+        };
+        let scoped = v3::ScopedPdu {
+            engine_id: OctetString::default(),
+            name: OctetString::default(),
+            data: pdus(&Ask::Get(Vec::new()), self.request),
+        };
+        v3_message::encode(&header, None, scoped)
+    }
+
     /// Reads what has come for the open request.
     ///
     /// # Errors
@@ -189,33 +218,21 @@
             (number(&usm.authoritative_engine_boots)?, number(&usm.authoritative_engine_time)?);
         let flags = message.global_data.flags.first().copied().unwrap_or(0);
         let known = self.engine.as_ref().filter(|e| e.id == usm.authoritative_engine_id.as_ref());
-        if flags & 1 != 0 {
-            let at = digest_at(bytes).filter(|at| at.len() == DIGEST_BYTES).ok_or(Fault::WrongDigest)?;
-            let mut blank = bytes.to_vec();
-            blank[at.clone()].fill(0);
-            let good = known.is_some_and(|e| e.keys.verifies(&blank, &bytes[at]));
-            good.then_some(()).ok_or(Fault::WrongDigest)?;
+        let authenticated = flags & FLAG_AUTH != 0;
+        if authenticated && !known.is_some_and(|engine| has_valid_digest(bytes, &engine.keys)) {
+            return Err(Fault::WrongDigest);
         }
-        let scoped = match &message.scoped_data {
-            v3::ScopedPduData::CleartextPdu(scoped) => scoped.clone(),
-            v3::ScopedPduData::EncryptedPdu(data) => {
-                let mut data = data.to_vec();
-                let salt =
-                    <[u8; 8]>::try_from(usm.privacy_parameters.as_ref()).map_err(|_| Fault::Malformed)?;
-                let read = known.is_some_and(|e| e.keys.decrypt(boots, time, salt, &mut data));
-                read.then_some(()).ok_or(Fault::Malformed)?;
-                rasn::ber::decode(&data).map_err(|_| Fault::Malformed)?
-            }
-        };
+        let scoped = decrypted(&message.scoped_data, &usm, known, (boots, time))?;
         let Pdus::Report(report) = &scoped.data else {
             // An answer that is not authenticated is not believed.
-            (flags & 1 != 0).then_some(()).ok_or(Fault::WrongDigest)?;
+            authenticated.then_some(()).ok_or(Fault::WrongDigest)?;
             return self.bindings(&scoped.data);
         };
         let oid = report.0.variable_bindings.first().map(codec::oid).unwrap_or_default();
-        let (discovers, times) = (oid.get(9) == Some(&4), oid.get(9) == Some(&2) && flags & 1 != 0);
-        self.again += 1;
-        if self.again > AGAIN || !(discovers || times) {
+        let (discovers, times) =
+            (oid.get(USM_STATS_ARC) == Some(&4), oid.get(USM_STATS_ARC) == Some(&2) && authenticated);
+        self.reports_followed += 1;
+        if self.reports_followed > MAX_REPORTS_FOLLOWED || !(discovers || times) {
             return Err(Fault::Report(oid));
         }
         let id = usm.authoritative_engine_id.to_vec();
@@ -248,6 +265,25 @@
     }
 }
 
+/// The content of a message, decrypted with the keys of its engine where it is encrypted.
+fn decrypted(
+    scoped_data: &v3::ScopedPduData,
+    usm: &v3::USMSecurityParameters,
+    engine: Option<&Engine>,
+    (boots, time_s): (u32, u32),
+) -> Result<v3::ScopedPdu, Fault> {
+    match scoped_data {
+        v3::ScopedPduData::CleartextPdu(scoped) => Ok(scoped.clone()),
+        v3::ScopedPduData::EncryptedPdu(data) => {
+            let mut data = data.to_vec();
+            let salt = <[u8; 8]>::try_from(usm.privacy_parameters.as_ref()).map_err(|_| Fault::Malformed)?;
+            let engine = engine.ok_or(Fault::Malformed)?;
+            engine.keys.decrypt(boots, time_s, salt, &mut data).then_some(()).ok_or(Fault::Malformed)?;
+            rasn::ber::decode(&data).map_err(|_| Fault::Malformed)
+        }
+    }
+}
+
 fn pdus(what: &Ask, request_id: i32) -> Pdus {
     let bindings = |names: &[Oid]| names.iter().map(|n| ask(n)).collect();
     let pdu = |names: &[Oid]| Pdu {
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -45,7 +45,7 @@
         let answer = match agent.read(&bytes, times.0) {
             Incoming::Drop => return Err(Fault::Malformed),
             Incoming::Reply(bytes) => bytes,
-            Incoming::Ask(request) => agent.answer(&request, tree, times.0).unwrap(),
+            Incoming::Request(request) => agent.answer(&request, tree, times.0).unwrap(),
         };
         assert!(answer.len() <= BOUNDS.bytes, "{} bytes", answer.len());
         match session.read(&answer, times.1)? {
@@ -177,7 +177,7 @@
     let what = Ask::Get(vec![vec![1, 3, 7]]);
     exchange(&mut agent, &tree, &mut session, &what, (1000, 5)).unwrap();
     let caught = session.write(&what, 5).unwrap();
-    assert!(matches!(agent.read(&caught, 1150), Incoming::Ask(_)));
+    assert!(matches!(agent.read(&caught, 1150), Incoming::Request(_)));
     assert!(matches!(agent.read(&caught, 1151), Incoming::Reply(_)));
     assert_eq!(stat(&agent, 2), Value::Counter32(1));
     exchange(&mut agent, &tree, &mut session, &what, (9000, 6)).unwrap();
@@ -197,11 +197,11 @@
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(!matches!(agent.read(&changed, 5), Incoming::Ask(_)), "byte {at} was changed");
+        assert!(!matches!(agent.read(&changed, 5), Incoming::Request(_)), "byte {at} was changed");
     }
-    assert!(matches!(agent.read(&bytes, 5), Incoming::Ask(_)));
+    assert!(matches!(agent.read(&bytes, 5), Incoming::Request(_)));
     // The answer likewise: one changed byte, and the manager does not believe it.
-    let Incoming::Ask(request) = agent.read(&bytes, 5) else { panic!("not asked") };
+    let Incoming::Request(request) = agent.read(&bytes, 5) else { panic!("not asked") };
     let answer = agent.answer(&request, &tree, 5).unwrap();
     for at in 0..answer.len() {
         let mut changed = answer.clone();
@@ -261,7 +261,7 @@
         }
         bytes.truncate(1 + cut % bytes.len());
         for bytes in [noise, bytes] {
-            if let Incoming::Ask(request) = agent.read(&bytes, 5) {
+            if let Incoming::Request(request) = agent.read(&bytes, 5) {
                 let _ = agent.answer(&request, &tree, 5);
             }
             let _ = session.read(&bytes, 5);
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -1,5 +1,5 @@
-//! The management agent on its socket: a coroutine reads, asks the core for its books where a walk begins, and answers.
-//! What is answered is decided in `curlewdeck-snmp`; the objects stand in [`crate::mib`].
+//! The management agent on its socket: a coroutine that reads requests, takes a snapshot of the ledger where a walk
+//! begins, and responds. The protocol is in `curlewdeck-snmp`, the objects are in [`crate::mib`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,10 +24,10 @@
 /// Why the management agent cannot be started.
 #[derive(Debug, Error)]
 pub enum SnmpStartError {
-    /// Its section cannot be used.
+    /// Its configuration cannot be used.
     #[error(transparent)]
     Config(#[from] SnmpConfigError),
-    /// Its address cannot be listened at.
+    /// Its address cannot be bound.
     #[error("cannot listen at {address}: {source}")]
     Listen {
         /// The address.
@@ -40,10 +40,10 @@
     Spawn(#[source] SpawnError),
 }
 
-/// The agent that its section describes, with the engine id and boots that were restored, if any were.
+/// The agent that the configuration describes, with the engine id and boots that were restored, if any were.
 ///
 /// # Errors
-/// Names what is wrong with the section, and never a secret.
+/// Names what is wrong with the configuration, and never a secret.
 pub fn agent(
     config: &SnmpConfig,
     limits: &Limits,
@@ -54,7 +54,7 @@
     let (engine, boots) = match restored {
         Some((engine, boots)) if config.engine_id.is_none() => (engine, boots),
         Some((_, boots)) => (config.engine_id()?, boots),
-        None => (config.engine_id()?, boots()),
+        None => (config.engine_id()?, boots_from_clock()),
     };
     let access = config.access()?;
     let mut agent = Agent::new(bounds, engine, boots, mib::known());
@@ -67,69 +67,74 @@
     Ok(agent)
 }
 
-/// Seconds of Unix time at which boots were one.
-const FIRST_BOOT: u64 = 1_700_000_000;
+/// The Unix time from which boots count seconds.
+const BOOTS_EPOCH_S: u64 = 1_700_000_000;
 
-/// The engine's boots without a lasting disk: seconds, which grow from one start to the next as long as the clock does
-/// not go back, and fit 31 bits until the year 2091.
-fn boots() -> u32 {
+/// The engine's boots without a persistent disk: seconds, which grow from one start to the next as long as the clock
+/// does not go back, and fit 31 bits until the year 2091.
+fn boots_from_clock() -> u32 {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_secs());
-    u32::try_from(now.saturating_sub(FIRST_BOOT)).unwrap_or(i32::MAX as u32).clamp(1, i32::MAX as u32 - 1)
+    u32::try_from(now.saturating_sub(BOOTS_EPOCH_S)).unwrap_or(i32::MAX as u32).clamp(1, i32::MAX as u32 - 1)
 }
 
-/// The core comes to what it is asked within this, or the request is not answered: managers ask again.
-const BOOKS: Duration = Duration::from_millis(500);
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+/// Pause after a failed receive, against a busy loop.
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(10);
+/// A request is dropped if the coordinator takes longer for a snapshot: managers retry.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(500);
 
-struct Served {
+/// Responds to the datagrams of managers.
+struct SnmpServer {
     agent: Agent,
     core: CoreHandle,
     counters: Arc<Counters>,
     group: Option<SharedStatus>,
     walkers: Walkers<SocketAddr>,
-    begun: Nanos,
+    started_at: Nanos,
 }
 
-impl Served {
-    /// The values of all objects now.
-    fn tree(&self, time: u32) -> Option<Tree> {
-        let (told, figures) = channel();
-        // Nobody waits any more after the time-out.
-        self.core.ledger_snapshot(move |snapshot| drop(told.send(snapshot)));
-        let books = figures.recv_timeout(BOOKS).ok()?;
-        let standing = self.group.as_ref().map(SharedStatus::latest);
-        let mut objects = mib::objects(&self.counters, &books, self.begun, standing.as_deref());
-        objects.extend(self.agent.objects(time));
+impl SnmpServer {
+    /// The values of all objects now, at this time of the engine in seconds.
+    fn tree(&self, time_s: u32) -> Option<Tree> {
+        let (sender, receiver) = channel();
+        // The receiver is gone after the timeout.
+        self.core.ledger_snapshot(move |snapshot| drop(sender.send(snapshot)));
+        let ledger = receiver.recv_timeout(SNAPSHOT_TIMEOUT).ok()?;
+        let status = self.group.as_ref().map(SharedStatus::latest);
+        let mut objects = mib::objects(&self.counters, &ledger, self.started_at, status.as_deref());
+        objects.extend(self.agent.objects(time_s));
         Some(Tree::new(objects))
     }
 
-    fn serve(&mut self, bytes: &[u8], from: SocketAddr) -> Option<Vec<u8>> {
+    /// The response to a datagram, if it has one.
+    fn respond(&mut self, bytes: &[u8], from: SocketAddr) -> Option<Vec<u8>> {
         let now = self.core.clock.now();
-        let time = (now.saturating_sub(self.begun) / 1_000_000_000) as u32;
-        let incoming = self.agent.read(bytes, time);
+        let time_s = (now.saturating_sub(self.started_at) / NANOS_PER_SECOND) as u32;
+        let incoming = self.agent.read(bytes, time_s);
         Counters::set(&self.counters.snmp_denied, self.agent.denied());
         let request = match incoming {
             Incoming::Drop => return None,
             Incoming::Reply(bytes) => return Some(bytes),
-            Incoming::Ask(request) => request,
+            Incoming::Request(request) => request,
         };
-        let behind = request.behind();
-        let tree = match self.walkers.from(now, &from, behind.as_deref()) {
+        let position = request.walk_position();
+        let tree = match self.walkers.from(now, &from, position.as_deref()) {
             From::Tree(tree) => tree,
             From::Make => {
-                let tree = self.tree(time)?;
-                self.walkers.made(now, &from, behind.as_deref(), tree)
+                let tree = self.tree(time_s)?;
+                self.walkers.made(now, &from, position.as_deref(), tree)
             }
         };
-        let answer = self.agent.answer(&request, &tree, time)?;
+        let response = self.agent.answer(&request, &tree, time_s)?;
         Counters::add(&self.counters.snmp_requests);
-        Some(answer)
+        Some(response)
     }
 }
 
 /// Starts the agent.
 ///
 /// # Errors
-/// The address cannot be listened at, or the section cannot be used.
+/// The address cannot be bound, or the configuration cannot be used.
 pub fn start(
     config: &SnmpConfig,
     core: CoreHandle,
@@ -138,10 +143,10 @@
     limits: Arc<Limits>,
     restored: Option<(Vec<u8>, u32)>,
 ) -> Result<SocketAddr, SnmpStartError> {
-    let cannot = |source| SnmpStartError::Listen { address: config.listen, source };
+    let listen_error = |source| SnmpStartError::Listen { address: config.listen, source };
     let agent = agent(config, &limits, restored)?;
-    let socket = UdpSocket::bind(config.listen).map_err(cannot)?;
-    let local = socket.local_addr().map_err(cannot)?;
+    let socket = UdpSocket::bind(config.listen).map_err(listen_error)?;
+    let local = socket.local_addr().map_err(listen_error)?;
     let walkers = Walkers::new(walkers::Bounds {
         walkers: limits.snmp_walkers,
         objects: limits.snmp_objects,
@@ -149,18 +154,17 @@
         age: nanos(limits.snmp_walk),
         fresh: nanos(limits.snmp_fresh),
     });
-    let begun = core.clock.now();
-    let mut served = Served { agent, core, counters, group, walkers, begun };
+    let started_at = core.clock.now();
+    let mut server = SnmpServer { agent, core, counters, group, walkers, started_at };
     spawn("snmp", limits.core_stack_words, move || {
-        let mut buf = vec![0; limits.snmp_bytes];
+        let mut buffer = vec![0; limits.snmp_bytes];
         loop {
-            let Ok((size, from)) = socket.recv_from(&mut buf) else {
-                // Never a busy loop, whatever the cause.
-                may::coroutine::sleep(Duration::from_millis(10));
+            let Ok((size, from)) = socket.recv_from(&mut buffer) else {
+                may::coroutine::sleep(RECEIVE_ERROR_PAUSE);
                 continue;
             };
-            if let Some(answer) = served.serve(&buf[..size], from) {
-                if let Err(e) = socket.send_to(&answer, from) {
+            if let Some(response) = server.respond(&buffer[..size], from) {
+                if let Err(e) = socket.send_to(&response, from) {
                     log::debug!(peer:% = from, error:% = e; "management answer not sent");
                 }
             }
