--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -101,13 +101,13 @@
 
 fn rate_limits(limits: &Limits) -> Bounds {
     Bounds {
-        gap: nanos(limits.notify_gap),
+        min_interval: nanos(limits.notify_gap),
         burst: limits.notify_burst,
-        refill: nanos(limits.notify_refill),
-        waiting: limits.notify_waiting,
-        again: nanos(limits.notify_retry_delay),
-        tries: limits.notify_attempts,
-        subjects: limits.node_rows,
+        refill_interval: nanos(limits.notify_refill),
+        max_pending_informs: limits.notify_waiting,
+        retry_delay: nanos(limits.notify_retry_delay),
+        max_attempts: limits.notify_attempts,
+        max_subjects: limits.node_rows,
     }
 }
 
@@ -133,7 +133,7 @@
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             if let Ok((size, from)) = self.socket.recv_from(&mut buffer) {
-                self.notifier.came(&from.to_string(), &buffer[..size]);
+                self.notifier.acknowledge(&from.to_string(), &buffer[..size]);
             }
             let now = self.core.clock.now();
             let due = self.notifier.tick(now);
