--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,4 +1,4 @@
-//! Carries a walk out over HTTP.
+//! Runs walks over HTTP.
 
 use std::time::Duration;
 
@@ -61,18 +61,18 @@
     called.and_then(read).map_err(|e| format!("{url}: {e}"))
 }
 
-/// Walks to the end; each page is handed on as it comes.
-pub fn run(mut walk: Walk, service: &Service, mut page: impl FnMut(&Page)) -> (End, Walk) {
+/// Runs a walk to its end; each page is passed to `on_page` as it is received.
+pub fn run(mut walk: Walk, service: &Service, mut on_page: impl FnMut(&Page)) -> (End, Walk) {
     loop {
         match walk.step().clone() {
-            Step::Ask(query) => {
-                if let Some(came) = walk.came(service.ask(&query)) {
-                    page(&came);
+            Step::Request(query) => {
+                if let Some(received) = walk.handle_reply(service.ask(&query)) {
+                    on_page(&received);
                 }
             }
             Step::Wait(ms) => {
                 std::thread::sleep(Duration::from_millis(ms));
-                walk.waited();
+                walk.wait_elapsed();
             }
             Step::End(end) => return (end, walk),
         }
--- a/src/query.rs
+++ b/src/query.rs
@@ -1,12 +1,18 @@
-//! `curlewdeck query`: asks a desk front and prints what came.
+//! `curlewdeck query`: sends a query to the aggregation frontend and prints its answer.
+
+use std::collections::BTreeMap;
 
 use curlewdeck_client::http::{run, Service};
 use curlewdeck_client::query::{Page, Query};
 use curlewdeck_client::table::{coverage, render};
 use curlewdeck_client::walk::{Budget, End, Walk};
 use pico_args::Arguments;
+use thiserror::Error;
+
+/// [`Budget::pages`] for a walk to the end.
+const ALL_PAGES: u32 = 0;
 
-/// What the command line asks for.
+/// A query, as the command line states it.
 #[derive(Debug)]
 pub struct Command {
     address: String,
@@ -24,8 +30,18 @@
                                                       mean or list. Ends with 0 whole, 2 partial, 3 refused,
                                                       4 failed, 5 where the query is at fault";
 
-fn wrong(e: &pico_args::Error) -> String {
-    e.to_string()
+/// Why a command line is no query.
+#[derive(Debug, Error)]
+pub enum CommandLineError {
+    /// An option cannot be read.
+    #[error(transparent)]
+    Arguments(#[from] pico_args::Error),
+    /// A filter has no equals sign.
+    #[error("--filter {0}: FIELD=VALUE is expected")]
+    Filter(String),
+    /// A word is missing.
+    #[error("query: {0} is missing, see 'curlewdeck help'")]
+    MissingWord(&'static str),
 }
 
 impl Command {
@@ -33,50 +49,37 @@
     ///
     /// # Errors
     /// Says in one line what is missing or not known.
-    pub fn read(args: &mut Arguments) -> Result<Self, String> {
-        let option = |args: &mut Arguments, name: &'static str| {
-            args.opt_value_from_str::<_, String>(name).map_err(|e| wrong(&e))
-        };
-        let mut filter = std::collections::BTreeMap::new();
-        for pair in args.values_from_str::<_, String>("--filter").map_err(|e| wrong(&e))? {
-            let (field, value) =
-                pair.split_once('=').ok_or_else(|| format!("--filter {pair}: FIELD=VALUE is expected"))?;
-            filter.insert(field.to_string(), value.to_string());
-        }
-        let (measure, order, cursor) =
-            (option(args, "--measure")?, option(args, "--order")?, option(args, "--cursor")?);
-        let number = |args: &mut Arguments, name: &'static str| {
-            args.opt_value_from_str::<_, u32>(name).map_err(|e| wrong(&e))
-        };
-        let limit = number(args, "--limit")?.map(|n| n as usize);
-        let timeout_ms = number(args, "--timeout")?.map(u64::from);
-        let default = Budget::default();
-        let pages = number(args, "--pages")?.unwrap_or(default.pages);
-        let pages = if args.contains("--all") { 0 } else { pages };
-        let budget =
-            Budget { tries: number(args, "--tries")?.unwrap_or(default.tries).max(1), pages, ..default };
-        let (grouped, json) = (args.contains("--grouped"), args.contains("--json"));
-        let word = |args: &mut Arguments, name: &str| {
-            args.free_from_str::<String>()
-                .map_err(|_| format!("query: {name} is missing, see 'curlewdeck help'"))
-        };
-        let (address, set, op) = (word(args, "ADDRESS")?, word(args, "SET")?, word(args, "OP")?);
+    pub fn read(args: &mut Arguments) -> Result<Self, CommandLineError> {
+        let filter = read_filters(args)?;
+        let measure = args.opt_value_from_str("--measure")?;
+        let order = args.opt_value_from_str("--order")?;
+        let cursor = args.opt_value_from_str("--cursor")?;
+        let limit = args.opt_value_from_str::<_, u32>("--limit")?.map(|n| n as usize);
+        let timeout_ms = args.opt_value_from_str::<_, u32>("--timeout")?.map(u64::from);
+        let budget = read_budget(args)?;
+        let grouped = args.contains("--grouped");
+        let json = args.contains("--json");
+        let address = word(args, "ADDRESS")?;
+        let set = word(args, "SET")?;
+        let op = word(args, "OP")?;
         let query = Query { op, measure, order, grouped, limit, filter, cursor, timeout_ms };
         Ok(Self { address, set, query, budget, json })
     }
 
-    /// Asks and prints; returns the exit status.
+    /// Sends the query and prints its pages; returns the exit status.
     pub fn run(self) -> u8 {
         let service = Service::new(&self.address, &self.set);
         let walk = Walk::new(self.query, self.budget, fastrand::u64(..));
         let json = self.json;
-        let (end, walk) = run(walk, &service, |page| print(page, json));
+        let (end, walk) = run(walk, &service, |page| print_page(page, json));
         match &end {
-            End::Whole | End::Partial => {}
-            End::Refused(problem) => eprintln!("curlewdeck: refused: {}", problem.detail),
+            End::Complete | End::Partial => {}
+            End::Rejected(problem) => eprintln!("curlewdeck: refused: {}", problem.detail),
             End::Failed(why) => eprintln!("curlewdeck: {why}"),
-            End::BadQuery(problem) if problem.field.is_empty() => eprintln!("curlewdeck: {}", problem.detail),
-            End::BadQuery(problem) => eprintln!("curlewdeck: {}: {}", problem.field, problem.detail),
+            End::InvalidQuery(problem) if problem.field.is_empty() => {
+                eprintln!("curlewdeck: {}", problem.detail)
+            }
+            End::InvalidQuery(problem) => eprintln!("curlewdeck: {}: {}", problem.field, problem.detail),
         }
         if let (true, Some(cursor)) = (end.status() > 2, walk.cursor()) {
             eprintln!("curlewdeck: go on with --cursor {cursor}");
@@ -85,9 +88,30 @@
     }
 }
 
-/// As JSON a row or figure a line, so that pages follow each other without a seam; what a page rests on goes to
-/// standard error then.
-fn print(page: &Page, json: bool) {
+fn read_filters(args: &mut Arguments) -> Result<BTreeMap<String, String>, CommandLineError> {
+    let mut filters = BTreeMap::new();
+    for pair in args.values_from_str::<_, String>("--filter")? {
+        let Some((field, value)) = pair.split_once('=') else { return Err(CommandLineError::Filter(pair)) };
+        filters.insert(field.to_string(), value.to_string());
+    }
+    Ok(filters)
+}
+
+fn read_budget(args: &mut Arguments) -> Result<Budget, CommandLineError> {
+    let default = Budget::default();
+    let pages = args.opt_value_from_str("--pages")?.unwrap_or(default.pages);
+    let pages = if args.contains("--all") { ALL_PAGES } else { pages };
+    let attempts = args.opt_value_from_str("--tries")?.unwrap_or(default.attempts).max(1);
+    Ok(Budget { attempts, pages, ..default })
+}
+
+/// The next free word of a command line.
+fn word(args: &mut Arguments, name: &'static str) -> Result<String, CommandLineError> {
+    args.free_from_str().map_err(|_| CommandLineError::MissingWord(name))
+}
+
+/// Prints a page: as a table, or as JSON with a line for each row or figure and the coverage on standard error.
+fn print_page(page: &Page, json: bool) {
     if !json {
         println!("{}", render(page));
         if let Some(next) = &page.next {
@@ -113,26 +137,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn read(line: &str) -> Result<Command, String> {
-        let words = line.split_whitespace().map(Into::into).collect();
-        Command::read(&mut Arguments::from_vec(words))
-    }
-
-    #[test]
-    fn a_command_line_becomes_a_query() {
-        let command =
-            read("127.0.0.1:1 plazas rank --limit 3 --order asc --filter a=b=c --filter d=e --all").unwrap();
-        assert_eq!((command.set.as_str(), command.query.limit, command.budget.pages), ("plazas", Some(3), 0));
-        assert_eq!(command.query.filter["a"], "b=c");
-        for (line, why) in [
-            ("127.0.0.1:1 plazas", "OP is missing"),
-            ("127.0.0.1:1 plazas rank --limit three", "three"),
-            ("127.0.0.1:1 plazas rank --filter a", "FIELD=VALUE"),
-        ] {
-            assert!(read(line).unwrap_err().contains(why), "{line}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/query/tests.rs
@@ -0,0 +1,23 @@
+//! Command lines of queries.
+
+use super::*;
+
+fn read(line: &str) -> Result<Command, CommandLineError> {
+    let words = line.split_whitespace().map(Into::into).collect();
+    Command::read(&mut Arguments::from_vec(words))
+}
+
+#[test]
+fn a_command_line_becomes_a_query() {
+    let command =
+        read("127.0.0.1:1 plazas rank --limit 3 --order asc --filter a=b=c --filter d=e --all").unwrap();
+    assert_eq!((command.set.as_str(), command.query.limit, command.budget.pages), ("plazas", Some(3), 0));
+    assert_eq!(command.query.filter["a"], "b=c");
+    for (line, why) in [
+        ("127.0.0.1:1 plazas", "OP is missing"),
+        ("127.0.0.1:1 plazas rank --limit three", "three"),
+        ("127.0.0.1:1 plazas rank --filter a", "FIELD=VALUE"),
+    ] {
+        assert!(read(line).unwrap_err().to_string().contains(why), "{line}");
+    }
+}
