--- a/crates/snmp/src/agent/security.rs
+++ b/crates/snmp/src/agent/security.rs
@@ -120,7 +120,7 @@
         let index = index.ok_or(SecurityError::UnknownUser)?;
         let (user, keys) = &self.users[index];
         // Whoever has keys must use them: nothing is served for a name alone.
-        if !message.wants_auth() || message.wants_privacy() != keys.private() {
+        if !message.wants_auth() || message.wants_privacy() != keys.has_privacy() {
             return Err(SecurityError::UnsupportedLevel.into());
         }
         if !has_valid_digest(message.bytes, keys) {
--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -17,15 +17,21 @@
 const AES_BYTES: usize = 16;
 /// A message is in time within so many seconds (RFC 3414, section 2.2.3).
 pub const WINDOW_S: u32 = 150;
-/// Bytes that a passphrase is drawn out to (RFC 3414, appendix A.2).
-const DRAWN: usize = 1_048_576;
+/// Bytes that a passphrase is repeated to (RFC 3414, appendix A.2).
+const EXPANDED_PASSPHRASE_BYTES: usize = 1_048_576;
 /// Least characters of a passphrase (RFC 3414, section 11.2).
-const LEAST: usize = 8;
+const MIN_PASSPHRASE_CHARS: usize = 8;
+/// Most bytes of a user's name (RFC 3414, section 5).
+const MAX_USER_NAME_BYTES: usize = 32;
+
+/// X.690 tags of the elements in which a message holds its digest.
+const SEQUENCE_TAG: u8 = 0x30;
+const OCTET_STRING_TAG: u8 = 0x04;
 
 /// A passphrase's key (RFC 3414, appendix A.2.2), before it is localised.
 pub fn key_of<D: Digest>(passphrase: &[u8]) -> Vec<u8> {
     let mut digest = D::new();
-    let mut left = DRAWN;
+    let mut left = EXPANDED_PASSPHRASE_BYTES;
     // In pieces that hold the passphrase whole, so that each begins where the last one ended.
     let times = (4096 / passphrase.len().max(1)).max(1);
     let piece = passphrase.repeat(times);
@@ -45,9 +51,9 @@
 /// A user's secret. It never reaches a log.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Secret {
-    /// Is made a key of each engine.
+    /// A key is derived from it for each engine.
     Passphrase(String),
-    /// Is the key of the engine that it is used with.
+    /// The key for the engine that it is used with.
     Localized(Vec<u8>),
 }
 
@@ -64,7 +70,7 @@
     /// Says what is expected, and nothing of what was given.
     pub fn read(text: &str) -> Result<Self, &'static str> {
         if let Some(pass) = text.strip_prefix("pass:") {
-            return match pass.chars().count() >= LEAST {
+            return match pass.chars().count() >= MIN_PASSPHRASE_CHARS {
                 true => Ok(Self::Passphrase(pass.to_string())),
                 false => Err("a passphrase needs 8 characters or more"),
             };
@@ -88,9 +94,9 @@
 pub struct User {
     /// Its name.
     pub name: String,
-    /// Authenticates.
+    /// The secret of its authentication.
     pub auth: Secret,
-    /// Encrypts; without it the user's messages are in clear text.
+    /// The secret of its encryption; without it the user's messages are in clear text.
     pub privacy: Option<Secret>,
     /// What it may see.
     pub view: View,
@@ -115,7 +121,7 @@
                 [name, "auth", auth, "priv", privacy] => (name, secret(auth)?, Some(secret(privacy)?)),
                 _ => return Err(format!("line {n}: NAME auth SECRET [priv SECRET] is expected")),
             };
-            if name.len() > 32 {
+            if name.len() > MAX_USER_NAME_BYTES {
                 return Err(format!("line {n}: a user's name has at most 32 bytes"));
             }
             if users.iter().any(|u| u.name == name) {
@@ -152,7 +158,7 @@
     }
 
     /// Whether messages can be encrypted.
-    pub fn private(&self) -> bool {
+    pub fn has_privacy(&self) -> bool {
         self.privacy.is_some()
     }
 
@@ -165,7 +171,7 @@
         digest
     }
 
-    /// Whether a digest is that of a message, in a time that tells nothing.
+    /// Whether a digest is that of a message, in constant time.
     pub fn verifies(&self, message: &[u8], digest: &[u8]) -> bool {
         digest.len() == DIGEST_BYTES
             && Hmac::<Sha256>::new_from_slice(&self.auth)
@@ -203,27 +209,27 @@
 }
 
 /// Where the digest of a version 3 message stands in its bytes; none where the message has another form. Lengths that
-/// lie end outside and are refused.
+/// point outside the message are rejected.
 pub fn digest_at(message: &[u8]) -> Option<std::ops::Range<usize>> {
-    let whole = tlv(message, 0, 0x30)?;
-    let version = any(message, whole.start)?;
-    let header = tlv(message, version.end, 0x30)?;
-    let security = tlv(message, header.end, 0x04)?;
-    let mut at = tlv(message, security.start, 0x30)?.start;
+    let content = element(message, 0, SEQUENCE_TAG)?;
+    let version = any_element(message, content.start)?;
+    let header = element(message, version.end, SEQUENCE_TAG)?;
+    let security = element(message, header.end, OCTET_STRING_TAG)?;
+    let mut at = element(message, security.start, SEQUENCE_TAG)?.start;
     // Engine, boots, time and user stand before it.
     for _ in 0..4 {
-        at = any(message, at)?.end;
+        at = any_element(message, at)?.end;
     }
-    tlv(message, at, 0x04).filter(|digest| digest.end <= security.end)
+    element(message, at, OCTET_STRING_TAG).filter(|digest| digest.end <= security.end)
 }
 
 /// The content of the element at this place, which must have this tag.
-fn tlv(bytes: &[u8], at: usize, tag: u8) -> Option<std::ops::Range<usize>> {
-    (bytes.get(at) == Some(&tag)).then(|| any(bytes, at))?
+fn element(bytes: &[u8], at: usize, tag: u8) -> Option<std::ops::Range<usize>> {
+    (bytes.get(at) == Some(&tag)).then(|| any_element(bytes, at))?
 }
 
 /// The content of the element at this place (X.690, definite lengths).
-fn any(bytes: &[u8], at: usize) -> Option<std::ops::Range<usize>> {
+fn any_element(bytes: &[u8], at: usize) -> Option<std::ops::Range<usize>> {
     let first = *bytes.get(at.checked_add(1)?)?;
     let (length, start) = match first {
         0..=0x7f => (usize::from(first), at + 2),
--- a/crates/snmp/src/walkers.rs
+++ b/crates/snmp/src/walkers.rs
@@ -1,5 +1,5 @@
-//! A walk sees one tree. Each walker is kept on the tree that its walk began with for a stated short time; walkers who
-//! come together share one; walkers and trees are bounded in number.
+//! Consistent walks: a walker sees the tree that its walk began with, for a limited time. Walks that begin at about the
+//! same time share a tree; walkers and trees are bounded in number.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -15,103 +15,127 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Walkers.
-    pub walkers: usize,
-    /// Objects of all trees that walkers are kept on, the newest tree not counted.
-    pub objects: usize,
-    /// A walker that has asked nothing for so long has ended its walk.
-    pub idle: Nanos,
-    /// A walk that lasts longer goes on with a newer tree.
-    pub age: Nanos,
-    /// A tree that is no older serves whoever comes.
-    pub fresh: Nanos,
+    pub max_walkers: usize,
+    /// Objects of all trees that walks hold, the newest tree not counted.
+    pub max_objects: usize,
+    /// A walker without a request for this long has ended its walk.
+    pub idle_timeout: Nanos,
+    /// A walk that lasts longer continues with a newer tree.
+    pub max_walk_age: Nanos,
+    /// A tree that is no older is shared by all who begin a walk.
+    pub max_shared_age: Nanos,
 }
 
+/// A walk in progress.
 struct Walker {
     tree: Arc<Tree>,
-    made: Nanos,
-    used: Nanos,
-    last: Oid,
+    tree_created_at: Nanos,
+    last_request_at: Nanos,
+    position: Oid,
 }
 
-/// The walkers, by whatever tells them apart.
+/// The walks in progress by walker; `K` identifies a walker.
 pub struct Walkers<K> {
     bounds: Bounds,
+    /// The newest tree and when it was created.
     newest: Option<(Nanos, Arc<Tree>)>,
     walkers: HashMap<K, Walker>,
 }
 
-/// What a request is to be answered from.
+/// The tree that a request is answered from.
 #[derive(Debug, Clone, PartialEq)]
-pub enum From {
-    /// This tree.
-    Tree(Arc<Tree>),
-    /// One that has to be made first: see [`Walkers::made`].
-    Make,
+pub enum TreeSource {
+    /// An existing tree.
+    Existing(Arc<Tree>),
+    /// A new tree, to be passed to [`Walkers::add_tree`].
+    New,
 }
 
 impl<K: Eq + Hash + Clone> Walkers<K> {
-    /// Nobody walks.
+    /// Without walks in progress.
     pub fn new(bounds: Bounds) -> Self {
         Self { bounds, newest: None, walkers: HashMap::new() }
     }
 
-    /// Walkers that are kept.
+    /// Walks in progress.
     pub fn len(&self) -> usize {
         self.walkers.len()
     }
 
-    /// Whether none is.
+    /// Whether no walk is in progress.
     pub fn is_empty(&self) -> bool {
         self.walkers.is_empty()
     }
 
-    /// A request has come from a walker: for the object behind this name, or with none for objects by name.
-    pub fn from(&mut self, now: Nanos, who: &K, behind: Option<&[u32]>) -> From {
+    /// The tree for a request of a walker: for the object after `position`, or with none for objects by name.
+    pub fn tree_for(&mut self, now: Nanos, walker: &K, position: Option<&[u32]>) -> TreeSource {
         let bounds = self.bounds;
-        if let (Some(walker), Some(behind)) = (self.walkers.get_mut(who), behind) {
-            let goes_on = behind > walker.last.as_slice();
-            let kept = now.saturating_sub(walker.used) <= bounds.idle
-                && now.saturating_sub(walker.made) <= bounds.age;
-            if goes_on && kept {
-                (walker.used, walker.last) = (now, behind.to_vec());
-                return From::Tree(walker.tree.clone());
+        if let (Some(walk), Some(position)) = (self.walkers.get_mut(walker), position) {
+            let continues = position > walk.position.as_slice();
+            let idle = now.saturating_sub(walk.last_request_at) > bounds.idle_timeout;
+            let expired = now.saturating_sub(walk.tree_created_at) > bounds.max_walk_age;
+            if continues && !idle && !expired {
+                walk.last_request_at = now;
+                walk.position = position.to_vec();
+                return TreeSource::Existing(walk.tree.clone());
             }
         }
         match &self.newest {
-            Some((made, tree)) if now.saturating_sub(*made) <= bounds.fresh => {
-                let (made, tree) = (*made, tree.clone());
-                self.keep(now, who, behind, made, &tree);
-                From::Tree(tree)
+            Some((created_at, tree)) if now.saturating_sub(*created_at) <= bounds.max_shared_age => {
+                let (created_at, tree) = (*created_at, tree.clone());
+                self.begin_walk(now, walker, position, created_at, &tree);
+                TreeSource::Existing(tree)
             }
-            _ => From::Make,
+            _ => TreeSource::New,
         }
     }
 
-    /// A tree was made for a walker's request.
-    pub fn made(&mut self, now: Nanos, who: &K, behind: Option<&[u32]>, tree: Tree) -> Arc<Tree> {
+    /// Adds the tree that was created for a walker's request.
+    pub fn add_tree(&mut self, now: Nanos, walker: &K, position: Option<&[u32]>, tree: Tree) -> Arc<Tree> {
         let tree = Arc::new(tree);
         self.newest = Some((now, tree.clone()));
-        self.keep(now, who, behind, now, &tree);
+        self.begin_walk(now, walker, position, now, &tree);
         tree
     }
 
-    fn keep(&mut self, now: Nanos, who: &K, behind: Option<&[u32]>, made: Nanos, tree: &Arc<Tree>) {
-        let Some(behind) = behind else { return };
-        let idle = self.bounds.idle;
-        if !self.walkers.contains_key(who) && self.walkers.len() >= self.bounds.walkers {
-            self.walkers.retain(|_, w| now.saturating_sub(w.used) <= idle);
+    fn begin_walk(
+        &mut self,
+        now: Nanos,
+        walker: &K,
+        position: Option<&[u32]>,
+        tree_created_at: Nanos,
+        tree: &Arc<Tree>,
+    ) {
+        let Some(position) = position else { return };
+        self.make_room(now, walker);
+        let walk =
+            Walker { tree: tree.clone(), tree_created_at, last_request_at: now, position: position.to_vec() };
+        self.walkers.insert(walker.clone(), walk);
+        while self.older_objects() > self.bounds.max_objects && self.drop_oldest_tree() {}
+    }
+
+    /// Removes idle walks, or the one idle for longest, where there is no room for a further walker. A walk that is
+    /// removed continues with a newer tree.
+    fn make_room(&mut self, now: Nanos, walker: &K) {
+        if self.has_room(walker) {
+            return;
+        }
+        let idle_timeout = self.bounds.idle_timeout;
+        self.walkers.retain(|_, walk| now.saturating_sub(walk.last_request_at) <= idle_timeout);
+        if self.has_room(walker) {
+            return;
         }
-        if !self.walkers.contains_key(who) && self.walkers.len() >= self.bounds.walkers {
-            // The one that has been silent for longest: its walk goes on with a newer tree, never backwards.
-            let oldest = self.walkers.iter().min_by_key(|w| w.1.used).map(|w| w.0.clone());
-            oldest.map(|o| self.walkers.remove(&o));
+        let oldest = self.walkers.iter().min_by_key(|(_, walk)| walk.last_request_at);
+        if let Some(oldest) = oldest.map(|(walker, _)| walker.clone()) {
+            self.walkers.remove(&oldest);
         }
-        let walker = Walker { tree: tree.clone(), made, used: now, last: behind.to_vec() };
-        self.walkers.insert(who.clone(), walker);
-        while self.older_objects() > self.bounds.objects && self.drop_oldest_tree() {}
     }
 
-    /// Objects of the trees that are kept for walks alone.
+    fn has_room(&self, walker: &K) -> bool {
+        self.walkers.contains_key(walker) || self.walkers.len() < self.bounds.max_walkers
+    }
+
+    /// Objects of the trees that only walks hold.
     fn older_objects(&self) -> usize {
         let newest = self.newest.as_ref().map(|n| Arc::as_ptr(&n.1));
         let trees: HashMap<*const Tree, usize> =
@@ -119,12 +143,14 @@
         trees.iter().filter(|t| Some(*t.0) != newest).map(|t| t.1).sum()
     }
 
-    /// Lets go of the oldest tree, if it is not the newest: the walks on it go on with a newer one.
+    /// Drops the oldest tree, unless it is the newest: the walks on it continue with a newer one.
     fn drop_oldest_tree(&mut self) -> bool {
         let newest = self.newest.as_ref().map(|n| n.1.clone());
         let older =
             self.walkers.values().filter(|w| !newest.as_ref().is_some_and(|n| Arc::ptr_eq(n, &w.tree)));
-        let Some(oldest) = older.min_by_key(|w| w.made).map(|w| w.tree.clone()) else { return false };
+        let Some(oldest) = older.min_by_key(|w| w.tree_created_at).map(|w| w.tree.clone()) else {
+            return false;
+        };
         self.walkers.retain(|_, w| !Arc::ptr_eq(&w.tree, &oldest));
         true
     }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -7,7 +7,7 @@
 
 use curlewdeck_snmp::agent::{Agent, Bounds, Incoming};
 use curlewdeck_snmp::tree::Tree;
-use curlewdeck_snmp::walkers::{self, From, Walkers};
+use curlewdeck_snmp::walkers::{self, TreeSource, Walkers};
 use may::net::UdpSocket;
 use may::sync::mpsc::channel;
 use thiserror::Error;
@@ -118,11 +118,11 @@
             Incoming::Request(request) => request,
         };
         let position = request.walk_position();
-        let tree = match self.walkers.from(now, &from, position.as_deref()) {
-            From::Tree(tree) => tree,
-            From::Make => {
+        let tree = match self.walkers.tree_for(now, &from, position.as_deref()) {
+            TreeSource::Existing(tree) => tree,
+            TreeSource::New => {
                 let tree = self.tree(time_s)?;
-                self.walkers.made(now, &from, position.as_deref(), tree)
+                self.walkers.add_tree(now, &from, position.as_deref(), tree)
             }
         };
         let response = self.agent.answer(&request, &tree, time_s)?;
@@ -148,11 +148,11 @@
     let socket = UdpSocket::bind(config.listen).map_err(listen_error)?;
     let local = socket.local_addr().map_err(listen_error)?;
     let walkers = Walkers::new(walkers::Bounds {
-        walkers: limits.snmp_walkers,
-        objects: limits.snmp_objects,
-        idle: nanos(limits.snmp_walk_idle),
-        age: nanos(limits.snmp_walk),
-        fresh: nanos(limits.snmp_fresh),
+        max_walkers: limits.snmp_walkers,
+        max_objects: limits.snmp_objects,
+        idle_timeout: nanos(limits.snmp_walk_idle),
+        max_walk_age: nanos(limits.snmp_walk),
+        max_shared_age: nanos(limits.snmp_fresh),
     });
     let started_at = core.clock.now();
     let mut server = SnmpServer { agent, core, counters, group, walkers, started_at };
