--- a/crates/client/src/query.rs
+++ b/crates/client/src/query.rs
@@ -1,4 +1,4 @@
-//! What the desk front is asked and answers, as `docs/desk-openapi.json` has it.
+//! Requests and answers of the aggregation frontend, as `docs/desk-openapi.json` defines them.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
     /// Fields that rows must match.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub filter: BTreeMap<String, String>,
-    /// Where a listing goes on.
+    /// Where a listing continues.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cursor: Option<String>,
     /// How long the service may take, in milliseconds.
@@ -41,22 +41,22 @@
     }
 }
 
-/// A range that is missing.
+/// A range that the answer does not cover.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Gap {
-    /// Which.
+pub struct MissingRange {
+    /// Its number.
     pub range: u32,
-    /// A word for why.
+    /// The reason as a keyword.
     pub reason: String,
-    /// The same in words.
+    /// The reason as a sentence.
     pub detail: String,
 }
 
-/// A range that is in.
+/// A range that the answer covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub struct In {
-    /// Which.
+pub struct CoveredRange {
+    /// Its number.
     pub range: u32,
     /// The version of its data.
     pub version: u64,
@@ -65,18 +65,18 @@
 /// One figure.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Figure {
-    /// Over the ranges that are in.
+    /// Its value over the ranges that are covered.
     pub value: Option<String>,
     /// Whether that is exact over all ranges.
     pub exact: bool,
-    /// Rows that it rests on.
+    /// Rows that it is computed from.
     pub rows: u64,
-    /// Where the exact figure lies, if missing ranges hold what they last said.
+    /// Bounds of the exact figure, if missing ranges still hold what they last reported.
     #[serde(default)]
     pub within: Option<Interval>,
 }
 
-/// Between these lies a figure.
+/// The bounds of a figure.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Interval {
     /// The least that it can be.
@@ -92,7 +92,7 @@
     pub key: String,
     /// Its measure or figure, an exact decimal.
     pub value: Option<String>,
-    /// Where it lies.
+    /// The range that holds it.
     #[serde(default)]
     pub range: Option<u32>,
     /// Whether the value is exact.
@@ -100,7 +100,7 @@
     /// Whether it adds to a group that an earlier page gave.
     #[serde(default)]
     pub late: bool,
-    /// What it carries, to the letter.
+    /// Its body, unchanged.
     #[serde(default)]
     pub body: Option<Box<RawValue>>,
 }
@@ -110,15 +110,16 @@
 pub struct Page {
     /// The operation.
     pub op: String,
-    /// Every range is in and all that is given is exact.
-    pub whole: bool,
-    /// The share of the ranges that are in, rounded down.
+    /// Whether every range is covered and everything in the page is exact.
+    #[serde(rename = "whole")]
+    pub complete: bool,
+    /// The share of the ranges that is covered, rounded down.
     pub coverage: String,
-    /// Those that are in.
-    pub ranges: Vec<In>,
-    /// Those that are not.
-    pub missing: Vec<Gap>,
-    /// Of a ranking: so many leading rows are certain.
+    /// The ranges that are covered.
+    pub ranges: Vec<CoveredRange>,
+    /// The ranges that are not.
+    pub missing: Vec<MissingRange>,
+    /// Of a ranking: the number of leading rows that cannot be displaced.
     #[serde(default)]
     pub certain: Option<usize>,
     /// The figure of an operation that gives one.
@@ -142,14 +143,14 @@
     pub field: String,
 }
 
-/// What came back for a query.
+/// The outcome of a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// An answer.
     Page(Box<Page>),
-    /// A status other than 200, its problem, and when to come back in milliseconds, where it says so.
+    /// A status other than 200, its problem, and the milliseconds of `Retry-After`, if it has one.
     Problem(u16, Problem, Option<u64>),
-    /// Nothing that can be used: the connection failed or the answer is no answer.
+    /// No usable answer: the connection failed or the answer cannot be read.
     Lost(String),
 }
 
--- a/crates/client/src/table.rs
+++ b/crates/client/src/table.rs
@@ -5,7 +5,7 @@
 
 use crate::query::Page;
 
-/// The table of a page's rows, or its figure, with what it rests on below.
+/// The table of a page's rows, or its figure, with its coverage below.
 pub fn render(page: &Page) -> String {
     let mut text = String::new();
     if let Some(figure) = &page.figure {
@@ -58,15 +58,15 @@
     table.trim_fmt()
 }
 
-/// One line: what the page rests on.
+/// One line on the ranges that the page covers.
 pub fn coverage(page: &Page) -> String {
     let all = page.ranges.len() + page.missing.len();
-    let mut line = match page.whole {
+    let mut line = match page.complete {
         true => format!("whole: all of {all} ranges"),
         false => format!("not whole: {} of {all} ranges, {} of the data", page.ranges.len(), page.coverage),
     };
-    for gap in &page.missing {
-        line.push_str(&format!("; range {} {}", gap.range, gap.reason));
+    for missing in &page.missing {
+        line.push_str(&format!("; range {} {}", missing.range, missing.reason));
     }
     line
 }
--- a/crates/client/src/walk.rs
+++ b/crates/client/src/walk.rs
@@ -133,7 +133,7 @@
             self.attempts = 0;
         }
         self.pages += 1;
-        self.complete &= page.whole;
+        self.complete &= page.complete;
         let more = page.next.is_some();
         // At the end the last cursor stays: there is nowhere else to continue from.
         if more {
