--- a/crates/snmp/src/registry.rs
+++ b/crates/snmp/src/registry.rs
@@ -1,12 +1,12 @@
-//! Where objects are defined, once: their names, kinds and meaning. The MIB's text (SMIv2, RFC 2578 to 2580) is written
-//! from it, and what an agent serves is held against it.
+//! Definitions of a MIB's objects: their names, syntax and meaning. The MIB's text (SMIv2, RFC 2578 to 2580) is written
+//! from them, and tests compare the objects that an agent serves with them.
 
 use std::fmt::Write;
 
 use crate::tree::Value;
 use crate::Oid;
 
-/// The kind of an object.
+/// The syntax of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Syntax {
     /// A count that wraps after 2^64.
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a value is of this kind.
+    /// Whether a value has this syntax.
     pub fn fits(self, value: &Value) -> bool {
         match (self, value) {
             (Self::Counter64, Value::Counter64(_))
@@ -71,12 +71,12 @@
     pub name: String,
     /// Its number below its parent.
     pub arc: u32,
-    /// Its kind.
+    /// Its syntax.
     pub syntax: Syntax,
     /// Its unit, if it has one.
     pub units: &'static str,
-    /// What it says, and when it is counted.
-    pub about: String,
+    /// What its value means, and when it is counted.
+    pub description: String,
 }
 
 /// Scalars below one parent.
@@ -100,7 +100,7 @@
     /// Its number below `tables`.
     pub arc: u32,
     /// What a row is.
-    pub about: &'static str,
+    pub description: &'static str,
     /// The objects that make its index, of this table or another.
     pub index: Vec<&'static str>,
     /// Its columns.
@@ -117,7 +117,17 @@
     /// The objects that it carries.
     pub objects: Vec<&'static str>,
     /// When it is sent.
-    pub about: &'static str,
+    pub description: &'static str,
+}
+
+impl Table {
+    fn is_index(&self, column: &Object) -> bool {
+        self.index.contains(&column.name.as_str())
+    }
+
+    fn accessible_columns(&self) -> impl Iterator<Item = &Object> {
+        self.columns.iter().filter(|column| !self.is_index(column))
+    }
 }
 
 /// A MIB module.
@@ -132,7 +142,7 @@
     /// Changes of the module, the newest first: when (UTC, `YYYYMMDDHHMMZ`) and what.
     pub revisions: Vec<(&'static str, &'static str)>,
     /// What it is about.
-    pub about: &'static str,
+    pub description: &'static str,
     /// Its scalars.
     pub groups: Vec<Group>,
     /// The arc of its tables.
@@ -145,7 +155,7 @@
     pub conformance_arc: u32,
 }
 
-/// The length of `enterprises`.
+/// The number of arcs of `enterprises`.
 const ENTERPRISES: usize = 6;
 
 impl Module {
@@ -153,13 +163,12 @@
         [&self.root[..], arcs].concat()
     }
 
-    /// All objects that can be read: their full names without an instance, and their kinds. In the order of names.
+    /// All objects that can be read: their full names without an instance, and their definitions. In the order of names.
     pub fn objects(&self) -> Vec<(Oid, &Object)> {
         let scalars =
             self.groups.iter().flat_map(|g| g.objects.iter().map(move |o| (self.below(&[g.arc, o.arc]), o)));
         let columns = self.tables.iter().flat_map(|t| {
-            let own = t.columns.iter().filter(|c| !t.index.contains(&c.name.as_str()));
-            own.map(move |c| (self.below(&[self.tables_arc, t.arc, 1, c.arc]), c))
+            t.accessible_columns().map(move |c| (self.below(&[self.tables_arc, t.arc, 1, c.arc]), c))
         });
         let mut all: Vec<_> = scalars.chain(columns).collect();
         all.sort_by(|a, b| a.0.cmp(&b.0));
@@ -189,122 +198,151 @@
 
     /// The module's text.
     pub fn text(&self) -> String {
-        let mut t = String::new();
+        let mut out = String::new();
         // Writing to a string cannot fail.
-        let _ = self.write(&mut t);
-        t
+        let _ = self.write(&mut out);
+        out
     }
 
-    fn write(&self, t: &mut String) -> std::fmt::Result {
-        let (name, root) = (self.name, self.root_name);
-        writeln!(t, "{name} DEFINITIONS ::= BEGIN\n\nIMPORTS")?;
+    fn write(&self, out: &mut String) -> std::fmt::Result {
+        self.write_imports(out)?;
+        self.write_identity(out)?;
+        self.write_parents(out)?;
+        for group in &self.groups {
+            group.objects.iter().try_for_each(|o| write_object(out, o, group.name, "read-only"))?;
+        }
+        self.tables.iter().try_for_each(|table| write_table(out, table))?;
+        self.write_notifications(out)?;
+        self.write_conformance(out)?;
+        writeln!(out, "\nEND")
+    }
+
+    fn write_imports(&self, out: &mut String) -> std::fmt::Result {
+        writeln!(out, "{} DEFINITIONS ::= BEGIN\n\nIMPORTS", self.name)?;
         writeln!(
-            t,
+            out,
             "    MODULE-IDENTITY, OBJECT-TYPE, NOTIFICATION-TYPE, Counter64, Counter32, Gauge32, Unsigned32, enterprises"
         )?;
-        writeln!(t, "        FROM SNMPv2-SMI\n    DisplayString, TimeStamp\n        FROM SNMPv2-TC")?;
-        writeln!(t, "    MODULE-COMPLIANCE, OBJECT-GROUP, NOTIFICATION-GROUP\n        FROM SNMPv2-CONF;\n")?;
+        writeln!(out, "        FROM SNMPv2-SMI\n    DisplayString, TimeStamp\n        FROM SNMPv2-TC")?;
+        writeln!(
+            out,
+            "    MODULE-COMPLIANCE, OBJECT-GROUP, NOTIFICATION-GROUP\n        FROM SNMPv2-CONF;\n"
+        )?;
         writeln!(
-            t,
+            out,
             "-- Written by 'curlewdeck mib' from the registry that the agent serves: do not edit.\n"
+        )
+    }
+
+    fn write_identity(&self, out: &mut String) -> std::fmt::Result {
+        writeln!(out, "{} MODULE-IDENTITY", self.root_name)?;
+        writeln!(out, "    LAST-UPDATED \"{}\"", self.revisions.first().map_or("", |r| r.0))?;
+        writeln!(
+            out,
+            "    ORGANIZATION \"curlewdeck\"\n    CONTACT-INFO \"The operators of the deployment\""
         )?;
-        writeln!(t, "{root} MODULE-IDENTITY")?;
-        writeln!(t, "    LAST-UPDATED \"{}\"", self.revisions.first().map_or("", |r| r.0))?;
-        writeln!(t, "    ORGANIZATION \"curlewdeck\"\n    CONTACT-INFO \"The operators of the deployment\"")?;
-        writeln!(t, "    DESCRIPTION  \"{}\"", self.about)?;
+        writeln!(out, "    DESCRIPTION  \"{}\"", self.description)?;
         for (when, what) in &self.revisions {
-            writeln!(t, "    REVISION     \"{when}\"\n    DESCRIPTION  \"{what}\"")?;
-        }
-        let below: Vec<String> =
-            self.root[ENTERPRISES.min(self.root.len())..].iter().map(u32::to_string).collect();
-        writeln!(t, "    ::= {{ enterprises {} }}\n", below.join(" "))?;
-        for group in &self.groups {
-            writeln!(t, "{} OBJECT IDENTIFIER ::= {{ {root} {} }}", group.name, group.arc)?;
-        }
-        writeln!(t, "cdConformance OBJECT IDENTIFIER ::= {{ {root} {} }}", self.conformance_arc)?;
-        writeln!(t, "cdNotifications OBJECT IDENTIFIER ::= {{ {root} 0 }}")?;
-        writeln!(t, "cdTables OBJECT IDENTIFIER ::= {{ {root} {} }}", self.tables_arc)?;
-        for group in &self.groups {
-            group.objects.iter().try_for_each(|o| object(t, o, group.name, "read-only"))?;
+            writeln!(out, "    REVISION     \"{when}\"\n    DESCRIPTION  \"{what}\"")?;
         }
-        self.tables.iter().try_for_each(|table| self.write_table(t, table))?;
-        self.write_notifications(t)?;
-        self.write_conformance(t)?;
-        writeln!(t, "\nEND")
+        let arcs = &self.root[ENTERPRISES.min(self.root.len())..];
+        let arcs: Vec<String> = arcs.iter().map(u32::to_string).collect();
+        writeln!(out, "    ::= {{ enterprises {} }}\n", arcs.join(" "))
     }
 
-    fn write_table(&self, t: &mut String, table: &Table) -> std::fmt::Result {
-        let (name, about) = (table.name, table.about);
-        let entry = format!("{}{}", name[..1].to_uppercase(), &name[1..]);
-        writeln!(t, "\n{name}Table OBJECT-TYPE\n    SYNTAX      SEQUENCE OF {entry}Entry")?;
-        writeln!(t, "    MAX-ACCESS  not-accessible\n    STATUS      current")?;
-        writeln!(t, "    DESCRIPTION \"{about}\"\n    ::= {{ cdTables {} }}", table.arc)?;
-        writeln!(t, "\n{name}Entry OBJECT-TYPE\n    SYNTAX      {entry}Entry")?;
-        writeln!(t, "    MAX-ACCESS  not-accessible\n    STATUS      current")?;
-        writeln!(t, "    DESCRIPTION \"A row.\"\n    INDEX       {{ {} }}", table.index.join(", "))?;
-        writeln!(t, "    ::= {{ {name}Table 1 }}\n\n{entry}Entry ::= SEQUENCE {{")?;
-        let columns: Vec<String> =
-            table.columns.iter().map(|c| format!("    {} {}", c.name, c.syntax.base())).collect();
-        writeln!(t, "{}\n}}", columns.join(",\n"))?;
-        let row = format!("{name}Entry");
-        table.columns.iter().try_for_each(|c| {
-            let own = table.index.contains(&c.name.as_str());
-            object(t, c, &row, if own { "not-accessible" } else { "read-only" })
-        })
+    /// The parents of scalars, conformance statements, notifications and tables.
+    fn write_parents(&self, out: &mut String) -> std::fmt::Result {
+        let root = self.root_name;
+        for group in &self.groups {
+            writeln!(out, "{} OBJECT IDENTIFIER ::= {{ {root} {} }}", group.name, group.arc)?;
+        }
+        writeln!(out, "cdConformance OBJECT IDENTIFIER ::= {{ {root} {} }}", self.conformance_arc)?;
+        writeln!(out, "cdNotifications OBJECT IDENTIFIER ::= {{ {root} 0 }}")?;
+        writeln!(out, "cdTables OBJECT IDENTIFIER ::= {{ {root} {} }}", self.tables_arc)
     }
 
-    fn write_notifications(&self, t: &mut String) -> std::fmt::Result {
-        for n in &self.notifications {
-            writeln!(t, "\n{} NOTIFICATION-TYPE", n.name)?;
-            if !n.objects.is_empty() {
-                writeln!(t, "    OBJECTS     {{ {} }}", n.objects.join(", "))?;
+    fn write_notifications(&self, out: &mut String) -> std::fmt::Result {
+        for notification in &self.notifications {
+            writeln!(out, "\n{} NOTIFICATION-TYPE", notification.name)?;
+            if !notification.objects.is_empty() {
+                writeln!(out, "    OBJECTS     {{ {} }}", notification.objects.join(", "))?;
             }
-            writeln!(t, "    STATUS      current\n    DESCRIPTION \"{}\"", n.about)?;
-            writeln!(t, "    ::= {{ cdNotifications {} }}", n.arc)?;
+            writeln!(out, "    STATUS      current\n    DESCRIPTION \"{}\"", notification.description)?;
+            writeln!(out, "    ::= {{ cdNotifications {} }}", notification.arc)?;
         }
         Ok(())
     }
 
-    fn write_conformance(&self, t: &mut String) -> std::fmt::Result {
-        let mut groups: Vec<(String, Vec<String>)> = Vec::new();
-        for g in &self.groups {
-            groups.push((g.conformance.to_string(), g.objects.iter().map(|o| o.name.clone()).collect()));
-        }
-        for table in &self.tables {
-            let own = table.columns.iter().filter(|c| !table.index.contains(&c.name.as_str()));
-            groups.push((format!("{}Group", table.name), own.map(|c| c.name.clone()).collect()));
-        }
-        // The group of the counters and the compliance statement keep their first numbers.
-        for (n, (name, objects)) in groups.iter().enumerate() {
-            let arc = if n == 0 { 1 } else { n + 2 };
-            writeln!(
-                t,
-                "\n{name} OBJECT-GROUP\n    OBJECTS     {{ {} }}",
-                objects.join(",\n                  ")
-            )?;
-            writeln!(t, "    STATUS      current\n    DESCRIPTION \"All of them.\"\n    ::= {{ cdConformance {arc} }}")?;
+    /// The names of conformance groups and of their objects.
+    fn conformance_groups(&self) -> Vec<(String, Vec<String>)> {
+        let scalars = self.groups.iter().map(|group| {
+            let objects = group.objects.iter().map(|o| o.name.clone()).collect();
+            (group.conformance.to_string(), objects)
+        });
+        let tables = self.tables.iter().map(|table| {
+            let objects = table.accessible_columns().map(|c| c.name.clone()).collect();
+            (format!("{}Group", table.name), objects)
+        });
+        scalars.chain(tables).collect()
+    }
+
+    fn write_conformance(&self, out: &mut String) -> std::fmt::Result {
+        let groups = self.conformance_groups();
+        for (index, (name, objects)) in groups.iter().enumerate() {
+            // The first group and the compliance statement keep their first numbers.
+            let arc = if index == 0 { 1 } else { index + 2 };
+            let objects = objects.join(",\n                  ");
+            writeln!(out, "\n{name} OBJECT-GROUP\n    OBJECTS     {{ {objects} }}")?;
+            write_group_end(out, arc)?;
         }
-        let mut names: Vec<&str> = groups.iter().map(|g| g.0.as_str()).collect();
-        let told: Vec<&str> = self.notifications.iter().map(|n| n.name).collect();
-        if !told.is_empty() {
+        let mut names: Vec<&str> = groups.iter().map(|(name, _)| name.as_str()).collect();
+        let notifications: Vec<&str> = self.notifications.iter().map(|n| n.name).collect();
+        if !notifications.is_empty() {
             names.push("cdNotificationGroup");
-            writeln!(t, "\ncdNotificationGroup NOTIFICATION-GROUP")?;
-            writeln!(t, "    NOTIFICATIONS {{ {} }}", told.join(",\n                    "))?;
-            let arc = groups.len() + 2;
-            writeln!(t, "    STATUS      current\n    DESCRIPTION \"All of them.\"\n    ::= {{ cdConformance {arc} }}")?;
+            let notifications = notifications.join(",\n                    ");
+            writeln!(out, "\ncdNotificationGroup NOTIFICATION-GROUP")?;
+            writeln!(out, "    NOTIFICATIONS {{ {notifications} }}")?;
+            write_group_end(out, groups.len() + 2)?;
         }
-        writeln!(t, "\ncdCompliance MODULE-COMPLIANCE\n    STATUS      current")?;
-        writeln!(t, "    DESCRIPTION \"An agent serves all of them.\"\n    MODULE")?;
-        writeln!(t, "        MANDATORY-GROUPS {{ {} }}", names.join(",\n                           "))?;
-        writeln!(t, "    ::= {{ cdConformance 2 }}")
+        writeln!(out, "\ncdCompliance MODULE-COMPLIANCE\n    STATUS      current")?;
+        writeln!(out, "    DESCRIPTION \"An agent serves all of them.\"\n    MODULE")?;
+        writeln!(out, "        MANDATORY-GROUPS {{ {} }}", names.join(",\n                           "))?;
+        writeln!(out, "    ::= {{ cdConformance 2 }}")
     }
 }
 
-fn object(t: &mut String, o: &Object, parent: &str, access: &str) -> std::fmt::Result {
-    writeln!(t, "\n{} OBJECT-TYPE\n    SYNTAX      {}", o.name, o.syntax.text())?;
-    if !o.units.is_empty() {
-        writeln!(t, "    UNITS       \"{}\"", o.units)?;
+fn write_group_end(out: &mut String, arc: usize) -> std::fmt::Result {
+    writeln!(
+        out,
+        "    STATUS      current\n    DESCRIPTION \"All of them.\"\n    ::= {{ cdConformance {arc} }}"
+    )
+}
+
+fn write_table(out: &mut String, table: &Table) -> std::fmt::Result {
+    let name = table.name;
+    let entry = format!("{}{}", name[..1].to_uppercase(), &name[1..]);
+    writeln!(out, "\n{name}Table OBJECT-TYPE\n    SYNTAX      SEQUENCE OF {entry}Entry")?;
+    writeln!(out, "    MAX-ACCESS  not-accessible\n    STATUS      current")?;
+    writeln!(out, "    DESCRIPTION \"{}\"\n    ::= {{ cdTables {} }}", table.description, table.arc)?;
+    writeln!(out, "\n{name}Entry OBJECT-TYPE\n    SYNTAX      {entry}Entry")?;
+    writeln!(out, "    MAX-ACCESS  not-accessible\n    STATUS      current")?;
+    writeln!(out, "    DESCRIPTION \"A row.\"\n    INDEX       {{ {} }}", table.index.join(", "))?;
+    writeln!(out, "    ::= {{ {name}Table 1 }}\n\n{entry}Entry ::= SEQUENCE {{")?;
+    let column = |column: &Object| format!("    {} {}", column.name, column.syntax.base());
+    let columns: Vec<String> = table.columns.iter().map(column).collect();
+    writeln!(out, "{}\n}}", columns.join(",\n"))?;
+    let parent = format!("{name}Entry");
+    table.columns.iter().try_for_each(|column| {
+        let access = if table.is_index(column) { "not-accessible" } else { "read-only" };
+        write_object(out, column, &parent, access)
+    })
+}
+
+fn write_object(out: &mut String, object: &Object, parent: &str, access: &str) -> std::fmt::Result {
+    writeln!(out, "\n{} OBJECT-TYPE\n    SYNTAX      {}", object.name, object.syntax.text())?;
+    if !object.units.is_empty() {
+        writeln!(out, "    UNITS       \"{}\"", object.units)?;
     }
-    writeln!(t, "    MAX-ACCESS  {access}\n    STATUS      current")?;
-    writeln!(t, "    DESCRIPTION \"{}\"\n    ::= {{ {parent} {} }}", o.about, o.arc)
+    writeln!(out, "    MAX-ACCESS  {access}\n    STATUS      current")?;
+    writeln!(out, "    DESCRIPTION \"{}\"\n    ::= {{ {parent} {} }}", object.description, object.arc)
 }
--- a/src/mib.rs
+++ b/src/mib.rs
@@ -35,8 +35,8 @@
 
 const NANOS_PER_TICK: Nanos = 10_000_000;
 
-fn object(arc: u32, name: &str, syntax: Syntax, units: &'static str, about: &str) -> Object {
-    Object { name: name.to_string(), arc, syntax, units, about: about.to_string() }
+fn object(arc: u32, name: &str, syntax: Syntax, units: &'static str, description: &str) -> Object {
+    Object { name: name.to_string(), arc, syntax, units, description: description.to_string() }
 }
 
 /// The definition of the module.
@@ -51,7 +51,7 @@
             ("202612011600Z", "Counters of the desk front."),
             ("202612010000Z", "First version."),
         ],
-        about: "What a coordinator of queries over many shards has served. All objects are read-only. Counters begin at zero when the process starts: see cdDiscontinuityTime.",
+        description: "What a coordinator of queries over many shards has served. All objects are read-only. Counters begin at zero when the process starts: see cdDiscontinuityTime.",
         groups: vec![scalars::counters(), scalars::general(), replication_group::scalars()],
         tables_arc: TABLES_ARC,
         tables: vec![
--- a/src/mib/class_table.rs
+++ b/src/mib/class_table.rs
@@ -20,7 +20,7 @@
     Table {
         name: "cdClass",
         arc: CLASS_TABLE_ARC,
-        about: "Classes of query, in the order of the settings.",
+        description: "Classes of query, in the order of the settings.",
         index: vec!["cdClassIndex"],
         columns: vec![
             object(1, "cdClassIndex", Unsigned32, "", "The class's place in the settings, from 1."),
@@ -42,7 +42,7 @@
     Table {
         name: "cdClassEnd",
         arc: END_TABLE_ARC,
-        about: "Queries of each class by how they ended. Each query ends once.",
+        description: "Queries of each class by how they ended. Each query ends once.",
         index: vec!["cdClassIndex", "cdEndKind"],
         columns: vec![
             object(1, "cdEndKind", Enum(ENDS), "", "How queries ended: answered whole within the class's aim or after it, in part, refused, given up, or left by their client."),
@@ -58,7 +58,7 @@
     Table {
         name: "cdLatency",
         arc: LATENCY_TABLE_ARC,
-        about: "Latencies of the answers of each class since the process started. Classes without answers have no rows.",
+        description: "Latencies of the answers of each class since the process started. Classes without answers have no rows.",
         index: vec!["cdClassIndex", "cdLatencyShare"],
         columns: vec![
             object(1, "cdLatencyShare", Unsigned32, "thousandths", "A share of the answers."),
--- a/src/mib/node_table.rs
+++ b/src/mib/node_table.rs
@@ -40,7 +40,8 @@
     Table {
         name: "cdNode",
         arc: NODE_TABLE_ARC,
-        about: "Data nodes. One that has left keeps its row for a while; its counts stay in the totals.",
+        description:
+            "Data nodes. One that has left keeps its row for a while; its counts stay in the totals.",
         index: vec!["cdNodeIndex"],
         columns: vec![
             object(1, "cdNodeIndex", Unsigned32, "", "The row's number: never given to another data node."),
@@ -69,7 +70,7 @@
     Table {
         name: "cdNodeEnd",
         arc: OUTCOME_TABLE_ARC,
-        about: "Attempts at each data node by how they ended. Each attempt ends once.",
+        description: "Attempts at each data node by how they ended. Each attempt ends once.",
         index: vec!["cdNodeIndex", "cdNodeEndKind"],
         columns: vec![
             object(1, "cdNodeEndKind", Enum(OUTCOMES), "", "How attempts ended: with a value, an error, turned away unseen, not in time, without a connection, with one that broke, with what cannot be used, called off, or not sent."),
--- a/src/mib/notifications.rs
+++ b/src/mib/notifications.rs
@@ -4,7 +4,7 @@
 
 /// All notifications, by number.
 pub(super) fn all() -> Vec<Notification> {
-    let notification = |arc, name, objects, about| Notification { name, arc, objects, about };
+    let notification = |arc, name, objects, description| Notification { name, arc, objects, description };
     vec![
         notification(1, "cdNodeDraining", vec!["cdNodeName"], "The list says that a data node drains: it gets nothing new. Look whether that is planned."),
         notification(2, "cdNodeLost", vec!["cdNodeName"], "A data node has left the list."),
--- a/src/mib/replication_group.rs
+++ b/src/mib/replication_group.rs
@@ -45,7 +45,7 @@
     Table {
         name: "cdGroupVoter",
         arc: VOTER_TABLE_ARC,
-        about: "Members of the group, as of the last change that this one has applied.",
+        description: "Members of the group, as of the last change that this one has applied.",
         index: vec!["cdGroupVoterIndex"],
         columns: vec![
             object(
