--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -17,15 +17,21 @@
 const AES_BYTES: usize = 16;
 /// A message is in time within so many seconds (RFC 3414, section 2.2.3).
 pub const WINDOW_S: u32 = 150;
-/// Bytes that a passphrase is drawn out to (RFC 3414, appendix A.2).
-const DRAWN: usize = 1_048_576;
+/// Bytes that a passphrase is repeated to (RFC 3414, appendix A.2).
+const EXPANDED_PASSPHRASE_BYTES: usize = 1_048_576;
 /// Least characters of a passphrase (RFC 3414, section 11.2).
-const LEAST: usize = 8;
+const MIN_PASSPHRASE_CHARS: usize = 8;
+/// Most bytes of a user's name (RFC 3414, section 5).
+const MAX_USER_NAME_BYTES: usize = 32;
+
+/// X.690 tags of the elements in which a message holds its digest.
+const SEQUENCE_TAG: u8 = 0x30;
+const OCTET_STRING_TAG: u8 = 0x04;
 
 /// A passphrase's key (RFC 3414, appendix A.2.2), before it is localised.
 pub fn key_of<D: Digest>(passphrase: &[u8]) -> Vec<u8> {
     let mut digest = D::new();
-    let mut left = DRAWN;
+    let mut left = EXPANDED_PASSPHRASE_BYTES;
     // In pieces that hold the passphrase whole, so that each begins where the last one ended.
     let times = (4096 / passphrase.len().max(1)).max(1);
     let piece = passphrase.repeat(times);
@@ -45,9 +51,9 @@
 /// A user's secret. It never reaches a log.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Secret {
-    /// Is made a key of each engine.
+    /// A key is derived from it for each engine.
     Passphrase(String),
-    /// Is the key of the engine that it is used with.
+    /// The key for the engine that it is used with.
     Localized(Vec<u8>),
 }
 
@@ -64,7 +70,7 @@
     /// Says what is expected, and nothing of what was given.
     pub fn read(text: &str) -> Result<Self, &'static str> {
         if let Some(pass) = text.strip_prefix("pass:") {
-            return match pass.chars().count() >= LEAST {
+            return match pass.chars().count() >= MIN_PASSPHRASE_CHARS {
                 true => Ok(Self::Passphrase(pass.to_string())),
                 false => Err("a passphrase needs 8 characters or more"),
             };
@@ -88,9 +94,9 @@
 pub struct User {
     /// Its name.
     pub name: String,
-    /// Authenticates.
+    /// The secret of its authentication.
     pub auth: Secret,
-    /// Encrypts; without it the user's messages are in clear text.
+    /// The secret of its encryption; without it the user's messages are in clear text.
     pub privacy: Option<Secret>,
     /// What it may see.
     pub view: View,
@@ -115,7 +121,7 @@
                 [name, "auth", auth, "priv", privacy] => (name, secret(auth)?, Some(secret(privacy)?)),
                 _ => return Err(format!("line {n}: NAME auth SECRET [priv SECRET] is expected")),
             };
-            if name.len() > 32 {
+            if name.len() > MAX_USER_NAME_BYTES {
                 return Err(format!("line {n}: a user's name has at most 32 bytes"));
             }
             if users.iter().any(|u| u.name == name) {
@@ -152,7 +158,7 @@
     }
 
     /// Whether messages can be encrypted.
-    pub fn private(&self) -> bool {
+    pub fn has_privacy(&self) -> bool {
         self.privacy.is_some()
     }
 
@@ -165,7 +171,7 @@
         digest
     }
 
-    /// Whether a digest is that of a message, in a time that tells nothing.
+    /// Whether a digest is that of a message, in constant time.
     pub fn verifies(&self, message: &[u8], digest: &[u8]) -> bool {
         digest.len() == DIGEST_BYTES
             && Hmac::<Sha256>::new_from_slice(&self.auth)
@@ -203,27 +209,27 @@
 }
 
 /// Where the digest of a version 3 message stands in its bytes; none where the message has another form. Lengths that
-/// lie end outside and are refused.
+/// point outside the message are rejected.
 pub fn digest_at(message: &[u8]) -> Option<std::ops::Range<usize>> {
-    let whole = tlv(message, 0, 0x30)?;
-    let version = any(message, whole.start)?;
-    let header = tlv(message, version.end, 0x30)?;
-    let security = tlv(message, header.end, 0x04)?;
-    let mut at = tlv(message, security.start, 0x30)?.start;
+    let content = element(message, 0, SEQUENCE_TAG)?;
+    let version = any_element(message, content.start)?;
+    let header = element(message, version.end, SEQUENCE_TAG)?;
+    let security = element(message, header.end, OCTET_STRING_TAG)?;
+    let mut at = element(message, security.start, SEQUENCE_TAG)?.start;
     // Engine, boots, time and user stand before it.
     for _ in 0..4 {
-        at = any(message, at)?.end;
+        at = any_element(message, at)?.end;
     }
-    tlv(message, at, 0x04).filter(|digest| digest.end <= security.end)
+    element(message, at, OCTET_STRING_TAG).filter(|digest| digest.end <= security.end)
 }
 
 /// The content of the element at this place, which must have this tag.
-fn tlv(bytes: &[u8], at: usize, tag: u8) -> Option<std::ops::Range<usize>> {
-    (bytes.get(at) == Some(&tag)).then(|| any(bytes, at))?
+fn element(bytes: &[u8], at: usize, tag: u8) -> Option<std::ops::Range<usize>> {
+    (bytes.get(at) == Some(&tag)).then(|| any_element(bytes, at))?
 }
 
 /// The content of the element at this place (X.690, definite lengths).
-fn any(bytes: &[u8], at: usize) -> Option<std::ops::Range<usize>> {
+fn any_element(bytes: &[u8], at: usize) -> Option<std::ops::Range<usize>> {
     let first = *bytes.get(at.checked_add(1)?)?;
     let (length, start) = match first {
         0..=0x7f => (usize::from(first), at + 2),
@@ -239,83 +245,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn hex(text: &str) -> Vec<u8> {
-        hex::decode(text.split_whitespace().collect::<String>()).unwrap()
-    }
-
-    /// RFC 3414, appendix A.3.2.
-    #[test]
-    fn keys_are_localised_as_the_rfc_shows() {
-        let key = key_of::<sha1::Sha1>(b"maplesyrup");
-        assert_eq!(key, hex("9fb5cc03 81497b37 93528939 ff788d5d 79145211"));
-        let engine = hex("00000000 00000000 00000002");
-        assert_eq!(
-            localize::<sha1::Sha1>(&key, &engine),
-            hex("6695febc 9288e362 82235fc7 151f1284 97b38f3f")
-        );
-    }
-
-    fn keys(auth: &[u8], privacy: Option<[u8; 16]>) -> Keys {
-        Keys { auth: auth.to_vec(), privacy }
-    }
-
-    /// RFC 4231, test cases 1 and 2, cut to 192 bits.
-    #[test]
-    fn digests_are_as_the_rfc_shows() {
-        let digest = keys(&[0x0b; 20], None).digest(b"Hi There");
-        assert_eq!(digest.to_vec(), hex("b0344c61d8db38535ca8afceaf0bf12b881dc200c9833da7"));
-        let jefe = keys(b"Jefe", None);
-        assert_eq!(
-            jefe.digest(b"what do ya want for nothing?").to_vec(),
-            hex("5bdcc146bf60754e6a042426089575c75a003f089d273983")
-        );
-        assert!(jefe.verifies(b"x", &jefe.digest(b"x")) && !jefe.verifies(b"y", &jefe.digest(b"x")));
-        assert!(!jefe.verifies(b"x", &jefe.digest(b"x")[..12]), "a shorter digest");
-    }
-
-    /// NIST SP 800-38A, F.3.13: CFB128-AES128.
-    #[test]
-    fn encryption_is_as_nist_shows() {
-        let mut key = [0; 16];
-        key.copy_from_slice(&hex("2b7e151628aed2a6abf7158809cf4f3c"));
-        let keys = keys(b"", Some(key));
-        let mut data = hex("6bc1bee22e409f96e93d7e117393172a ae2d8a571e03ac9c9eb76fac45af8e51");
-        let salt = 0x0809_0a0b_0c0d_0e0f;
-        assert!(keys.encrypt(0x0001_0203, 0x0405_0607, salt, &mut data));
-        assert_eq!(data, hex("3b3fd92eb72dad20333449f8e83cfb4a c8a64537a0b3a93fcde3cdad9f1ce58b"));
-        assert!(keys.decrypt(0x0001_0203, 0x0405_0607, salt.to_be_bytes(), &mut data));
-        assert_eq!(data[..4], hex("6bc1bee2"));
-    }
-
-    #[test]
-    fn a_file_of_users_is_checked() {
-        let users = User::read_all(
-            "# comment\nnoc auth pass:maplesyrup priv pass:maplesyrup2\nro auth pass:longenough\n",
-        );
-        let users = users.unwrap();
-        assert_eq!((users.len(), users[0].privacy.is_some(), users[1].privacy.is_some()), (2, true, false));
-        assert!(!format!("{users:?}").contains("maple"), "a secret in a log");
-        for (text, why) in [
-            ("a auth pass:short", "line 1: a passphrase"),
-            ("\na auth key:00", "line 2: a localised key"),
-            ("a auth secret1234", "pass:TEXT or key:HEX"),
-            ("a pass:longenough", "NAME auth"),
-            ("a auth pass:longenough\na auth pass:longenough", "line 2: the user 'a'"),
-        ] {
-            let fault = User::read_all(text).unwrap_err();
-            assert!(fault.contains(why) && !fault.contains("secret1234"), "{fault}");
-        }
-    }
-
-    #[test]
-    fn a_message_is_in_time_within_the_window() {
-        assert!(in_time((3, 1000), (3, 850)) && in_time((3, 1000), (3, 1150)));
-        assert!(
-            !in_time((3, 1000), (3, 849)) && !in_time((3, 1000), (3, 1151)) && !in_time((3, 1000), (2, 1000))
-        );
-        assert!(!in_time((i32::MAX as u32, 5), (i32::MAX as u32, 5)), "boots at their end");
-    }
-}
+mod tests;
