--- a/crates/merge/examples/merge_check/main.rs
+++ b/crates/merge/examples/merge_check/main.rs
@@ -1,8 +1,11 @@
 //! Random data over random ranges and replicas, with deaths, twins, spoilt values, versions and page sizes: every
 //! answer is held against the exact one. `merge_check [--seeds N] [--first SEED] [--sabotage NAME]`.
 
+#[allow(unreachable_pub)]
 mod checker;
+#[allow(unreachable_pub)]
 mod run;
+#[allow(unreachable_pub)]
 mod stand_in;
 
 use std::process::ExitCode;
--- a/crates/merge/tests/seeds.rs
+++ b/crates/merge/tests/seeds.rs
@@ -1,9 +1,12 @@
 //! A fixed set of seeds of `merge_check`, and its checker held against planted bugs.
 
+#[allow(unreachable_pub)]
 #[path = "../examples/merge_check/checker.rs"]
 mod checker;
+#[allow(unreachable_pub)]
 #[path = "../examples/merge_check/run.rs"]
 mod run;
+#[allow(unreachable_pub)]
 #[path = "../examples/merge_check/stand_in.rs"]
 mod stand_in;
 
