--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -8,7 +8,7 @@
 use curlewdeck_accounting::{LedgerSnapshot, RequestLedger};
 use curlewdeck_snmp::agent::{Agent, Bounds, Incoming};
 use curlewdeck_snmp::codec;
-use curlewdeck_snmp::manager::{Ask, Reply, Security, Session, Walk};
+use curlewdeck_snmp::manager::{Reply, Request, Security, Session, Walk};
 use curlewdeck_snmp::tree::{Tree, View};
 use rasn_snmp::v2::{Pdu, Pdus, Response};
 use rasn_snmp::v2c::Message;
@@ -58,8 +58,8 @@
 }
 
 /// In the middle of the node table.
-fn asked() -> Ask {
-    Ask::Next(vec![[&mib::ROOT[..], &[3, 4, 1, 7, 25]].concat()])
+fn asked() -> Request {
+    Request::Next(vec![[&mib::ROOT[..], &[3, 4, 1, 7, 25]].concat()])
 }
 
 #[divan::bench]
@@ -96,13 +96,13 @@
     bencher.with_inputs(|| (agent(), session())).bench_refs(|(agent, session)| {
         let tree = Tree::new(mib::objects(&counters, &books, 0, None));
         let (mut walk, mut met) = (Walk::new(vec![1, 3], 50), 0);
-        while let Some(what) = walk.ask() {
+        while let Some(what) = walk.next_request() {
             session.begin();
             let request = session.write(&what, 0).expect("a request");
             let Incoming::Request(asked) = agent.read(&request, 0) else { break };
             let answer = agent.answer(&asked, &tree, 0).expect("an answer");
             let Ok(Reply::Bindings(bindings)) = session.read(&answer, 0) else { break };
-            met += walk.took(bindings).expect("objects").len();
+            met += walk.handle_answer(bindings).expect("objects").len();
         }
         met
     });
--- a/crates/snmp/src/codec.rs
+++ b/crates/snmp/src/codec.rs
@@ -49,8 +49,8 @@
     VarBind { name: name(oid), value: VarBindValue::Value(syntax(value)) }
 }
 
-/// A binding of a name that asks.
-pub fn ask(oid: &[u32]) -> VarBind {
+/// A binding of a requested name, without a value.
+pub fn unset(oid: &[u32]) -> VarBind {
     VarBind { name: name(oid), value: VarBindValue::Unspecified }
 }
 
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -1,7 +1,9 @@
 //! The manager's half against the agent: every object once and in order, both versions, and the hard cases.
 
 use curlewdeck_snmp::agent::{Agent, Bounds, Incoming};
-use curlewdeck_snmp::manager::{gone, gone32, Ask, Fault, Got, Reply, Security, Session, Walk};
+use curlewdeck_snmp::manager::{
+    counter32_increase, counter_increase, BindingValue, ManagerError, Reply, Request, Security, Session, Walk,
+};
 use curlewdeck_snmp::tree::{Tree, Value, View};
 use curlewdeck_snmp::usm::{Secret, User};
 use curlewdeck_snmp::Oid;
@@ -36,21 +38,21 @@
     agent: &mut Agent,
     tree: &Tree,
     session: &mut Session,
-    what: &Ask,
+    what: &Request,
     times: (u32, u32),
-) -> Result<Vec<(Oid, Got)>, Fault> {
+) -> Result<Vec<(Oid, BindingValue)>, ManagerError> {
     session.begin();
     for _ in 0..4 {
         let bytes = session.write(what, times.1).unwrap();
         let answer = match agent.read(&bytes, times.0) {
-            Incoming::Drop => return Err(Fault::Malformed),
+            Incoming::Drop => return Err(ManagerError::Malformed),
             Incoming::Reply(bytes) => bytes,
             Incoming::Request(request) => agent.answer(&request, tree, times.0).unwrap(),
         };
         assert!(answer.len() <= BOUNDS.bytes, "{} bytes", answer.len());
         match session.read(&answer, times.1)? {
             Reply::Bindings(bindings) => return Ok(bindings),
-            Reply::Again => {}
+            Reply::Retry => {}
             Reply::NotOurs => panic!("not ours"),
         }
     }
@@ -74,8 +76,8 @@
     rounds: u32,
 ) -> Vec<(Oid, Value)> {
     let (mut walk, mut met) = (Walk::new(root.to_vec(), rounds), Vec::new());
-    while let Some(what) = walk.ask() {
-        met.extend(walk.took(exchange(agent, tree, session, &what, (5, 5)).unwrap()).unwrap());
+    while let Some(what) = walk.next_request() {
+        met.extend(walk.handle_answer(exchange(agent, tree, session, &what, (5, 5)).unwrap()).unwrap());
     }
     met
 }
@@ -99,17 +101,27 @@
     let (tree, mut agent) = (tree(9), agent());
     let names = vec![vec![1, 3, 6, 1, 1, 4], vec![1, 3, 6, 1, 1, 99], vec![1, 4, 1]];
     for mut session in sessions() {
-        let got = exchange(&mut agent, &tree, &mut session, &Ask::Get(names.clone()), (5, 5)).unwrap();
-        let got: Vec<Got> = got.into_iter().map(|g| g.1).collect();
-        assert_eq!(got, [Got::Value(Value::Counter64(4 << 33)), Got::NoInstance, Got::NoObject]);
+        let got = exchange(&mut agent, &tree, &mut session, &Request::Get(names.clone()), (5, 5)).unwrap();
+        let got: Vec<BindingValue> = got.into_iter().map(|g| g.1).collect();
+        assert_eq!(
+            got,
+            [
+                BindingValue::Value(Value::Counter64(4 << 33)),
+                BindingValue::NoInstance,
+                BindingValue::NoObject
+            ]
+        );
         let last =
-            exchange(&mut agent, &tree, &mut session, &Ask::Next(vec![vec![1, 3, 7]]), (5, 5)).unwrap();
-        assert_eq!(last[0].1, Got::End);
-        let many = Ask::Get(vec![vec![1, 3, 7]; 201]);
-        assert_eq!(exchange(&mut agent, &tree, &mut session, &many, (5, 5)), Err(Fault::Status(1, 0)));
+            exchange(&mut agent, &tree, &mut session, &Request::Next(vec![vec![1, 3, 7]]), (5, 5)).unwrap();
+        assert_eq!(last[0].1, BindingValue::End);
+        let many = Request::Get(vec![vec![1, 3, 7]; 201]);
+        assert_eq!(exchange(&mut agent, &tree, &mut session, &many, (5, 5)), Err(ManagerError::Status(1, 0)));
         // Ten texts of 300 bytes do not fit: too big, and nothing is cut off in silence.
-        let large = Ask::Get(vec![vec![1, 3, 7]; 10]);
-        assert_eq!(exchange(&mut agent, &tree, &mut session, &large, (5, 5)), Err(Fault::Status(1, 0)));
+        let large = Request::Get(vec![vec![1, 3, 7]; 10]);
+        assert_eq!(
+            exchange(&mut agent, &tree, &mut session, &large, (5, 5)),
+            Err(ManagerError::Status(1, 0))
+        );
     }
 }
 
@@ -125,8 +137,9 @@
     };
     agent.admit_user(user.clone(), 1);
     let mut session = Session::new(Security::User(user), 1, 7);
-    let got = exchange(&mut agent, &tree(3), &mut session, &Ask::Get(vec![vec![1, 3, 7]]), (5, 5)).unwrap();
-    assert_eq!(got[0].1, Got::Value(Value::Text(vec![b'x'; 300])));
+    let got =
+        exchange(&mut agent, &tree(3), &mut session, &Request::Get(vec![vec![1, 3, 7]]), (5, 5)).unwrap();
+    assert_eq!(got[0].1, BindingValue::Value(Value::Text(vec![b'x'; 300])));
 }
 
 /// A user whose view hides a subtree meets nothing of it, by name or in a walk.
@@ -136,13 +149,16 @@
     let mut session = Session::new(Security::User(user("some", "longenough", None)), 1, 7);
     let met = walked(&mut agent, &tree, &mut session, &[1, 3], 7);
     assert!(met.iter().all(|o| !o.0.starts_with(&[1, 3, 6, 1, 2])) && met.len() == tree.objects().len() - 7);
-    let hidden = Ask::Get(vec![vec![1, 3, 6, 1, 2, 7]]);
-    assert_eq!(exchange(&mut agent, &tree, &mut session, &hidden, (5, 5)).unwrap()[0].1, Got::NoObject);
+    let hidden = Request::Get(vec![vec![1, 3, 6, 1, 2, 7]]);
+    assert_eq!(
+        exchange(&mut agent, &tree, &mut session, &hidden, (5, 5)).unwrap()[0].1,
+        BindingValue::NoObject
+    );
 }
 
-fn fault(agent: &mut Agent, user: User) -> Fault {
+fn fault(agent: &mut Agent, user: User) -> ManagerError {
     let mut session = Session::new(Security::User(user), 1, 7);
-    exchange(agent, &tree(3), &mut session, &Ask::Get(vec![vec![1, 3, 7]]), (5, 5)).unwrap_err()
+    exchange(agent, &tree(3), &mut session, &Request::Get(vec![vec![1, 3, 7]]), (5, 5)).unwrap_err()
 }
 
 fn stat(agent: &Agent, n: u32) -> Value {
@@ -161,12 +177,15 @@
         (user("ro", "wrongsecret", None), 5),
         (user("noc", "maplesyrup", Some("wrongsecret")), 6),
     ] {
-        let Fault::Report(oid) = fault(&mut agent, user) else { panic!("no report") };
+        let ManagerError::Report(oid) = fault(&mut agent, user) else { panic!("no report") };
         assert_eq!(oid[9], n);
     }
     assert_eq!((stat(&agent, 1), stat(&agent, 4)), (Value::Counter32(2), Value::Counter32(5)));
     let mut other = Session::new(Security::Community("private".into()), 1, 7);
-    assert_eq!(exchange(&mut agent, &tree(3), &mut other, &Ask::Get(vec![]), (5, 5)), Err(Fault::Malformed));
+    assert_eq!(
+        exchange(&mut agent, &tree(3), &mut other, &Request::Get(vec![]), (5, 5)),
+        Err(ManagerError::Malformed)
+    );
 }
 
 /// A request replayed outside of the window is not answered; a manager whose clock is off finds the agent's time.
@@ -174,7 +193,7 @@
 fn a_replay_outside_the_window_is_not_answered() {
     let (tree, mut agent) = (tree(3), agent());
     let mut session = Session::new(Security::User(user("ro", "longenough", None)), 1, 7);
-    let what = Ask::Get(vec![vec![1, 3, 7]]);
+    let what = Request::Get(vec![vec![1, 3, 7]]);
     exchange(&mut agent, &tree, &mut session, &what, (1000, 5)).unwrap();
     let caught = session.write(&what, 5).unwrap();
     assert!(matches!(agent.read(&caught, 1150), Incoming::Request(_)));
@@ -188,7 +207,7 @@
 fn forged_messages_are_not_served() {
     let (tree, mut agent) = (tree(3), agent());
     let mut session = Session::new(Security::User(user("noc", "maplesyrup", Some("buckwheat"))), 1, 7);
-    let what = Ask::Get(vec![vec![1, 3, 7]]);
+    let what = Request::Get(vec![vec![1, 3, 7]]);
     exchange(&mut agent, &tree, &mut session, &what, (5, 5)).unwrap();
     let mut other = Agent::new(BOUNDS, vec![1; 12], 1, Vec::new());
     other.admit_user(user("noc", "maplesyrup", Some("buckwheat")), 1);
@@ -219,26 +238,31 @@
     let mut agent = agent();
     for mut session in sessions() {
         let (mut walk, mut met, mut n) = (Walk::new(vec![1, 3], 3), Vec::new(), 60u32);
-        while let Some(what) = walk.ask() {
+        while let Some(what) = walk.next_request() {
             n = (n * 7 + 3) % 61;
             met.extend(
-                walk.took(exchange(&mut agent, &tree(n), &mut session, &what, (5, 5)).unwrap()).unwrap(),
+                walk.handle_answer(exchange(&mut agent, &tree(n), &mut session, &what, (5, 5)).unwrap())
+                    .unwrap(),
             );
         }
         assert!(met.windows(2).all(|w| w[0].0 < w[1].0));
     }
     let mut walk = Walk::new(vec![1, 3], 3);
-    walk.took(vec![(vec![1, 3, 5], Got::Value(Value::Gauge(1)))]).unwrap();
-    let back = vec![(vec![1, 3, 5], Got::Value(Value::Gauge(1)))];
-    assert_eq!(walk.took(back), Err(Fault::Backwards(vec![1, 3, 5])), "an agent that goes in a circle");
+    walk.handle_answer(vec![(vec![1, 3, 5], BindingValue::Value(Value::Gauge(1)))]).unwrap();
+    let back = vec![(vec![1, 3, 5], BindingValue::Value(Value::Gauge(1)))];
+    assert_eq!(
+        walk.handle_answer(back),
+        Err(ManagerError::Backwards(vec![1, 3, 5])),
+        "an agent that goes in a circle"
+    );
 }
 
 /// Counters past their wrap, and one that began anew: told apart by the discontinuity, never by the figures.
 #[test]
 fn rates_are_right_over_a_wrap_and_a_restart() {
-    assert_eq!(gone(u64::MAX - 4, 5, false), Some(10));
-    assert_eq!(gone32(u32::MAX - 4, 5, false), Some(10));
-    assert_eq!((gone(1000, 5, true), gone32(1000, 5, true)), (None, None));
+    assert_eq!(counter_increase(u64::MAX - 4, 5, false), Some(10));
+    assert_eq!(counter32_increase(u32::MAX - 4, 5, false), Some(10));
+    assert_eq!((counter_increase(1000, 5, true), counter32_increase(1000, 5, true)), (None, None));
 }
 
 proptest! {
@@ -253,8 +277,8 @@
     ) {
         let (tree, mut agent) = (tree(5), agent());
         let mut session = sessions().remove(which);
-        let _ = exchange(&mut agent, &tree, &mut session, &Ask::Get(vec![vec![1, 3, 7]]), (5, 5));
-        let mut bytes = session.write(&Ask::Bulk(vec![vec![1, 3]], 5), 5).unwrap();
+        let _ = exchange(&mut agent, &tree, &mut session, &Request::Get(vec![vec![1, 3, 7]]), (5, 5));
+        let mut bytes = session.write(&Request::Bulk(vec![vec![1, 3]], 5), 5).unwrap();
         for (at, byte) in changes {
             let at = at % bytes.len();
             bytes[at] = byte;
--- a/src/snmp_tool.rs
+++ b/src/snmp_tool.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use curlewdeck_snmp::manager::{Ask, Got, Security, Session, Walk};
+use curlewdeck_snmp::manager::{BindingValue, Request, Security, Session, Walk};
 use curlewdeck_snmp::registry::Module;
 use curlewdeck_snmp::tree::Value;
 use curlewdeck_snmp::usm::User;
@@ -158,18 +158,18 @@
             self.module.object_of(&self.name).is_some_and(|(_, instance)| instance.is_empty());
         let instance: &[u32] = if lacks_instance { &[0] } else { &[] };
         let name = [&self.name[..], instance].concat();
-        let value = |(oid, got): (Oid, Got)| match got {
-            Got::Value(value) => Ok((oid, value)),
+        let value = |(oid, got): (Oid, BindingValue)| match got {
+            BindingValue::Value(value) => Ok((oid, value)),
             got => Err(SnmpToolError::NoValue { name: object_name(&self.module, &oid), got }),
         };
-        requester.request(&Ask::Get(vec![name]))?.into_iter().map(value).collect()
+        requester.request(&Request::Get(vec![name]))?.into_iter().map(value).collect()
     }
 
     fn walk(&self, requester: &mut Requester) -> Result<Vec<(Oid, Value)>, SnmpToolError> {
         let mut walk = Walk::new(self.name.clone(), MAX_REPETITIONS);
         let mut objects = Vec::new();
-        while let Some(request) = walk.ask() {
-            objects.extend(walk.took(requester.request(&request)?)?);
+        while let Some(request) = walk.next_request() {
+            objects.extend(walk.handle_answer(requester.request(&request)?)?);
         }
         Ok(objects)
     }
--- a/src/snmp_tool/error.rs
+++ b/src/snmp_tool/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use curlewdeck_snmp::manager::{Fault, Got};
+use curlewdeck_snmp::manager::{BindingValue, ManagerError};
 use thiserror::Error;
 
 use crate::config::SecretError;
@@ -60,14 +60,14 @@
     Unencodable,
     /// The agent's answer is an error, or cannot be used.
     #[error(transparent)]
-    Agent(#[from] Fault),
+    Agent(#[from] ManagerError),
     /// The agent has no value of the object.
-    #[error("{name}: {got:?}")]
+    #[error("{name}: {got}")]
     NoValue {
         /// The object.
         name: String,
         /// What the agent answered.
-        got: Got,
+        got: BindingValue,
     },
     /// The agent has no object below a name.
     #[error("nothing is served below {0}")]
--- a/src/snmp_tool/requester.rs
+++ b/src/snmp_tool/requester.rs
@@ -4,13 +4,13 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-use curlewdeck_snmp::manager::{Ask, Got, Reply, Session};
+use curlewdeck_snmp::manager::{BindingValue, Reply, Request, Session};
 use curlewdeck_snmp::Oid;
 
 use super::{SnmpToolError, MAX_DATAGRAM_BYTES};
 
 /// The bindings of an answer.
-type Bindings = Vec<(Oid, Got)>;
+type Bindings = Vec<(Oid, BindingValue)>;
 
 /// What an attempt of a request came to.
 enum AttemptOutcome {
@@ -36,7 +36,7 @@
     }
 
     /// Sends a request until it is answered; an attempt that only discovers the engine does not count.
-    pub(super) fn request(&mut self, request: &Ask) -> Result<Bindings, SnmpToolError> {
+    pub(super) fn request(&mut self, request: &Request) -> Result<Bindings, SnmpToolError> {
         self.session.begin();
         let mut attempts_left = self.max_attempts;
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -50,7 +50,7 @@
         Err(SnmpToolError::NoAnswer { attempts: self.max_attempts, timeout_ms: self.timeout.as_millis() })
     }
 
-    fn attempt(&mut self, request: &Ask, buffer: &mut [u8]) -> Result<AttemptOutcome, SnmpToolError> {
+    fn attempt(&mut self, request: &Request, buffer: &mut [u8]) -> Result<AttemptOutcome, SnmpToolError> {
         let bytes = self.session.write(request, self.now_s()).ok_or(SnmpToolError::Unencodable)?;
         self.socket.send(&bytes)?;
         let sent_at = Instant::now();
@@ -65,7 +65,7 @@
             match self.session.read(&buffer[..size], self.now_s())? {
                 Reply::Bindings(bindings) => return Ok(AttemptOutcome::Answered(bindings)),
                 Reply::NotOurs => {}
-                Reply::Again => return Ok(AttemptOutcome::EngineDiscovered),
+                Reply::Retry => return Ok(AttemptOutcome::EngineDiscovered),
             }
         }
         Ok(AttemptOutcome::TimedOut)
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -42,12 +42,16 @@
     assert_eq!(coordinator.core.counters.answers_complete.load(Ordering::SeqCst), 3);
 }
 
-use curlewdeck_snmp::manager::{Ask, Fault, Reply, Security, Session, Walk};
+use curlewdeck_snmp::manager::{ManagerError, Reply, Request, Security, Session, Walk};
 use curlewdeck_snmp::tree::Value;
 use curlewdeck_snmp::usm::User;
 
 /// Asks an agent until it has answered; nothing else is waited for.
-fn exchange(addr: std::net::SocketAddr, session: &mut Session, what: &Ask) -> Result<Reply, Fault> {
+fn exchange(
+    addr: std::net::SocketAddr,
+    session: &mut Session,
+    what: &Request,
+) -> Result<Reply, ManagerError> {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     session.begin();
@@ -56,7 +60,7 @@
         let mut buf = [0; 65_536];
         let (size, _) = socket.recv_from(&mut buf).unwrap();
         match session.read(&buf[..size], 0)? {
-            Reply::Again | Reply::NotOurs => {}
+            Reply::Retry | Reply::NotOurs => {}
             bindings => return Ok(bindings),
         }
     }
@@ -64,11 +68,11 @@
 
 fn walk(addr: std::net::SocketAddr, session: &mut Session) -> Vec<(Vec<u32>, Value)> {
     let (mut walk, mut met) = (Walk::new(curlewdeck::mib::ROOT.to_vec(), 20), Vec::new());
-    while let Some(what) = walk.ask() {
+    while let Some(what) = walk.next_request() {
         let Reply::Bindings(bindings) = exchange(addr, session, &what).unwrap() else {
             panic!("no bindings")
         };
-        met.extend(walk.took(bindings).unwrap());
+        met.extend(walk.handle_answer(bindings).unwrap());
     }
     met
 }
@@ -145,7 +149,7 @@
     assert!(public.len() > 30 && public.iter().all(|o| !o.0.starts_with(&[1, 3, 6, 1, 4, 1, 32473, 1, 3])));
     let stranger = users.replace("noc", "eve");
     let mut eve = Session::new(Security::User(User::read_all(&stranger).unwrap().remove(0)), 1, 7);
-    let refused = exchange(agent, &mut eve, &Ask::Get(vec![vec![1, 3]])).unwrap_err();
+    let refused = exchange(agent, &mut eve, &Request::Get(vec![vec![1, 3]])).unwrap_err();
     assert!(refused.to_string().contains("does not know this user"), "{refused}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -213,7 +217,7 @@
     let wrong = users.replace("1b", "1c");
     let mut eve = Session::new(Security::User(User::read_all(&wrong).unwrap().remove(0)), 1, 7);
     let agent = coordinator.snmp.unwrap();
-    assert!(exchange(agent, &mut eve, &Ask::Get(vec![vec![1, 3]]))
+    assert!(exchange(agent, &mut eve, &Request::Get(vec![vec![1, 3]]))
         .unwrap_err()
         .to_string()
         .contains("digest"));
