--- a/crates/merge/src/aggregate/tests.rs
+++ b/crates/merge/src/aggregate/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn an_overflow_is_an_error() {
-    let huge = Aggregate { rows: 1, sum: Units(i128::MAX), ends: None };
+    let huge = Aggregate { rows: 1, sum: Units(i128::MAX), min_max: None };
     assert!(huge.merge(&Aggregate::of_row(Units(1))).is_err());
     assert!(Aggregate { rows: u64::MAX, ..Aggregate::default() }
         .merge(&Aggregate::of_row(Units(1)))
--- a/crates/merge/src/cursor.rs
+++ b/crates/merge/src/cursor.rs
@@ -1,5 +1,5 @@
-//! Where a listing goes on: for each range the place that was reached and the version that was seen, sealed so that
-//! none but this service can make or change one, bound to its query, and of limited life.
+//! Cursors of listings: the position and the last seen version of each range, authenticated so that only this service
+//! can make or change one, bound to its query, and of limited lifetime.
 //!
 //! A cursor is a postcard record behind the signing key's name and before its HMAC-SHA-256 (RFC 2104, cut to 128
 //! bits as its section 5 allows), in base64url without padding (RFC 4648, section 5).
@@ -15,20 +15,20 @@
 
 use crate::Version;
 
-/// Where a range's rows begin. Places are ordered as the rows are.
+/// The position at which the next rows of a range begin. Positions are ordered as rows are.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub enum Position {
-    /// At its first row.
+    /// The first row.
     #[default]
     Start,
-    /// At this key, or the next one where it is not there.
+    /// The first row whose key is at least this one.
     From(Arc<str>),
-    /// Behind this key.
+    /// The first row whose key is greater than this one.
     After(Arc<str>),
 }
 
 impl Position {
-    /// Whether a row of this key lies here or behind.
+    /// Whether a row of this key lies at or after the position.
     pub fn admits(&self, key: &str) -> bool {
         match self {
             Self::Start => true,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The later of two: a range never goes back.
+    /// The later of two positions: a range never goes back.
     #[must_use]
     pub fn furthest(&self, other: &Self) -> Self {
         if other.sort_key() > self.sort_key() {
@@ -56,32 +56,34 @@
     }
 }
 
-/// Where one range has got to.
+/// The progress of a listing in one range.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RangeProgress {
-    /// Where its next rows begin.
+    /// The position at which its next rows begin.
     pub position: Position,
     /// The version of its data that was seen last, if any was.
     pub version: Option<Version>,
 }
 
-/// Where a listing goes on.
+/// The state from which a listing is resumed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cursor {
     /// The query's digest.
     pub query: [u8; 16],
-    /// Until when it can be used, in seconds of Unix time.
+    /// The time at which it expires, in seconds of Unix time.
     pub until: u64,
-    /// Where each range has got to, by its number.
+    /// The progress of each range, by its number.
     pub ranges: Vec<RangeProgress>,
 }
 
-/// The record's version.
-const FORM: u8 = 1;
+/// The version of the record.
+const RECORD_VERSION: u8 = 1;
+/// The length of the truncated HMAC, in bytes.
 const MAC_BYTES: usize = 16;
-const NAME_BYTES: usize = 4;
-/// Bytes of a cursor that is looked at at all.
-pub const TEXT_BYTES: usize = 64 * 1024;
+/// The length of a key's name, in bytes.
+const KEY_NAME_BYTES: usize = 4;
+/// The longest cursor that is read, in bytes of text.
+pub const MAX_CURSOR_BYTES: usize = 64 * 1024;
 
 /// Keys that several ranges have in common are written once.
 #[derive(Serialize, Deserialize)]
@@ -90,12 +92,12 @@
     query: [u8; 16],
     until: u64,
     keys: Vec<Arc<str>>,
-    /// Twice the key's number, one more where the place is behind it, and one more for all: 0 is the start. And the
-    /// version seen, one more: 0 is none.
+    /// Position and version of each range. A position is 0 at the start, 1 + 2n from the key number n on, and 2 + 2n
+    /// after it; a version is one more than the version that was seen, 0 for none.
     ranges: Vec<(u64, u64)>,
 }
 
-/// Why a cursor cannot be used.
+/// Why a cursor is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadCursor {
     /// It is no cursor at all.
@@ -105,7 +107,7 @@
     /// It was changed, or made elsewhere.
     Forged,
     /// It is of another version of this program.
-    OtherForm(u8),
+    OtherVersion(u8),
     /// It belongs to another query.
     OtherQuery,
     /// Its time is over.
@@ -120,7 +122,7 @@
             Self::Malformed => "it is malformed",
             Self::UnknownKey => "its key is not known here: retired, or from before a restart",
             Self::Forged => "it was changed or made elsewhere",
-            Self::OtherForm(_) => "it is of another version of this service",
+            Self::OtherVersion(_) => "it is of another version of this service",
             Self::OtherQuery => "it belongs to another query",
             Self::Expired => "it has expired",
             Self::OtherRanges => "the data is laid out in other ranges now",
@@ -133,16 +135,16 @@
 /// A key that signs cursors.
 #[derive(Clone, PartialEq, Eq)]
 struct Key {
-    name: [u8; NAME_BYTES],
+    name: [u8; KEY_NAME_BYTES],
     secret: Vec<u8>,
 }
 
 impl Key {
     /// A key's name is a digest of it: names need no care, and tell nothing.
     fn new(secret: Vec<u8>) -> Self {
-        let mut name = [0; NAME_BYTES];
+        let mut name = [0; KEY_NAME_BYTES];
         let digest = Sha256::new().chain_update(b"curlewdeck cursor key").chain_update(&secret).finalize();
-        name.copy_from_slice(&digest[..NAME_BYTES]);
+        name.copy_from_slice(&digest[..KEY_NAME_BYTES]);
         Self { name, secret }
     }
 
@@ -155,15 +157,15 @@
 #[derive(Clone)]
 pub struct Keys(Vec<Key>);
 
-/// Secrets never reach a log.
+/// Keeps secrets out of logs.
 impl fmt::Debug for Keys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Keys({} of them)", self.0.len())
     }
 }
 
-/// Bytes of a key at least.
-const KEY_BYTES: usize = 16;
+/// The shortest key, in bytes.
+const MIN_KEY_BYTES: usize = 16;
 
 impl Keys {
     /// A key that was made just now: cursors end with the process.
@@ -185,8 +187,8 @@
             }
             let bytes = hex::decode(line)
                 .map_err(|_| format!("line {n}: hexadecimal digits in pairs are expected"))?;
-            if bytes.len() < KEY_BYTES {
-                return Err(format!("line {n}: a key needs {KEY_BYTES} bytes or more"));
+            if bytes.len() < MIN_KEY_BYTES {
+                return Err(format!("line {n}: a key needs {MIN_KEY_BYTES} bytes or more"));
             }
             let key = Key::new(bytes);
             if keys.iter().any(|k| k.name == key.name) {
@@ -218,7 +220,7 @@
         };
         let version = |v: Option<Version>| v.map_or(0, |v| v.saturating_add(1));
         let ranges = cursor.ranges.iter().map(|r| (position(&r.position), version(r.version))).collect();
-        let record = Record { form: FORM, query: cursor.query, until: cursor.until, keys, ranges };
+        let record = Record { form: RECORD_VERSION, query: cursor.query, until: cursor.until, keys, ranges };
         let mut bytes = self.0[0].name.to_vec();
         // Nothing in the record can fail to be written.
         bytes.extend(postcard::to_stdvec(&record).unwrap_or_default());
@@ -234,20 +236,20 @@
     /// # Errors
     /// Says why it cannot be used. Nothing of it is read before its seal has been checked.
     pub fn open(&self, text: &str, query: &[u8; 16], ranges: usize, now: u64) -> Result<Cursor, BadCursor> {
-        if text.len() > TEXT_BYTES {
+        if text.len() > MAX_CURSOR_BYTES {
             return Err(BadCursor::Malformed);
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| BadCursor::Malformed)?;
         let sealed =
-            bytes.len().checked_sub(MAC_BYTES).filter(|&n| n > NAME_BYTES).ok_or(BadCursor::Malformed)?;
+            bytes.len().checked_sub(MAC_BYTES).filter(|&n| n > KEY_NAME_BYTES).ok_or(BadCursor::Malformed)?;
         let (signed, tag) = bytes.split_at(sealed);
-        let (name, record) = signed.split_at(NAME_BYTES);
+        let (name, record) = signed.split_at(KEY_NAME_BYTES);
         let key = self.0.iter().find(|k| k.name == name).ok_or(BadCursor::UnknownKey)?;
         let mac = key.mac().ok_or(BadCursor::UnknownKey)?;
         // Compared in constant time.
         mac.chain_update(signed).verify_truncated_left(tag).map_err(|_| BadCursor::Forged)?;
-        if record.first() != Some(&FORM) {
-            return Err(BadCursor::OtherForm(record.first().copied().unwrap_or(0)));
+        if record.first() != Some(&RECORD_VERSION) {
+            return Err(BadCursor::OtherVersion(record.first().copied().unwrap_or(0)));
         }
         let record: Record = postcard::from_bytes(record).map_err(|_| BadCursor::Malformed)?;
         if record.query != *query {
--- a/crates/merge/src/cursor/tests.rs
+++ b/crates/merge/src/cursor/tests.rs
@@ -70,7 +70,7 @@
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
         let opened = keys.open(&URL_SAFE_NO_PAD.encode(bytes), &QUERY, 4, 0);
-        let expected = if at < NAME_BYTES { BadCursor::UnknownKey } else { BadCursor::Forged };
+        let expected = if at < KEY_NAME_BYTES { BadCursor::UnknownKey } else { BadCursor::Forged };
         prop_assert_eq!(opened, Err(expected));
         prop_assert!(keys.open(&text, &QUERY, 4, 0).is_err());
     }
--- a/crates/merge/src/merger.rs
+++ b/crates/merge/src/merger.rs
@@ -87,8 +87,11 @@
                 let header = &checked.header;
                 self.rejected.remove(&range);
                 if let (Op::Rank, None) = (self.query.op, &header.too_large) {
-                    let known =
-                        RangeBounds::of_ranking(checked.ends, header.remainder.as_ref(), self.query.order);
+                    let known = RangeBounds::of_ranking(
+                        checked.first_and_last,
+                        header.remainder.as_ref(),
+                        self.query.order,
+                    );
                     self.summaries.entry(range).or_insert(RangeSummary::Rows(known));
                 }
                 Ok(())
--- a/crates/merge/src/page/tests.rs
+++ b/crates/merge/src/page/tests.rs
@@ -42,7 +42,7 @@
     ];
     let values: Vec<Value> = texts.iter().map(|t| Value::read(t).unwrap()).collect();
     let page = groups(&values, 9).unwrap();
-    let b = Aggregate { rows: 3, sum: Units(5), ends: Some((Units(-1), Units(4))) };
+    let b = Aggregate { rows: 3, sum: Units(5), min_max: Some((Units(-1), Units(4))) };
     assert_eq!(page.rows.len(), 2);
     assert_eq!(page.rows[1], GroupRow { key: "b".into(), aggregate: b });
     assert!(page.more);
--- a/crates/merge/src/query.rs
+++ b/crates/merge/src/query.rs
@@ -1,4 +1,4 @@
-//! What is asked: the operation, its measure and filter; and the text that each range is sent.
+//! A query: its operation, measure and filter, and the request text for each range.
 
 use std::collections::BTreeMap;
 
@@ -53,21 +53,21 @@
     pub set: String,
     /// The operation.
     pub op: Op,
-    /// The measure, and the decimals that it has.
+    /// The measure.
     pub measure: String,
     /// Decimals of the measure.
     pub scale: u8,
-    /// For a ranking.
+    /// The order of a ranking.
     pub order: Order,
     /// Rows of one key are added up over all ranges first.
     pub grouped: bool,
     /// The most rows of an answer, or of a page.
     pub limit: usize,
-    /// Fields that rows must match; what they mean is the data nodes' business.
+    /// Fields that rows must match; the data nodes interpret them.
     pub filter: BTreeMap<String, String>,
 }
 
-/// What all ranges are told alike, in this order: the shape of the query.
+/// What the requests to all ranges have in common, in the order of the format.
 #[derive(Serialize)]
 struct Shape<'a> {
     v: u8,
@@ -94,8 +94,8 @@
     at_least: Option<Version>,
 }
 
-/// The form's version.
-pub const FORM: u8 = 1;
+/// The version of the format of requests and values.
+pub const FORMAT_VERSION: u8 = 1;
 
 impl Query {
     /// Whether its answer comes page by page: listings, and grouped figures in the order of their keys.
@@ -105,7 +105,7 @@
 
     fn shape(&self) -> Shape<'_> {
         Shape {
-            v: FORM,
+            v: FORMAT_VERSION,
             set: &self.set,
             op: self.op,
             measure: &self.measure,
@@ -116,18 +116,18 @@
         }
     }
 
-    /// A digest of all that the answer depends on but the limit: cursors are bound to it, and what is remembered
-    /// of ranges is filed under it.
+    /// A digest of all that the answer depends on except the limit. Cursors are bound to it, and it is the key of
+    /// the range cache.
     pub fn digest(&self) -> [u8; 16] {
-        // A struct of text and numbers is always written.
+        // Serializing text and numbers cannot fail.
         let text = serde_json::to_vec(&self.shape()).unwrap_or_default();
         let mut digest = [0; 16];
         digest.copy_from_slice(&Sha256::digest(&text)[..16]);
         digest
     }
 
-    /// The text for one range (JSON, `docs/merge-format.md`): where its rows begin, and the version of the data
-    /// that it must have at least.
+    /// The request text for one range (JSON, `docs/merge-format.md`): the position at which its rows begin, and the
+    /// least version of its data that is accepted.
     pub fn text(&self, range: Range, position: &Position, at_least: Option<Version>) -> String {
         let (after, from) = match position {
             Position::Start => (None, None),
--- a/crates/merge/src/range_bounds.rs
+++ b/crates/merge/src/range_bounds.rs
@@ -17,8 +17,12 @@
 
 impl RangeBounds {
     /// The bounds of all rows of a range, from the measures of a value's first and last row and the remainder's.
-    pub fn of_ranking(ends: Option<(Units, Units)>, rest: Option<&Remainder>, order: Order) -> Self {
-        let Some((first, last)) = ends else {
+    pub fn of_ranking(
+        first_and_last: Option<(Units, Units)>,
+        rest: Option<&Remainder>,
+        order: Order,
+    ) -> Self {
+        let Some((first, last)) = first_and_last else {
             return if rest.is_none() { Self::Empty } else { Self::Unknown };
         };
         match order {
--- a/crates/merge/src/range_cache.rs
+++ b/crates/merge/src/range_cache.rs
@@ -1,9 +1,9 @@
-//! What was learnt of ranges from earlier answers: the last version known of each range's data, and for a query's
-//! shape the bounds of a range at that version. A range that is missing is bounded by it, and by nothing else.
+//! A bounded cache of what earlier answers told of ranges: the last known version of each range's data and, by query,
+//! a summary of the range at that version. It bounds ranges that are missing from later answers.
 //!
-//! One bounded table. Entries go by age, by size (the one least recently learnt first), when a newer version of
-//! their range is seen, when a data node of the range starts anew (what comes then may be older), and when a range
-//! says two things of one version.
+//! An entry is evicted by age and by size (least recently inserted first), and invalidated when a newer version of its
+//! range is seen, when a data node of the range restarts (its data may be older), and when two summaries of one
+//! version contradict each other.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,79 +11,79 @@
 use crate::range_bounds::RangeBounds;
 use crate::{Range, Version};
 
-/// Nanoseconds of one clock that never runs backwards.
+/// Nanoseconds of a monotonic clock.
 pub type Nanos = u64;
 
 /// The shape of a query: [`crate::query::Query::digest`].
 pub type Shape = [u8; 16];
 
-/// What is remembered of a range for a query's shape.
+/// What the cache holds of a range for one query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RangeSummary {
-    /// Its figures.
+    /// The aggregate of its rows.
     Total(Aggregate),
-    /// Between what its rows lie.
+    /// The bounds of the measures of its rows.
     Rows(RangeBounds),
 }
 
-/// Bounds of the table.
+/// Limits of the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheLimits {
-    /// Entries.
+    /// Entries that it holds.
     pub max_entries: usize,
-    /// Ranges of which a version is kept.
+    /// Ranges whose version it keeps.
     pub max_ranges: usize,
-    /// An entry is forgotten after this.
+    /// The age at which an entry is evicted, in nanoseconds.
     pub max_age_ns: Nanos,
 }
 
-/// What has happened to the table.
+/// Counters of the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CacheCounts {
-    /// A missing range was bounded.
+    /// Lookups that found an entry.
     pub hits: u64,
-    /// It was not.
+    /// Lookups that did not.
     pub misses: u64,
-    /// Entries that went by size or age.
+    /// Entries evicted by size or age.
     pub evicted: u64,
-    /// Entries that went since their data changed or may be older now.
+    /// Entries invalidated because their data has changed or may be older now.
     pub outdated: u64,
-    /// A range said two things of one version.
+    /// Contradicting summaries of one version.
     pub contradictions: u64,
 }
 
 struct Entry {
     version: Version,
-    fact: RangeSummary,
-    at: Nanos,
-    turn: u64,
+    summary: RangeSummary,
+    inserted_at: Nanos,
+    sequence: u64,
 }
 
-/// The table.
+/// The cache.
 pub struct RangeCache {
     limits: CacheLimits,
     versions: BTreeMap<Range, Version>,
     entries: HashMap<(Shape, Range), Entry>,
-    /// By the turn in which they were last learnt.
-    turns: BTreeMap<u64, (Shape, Range)>,
-    next: u64,
+    /// The keys of the entries by sequence number: the least recently inserted first.
+    by_recency: BTreeMap<u64, (Shape, Range)>,
+    next_sequence: u64,
     counts: CacheCounts,
 }
 
 impl RangeCache {
-    /// An empty table.
+    /// An empty cache.
     pub fn new(limits: CacheLimits) -> Self {
         Self {
             limits,
             versions: BTreeMap::new(),
             entries: HashMap::new(),
-            turns: BTreeMap::new(),
-            next: 0,
+            by_recency: BTreeMap::new(),
+            next_sequence: 0,
             counts: CacheCounts::default(),
         }
     }
 
-    /// What has happened so far.
+    /// The counters so far.
     pub fn counts(&self) -> CacheCounts {
         self.counts
     }
@@ -98,7 +98,7 @@
         self.entries.is_empty()
     }
 
-    /// A range's data was seen at this version.
+    /// Records that a range's data was seen at this version.
     pub fn observe_version(&mut self, range: Range, version: Version) {
         if range as usize >= self.limits.max_ranges {
             return;
@@ -107,16 +107,23 @@
         *known = (*known).max(version);
     }
 
-    /// What a range said at a version.
-    pub fn insert(&mut self, now: Nanos, shape: Shape, range: Range, version: Version, fact: RangeSummary) {
+    /// Inserts the summary of a range at a version.
+    pub fn insert(
+        &mut self,
+        now: Nanos,
+        shape: Shape,
+        range: Range,
+        version: Version,
+        summary: RangeSummary,
+    ) {
         self.observe_version(range, version);
         if self.versions.get(&range) != Some(&version) {
-            return; // Of an older replica: it bounds nothing.
+            return; // From a replica with older data: it bounds nothing.
         }
         if self
             .entries
             .get(&(shape, range))
-            .is_some_and(|e| e.version == version && !is_consistent(&e.fact, &fact))
+            .is_some_and(|e| e.version == version && !is_consistent(&e.summary, &summary))
         {
             // Neither can be trusted.
             self.counts.contradictions += 1;
@@ -124,26 +131,26 @@
             return;
         }
         self.remove_entry(&(shape, range));
-        let turn = self.next;
-        self.next += 1;
-        self.turns.insert(turn, (shape, range));
-        self.entries.insert((shape, range), Entry { version, fact, at: now, turn });
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.by_recency.insert(sequence, (shape, range));
+        self.entries.insert((shape, range), Entry { version, summary, inserted_at: now, sequence });
         while self.entries.len() > self.limits.max_entries {
-            let Some((_, &oldest)) = self.turns.first_key_value() else { break };
+            let Some((_, &oldest)) = self.by_recency.first_key_value() else { break };
             self.counts.evicted += 1;
             self.remove_entry(&oldest);
         }
     }
 
-    /// What is known of a missing range, and at which version: the last one that was seen of its data.
+    /// The summary of a range and its version, which is the last one that was seen of its data.
     pub fn get(&mut self, now: Nanos, shape: Shape, range: Range) -> Option<(Version, RangeSummary)> {
         let key = (shape, range);
-        let found = self.entries.get(&key).map(|e| (e.version, e.fact, e.at));
-        let Some((version, fact, at)) = found else {
+        let found = self.entries.get(&key).map(|e| (e.version, e.summary, e.inserted_at));
+        let Some((version, summary, inserted_at)) = found else {
             self.counts.misses += 1;
             return None;
         };
-        let old = now.saturating_sub(at) > self.limits.max_age_ns;
+        let old = now.saturating_sub(inserted_at) > self.limits.max_age_ns;
         let outdated = self.versions.get(&range).is_some_and(|&last| last != version);
         if old || outdated {
             match old {
@@ -155,10 +162,10 @@
             return None;
         }
         self.counts.hits += 1;
-        Some((version, fact))
+        Some((version, summary))
     }
 
-    /// A data node that holds this range has started anew: its data may be older than what was seen.
+    /// Drops what is known of a range: a data node that holds it has restarted, and its data may be older.
     pub fn invalidate_range(&mut self, range: Range) {
         self.versions.remove(&range);
         let keys: Vec<_> = self.entries.keys().filter(|k| k.1 == range).copied().collect();
@@ -170,12 +177,12 @@
 
     fn remove_entry(&mut self, key: &(Shape, Range)) {
         if let Some(entry) = self.entries.remove(key) {
-            self.turns.remove(&entry.turn);
+            self.by_recency.remove(&entry.sequence);
         }
     }
 }
 
-/// Whether two facts of one version can both be true. Totals and the best row must be the same; how far a value
+/// Whether two summaries of one version can both be true. Totals and the best row must be the same; how far a value
 /// reached depends on the limit.
 fn is_consistent(a: &RangeSummary, b: &RangeSummary) -> bool {
     match (a, b) {
--- a/crates/merge/src/range_cache/tests.rs
+++ b/crates/merge/src/range_cache/tests.rs
@@ -56,8 +56,8 @@
                 _ => drop(t.get(now, shape, range)),
             }
             prop_assert!(t.len() <= 3 && t.versions.len() <= 8);
-            prop_assert_eq!(t.turns.len(), t.len());
-            prop_assert!(t.turns.iter().all(|(turn, key)| t.entries[key].turn == *turn));
+            prop_assert_eq!(t.by_recency.len(), t.len());
+            prop_assert!(t.by_recency.iter().all(|(sequence, key)| t.entries[key].sequence == *sequence));
         }
     }
 }
--- a/crates/merge/src/value.rs
+++ b/crates/merge/src/value.rs
@@ -1,5 +1,5 @@
-//! What a range answers: one JSON line that heads it, then a JSON array for each row, each on a line of its own
-//! (`docs/merge-format.md`). Rows are read one by one where they are needed, never all at once.
+//! The value that a range returns: a header line of JSON, then a JSON array for each row, each on a line of its own
+//! (`docs/merge-format.md`). Rows are parsed one by one on demand.
 
 mod check;
 mod header;
@@ -8,12 +8,12 @@
 mod tests;
 mod wire;
 
-pub use check::{check, Checked, Expected};
+pub use check::{check, CheckedValue, Expected};
 pub use header::{Header, Remainder, TooLarge, Total};
 pub use row::{Entry, Group, Row, RowKey};
 
 use crate::error::{malformed, InvalidValue};
-use crate::query::FORM;
+use crate::query::FORMAT_VERSION;
 use crate::units::MAX_SCALE;
 
 /// The longest key, in bytes.
@@ -35,8 +35,8 @@
     pub fn read(text: &'a str) -> Result<Self, InvalidValue> {
         let (line, rows) = text.split_once('\n').unwrap_or((text, ""));
         let header: Header = serde_json::from_str(line).map_err(malformed)?;
-        if header.v != FORM {
-            return Err(malformed(format_args!("form {} is not known, this is {FORM}", header.v)));
+        if header.v != FORMAT_VERSION {
+            return Err(malformed(format_args!("form {} is not known, this is {FORMAT_VERSION}", header.v)));
         }
         if header.scale > MAX_SCALE {
             return Err(malformed("the scale is beyond 18"));
--- a/crates/merge/src/value/check.rs
+++ b/crates/merge/src/value/check.rs
@@ -11,31 +11,31 @@
 use crate::units::Units;
 use crate::{Range, Version};
 
-/// What a value is checked against: it must answer this query, for this range, from this place on.
+/// What a value must match, besides its query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Expected {
     /// The range that was asked.
     pub range: Range,
-    /// Where its rows were to begin.
+    /// The position at which its rows have to begin.
     pub position: Position,
-    /// The least version that will do.
+    /// The least version of its data that is accepted.
     pub at_least: Option<Version>,
 }
 
-/// A value that counts.
+/// A valid value, as far as it is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Checked {
-    /// What stands before its rows.
+pub struct CheckedValue {
+    /// Its header.
     pub header: Header,
     /// The measures of its first and its last row.
-    pub ends: Option<(Units, Units)>,
+    pub first_and_last: Option<(Units, Units)>,
 }
 
-/// Checks a value once it has come, in one pass without keeping anything.
+/// Checks a value in one pass, without keeping its rows.
 ///
 /// # Errors
-/// Says why it does not count.
-pub fn check(text: &str, query: &Query, expected: &Expected) -> Result<Checked, InvalidValue> {
+/// Says why the value is refused.
+pub fn check(text: &str, query: &Query, expected: &Expected) -> Result<CheckedValue, InvalidValue> {
     let value = Value::read(text)?;
     let header = &value.header;
     if header.range != expected.range {
@@ -51,9 +51,9 @@
         return Err(malformed(format_args!("scale {} where {} is agreed", header.scale, query.scale)));
     }
     if header.too_large.is_some() {
-        return Ok(Checked { header: value.header, ends: None });
+        return Ok(CheckedValue { header: value.header, first_and_last: None });
     }
-    let ends = match (query.op.is_aggregate(), query.grouped) {
+    let first_and_last = match (query.op.is_aggregate(), query.grouped) {
         (true, false) => {
             check_total_only(&value)?;
             None
@@ -61,9 +61,10 @@
         (true, true) => check_rows::<Group>(&value, query, expected)?,
         (false, _) => check_rows::<Entry>(&value, query, expected)?,
     };
-    Ok(Checked { header: value.header, ends })
+    Ok(CheckedValue { header: value.header, first_and_last })
 }
 
+/// Checks a value that consists of a total alone.
 fn check_total_only(value: &Value<'_>) -> Result<(), InvalidValue> {
     let header = &value.header;
     let total = header.total.ok_or_else(|| malformed("a total is expected"))?;
@@ -73,9 +74,9 @@
     check_aggregate(&total.aggregate())
 }
 
-/// A aggregate's own figures: none without rows, and the sum within what they allow.
+/// Checks an aggregate by itself: no figures without rows, and a sum that its rows, minimum and maximum allow.
 fn check_aggregate(aggregate: &Aggregate) -> Result<(), InvalidValue> {
-    match (aggregate.rows, aggregate.ends) {
+    match (aggregate.rows, aggregate.min_max) {
         (0, None) if aggregate.sum == Units(0) => Ok(()),
         (1.., Some((min, max))) if min <= max => {
             let within = |low: Units, high: Units| low <= aggregate.sum && aggregate.sum <= high;
@@ -218,6 +219,7 @@
     }
 }
 
+/// Checks a total over the whole range against the rows that are given and the remainder.
 fn check_total_matches(
     total: &Total,
     given: &Aggregate,
--- a/crates/merge/src/value/header.rs
+++ b/crates/merge/src/value/header.rs
@@ -75,6 +75,6 @@
 impl Total {
     /// The same figures as an aggregate.
     pub fn aggregate(&self) -> Aggregate {
-        Aggregate { rows: self.rows, sum: self.sum, ends: self.min.zip(self.max) }
+        Aggregate { rows: self.rows, sum: self.sum, min_max: self.min.zip(self.max) }
     }
 }
--- a/crates/merge/src/value/row.rs
+++ b/crates/merge/src/value/row.rs
@@ -116,7 +116,7 @@
         let Key(key) = next_field(&mut seq, "key")?;
         let (rows, sum) = (next_field(&mut seq, "count of rows")?, next_field(&mut seq, "sum")?);
         let (min, max): (Units, Units) = (next_field(&mut seq, "least")?, next_field(&mut seq, "greatest")?);
-        Ok(Group { key, aggregate: Aggregate { rows, sum, ends: Some((min, max)) } })
+        Ok(Group { key, aggregate: Aggregate { rows, sum, min_max: Some((min, max)) } })
     }
 }
 
--- a/crates/merge/src/value/tests.rs
+++ b/crates/merge/src/value/tests.rs
@@ -23,7 +23,7 @@
     Expected { range: 4, position: Position::Start, at_least: Some(7) }
 }
 
-fn fit(op: Op, text: &str) -> Result<Checked, InvalidValue> {
+fn fit(op: Op, text: &str) -> Result<CheckedValue, InvalidValue> {
     check(text, &query(op), &expected())
 }
 
