--- a/crates/merge/src/answer.rs
+++ b/crates/merge/src/answer.rs
@@ -1,4 +1,4 @@
-//! A merged answer and its JSON: what it rests on first, its rows last, so that a long one can be sent in pieces.
+//! A merged answer and its JSON: the header first and the rows last, so that a long answer can be sent in pieces.
 
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -12,52 +12,52 @@
 /// An answer's figure.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Figure {
-    /// Over the ranges that are in; none where there are no rows, for least, greatest and mean.
+    /// Over the ranges that are in. Without rows the minimum, the maximum and the mean are `None`.
     pub value: Option<String>,
     /// Whether that is the exact figure over all ranges: a mean may have been rounded.
     pub exact: bool,
-    /// Rows that it rests on.
+    /// The rows that it is computed from.
     pub rows: u64,
     /// Their exact sum.
     pub sum: String,
-    /// The figure over all ranges, if those that are missing hold what they last said: see their versions.
+    /// Bounds of the figure over all ranges, if those that are missing still hold what the cache has of them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub within: Option<Interval>,
 }
 
-/// Between these lies a figure, both included.
+/// A closed interval that contains a figure.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Interval {
-    /// The least that it can be.
+    /// Its lower end.
     pub low: String,
-    /// The greatest that it can be.
+    /// Its upper end.
     pub high: String,
 }
 
-/// A range that is missing.
+/// A range that is missing from an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MissingRange {
-    /// Which.
+    /// The range.
     pub range: Range,
-    /// A word for why.
+    /// The code of the reason.
     pub reason: &'static str,
-    /// The same in words.
+    /// The reason in words.
     pub detail: String,
-    /// What the answer says in spite of it rests on this version of its data.
+    /// The version of its data by which the answer is bounded all the same.
     #[serde(skip_serializing_if = "Option::is_none", rename = "boundedAtVersion")]
-    pub bounded_at: Option<Version>,
+    pub bounded_at_version: Option<Version>,
 }
 
-/// A range that is in.
+/// A range that is in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct IncludedRange {
-    /// Which.
+    /// The range.
     pub range: Range,
     /// The version of its data.
     pub version: Version,
 }
 
-/// What stands before an answer's rows.
+/// The part of an answer before its rows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct AnswerHeader {
     /// The set of data.
@@ -74,7 +74,7 @@
     pub ranges: Vec<IncludedRange>,
     /// Those that are not.
     pub missing: Vec<MissingRange>,
-    /// Of a ranking: so many rows, from the first on, stand in the exact answer at that place.
+    /// Of a ranking: how many rows, from the first on, stand in the exact answer at the same place.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub certain: Option<usize>,
     /// The figure of an operation that gives one.
@@ -88,14 +88,14 @@
     pub next: Option<String>,
 }
 
-/// A row as answers write it.
+/// A row of an answer.
 #[derive(Debug, Clone, Serialize)]
 pub struct AnswerRow<'a> {
     /// Its key.
     pub key: &'a str,
     /// Its measure or figure, as a decimal.
     pub value: Option<String>,
-    /// Where it lies.
+    /// The range that holds it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub range: Option<Range>,
     /// Of a group: how many rows.
@@ -104,18 +104,18 @@
     /// Of a group: their exact sum.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sum: Option<String>,
-    /// Of a group that an earlier page gave: ranges that were missing then add this to it.
+    /// An earlier page gave this group, and ranges that were missing then now add to it.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub late: bool,
-    /// Only where it is not exact: the least that the value can be; null: not bounded.
+    /// Only where the value is not exact: its lower bound; null where unbounded.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub low: Option<Option<String>>,
-    /// And the greatest.
+    /// Only where the value is not exact: its upper bound; null where unbounded.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub high: Option<Option<String>>,
     /// Whether the value is exact.
     pub exact: bool,
-    /// What the row carries, to the letter.
+    /// The body of the row, passed on unchanged.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub body: Option<&'a RawValue>,
 }
@@ -123,7 +123,7 @@
 /// A merged answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// What stands before the rows.
+    /// The part before the rows.
     pub head: AnswerHeader,
     /// The rows, each as JSON.
     pub rows: Vec<String>,
@@ -132,7 +132,7 @@
 impl Answer {
     /// The answer's JSON in pieces of about this many bytes.
     pub fn pieces(&self, bytes: usize) -> impl Iterator<Item = String> + '_ {
-        // A struct of text and numbers is always written.
+        // Serializing text and numbers cannot fail.
         let mut first = serde_json::to_string(&self.head).unwrap_or_else(|_| "{}".into());
         first.pop();
         first.push_str(",\"rows\":[");
@@ -172,8 +172,8 @@
             true => (value.clone(), value),
             false => {
                 let mean = Units::parse(&value, query.scale)?;
-                let by = |n| mean.plus(Units(n)).ok().map(|u| u.decimal(query.scale));
-                (by(-1)?, by(1)?)
+                let shifted_by = |n| mean.plus(Units(n)).ok().map(|u| u.decimal(query.scale));
+                (shifted_by(-1)?, shifted_by(1)?)
             }
         };
         Some(Interval { low, high })
@@ -192,12 +192,13 @@
     coverage: &Coverage,
     bounded: impl Fn(Range) -> Option<Version>,
 ) -> (Vec<IncludedRange>, Vec<MissingRange>) {
-    let there = coverage.versions.iter().map(|(&range, &version)| IncludedRange { range, version }).collect();
-    let gap = |(&range, reason): (&Range, &crate::coverage::MissingReason)| MissingRange {
+    let included =
+        coverage.versions.iter().map(|(&range, &version)| IncludedRange { range, version }).collect();
+    let missing_range = |(&range, reason): (&Range, &crate::coverage::MissingReason)| MissingRange {
         range,
         reason: reason.code(),
         detail: reason.to_string(),
-        bounded_at: bounded(range),
+        bounded_at_version: bounded(range),
     };
-    (there, coverage.missing.iter().map(gap).collect())
+    (included, coverage.missing.iter().map(missing_range).collect())
 }
--- a/crates/merge/src/cursor.rs
+++ b/crates/merge/src/cursor.rs
@@ -97,6 +97,19 @@
     ranges: Vec<(u64, u64)>,
 }
 
+impl Record {
+    /// The progress of one range.
+    fn progress(&self, &(position, version): &(u64, u64)) -> Result<RangeProgress, BadCursor> {
+        let key = |n: u64| self.keys.get((n / 2) as usize).cloned().ok_or(BadCursor::Malformed);
+        let position = match position {
+            0 => Position::Start,
+            n if n % 2 == 1 => Position::From(key(n - 1)?),
+            n => Position::After(key(n - 2)?),
+        };
+        Ok(RangeProgress { position, version: version.checked_sub(1) })
+    }
+}
+
 /// Why a cursor is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadCursor {
@@ -206,7 +219,7 @@
     pub fn seal(&self, cursor: &Cursor) -> String {
         let mut keys: Vec<Arc<str>> = Vec::new();
         let mut number = |key: &Arc<str>| {
-            // Few are different: all ranges that were in stand at the same key.
+            // Few keys differ: all ranges that were in have the key of the last row.
             let at = keys.iter().position(|k| k == key).unwrap_or_else(|| {
                 keys.push(key.clone());
                 keys.len() - 1
@@ -222,7 +235,7 @@
         let ranges = cursor.ranges.iter().map(|r| (position(&r.position), version(r.version))).collect();
         let record = Record { form: RECORD_VERSION, query: cursor.query, until: cursor.until, keys, ranges };
         let mut bytes = self.0[0].name.to_vec();
-        // Nothing in the record can fail to be written.
+        // Serializing the record cannot fail.
         bytes.extend(postcard::to_stdvec(&record).unwrap_or_default());
         if let Some(mac) = self.0[0].mac() {
             let tag = mac.chain_update(&bytes).finalize().into_bytes();
@@ -236,13 +249,29 @@
     /// # Errors
     /// Says why it cannot be used. Nothing of it is read before its seal has been checked.
     pub fn open(&self, text: &str, query: &[u8; 16], ranges: usize, now: u64) -> Result<Cursor, BadCursor> {
+        let record = self.authenticated_record(text)?;
+        if record.query != *query {
+            return Err(BadCursor::OtherQuery);
+        }
+        if record.until <= now {
+            return Err(BadCursor::Expired);
+        }
+        if record.ranges.len() != ranges {
+            return Err(BadCursor::OtherRanges);
+        }
+        let ranges = record.ranges.iter().map(|range| record.progress(range)).collect::<Result<_, _>>()?;
+        Ok(Cursor { query: record.query, until: record.until, ranges })
+    }
+
+    /// Decodes a cursor's text; nothing of the record is read before its MAC has been verified.
+    fn authenticated_record(&self, text: &str) -> Result<Record, BadCursor> {
         if text.len() > MAX_CURSOR_BYTES {
             return Err(BadCursor::Malformed);
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| BadCursor::Malformed)?;
-        let sealed =
+        let signed_bytes =
             bytes.len().checked_sub(MAC_BYTES).filter(|&n| n > KEY_NAME_BYTES).ok_or(BadCursor::Malformed)?;
-        let (signed, tag) = bytes.split_at(sealed);
+        let (signed, tag) = bytes.split_at(signed_bytes);
         let (name, record) = signed.split_at(KEY_NAME_BYTES);
         let key = self.0.iter().find(|k| k.name == name).ok_or(BadCursor::UnknownKey)?;
         let mac = key.mac().ok_or(BadCursor::UnknownKey)?;
@@ -251,27 +280,7 @@
         if record.first() != Some(&RECORD_VERSION) {
             return Err(BadCursor::OtherVersion(record.first().copied().unwrap_or(0)));
         }
-        let record: Record = postcard::from_bytes(record).map_err(|_| BadCursor::Malformed)?;
-        if record.query != *query {
-            return Err(BadCursor::OtherQuery);
-        }
-        if record.until <= now {
-            return Err(BadCursor::Expired);
-        }
-        if record.ranges.len() != ranges {
-            return Err(BadCursor::OtherRanges);
-        }
-        let progress = |&(position, version): &(u64, u64)| {
-            let key = |n: u64| record.keys.get((n / 2) as usize).cloned().ok_or(BadCursor::Malformed);
-            let position = match position {
-                0 => Position::Start,
-                n if n % 2 == 1 => Position::From(key(n - 1)?),
-                n => Position::After(key(n - 2)?),
-            };
-            Ok(RangeProgress { position, version: version.checked_sub(1) })
-        };
-        let ranges = record.ranges.iter().map(progress).collect::<Result<_, _>>()?;
-        Ok(Cursor { query: record.query, until: record.until, ranges })
+        postcard::from_bytes(record).map_err(|_| BadCursor::Malformed)
     }
 }
 
--- a/crates/merge/src/page.rs
+++ b/crates/merge/src/page.rs
@@ -1,7 +1,7 @@
 //! Listings page by page: the rows of all ranges in key order, each row once, whichever replica serves a page.
 //!
-//! For each range a cursor holds the place that it has reached, never an offset. Ranges that were in stand at the
-//! last row of the page; one that was missing stays where it was, and gives what it owes on a later page.
+//! For each range a cursor holds a position, never an offset. Ranges that were in move to the last row of the page;
+//! one that was missing stays where it was, and its rows come on a later page.
 
 use std::borrow::Cow;
 use std::cmp::Ordering;
@@ -20,13 +20,13 @@
 /// A row of a listing.
 #[derive(Debug, Clone)]
 pub struct ListedRow<'a> {
-    /// Where it lies.
+    /// The range that holds it.
     pub range: Range,
     /// Its key.
     pub key: Cow<'a, str>,
     /// Its measure.
     pub measure: Units,
-    /// More of it, to the letter.
+    /// Its body, passed on unchanged.
     pub body: Option<&'a RawValue>,
 }
 
@@ -35,14 +35,14 @@
 pub struct GroupRow<'a> {
     /// Its key.
     pub key: Cow<'a, str>,
-    /// Its figures.
+    /// Its aggregate over all ranges.
     pub aggregate: Aggregate,
 }
 
 /// The key and range of the last row of a page.
 pub type LastRow = (Arc<str>, Range);
 
-/// A page.
+/// A page of a listing.
 #[derive(Debug, Clone)]
 pub struct Page<R> {
     /// Its rows in key order.
@@ -53,76 +53,75 @@
     pub more: bool,
 }
 
-/// Where the next row of a range stands; the greatest in the heap is the one that comes first.
+/// The key of the next row of a source; the greatest one in the heap comes first.
 #[derive(PartialEq, Eq)]
-struct Head<'a> {
+struct NextKey<'a> {
     key: Cow<'a, str>,
     range: Range,
     source: usize,
 }
 
-impl PartialOrd for Head<'_> {
+impl PartialOrd for NextKey<'_> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Head<'_> {
+impl Ord for NextKey<'_> {
     fn cmp(&self, other: &Self) -> Ordering {
         (&other.key, other.range, other.source).cmp(&(&self.key, self.range, self.source))
     }
 }
 
-/// The rows of one range: the next one, and those behind it.
+/// The rows of one range: the next one, and those that follow it.
 struct Source<R, I> {
     row: R,
-    left: I,
+    following: I,
     /// The range may have more rows than these.
-    rest: bool,
+    has_more: bool,
 }
 
-/// The k-way merge: rows by key and range, until one of a range comes behind which that range may have more that
-/// it did not give.
+/// A k-way merge of rows by key and range. It ends after the last row of a range that may have more rows than it gave.
 struct Merge<'a, R, I> {
-    heads: BinaryHeap<Head<'a>>,
+    next_keys: BinaryHeap<NextKey<'a>>,
     sources: Vec<Source<R, I>>,
-    /// A range has given all that it gave, and has more.
-    cut: bool,
+    /// A range that may have more rows has run out of those that it gave.
+    is_truncated: bool,
 }
 
 impl<'a, R: RowKey<'a> + Clone, I: Iterator<Item = Result<R, InvalidValue>>> Merge<'a, R, I> {
-    fn push(&mut self, range: Range, mut left: I, rest: bool) -> Result<(), InvalidValue> {
-        match left.next().transpose()? {
+    fn push(&mut self, range: Range, mut following: I, has_more: bool) -> Result<(), InvalidValue> {
+        match following.next().transpose()? {
             Some(row) => {
-                self.heads.push(Head { key: row.key().clone(), range, source: self.sources.len() });
-                self.sources.push(Source { row, left, rest });
+                self.next_keys.push(NextKey { key: row.key().clone(), range, source: self.sources.len() });
+                self.sources.push(Source { row, following, has_more });
             }
-            None => self.cut |= rest,
+            None => self.is_truncated |= has_more,
         }
         Ok(())
     }
 
     fn next(&mut self) -> Result<Option<(Range, R)>, InvalidValue> {
-        let Some(mut head) = self.heads.peek_mut() else { return Ok(None) };
-        let source = &mut self.sources[head.source];
-        let range = head.range;
-        let row = match source.left.next().transpose()? {
+        let Some(mut next_key) = self.next_keys.peek_mut() else { return Ok(None) };
+        let source = &mut self.sources[next_key.source];
+        let range = next_key.range;
+        let row = match source.following.next().transpose()? {
             Some(next) => {
-                // Sinks to its place once, when it is let go.
-                head.key = next.key().clone();
+                // The heap is sifted once, when this is dropped.
+                next_key.key = next.key().clone();
                 std::mem::replace(&mut source.row, next)
             }
             None => {
-                self.cut |= source.rest;
-                PeekMut::pop(head);
+                self.is_truncated |= source.has_more;
+                PeekMut::pop(next_key);
                 source.row.clone()
             }
         };
         Ok(Some((range, row)))
     }
 
-    fn next_key(&self) -> Option<&str> {
-        self.heads.peek().map(|h| &*h.key)
+    fn peek_key(&self) -> Option<&str> {
+        self.next_keys.peek().map(|h| &*h.key)
     }
 }
 
@@ -132,17 +131,17 @@
     pub range: Range,
     /// Its rows.
     pub rows: I,
-    /// Whether more may follow.
-    pub rest: bool,
+    /// Whether the range may have more rows than these.
+    pub has_more: bool,
 }
 
-fn start<'a, R: RowKey<'a> + Clone, I: Iterator<Item = Result<R, InvalidValue>>>(
+fn start_merge<'a, R: RowKey<'a> + Clone, I: Iterator<Item = Result<R, InvalidValue>>>(
     ranges: impl ExactSizeIterator<Item = Rows<I>>,
 ) -> Result<Merge<'a, R, I>, InvalidValue> {
-    let (heads, sources) = (BinaryHeap::with_capacity(ranges.len()), Vec::with_capacity(ranges.len()));
-    let mut merge = Merge { heads, sources, cut: false };
-    for Rows { range, rows, rest } in ranges {
-        merge.push(range, rows, rest)?;
+    let (next_keys, sources) = (BinaryHeap::with_capacity(ranges.len()), Vec::with_capacity(ranges.len()));
+    let mut merge = Merge { next_keys, sources, is_truncated: false };
+    for Rows { range, rows, has_more } in ranges {
+        merge.push(range, rows, has_more)?;
     }
     Ok(merge)
 }
@@ -154,12 +153,12 @@
     values.iter().map(|v| Rows {
         range: v.header.range,
         rows: v.rows::<R>(),
-        rest: v.header.remainder.is_some(),
+        has_more: v.header.remainder.is_some(),
     })
 }
 
-/// At most `limit` rows of these ranges by key and range, with the range of each. Ends behind the last row of a range
-/// that may have more: nothing may come after that but what it did not give.
+/// At most `limit` rows of these ranges by key and range, with the range of each. Ends after the last row of a range
+/// that may have more: rows that it did not give could come next.
 ///
 /// # Errors
 /// A row cannot be read.
@@ -167,17 +166,17 @@
     ranges: impl ExactSizeIterator<Item = Rows<I>>,
     limit: usize,
 ) -> Result<Page<(Range, R)>, InvalidValue> {
-    let mut merge = start(ranges)?;
+    let mut merge = start_merge(ranges)?;
     let mut rows: Vec<(Range, R)> = Vec::new();
-    while rows.len() < limit && !merge.cut {
+    while rows.len() < limit && !merge.is_truncated {
         let Some(row) = merge.next()? else { break };
         rows.push(row);
     }
     let last = rows.last().map(|(range, row)| (Arc::from(&**row.key()), *range));
-    Ok(Page { rows, last, more: merge.cut || merge.next_key().is_some() })
+    Ok(Page { rows, last, more: merge.is_truncated || merge.peek_key().is_some() })
 }
 
-/// At most `limit` rows. Holds a row of each range beside what it gives.
+/// At most `limit` rows. Holds one row of each range besides those that it returns.
 ///
 /// # Errors
 /// A row cannot be read.
@@ -190,25 +189,25 @@
 /// At most `limit` groups, each added up over the ranges that are in.
 ///
 /// # Errors
-/// A row cannot be read, or a sum does not fit.
+/// A row cannot be read, or a sum does not fit 128 bits.
 pub fn groups<'a>(values: &[Value<'a>], limit: usize) -> Result<Page<GroupRow<'a>>, RowError> {
-    let mut merge = start(rows_of::<Group>(values))?;
+    let mut merge = start_merge(rows_of::<Group>(values))?;
     let mut rows: Vec<GroupRow> = Vec::new();
-    while rows.len() < limit && !merge.cut {
+    while rows.len() < limit && !merge.is_truncated {
         let Some((_, Group { key, mut aggregate })) = merge.next()? else { break };
-        // The same key of other ranges: they are next, and none can come later, since keys grow in each range.
-        while merge.next_key() == Some(&*key) {
+        // The same group of other ranges comes next, and never later, since keys increase within each range.
+        while merge.peek_key() == Some(&*key) {
             let Some((_, other)) = merge.next()? else { break };
             aggregate = aggregate.merge(&other.aggregate)?;
         }
         rows.push(GroupRow { key, aggregate });
     }
-    // A group is over for all ranges at once.
+    // A group is complete for all ranges at once.
     let last = rows.last().map(|r| (Arc::from(&*r.key), Range::MAX));
-    Ok(Page { rows, last, more: merge.cut || merge.next_key().is_some() })
+    Ok(Page { rows, last, more: merge.is_truncated || merge.peek_key().is_some() })
 }
 
-/// Where a range that was in begins on the next page.
+/// The position at which a range that was in begins on the next page.
 pub fn next_position(last: &LastRow, range: Range) -> Position {
     match range <= last.1 {
         true => Position::After(last.0.clone()),
--- a/crates/merge/src/units.rs
+++ b/crates/merge/src/units.rs
@@ -1,4 +1,4 @@
-//! Money and counts: exact integers with a scale, never floats.
+//! Exact decimal figures: integers with a scale, never floats.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -6,7 +6,7 @@
 use serde::de::{self, Visitor};
 use serde::{Deserialize, Deserializer};
 
-/// More decimals than this are a mistake.
+/// The largest scale, in decimals.
 pub const MAX_SCALE: u8 = 18;
 
 /// A figure in units of 10^-scale; the scale stands beside it, once for each measure. Values write it as a JSON
@@ -43,7 +43,7 @@
         self.0.checked_sub(other.0).map(Self).ok_or(Overflow)
     }
 
-    /// So many times this.
+    /// The product with a count.
     ///
     /// # Errors
     /// It does not fit.
@@ -82,13 +82,13 @@
             return None;
         }
         let n = i128::from(count);
-        let (quotient, rest) = (self.0.div_euclid(n), self.0.rem_euclid(n));
-        let up = match (rest * 2).cmp(&n) {
+        let (quotient, remainder) = (self.0.div_euclid(n), self.0.rem_euclid(n));
+        let round_up = match (remainder * 2).cmp(&n) {
             std::cmp::Ordering::Greater => 1,
             std::cmp::Ordering::Equal => quotient & 1,
             std::cmp::Ordering::Less => 0,
         };
-        Some((Self(quotient + up), rest == 0))
+        Some((Self(quotient + round_up), remainder == 0))
     }
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-/// As values write it: a JSON integer where 64 bits hold it, else a string.
+/// The form that values use: a JSON integer where it fits 64 bits, else a string.
 pub fn wire(units: Units) -> Cow<'static, str> {
     match i64::try_from(units.0) {
         Ok(n) => n.to_string().into(),
