--- a/src/frontend/feature_pages.rs
+++ b/src/frontend/feature_pages.rs
@@ -75,7 +75,7 @@
             range: range.0,
             rows: rows.map(move |(n, f)| Ok(Feature { key: key(range, n), feature: f.as_ref() })),
             // One that gave as many as were asked for may have more.
-            rest: features.len() >= limit,
+            has_more: features.len() >= limit,
         }
     });
     // Rows that are held cannot be unreadable.
@@ -107,7 +107,7 @@
             let key = id(f).ok_or_else(|| InvalidValue::Malformed("a feature has no id".into()))?;
             Ok(Feature { key, feature: f.as_ref() })
         }),
-        rest: features.len() >= limit,
+        has_more: features.len() >= limit,
     });
     let page = page::merge(rows, limit)?;
     let there = |range: usize| ranges.iter().any(|r| r.0 .0 as usize == range);
