--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -253,7 +253,7 @@
             name: format!("d{:016x}", self.next.fetch_add(1, Ordering::Relaxed)),
             class,
             is_retry: false,
-            deadline: valid_until(&self.core, &self.limits, class, wait, out.asked_at()),
+            deadline: valid_until(&self.core, &self.limits, class, wait, out.received_at()),
             parts: (0..ranges).map(|r| (ShardId(r), share)).collect(),
             text: "".into(),
             part_texts,
@@ -371,7 +371,7 @@
         Served::Now
     }
 
-    fn refuse(&self, bad: BadMessage) -> Reply {
+    fn reject_malformed(&self, bad: BadMessage) -> Reply {
         problem(bad.status, bad.why)
     }
 }
--- a/src/frontend/features.rs
+++ b/src/frontend/features.rs
@@ -404,7 +404,7 @@
 
 impl Asker {
     fn of(out: &Answer) -> Self {
-        Self { client: out.client(), asked_at: out.asked_at() }
+        Self { client: out.client(), asked_at: out.received_at() }
     }
 }
 
@@ -578,7 +578,7 @@
         Served::Now
     }
 
-    fn refuse(&self, bad: BadMessage) -> Reply {
+    fn reject_malformed(&self, bad: BadMessage) -> Reply {
         problem(bad.status, bad.why)
     }
 }
--- /dev/null
+++ b/src/frontend/http_server/reader.rs
@@ -0,0 +1,288 @@
+//! The reader of a client connection: takes requests out of what is received, one at a time.
+//!
+//! A client may send the next request before the answer to the one before. Such a request waits in the buffer, but the
+//! connection is read on meanwhile, so that a client that disconnects is noticed.
+
+use std::io;
+use std::ops::ControlFlow;
+use std::time::{Duration, Instant};
+
+use may::sync::mpsc::{Receiver, Sender};
+
+use super::answer::{Answer, AnswerForm, OutboundAnswer, PendingRequest};
+use super::client_task::ClientTask;
+use super::Served;
+use crate::api::Nanos;
+use crate::counters::Counters;
+use crate::frontend::arrival_times::ArrivalTimes;
+use crate::net::http::{self, BadMessage, Request, RequestReader};
+use crate::net::messages::REQUEST_LOG_TARGET;
+
+/// How often the connection of a client that has sent ahead is read while its request is pending.
+const READ_AHEAD_INTERVAL: Duration = Duration::from_millis(25);
+
+/// Why nothing more is read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ReadEnd {
+    /// Nothing more is served, but the client may still be sending.
+    Finished,
+    /// The client has disconnected.
+    Disconnected,
+}
+
+/// Whether the loop goes on.
+type Flow<T = ()> = ControlFlow<ReadEnd, T>;
+
+/// The end of a connection on which nothing more is served.
+const FINISHED: ReadEnd = ReadEnd::Finished;
+
+/// Reads the requests of one client connection.
+pub(super) struct RequestLoop<'a> {
+    task: &'a ClientTask,
+    /// To the connection's writer.
+    answers: &'a Sender<OutboundAnswer>,
+    /// From the writer: an answer is written, and whether the connection stays open.
+    answers_written: &'a Receiver<bool>,
+    requests: RequestReader,
+    arrivals: ArrivalTimes,
+    /// The request that is not yet answered.
+    pending: Option<Served>,
+    /// As much has been sent ahead as may be: what follows is dropped, and the connection ends with the pending answer.
+    is_read_ahead_full: bool,
+    /// Whether the last read has succeeded.
+    has_just_read: bool,
+    /// When the request that is being read began; the first one begins with the connection.
+    request_began: Option<Instant>,
+}
+
+impl<'a> RequestLoop<'a> {
+    pub(super) fn new(
+        task: &'a ClientTask,
+        answers: &'a Sender<OutboundAnswer>,
+        answers_written: &'a Receiver<bool>,
+    ) -> Self {
+        Self {
+            task,
+            answers,
+            answers_written,
+            requests: RequestReader::default(),
+            arrivals: ArrivalTimes::default(),
+            pending: None,
+            is_read_ahead_full: false,
+            has_just_read: false,
+            request_began: Some(Instant::now()),
+        }
+    }
+
+    /// Reads requests to the end of the connection.
+    pub(super) fn run(mut self, buffer: &mut [u8]) -> ReadEnd {
+        let end = loop {
+            if let ControlFlow::Break(end) = self.step(buffer) {
+                break end;
+            }
+        };
+        if end == ReadEnd::Disconnected {
+            self.handle_disconnect();
+        }
+        end
+    }
+
+    /// Takes the next request, or else reads once.
+    fn step(&mut self, buffer: &mut [u8]) -> Flow {
+        let has_sent_ahead = self.pending.is_some() && self.requests.begun();
+        self.take_written_answer(has_sent_ahead)?;
+        let timeout = if self.pending.is_some() {
+            self.pending_read_timeout(has_sent_ahead)
+        } else {
+            if let Some(request) = self.next_request()? {
+                return self.begin_request(request);
+            }
+            self.request_read_timeout()?
+        };
+        let read = self.read(buffer, timeout);
+        self.has_just_read = read.is_ok();
+        if has_sent_ahead && self.has_just_read {
+            // Lets others run between the reads of a client that sends ahead.
+            may::coroutine::yield_now();
+        }
+        self.task.connection.stream.yield_if_busy();
+        self.handle_read(read, buffer)
+    }
+
+    /// Notes that the pending request has been answered, if it has.
+    fn take_written_answer(&mut self, has_sent_ahead: bool) -> Flow {
+        if self.pending.is_none() {
+            return Flow::Continue(());
+        }
+        let written = if has_sent_ahead && !self.has_just_read {
+            self.answers_written.recv_timeout(READ_AHEAD_INTERVAL).ok()
+        } else {
+            self.answers_written.try_recv().ok()
+        };
+        let Some(stays_open) = written else { return Flow::Continue(()) };
+        self.pending = None;
+        self.request_began = self.requests.begun().then(Instant::now);
+        if stays_open {
+            Flow::Continue(())
+        } else {
+            Flow::Break(FINISHED)
+        }
+    }
+
+    /// The next complete request, if one has been received.
+    fn next_request(&mut self) -> Flow<Option<Request>> {
+        let next = self.requests.next(&self.task.context.limits);
+        let is_partial = self.requests.begun();
+        self.task.connection.state().set_partial_request(is_partial);
+        match next {
+            Ok(None) if self.is_read_ahead_full => Flow::Break(FINISHED),
+            Ok(request) => Flow::Continue(request),
+            Err(bad) => Flow::Break(self.reject_malformed(bad)),
+        }
+    }
+
+    /// Has a request served, unless the connection has ended.
+    fn begin_request(&mut self, request: Request) -> Flow {
+        if !self.task.connection.state().begin_request() {
+            return Flow::Break(FINISHED);
+        }
+        self.request_began = self.requests.begun().then(Instant::now);
+        let received_at = self.arrivals.taken(self.requests.held(), self.task.context.service.now());
+        self.pending = Some(self.serve(request, received_at));
+        Flow::Continue(())
+    }
+
+    /// How long to wait for bytes while a request is pending.
+    fn pending_read_timeout(&self, has_sent_ahead: bool) -> Duration {
+        if has_sent_ahead {
+            Duration::ZERO
+        } else {
+            self.task.context.limits.linger
+        }
+    }
+
+    /// How long to wait for bytes of the next request. The connection ends if its time for that is over.
+    fn request_read_timeout(&mut self) -> Flow<Duration> {
+        let limits = &self.task.context.limits;
+        let left =
+            self.request_began.map(|began| limits.request_read_timeout.saturating_sub(began.elapsed()));
+        if left.is_some_and(|left| left.is_zero()) {
+            if self.requests.begun() {
+                return Flow::Break(self.reject_malformed(http::TOO_SLOW));
+            }
+            if self.end_connection() {
+                return Flow::Break(FINISHED);
+            }
+        }
+        Flow::Continue(left.unwrap_or(limits.client_idle))
+    }
+
+    fn read(&self, buffer: &mut [u8], timeout: Duration) -> io::Result<usize> {
+        let connection = &self.task.connection;
+        if !timeout.is_zero() {
+            connection.stream.wait_readable(timeout)?;
+        }
+        connection.read(buffer)
+    }
+
+    fn handle_read(&mut self, read: io::Result<usize>, buffer: &[u8]) -> Flow {
+        match read {
+            Ok(0) => return Flow::Break(ReadEnd::Disconnected),
+            Ok(_) if self.is_read_ahead_full => {}
+            Ok(count) => self.push(&buffer[..count]),
+            Err(error) => match error.kind() {
+                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted => {}
+                io::ErrorKind::TimedOut => {
+                    let is_idle = self.pending.is_none() && self.request_began.is_none();
+                    if is_idle && self.end_connection() {
+                        return Flow::Break(FINISHED);
+                    }
+                }
+                _ => return Flow::Break(ReadEnd::Disconnected),
+            },
+        }
+        Flow::Continue(())
+    }
+
+    fn push(&mut self, bytes: &[u8]) {
+        self.request_began = self.request_began.or_else(|| Some(Instant::now()));
+        self.requests.push(bytes);
+        self.arrivals.came(bytes.len(), self.task.context.service.now());
+        self.is_read_ahead_full =
+            self.pending.is_some() && self.requests.held() >= self.task.context.limits.read_ahead;
+    }
+
+    /// Ends the connection unless any part of a request has come; returns whether it has ended.
+    fn end_connection(&self) -> bool {
+        self.task.connection.end(self.task.context.service.now())
+    }
+
+    /// Abandons the pending query of a client that has disconnected.
+    fn handle_disconnect(&self) {
+        self.task.connection.stream.shutdown();
+        let is_unanswered = self.answers_written.try_recv().is_err();
+        match self.pending {
+            Some(Served::Later(query)) if is_unanswered => {
+                log::debug!(
+                    target: REQUEST_LOG_TARGET,
+                    connection = self.task.key, query = query.0;
+                    "client disconnected"
+                );
+                self.log_unanswered(Some(query.0));
+                self.task.context.core.client_disconnected(query);
+            }
+            _ if self.requests.begun() => self.log_unanswered(None),
+            _ => {}
+        }
+    }
+
+    /// Logs how far the request had come of a client that disconnected without its answer.
+    fn log_unanswered(&self, query: Option<u64>) {
+        let Some(occurrences) = self.task.context.service.client_left_unanswered() else { return };
+        log::info!(
+            connection = self.task.key, query = query, received_bytes = self.requests.held(),
+            occurrences = occurrences;
+            "client disconnected without an answer"
+        );
+    }
+
+    /// Answers input that is not a valid request; the connection is closed after it.
+    fn reject_malformed(&self, bad: BadMessage) -> ReadEnd {
+        if self.task.connection.state().begin_request() {
+            Counters::add(&self.task.context.core.counters.bad_requests);
+            let now = self.task.context.service.now();
+            let reply = self.task.frontend.reject_malformed(bad);
+            self.answer(now, AnswerForm::default()).send(reply);
+            // The writer tells of each answer before it ends.
+            let _ = self.answers_written.recv();
+        }
+        FINISHED
+    }
+
+    fn serve(&self, request: Request, received_at: Nanos) -> Served {
+        let form = AnswerForm {
+            keep_alive: request.keep_alive,
+            head_only: request.method == "HEAD",
+            accepts_chunks: request.chunks,
+        };
+        let served = self.task.frontend.serve(request, self.answer(received_at, form));
+        if let Served::Later(query) = served {
+            log::debug!(
+                target: REQUEST_LOG_TARGET,
+                connection = self.task.key, query = query.0;
+                "request read"
+            );
+        }
+        served
+    }
+
+    fn answer(&self, received_at: Nanos, form: AnswerForm) -> Answer {
+        let service = self.task.context.service.clone();
+        Answer {
+            writer: self.answers.clone(),
+            received_at,
+            form,
+            pending: PendingRequest::new(service, self.task.connection.clone()),
+        }
+    }
+}
--- /dev/null
+++ b/src/frontend/http_server/reply.rs
@@ -0,0 +1,28 @@
+//! The reply to a request, independent of the connection it goes to.
+
+/// A reply: its status, headers and body, without the headers that concern the connection.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Reply {
+    /// Status.
+    pub status: u16,
+    /// Content type.
+    pub kind: &'static str,
+    /// Further header lines, each ended by CR LF.
+    pub more: String,
+    /// Body.
+    pub body: Vec<u8>,
+}
+
+impl Reply {
+    /// A plain line of text.
+    pub fn text(status: u16, text: &str) -> Self {
+        Self { status, kind: "text/plain", more: String::new(), body: format!("{text}\n").into_bytes() }
+    }
+
+    /// The same reply with a further header line.
+    #[must_use]
+    pub fn with(mut self, name: &str, value: &str) -> Self {
+        self.more.push_str(&format!("{name}: {value}\r\n"));
+        self
+    }
+}
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -145,7 +145,7 @@
             out.send(self.health(&request.method));
             return Served::Now;
         }
-        match self.ask(&request, out.asked_at()) {
+        match self.ask(&request, out.received_at()) {
             Ok(ask) => {
                 let ask = QueryRequest { client: out.client(), ..ask };
                 let hold_off = self.core.queue_full_retry_after();
@@ -160,7 +160,7 @@
         }
     }
 
-    fn refuse(&self, bad: BadMessage) -> Reply {
+    fn reject_malformed(&self, bad: BadMessage) -> Reply {
         Reply::text(bad.status, bad.why)
     }
 }
