--- a/src/frontend/accept.rs
+++ b/src/frontend/accept.rs
@@ -1,4 +1,4 @@
-//! Errors of `accept`: none of them ends a listener or keeps it busy, and a line tells of them once in a while.
+//! Errors of `accept`: none of them ends a listener or keeps it busy, and they are logged at a limited rate.
 
 use std::io::{Error, ErrorKind};
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use crate::api::Nanos;
 use crate::net::log_limit::LogRateLimit;
 
-/// Between two tries where the system lacks something: descriptors, memory, a network.
-const LACK_PAUSE: Duration = Duration::from_millis(10);
+/// Between two attempts while the system lacks descriptors, memory or a network.
+const RESOURCE_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a listener has met, and how soon it tries again.
+/// Logs the errors of one listener, and decides how soon it tries again.
 #[derive(Debug)]
 pub struct AcceptErrors {
     listener: &'static str,
@@ -17,25 +17,25 @@
 }
 
 impl AcceptErrors {
-    /// None so far at the listener of this name; a line in `interval` at most.
-    pub fn new(listener: &'static str, interval: Nanos) -> Self {
-        Self { listener, log: LogRateLimit::new(interval) }
+    /// No errors so far at the listener of this name. It logs at most once in `log_interval`.
+    pub fn new(listener: &'static str, log_interval: Nanos) -> Self {
+        Self { listener, log: LogRateLimit::new(log_interval) }
     }
 
-    /// Takes note of one at `now`; returns how long to wait before the next try.
+    /// Records an error at `now`; returns how long to wait before the next attempt.
     pub fn met(&mut self, now: Nanos, error: &Error) -> Duration {
-        if let Some(times) = self.log.occurred(now) {
-            log::warn!("accept at the {}: {error} (errors since the last such line: {times})", self.listener);
+        if let Some(occurrences) = self.log.occurred(now) {
+            log::warn!(listener = self.listener, error:% = error, occurrences = occurrences; "accept failed");
         }
-        pause(error)
+        retry_pause(error)
     }
 }
 
-/// One connection that was lost before it was accepted, or a call that was interrupted, says nothing of the next one.
-fn pause(error: &Error) -> Duration {
+/// How long to wait after an error: not at all after one that concerns a single connection or call.
+fn retry_pause(error: &Error) -> Duration {
     match error.kind() {
         ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted => Duration::ZERO,
-        _ => LACK_PAUSE,
+        _ => RESOURCE_RETRY_PAUSE,
     }
 }
 
--- a/src/frontend/accept/tests.rs
+++ b/src/frontend/accept/tests.rs
@@ -14,17 +14,17 @@
 const TIMED_OUT: i32 = 110;
 const HOST_UNREACHABLE: i32 = 113;
 
-/// Guards the next connections: what was lost with one does not hold them up.
+/// Guards the next connections: they do not wait for one that was lost.
 #[test]
-fn what_concerns_one_connection_does_not_hold_up_the_next() {
+fn an_error_of_one_connection_does_not_delay_the_next() {
     for number in [INTERRUPTED, ABORTED] {
-        assert_eq!(pause(&Error::from_raw_os_error(number)), Duration::ZERO, "{number}");
+        assert_eq!(retry_pause(&Error::from_raw_os_error(number)), Duration::ZERO, "{number}");
     }
 }
 
-/// Guards against a loop that is busy while something is lacking, and against one that is late once it is there again.
+/// Guards against a loop that is busy while a resource is lacking, and against one that is late once it is back.
 #[test]
-fn what_lasts_is_tried_again_after_a_short_pause() {
+fn a_lasting_error_is_retried_after_a_short_pause() {
     for number in [
         NO_MEMORY,
         TABLE_FULL,
@@ -36,19 +36,19 @@
         TIMED_OUT,
         HOST_UNREACHABLE,
     ] {
-        let pause = pause(&Error::from_raw_os_error(number));
+        let pause = retry_pause(&Error::from_raw_os_error(number));
         assert!(pause > Duration::ZERO && pause <= Duration::from_millis(20), "{number}: {pause:?}");
     }
 }
 
-/// Guards the log against a line with each try.
+/// Guards the log against a line with each attempt.
 #[test]
-fn errors_are_told_once_in_a_while() {
+fn errors_are_logged_at_a_limited_rate() {
     let mut errors = AcceptErrors::new("front", 10 * SECOND);
-    let lack = Error::from_raw_os_error(TOO_MANY_OPEN);
+    let no_descriptor = Error::from_raw_os_error(TOO_MANY_OPEN);
     let lines = (0..1000).filter(|&n| {
         let due = errors.log.occurred(n * SECOND / 100).is_some();
-        assert_eq!(pause(&lack), LACK_PAUSE);
+        assert_eq!(retry_pause(&no_descriptor), RESOURCE_RETRY_PAUSE);
         due
     });
     assert_eq!(lines.count(), 1);
--- a/src/frontend/arrival_times.rs
+++ b/src/frontend/arrival_times.rs
@@ -1,49 +1,53 @@
-//! When the bytes came that a connection holds: a request that was sent ahead waits for the answers before it, and its
-//! client's time runs meanwhile. Pure: the time is told.
+//! When the buffered bytes of a connection arrived: a request that was sent ahead waits for the answers before it, and its
+//! client's time runs meanwhile. Pure: the time is passed in.
 
 use std::collections::VecDeque;
 
 use crate::api::Nanos;
 
-/// Bytes that came within this count as come with the first of them: the client then has that much less time at most.
-const STEP: Nanos = 5_000_000;
+/// Bytes that arrive within this time count as arrived with the first of them, in nanoseconds.
+const COALESCING_NS: Nanos = 5_000_000;
 
-/// Bytes of a connection, and when they came.
+/// The bytes of a connection, and when they arrived.
 #[derive(Debug, Default)]
 pub struct ArrivalTimes {
     /// All bytes so far.
-    came: u64,
-    /// Bytes up to here came then; the oldest first, and only those that are held.
-    marks: VecDeque<Mark>,
+    received_bytes: u64,
+    /// The bytes that are buffered, in the order of their arrival.
+    runs: VecDeque<Run>,
 }
 
+/// Bytes that arrived together.
 #[derive(Debug, Clone, Copy)]
-struct Mark {
+struct Run {
+    /// The position behind the last of them.
     end: u64,
-    at: Nanos,
+    arrived_at: Nanos,
 }
 
 impl ArrivalTimes {
-    /// So many bytes have come.
-    pub fn came(&mut self, bytes: usize, now: Nanos) {
-        self.came += bytes as u64;
-        match self.marks.back_mut() {
-            Some(last) if now.saturating_sub(last.at) < STEP => last.end = self.came,
-            _ => self.marks.push_back(Mark { end: self.came, at: now }),
+    /// Records that so many bytes have arrived.
+    pub fn record(&mut self, bytes: usize, now: Nanos) {
+        self.received_bytes += bytes as u64;
+        match self.runs.back_mut() {
+            Some(last) if now.saturating_sub(last.arrived_at) < COALESCING_NS => {
+                last.end = self.received_bytes;
+            }
+            _ => self.runs.push_back(Run { end: self.received_bytes, arrived_at: now }),
         }
     }
 
-    /// A request has been taken out, and so many bytes are still held: when its last byte came, `now` if none did.
-    pub fn taken(&mut self, held: usize, now: Nanos) -> Nanos {
-        let end = self.came.saturating_sub(held as u64);
-        while self.marks.front().is_some_and(|m| m.end < end) {
-            self.marks.pop_front();
+    /// Takes out a request that leaves so many bytes buffered. Returns when its last byte arrived; `now` if none did.
+    pub fn take_request(&mut self, buffered: usize, now: Nanos) -> Nanos {
+        let end = self.received_bytes.saturating_sub(buffered as u64);
+        while self.runs.front().is_some_and(|run| run.end < end) {
+            self.runs.pop_front();
         }
-        let at = self.marks.front().map_or(now, |m| m.at);
-        if held == 0 {
-            self.marks.clear();
+        let arrived_at = self.runs.front().map_or(now, |run| run.arrived_at);
+        if buffered == 0 {
+            self.runs.clear();
         }
-        at
+        arrived_at
     }
 }
 
--- a/src/frontend/arrival_times/tests.rs
+++ b/src/frontend/arrival_times/tests.rs
@@ -6,34 +6,34 @@
 #[test]
 fn each_request_counts_from_its_last_byte() {
     let mut arrivals = ArrivalTimes::default();
-    arrivals.came(100, 10 * MS);
-    arrivals.came(40, 200 * MS);
-    arrivals.came(60, 500 * MS);
+    arrivals.record(100, 10 * MS);
+    arrivals.record(40, 200 * MS);
+    arrivals.record(60, 500 * MS);
     // 100 bytes are one request, the next 100 another.
-    assert_eq!(arrivals.taken(100, 900 * MS), 10 * MS);
-    assert_eq!(arrivals.taken(0, 900 * MS), 500 * MS);
-    arrivals.came(100, 1000 * MS);
-    assert_eq!(arrivals.taken(0, 1000 * MS), 1000 * MS);
+    assert_eq!(arrivals.take_request(100, 900 * MS), 10 * MS);
+    assert_eq!(arrivals.take_request(0, 900 * MS), 500 * MS);
+    arrivals.record(100, 1000 * MS);
+    assert_eq!(arrivals.take_request(0, 1000 * MS), 1000 * MS);
 }
 
 /// Two in one read, and one whose last byte begins the next read.
 #[test]
 fn requests_may_be_cut_anywhere() {
     let mut arrivals = ArrivalTimes::default();
-    arrivals.came(150, 10 * MS);
-    assert_eq!(arrivals.taken(100, 20 * MS), 10 * MS);
-    assert_eq!(arrivals.taken(50, 20 * MS), 10 * MS);
-    arrivals.came(1, 100 * MS);
-    arrivals.came(49, 200 * MS);
-    assert_eq!(arrivals.taken(49, 300 * MS), 100 * MS);
+    arrivals.record(150, 10 * MS);
+    assert_eq!(arrivals.take_request(100, 20 * MS), 10 * MS);
+    assert_eq!(arrivals.take_request(50, 20 * MS), 10 * MS);
+    arrivals.record(1, 100 * MS);
+    arrivals.record(49, 200 * MS);
+    assert_eq!(arrivals.take_request(49, 300 * MS), 100 * MS);
 }
 
-/// Guards against a mark for each byte of a client that sends them one by one.
+/// Guards against an entry for each byte of a client that sends them one by one.
 #[test]
-fn bytes_that_come_together_share_a_mark() {
+fn bytes_that_arrive_together_share_an_entry() {
     let mut arrivals = ArrivalTimes::default();
-    (0..10_000).for_each(|n| arrivals.came(1, n * MS / 100));
-    assert!(arrivals.marks.len() <= 21, "{}", arrivals.marks.len());
-    assert_eq!(arrivals.taken(0, 100 * MS), 95 * MS);
-    assert!(arrivals.marks.is_empty());
+    (0..10_000).for_each(|n| arrivals.record(1, n * MS / 100));
+    assert!(arrivals.runs.len() <= 21, "{}", arrivals.runs.len());
+    assert_eq!(arrivals.take_request(0, 100 * MS), 95 * MS);
+    assert!(arrivals.runs.is_empty());
 }
--- a/src/frontend/http_server/reader.rs
+++ b/src/frontend/http_server/reader.rs
@@ -147,7 +147,7 @@
             return Flow::Break(FINISHED);
         }
         self.request_began = self.requests.begun().then(Instant::now);
-        let received_at = self.arrivals.taken(self.requests.held(), self.task.context.service.now());
+        let received_at = self.arrivals.take_request(self.requests.held(), self.task.context.service.now());
         self.pending = Some(self.serve(request, received_at));
         Flow::Continue(())
     }
@@ -207,7 +207,7 @@
     fn push(&mut self, bytes: &[u8]) {
         self.request_began = self.request_began.or_else(|| Some(Instant::now()));
         self.requests.push(bytes);
-        self.arrivals.came(bytes.len(), self.task.context.service.now());
+        self.arrivals.record(bytes.len(), self.task.context.service.now());
         self.is_read_ahead_full =
             self.pending.is_some() && self.requests.held() >= self.task.context.limits.read_ahead;
     }
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,11 +1,11 @@
-//! The platform's protocol: one `POST` a query, its class the path's first part.
+//! The frontend of the platform's protocol: each `POST` is a query, whose class is the first segment of the path.
+
+mod wire;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use serde::{Deserialize, Serialize};
-
-use crate::api::{Nanos, ShardId};
+use crate::api::Nanos;
 use crate::counters::Counters;
 use crate::engine::{ClientLiveness, QueryOutcome, QueryRequest, RejectReason, ResponseValidator};
 use crate::frontend::http_server::{Answer, Frontend, Reply, Served, Service};
@@ -13,11 +13,12 @@
 use crate::net::coordinator::CoreHandle;
 use crate::net::http::{BadMessage, Request};
 use crate::runtime::nanos;
+use wire::QueryBody;
 
-const HEALTH: &str = "/_health";
-const ID_BYTES: usize = 128;
+const HEALTH_PATH: &str = "/_health";
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// The front of the platform's protocol.
+/// The frontend of the platform's protocol.
 pub struct Platform {
     /// The core.
     pub core: CoreHandle,
@@ -27,134 +28,74 @@
     pub service: Arc<Service>,
 }
 
-#[derive(Debug, Deserialize, PartialEq)]
-struct Body {
-    parts: Vec<BodyPart>,
-    expr: String,
-}
-
-#[derive(Debug, Deserialize, PartialEq)]
-struct BodyPart {
-    id: u32,
-    w: f64,
-}
-
-#[derive(Serialize)]
-struct Served200<'a> {
-    exact: bool,
-    rows: Vec<RowOut<'a>>,
-}
-
-#[derive(Serialize)]
-struct RowOut<'a> {
-    id: u32,
-    data: &'a str,
-}
-
-/// A number followed by `m` (milliseconds) or `u` (microseconds).
-fn timeout(text: &str) -> Option<Duration> {
-    let unit = text.chars().last()?;
-    let number: f64 = text.strip_suffix(unit)?.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)?;
-    let seconds = match unit {
-        'm' => number / 1e3,
-        'u' => number / 1e6,
-        _ => return None,
-    };
-    Duration::try_from_secs_f64(seconds).ok()
-}
-
-/// `Retry-After` in decimal seconds.
-fn retry_after(reply: Reply, hold_off: Nanos) -> Reply {
-    match hold_off {
-        0 => reply,
-        n => reply.with("Retry-After", &format!("{:.3}", n as f64 / 1e9)),
-    }
-}
-
-fn answer(ended: Result<QueryOutcome, RejectReason>, full_hold_off: Nanos) -> Reply {
-    match ended {
-        Ok(QueryOutcome::Answered { complete, rows, .. }) => {
-            let rows = rows.iter().map(|r| RowOut { id: r.shard.0, data: &r.data }).collect();
-            match serde_json::to_vec(&Served200 { exact: complete, rows }) {
-                Ok(body) => Reply { status: 200, kind: "application/json", more: String::new(), body },
-                Err(_) => Reply::text(500, "the answer cannot be written"),
-            }
-        }
-        Ok(QueryOutcome::Rejected { retry_after: hold_off }) => {
-            retry_after(Reply::text(503, "refused"), hold_off)
-        }
-        Ok(QueryOutcome::Failed) => Reply::text(504, "given up"),
-        Err(RejectReason::QueueFull) => retry_after(Reply::text(503, "over the limit"), full_hold_off),
-        Err(RejectReason::DeadlinePassed) => Reply::text(503, "no time is left"),
-        Err(RejectReason::InvalidParts) => {
-            Reply::text(400, "parts: at least one, each shard once, their weights 1")
-        }
-        Err(RejectReason::DuplicateName) => Reply::text(409, "X-Request-ID: a request of this id is open"),
-        Err(RejectReason::UnknownClass) => Reply::text(404, "unknown class"),
-    }
-}
-
 impl Platform {
-    fn ask(&self, request: &Request, asked_at: Nanos) -> Result<QueryRequest, Reply> {
-        let class = request.path.split('/').nth(1).unwrap_or("");
-        let info = self.core.deployment();
-        let class = info.class_named(class).ok_or_else(|| Reply::text(404, "unknown class"))?;
+    /// The query that a request asks for, or the reply to a request that is not valid.
+    fn query_request(
+        &self,
+        request: &Request,
+        received_at: Nanos,
+        client: ClientLiveness,
+    ) -> Result<QueryRequest, Reply> {
+        let deployment = self.core.deployment();
+        let class_name = request.path.split('/').nth(1).unwrap_or("");
+        let class = deployment.class_named(class_name).ok_or_else(|| Reply::text(404, "unknown class"))?;
         if request.method != "POST" {
             return Err(Reply::text(405, "queries are sent by POST").with("Allow", "POST"));
         }
-        let name = request.headers.get("x-request-id").unwrap_or("");
-        if name.is_empty() || name.len() > ID_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(Reply::text(400, "X-Request-ID: 1 to 128 visible characters are needed"));
-        }
-        let wait = match request.headers.get("x-timeout") {
-            Some(text) => timeout(text)
-                .filter(|t| *t <= self.limits.max_client_timeout)
-                .ok_or_else(|| Reply::text(400, "X-Timeout: a number and m or u, an hour at most"))?,
-            None => Duration::from_nanos(info.settings.classes[class.0].deadline),
-        };
-        let body: Body = serde_json::from_slice(&request.body)
-            .map_err(|e| Reply::text(400, &format!("the body is not as expected: {e}")))?;
-        let wait = nanos(wait.saturating_sub(self.limits.answer_margin));
+        let name = request_id(request)?.to_string();
+        let class_deadline = Duration::from_nanos(deployment.settings.classes[class.0].deadline);
+        let timeout = self.client_timeout(request)?.unwrap_or(class_deadline);
+        let body: QueryBody = serde_json::from_slice(&request.body)
+            .map_err(|error| Reply::text(400, &format!("the body is not as expected: {error}")))?;
+        let time_left = nanos(timeout.saturating_sub(self.limits.answer_margin));
         Ok(QueryRequest {
-            name: name.to_string(),
+            name,
             class,
             is_retry: request.headers.get("x-retried") == Some("1"),
-            deadline: asked_at.saturating_add(wait),
-            parts: body.parts.iter().map(|p| (ShardId(p.id), p.w)).collect(),
-            text: body.expr.into(),
+            deadline: received_at.saturating_add(time_left),
+            parts: body.parts.iter().map(|part| part.shard_weight()).collect(),
+            text: body.text.into(),
             part_texts: Vec::new(),
             validator: ResponseValidator::default(),
-            client: ClientLiveness::default(),
+            client,
         })
     }
 
+    /// The timeout that the client names, if it names one.
+    fn client_timeout(&self, request: &Request) -> Result<Option<Duration>, Reply> {
+        let Some(text) = request.headers.get("x-timeout") else { return Ok(None) };
+        parse_timeout(text)
+            .filter(|timeout| *timeout <= self.limits.max_client_timeout)
+            .map(Some)
+            .ok_or_else(|| Reply::text(400, "X-Timeout: a number and m or u, an hour at most"))
+    }
+
     fn health(&self, method: &str) -> Reply {
-        match method {
-            "GET" | "HEAD" => match self.service.why_not(&self.core) {
-                None => Reply::text(200, "ok"),
-                Some(why) => Reply::text(503, why),
-            },
-            _ => Reply::text(405, "health is read by GET").with("Allow", "GET, HEAD"),
+        if !matches!(method, "GET" | "HEAD") {
+            return Reply::text(405, "health is read by GET").with("Allow", "GET, HEAD");
+        }
+        match self.service.why_not(&self.core) {
+            None => Reply::text(200, "ok"),
+            Some(reason) => Reply::text(503, reason),
         }
     }
 }
 
 impl Frontend for Platform {
-    fn serve(&self, request: Request, out: Answer) -> Served {
-        if request.path == HEALTH {
-            out.send(self.health(&request.method));
+    fn serve(&self, request: Request, answer: Answer) -> Served {
+        if request.path == HEALTH_PATH {
+            answer.send(self.health(&request.method));
             return Served::Now;
         }
-        match self.ask(&request, out.received_at()) {
-            Ok(ask) => {
-                let ask = QueryRequest { client: out.client(), ..ask };
-                let hold_off = self.core.queue_full_retry_after();
-                let reply = Box::new(move |ended| out.send(answer(ended, hold_off)));
-                Served::Later(self.core.submit(ask, reply))
+        match self.query_request(&request, answer.received_at(), answer.client()) {
+            Ok(query) => {
+                let queue_full_retry_after = self.core.queue_full_retry_after();
+                let reply = Box::new(move |ended| answer.send(query_reply(ended, queue_full_retry_after)));
+                Served::Later(self.core.submit(query, reply))
             }
             Err(reply) => {
                 Counters::add(&self.core.counters.bad_requests);
-                out.send(reply);
+                answer.send(reply);
                 Served::Now
             }
         }
@@ -165,5 +106,61 @@
     }
 }
 
+/// The id that the client gave to a request.
+fn request_id(request: &Request) -> Result<&str, Reply> {
+    let id = request.headers.get("x-request-id").unwrap_or("");
+    let is_visible = id.bytes().all(|byte| byte.is_ascii_graphic());
+    if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES || !is_visible {
+        return Err(Reply::text(400, "X-Request-ID: 1 to 128 visible characters are needed"));
+    }
+    Ok(id)
+}
+
+/// A number followed by `m` (milliseconds) or `u` (microseconds).
+fn parse_timeout(text: &str) -> Option<Duration> {
+    let unit = text.chars().last()?;
+    let number: f64 = text.strip_suffix(unit)?.parse().ok()?;
+    if !number.is_finite() || number < 0.0 {
+        return None;
+    }
+    let seconds = match unit {
+        'm' => number / 1e3,
+        'u' => number / 1e6,
+        _ => return None,
+    };
+    Duration::try_from_secs_f64(seconds).ok()
+}
+
+/// The reply to a query that has ended, or that the core did not accept.
+fn query_reply(ended: Result<QueryOutcome, RejectReason>, queue_full_retry_after: Nanos) -> Reply {
+    match ended {
+        Ok(QueryOutcome::Answered { complete, rows, .. }) => match wire::answer_body(complete, &rows) {
+            Ok(body) => Reply { status: 200, kind: "application/json", more: String::new(), body },
+            Err(_) => Reply::text(500, "the answer cannot be written"),
+        },
+        Ok(QueryOutcome::Rejected { retry_after }) => {
+            with_retry_after(Reply::text(503, "refused"), retry_after)
+        }
+        Ok(QueryOutcome::Failed) => Reply::text(504, "given up"),
+        Err(RejectReason::QueueFull) => {
+            with_retry_after(Reply::text(503, "over the limit"), queue_full_retry_after)
+        }
+        Err(RejectReason::DeadlinePassed) => Reply::text(503, "no time is left"),
+        Err(RejectReason::InvalidParts) => {
+            Reply::text(400, "parts: at least one, each shard once, their weights 1")
+        }
+        Err(RejectReason::DuplicateName) => Reply::text(409, "X-Request-ID: a request of this id is open"),
+        Err(RejectReason::UnknownClass) => Reply::text(404, "unknown class"),
+    }
+}
+
+/// Adds `Retry-After` in decimal seconds, unless the client may retry at once.
+fn with_retry_after(reply: Reply, retry_after: Nanos) -> Reply {
+    match retry_after {
+        0 => reply,
+        wait => reply.with("Retry-After", &format!("{:.3}", wait as f64 / 1e9)),
+    }
+}
+
 #[cfg(test)]
 mod tests;
