--- a/src/frontend/aggregation.rs
+++ b/src/frontend/aggregation.rs
@@ -23,7 +23,9 @@
 use crate::counters::Counters;
 use crate::engine::{QueryOutcome, QueryRequest, RejectReason, ResponseValidator};
 use crate::frontend::http_server::{Answer, Frontend, Reply, Served};
-use crate::frontend::problem::{problem, retry_after, unix_now, unserved, valid_until, PROBLEM};
+use crate::frontend::problem::{
+    problem, query_deadline, unanswered_reply, unix_now, with_retry_after, PROBLEM_MEDIA_TYPE,
+};
 use crate::limits::Limits;
 use crate::net::coordinator::{CoreHandle, OnEndpointsStarted};
 use crate::net::http::{self, BadMessage, Request};
@@ -101,7 +103,7 @@
     let title = http::reason(400);
     let body =
         json!({"type": "about:blank", "title": title, "status": 400, "detail": detail, "field": field});
-    Reply { status: 400, kind: PROBLEM, more: String::new(), body: body.to_string().into_bytes() }
+    Reply { status: 400, kind: PROBLEM_MEDIA_TYPE, more: String::new(), body: body.to_string().into_bytes() }
 }
 
 /// One query, on its way to the core and back.
@@ -253,7 +255,7 @@
             name: format!("d{:016x}", self.next.fetch_add(1, Ordering::Relaxed)),
             class,
             is_retry: false,
-            deadline: valid_until(&self.core, &self.limits, class, wait, out.received_at()),
+            deadline: query_deadline(&self.core, &self.limits, class, wait, out.received_at()),
             parts: (0..ranges).map(|r| (ShardId(r), share)).collect(),
             text: "".into(),
             part_texts,
@@ -327,7 +329,7 @@
 
     /// The answer to a query that has none, with what was wrong with the values that came.
     fn unserved(&self, ended: &Result<QueryOutcome, RejectReason>) -> Option<Reply> {
-        let reply = unserved(ended, self.core.queue_full_retry_after())?;
+        let reply = unanswered_reply(ended, self.core.queue_full_retry_after())?;
         let merging = lock(&self.merging);
         let seen = merging.refused().next().map(|(range, unfit)| format!("tag range {range}: {unfit}"));
         match (ended, seen) {
@@ -342,7 +344,7 @@
         match fault {
             // What is missing may be back soon: a row that is too large stays.
             Fault::Below(cover) if cover.missing.values().all(|r| r.word() != "row-too-large") => {
-                retry_after(problem(503, &fault.to_string()), self.core.queue_full_retry_after())
+                with_retry_after(problem(503, &fault.to_string()), self.core.queue_full_retry_after())
             }
             Fault::Below(_) => problem(502, &fault.to_string()),
             Fault::Overflow | Fault::Unfit(_) => problem(500, &fault.to_string()),
--- /dev/null
+++ b/src/frontend/features/items.rs
@@ -0,0 +1,161 @@
+//! Requests for the features of a collection, answered page by page.
+
+use serde_json::value::RawValue;
+use serde_json::{json, Value as Json};
+
+use super::documents::link;
+use super::filter::{ItemsFilter, PageStart};
+use super::pages::{by_id, by_offset, RangeFeatures};
+use super::query::{QueryParts, Requester};
+use super::{read_features, CursorSealer, FeaturesFrontend, GEOJSON, JSON};
+use crate::api::ShardId;
+use crate::engine::{QueryOutcome, RejectReason};
+use crate::frontend::http_server::{Answer, Reply, Served};
+use crate::frontend::problem::{problem, unanswered_reply};
+use crate::net::features::Cursor;
+
+impl FeaturesFrontend {
+    /// Answers with one page of the features that pass the filter.
+    pub(super) fn items(
+        &self,
+        base: String,
+        collection: usize,
+        filter: ItemsFilter,
+        answer: Answer,
+    ) -> Served {
+        let id = &self.collections[collection].0.id;
+        let digest = filter.digest(id);
+        let sealer = self.cursor_keys.clone().map(|cursor_keys| CursorSealer { cursor_keys, digest });
+        let path = format!("/collections/{id}/items");
+        let page = ItemsPage { base, path, filter, ranges: self.ranges, sealer };
+        let parts = page.query_parts();
+        let queue_full_retry_after = self.core.queue_full_retry_after();
+        let requester = Requester::of(&answer);
+        let reply = Box::new(move |ended| {
+            answer.send(match unanswered_reply(&ended, queue_full_retry_after) {
+                Some(reply) => reply,
+                None => page.reply(ended),
+            });
+        });
+        self.submit(collection, parts, requester, reply)
+    }
+}
+
+/// One page of features, as it was requested.
+pub(super) struct ItemsPage {
+    /// The base of links.
+    pub(super) base: String,
+    /// The path of the collection's items.
+    pub(super) path: String,
+    pub(super) filter: ItemsFilter,
+    /// The number of tag ranges.
+    pub(super) ranges: u32,
+    /// Seals the cursor of the next page, where pages go by id.
+    pub(super) sealer: Option<CursorSealer>,
+}
+
+/// The features of a page, and the cursors of the page and the next one.
+struct PageContents<'a> {
+    features: Vec<&'a RawValue>,
+    own_cursor: Option<String>,
+    next_cursor: Option<String>,
+}
+
+impl ItemsPage {
+    fn query_parts(&self) -> QueryParts {
+        match &self.filter.start {
+            PageStart::Offset(cursor) => {
+                QueryParts::from_range(cursor.range, self.path_at(Some(&cursor.text())))
+            }
+            PageStart::Ids(reached, _) => QueryParts::by_id(&self.path_at(None), reached, self.filter.limit),
+        }
+    }
+
+    /// The path of the page at a cursor, with the query string.
+    fn path_at(&self, cursor: Option<&str>) -> String {
+        let first_page = format!("{}?{}", self.path, self.filter.query_string());
+        match cursor {
+            Some(cursor) => format!("{first_page}&cursor={cursor}"),
+            None => first_page,
+        }
+    }
+
+    /// The features of all ranges that answered, merged and cut at the limit.
+    pub(super) fn reply(&self, ended: Result<QueryOutcome, RejectReason>) -> Reply {
+        let Ok(QueryOutcome::Answered { complete, rows, .. }) = ended else {
+            return problem(500, "there is no answer");
+        };
+        let mut values: Vec<RangeFeatures> = rows.iter().filter_map(read_features).collect();
+        values.sort_by_key(|(range, _)| *range);
+        if values.is_empty() {
+            return problem(504, "no tag range gave features that can be read");
+        }
+        let contents = match self.contents(&values) {
+            Ok(contents) => contents,
+            Err(reply) => return reply,
+        };
+        let missing = self.missing_ranges(&values);
+        // A range whose value cannot be read is missing, even from a complete answer.
+        let members = json!({
+            "numberReturned": contents.features.len(),
+            "timeStamp": chrono::Utc::now().to_rfc3339_opts(chrono::SecondsFormat::Millis, true),
+            "complete": complete && missing.is_empty(),
+            "missingRanges": missing,
+            "links": self.links(&contents),
+        });
+        let body = feature_collection(&contents.features, &members);
+        Reply { status: 200, kind: GEOJSON, more: String::new(), body }
+    }
+
+    /// The ranges of the query without a readable value.
+    fn missing_ranges(&self, values: &[RangeFeatures]) -> Vec<u32> {
+        let first_range = match &self.filter.start {
+            PageStart::Offset(cursor) => cursor.range.0,
+            PageStart::Ids(..) => 0,
+        };
+        let has_value = |range: u32| values.binary_search_by_key(&ShardId(range), |value| value.0).is_ok();
+        (first_range..self.ranges).filter(|range| !has_value(*range)).collect()
+    }
+
+    fn contents<'a>(&self, values: &'a [RangeFeatures]) -> Result<PageContents<'a>, Reply> {
+        match &self.filter.start {
+            PageStart::Offset(cursor) => {
+                let (features, next) = by_offset(values, *cursor, self.filter.limit);
+                let own_cursor = (*cursor != Cursor::START).then(|| cursor.text());
+                Ok(PageContents { features, own_cursor, next_cursor: next.map(Cursor::text) })
+            }
+            PageStart::Ids(reached, own_cursor) => {
+                let (features, next) = by_id(values, reached, self.filter.limit)
+                    .map_err(|invalid| problem(502, &invalid.to_string()))?;
+                let next_cursor = next.zip(self.sealer.as_ref()).map(|(ranges, sealer)| sealer.seal(ranges));
+                Ok(PageContents { features, own_cursor: own_cursor.clone(), next_cursor })
+            }
+        }
+    }
+
+    fn links(&self, contents: &PageContents) -> Vec<Json> {
+        let base = &self.base;
+        let own_path = self.path_at(contents.own_cursor.as_deref());
+        let collection_path = self.path.trim_end_matches("/items");
+        let mut links = vec![
+            link(base, &own_path, "self", GEOJSON, "This page"),
+            link(base, collection_path, "collection", JSON, "The collection"),
+        ];
+        if let Some(cursor) = &contents.next_cursor {
+            links.push(link(base, &self.path_at(Some(cursor)), "next", GEOJSON, "The next page"));
+        }
+        links
+    }
+}
+
+/// A GeoJSON feature collection with these further members. The features are copied byte for byte.
+fn feature_collection(features: &[&RawValue], members: &Json) -> Vec<u8> {
+    let features: Vec<&str> = features.iter().map(|feature| feature.get()).collect();
+    let members = members.to_string();
+    let body = format!(
+        "{{\"type\":\"FeatureCollection\",\"features\":[{}],{}",
+        features.join(","),
+        members.trim_start_matches('{')
+    );
+    body.into_bytes()
+}
--- /dev/null
+++ b/src/frontend/features/mod.rs
@@ -0,0 +1,166 @@
+//! The frontend of OGC API - Features: feature queries in, GeoJSON out.
+//!
+//! Each request for features becomes one query with a part for each tag range, and its answer is one page. A page follows
+//! the ranges in order, or the ids of the features where the data nodes return them so: see [`pages`]. Where a class may be
+//! answered in part, the ranges that did not answer are named in `missingRanges`, and `complete` is false.
+
+mod documents;
+mod filter;
+mod item;
+mod items;
+pub mod pages;
+mod query;
+mod resource;
+
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+
+use curlewdeck_merge::cursor::{Cursor as MergeCursor, Keys, Reached};
+use serde_json::{json, Value as Json};
+
+use crate::api::{ClassId, ShardId};
+use crate::config::{read_cursor_keys, CollectionConfig, FeaturesConfig, FeaturesConfigError};
+use crate::counters::Counters;
+use crate::engine::Row;
+use crate::frontend::http_server::{Answer, Frontend, Reply, Served};
+use crate::frontend::problem::{problem, unix_now};
+use crate::limits::Limits;
+use crate::net::coordinator::CoreHandle;
+use crate::net::features;
+use crate::net::http::{BadMessage, Request};
+use pages::RangeFeatures;
+use resource::Resource;
+
+const GEOJSON: &str = "application/geo+json";
+const JSON: &str = "application/json";
+const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.0";
+
+/// Query names: the upper half is the seed of the process, the lower half counts.
+const NAME_SEED_MASK: u64 = 0xffff_ffff_0000_0000;
+
+/// The frontend of the feature collections.
+pub struct FeaturesFrontend {
+    core: CoreHandle,
+    limits: Arc<Limits>,
+    /// The base of links, where it is configured.
+    base: Option<String>,
+    collections: Vec<(CollectionConfig, ClassId)>,
+    /// The number of tag ranges.
+    ranges: u32,
+    /// Seals the cursors of pages by id; absent where pages continue at offsets.
+    cursor_keys: Option<CursorKeys>,
+    /// The number in the name of the next query.
+    next_query: AtomicU64,
+}
+
+/// The keys that seal the cursors of pages by id.
+#[derive(Clone)]
+struct CursorKeys {
+    keys: Arc<Keys>,
+    lifetime_s: u64,
+}
+
+/// Seals the cursors of one query.
+struct CursorSealer {
+    cursor_keys: CursorKeys,
+    /// The digest of the query that the cursor is bound to.
+    digest: [u8; 16],
+}
+
+impl CursorSealer {
+    fn seal(&self, ranges: Vec<Reached>) -> String {
+        let until = unix_now().saturating_add(self.cursor_keys.lifetime_s);
+        self.cursor_keys.keys.seal(&MergeCursor { query: self.digest, until, ranges })
+    }
+}
+
+impl FeaturesFrontend {
+    /// The frontend of these collections.
+    ///
+    /// # Errors
+    /// As [`FeaturesConfig::check`].
+    pub fn new(
+        config: &FeaturesConfig,
+        core: CoreHandle,
+        limits: Arc<Limits>,
+        seed: u64,
+    ) -> Result<Self, FeaturesConfigError> {
+        let deployment = core.deployment();
+        let collections = config.check(&deployment)?;
+        Ok(Self {
+            ranges: deployment.shards,
+            cursor_keys: cursor_keys(config)?,
+            base: config.base.as_ref().map(|base| base.trim_end_matches('/').to_string()),
+            collections,
+            next_query: AtomicU64::new(seed & NAME_SEED_MASK),
+            core,
+            limits,
+        })
+    }
+
+    /// The base of links in the answer to a request.
+    fn base(&self, request: &Request) -> String {
+        let host = || format!("http://{}", request.headers.get("host").unwrap_or("localhost"));
+        self.base.clone().unwrap_or_else(host)
+    }
+}
+
+fn cursor_keys(config: &FeaturesConfig) -> Result<Option<CursorKeys>, FeaturesConfigError> {
+    if !config.by_id {
+        return Ok(None);
+    }
+    let keys = Arc::new(read_cursor_keys(config.cursor_keys.as_deref())?);
+    Ok(Some(CursorKeys { keys, lifetime_s: config.cursor_life_s }))
+}
+
+impl Frontend for FeaturesFrontend {
+    fn serve(&self, request: Request, answer: Answer) -> Served {
+        Counters::add(&self.core.counters.features_requests);
+        let resource = match request.method.as_str() {
+            "GET" | "HEAD" => self.resource(&request),
+            _ => Err(problem(405, "features are read by GET").with("Allow", "GET, HEAD")),
+        };
+        let base = self.base(&request);
+        let reply = match resource {
+            Ok(Resource::Items(collection, filter)) => return self.items(base, collection, filter, answer),
+            Ok(Resource::Item(collection, id)) => return self.item(base, collection, &id, answer),
+            Ok(Resource::Landing) => document(JSON, &documents::landing(&base)),
+            Ok(Resource::Api) => document(OPENAPI, &self.api(&base)),
+            Ok(Resource::Conformance) => document(JSON, &json!({"conformsTo": documents::CONFORMANCE})),
+            Ok(Resource::Collections) => document(JSON, &self.collections(&base)),
+            Ok(Resource::Collection(collection)) => document(JSON, &self.collection(&base, collection)),
+            Err(reply) => {
+                Counters::add(&self.core.counters.bad_requests);
+                reply
+            }
+        };
+        answer.send(reply);
+        Served::Now
+    }
+
+    fn reject_malformed(&self, bad: BadMessage) -> Reply {
+        problem(bad.status, bad.why)
+    }
+}
+
+fn document(kind: &'static str, body: &Json) -> Reply {
+    Reply { status: 200, kind, more: String::new(), body: body.to_string().into_bytes() }
+}
+
+/// The features in the value of a range, if they can be read.
+fn read_features(row: &Row) -> Option<RangeFeatures> {
+    match features::features_of(&row.data) {
+        Ok(features) => Some((row.shard, features)),
+        Err(reason) => {
+            log_malformed(row.shard, reason);
+            None
+        }
+    }
+}
+
+fn log_malformed(range: ShardId, reason: &str) {
+    log::warn!(range = range.0, reason = reason; "malformed features");
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/frontend/features/query.rs
@@ -0,0 +1,112 @@
+//! Submits feature queries to the core.
+
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+use curlewdeck_merge::cursor::{Place, Reached};
+
+use super::pages::check_ids;
+use super::{log_malformed, FeaturesFrontend};
+use crate::api::{Nanos, ShardId};
+use crate::engine::{ClientLiveness, QueryRequest, ResponseValidator};
+use crate::frontend::http_server::{Answer, Served};
+use crate::frontend::problem::query_deadline;
+use crate::net::http;
+use crate::net::messages::Reply;
+
+/// The client of a query, and when its request was received.
+pub(super) struct Requester {
+    client: ClientLiveness,
+    received_at: Nanos,
+}
+
+impl Requester {
+    /// The one who waits for this answer.
+    pub(super) fn of(answer: &Answer) -> Self {
+        Self { client: answer.client(), received_at: answer.received_at() }
+    }
+}
+
+/// What the parts of a query ask for.
+pub(super) struct QueryParts {
+    /// Ranges before this one are left out.
+    first_range: ShardId,
+    text: String,
+    /// The text of each range, where they differ.
+    range_texts: Vec<Arc<str>>,
+    validator: ResponseValidator,
+}
+
+impl QueryParts {
+    /// The same text for all ranges.
+    pub(super) fn new(text: String) -> Self {
+        Self {
+            first_range: ShardId(0),
+            text,
+            range_texts: Vec::new(),
+            validator: ResponseValidator::default(),
+        }
+    }
+
+    /// The same text for this range and those after it.
+    pub(super) fn from_range(first_range: ShardId, text: String) -> Self {
+        Self { first_range, ..Self::new(text) }
+    }
+
+    /// Each range continues after an id of its own. Its value counts only if its features are in the order of their ids.
+    pub(super) fn by_id(path: &str, reached: &[Reached], limit: usize) -> Self {
+        Self {
+            range_texts: reached.iter().map(|reached| range_text(path, &reached.place)).collect(),
+            validator: id_validator(reached, limit),
+            ..Self::new(path.to_string())
+        }
+    }
+}
+
+fn range_text(path: &str, place: &Place) -> Arc<str> {
+    match place {
+        Place::Start => path.into(),
+        Place::From(id) | Place::After(id) => format!("{path}&after={}", http::encode(id)).into(),
+    }
+}
+
+fn id_validator(reached: &[Reached], limit: usize) -> ResponseValidator {
+    let places: Vec<Place> = reached.iter().map(|reached| reached.place.clone()).collect();
+    ResponseValidator::new(move |shard, value| {
+        let place = places.get(shard.0 as usize).cloned().unwrap_or_default();
+        let checked = check_ids(&value.data, &place, limit);
+        if let Err(error) = &checked {
+            log_malformed(shard, &error.to_string());
+        }
+        checked.is_ok()
+    })
+}
+
+impl FeaturesFrontend {
+    /// Submits a query over all ranges from the first one on.
+    pub(super) fn submit(
+        &self,
+        collection: usize,
+        parts: QueryParts,
+        requester: Requester,
+        reply: Reply,
+    ) -> Served {
+        let class = self.core.deployment().current_class(self.collections[collection].1);
+        let ranges = parts.first_range.0..self.ranges;
+        let weight = 1.0 / ranges.len() as f64;
+        let number = self.next_query.fetch_add(1, Ordering::Relaxed);
+        let timeout = self.limits.features_timeout;
+        let query = QueryRequest {
+            name: format!("{number:016x}"),
+            class,
+            is_retry: false,
+            deadline: query_deadline(&self.core, &self.limits, class, timeout, requester.received_at),
+            parts: ranges.map(|range| (ShardId(range), weight)).collect(),
+            text: parts.text.into(),
+            part_texts: parts.range_texts,
+            validator: parts.validator,
+            client: requester.client,
+        };
+        Served::Later(self.core.submit(query, reply))
+    }
+}
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,9 +1,8 @@
-//! The fronts: each maps its requests to queries of the core, and the core's answers back.
+//! The frontends: each maps its requests to queries of the core, and their outcomes to replies.
 
 pub mod accept;
 pub mod aggregation;
 pub mod arrival_times;
-pub mod feature_pages;
 pub mod features;
 pub mod http_server;
 pub mod platform;
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -1,5 +1,5 @@
-//! What the HTTP fronts for people's programs have in common: problem documents, what becomes of a query without an
-//! answer, and how long one may take.
+//! What the features and aggregation frontends share: problem documents, the replies to queries without an answer, and
+//! the deadlines of queries.
 
 use std::time::{Duration, SystemTime};
 
@@ -13,31 +13,37 @@
 use crate::net::http;
 use crate::runtime::nanos;
 
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+
 /// The media type of RFC 9457, section 3.
-pub const PROBLEM: &str = "application/problem+json";
+pub const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
 
-/// A problem of RFC 9457.
+/// A problem document of RFC 9457.
 pub fn problem(status: u16, detail: &str) -> Reply {
     let body =
         json!({"type": "about:blank", "title": http::reason(status), "status": status, "detail": detail});
-    Reply { status, kind: PROBLEM, more: String::new(), body: body.to_string().into_bytes() }
+    Reply { status, kind: PROBLEM_MEDIA_TYPE, more: String::new(), body: body.to_string().into_bytes() }
 }
 
-/// HTTP knows whole seconds only: rounded up.
-pub fn retry_after(reply: Reply, hold_off: Nanos) -> Reply {
-    reply.with("Retry-After", &hold_off.div_ceil(1_000_000_000).max(1).to_string())
+/// Adds `Retry-After`, rounded up to the whole seconds that HTTP has.
+pub fn with_retry_after(reply: Reply, retry_after: Nanos) -> Reply {
+    let seconds = retry_after.div_ceil(NANOS_PER_SECOND).max(1);
+    reply.with("Retry-After", &seconds.to_string())
 }
 
-/// The answer to a query that has none of its own.
-pub fn unserved(ended: &Result<QueryOutcome, RejectReason>, full_hold_off: Nanos) -> Option<Reply> {
+/// The reply to a query that was not answered; `None` if it was.
+pub fn unanswered_reply(
+    ended: &Result<QueryOutcome, RejectReason>,
+    queue_full_retry_after: Nanos,
+) -> Option<Reply> {
     match ended {
         Ok(QueryOutcome::Answered { .. }) => None,
-        Ok(QueryOutcome::Rejected { retry_after: hold_off }) => {
-            Some(retry_after(problem(503, "refused, try again"), *hold_off))
+        Ok(QueryOutcome::Rejected { retry_after }) => {
+            Some(with_retry_after(problem(503, "refused, try again"), *retry_after))
         }
         Ok(QueryOutcome::Failed) => Some(problem(504, "the data nodes did not answer in time")),
         Err(RejectReason::QueueFull) => {
-            Some(retry_after(problem(503, "over the limit, try again"), full_hold_off))
+            Some(with_retry_after(problem(503, "over the limit, try again"), queue_full_retry_after))
         }
         Err(RejectReason::DeadlinePassed) => Some(problem(503, "no time is left")),
         Err(RejectReason::InvalidParts | RejectReason::UnknownClass | RejectReason::DuplicateName) => {
@@ -51,16 +57,16 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_secs())
 }
 
-/// Until when a query asked at `asked_at` may take: the class's deadline, or less if its client or the limits say so, less
-/// the way of the answer.
-pub fn valid_until(
+/// The deadline of a query that was received at `received_at`: by its class or its client's timeout, whichever is less, and
+/// early enough for the answer to reach the client.
+pub fn query_deadline(
     core: &CoreHandle,
     limits: &Limits,
     class: ClassId,
-    wait: Duration,
-    asked_at: Nanos,
+    client_timeout: Duration,
+    received_at: Nanos,
 ) -> Nanos {
-    let deadline = core.deployment().settings.classes[class.0].deadline;
-    let wait = deadline.min(nanos(wait)).saturating_sub(nanos(limits.answer_margin));
-    asked_at.saturating_add(wait)
+    let class_deadline = core.deployment().settings.classes[class.0].deadline;
+    let timeout = class_deadline.min(nanos(client_timeout));
+    received_at.saturating_add(timeout.saturating_sub(nanos(limits.answer_margin)))
 }
