--- /dev/null
+++ b/src/frontend/aggregation/mod.rs
@@ -0,0 +1,150 @@
+//! The aggregation frontend: rankings, sums and listings over all tag ranges, merged into one answer that says what it
+//! covers. HTTP/1.1 and JSON, as `docs/desk-openapi.json` defines it.
+//!
+//! Each request becomes one query with a part for each range and a text of its own for each part. Values are checked as
+//! they arrive ([`curlewdeck_merge::merging::Merging::offer`]): an invalid one ends its attempt as one that may have run,
+//! and the engine retries elsewhere.
+
+mod query;
+mod range_cache;
+mod response;
+mod wire;
+
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+
+use curlewdeck_merge::cursor::Keys;
+use serde_json::{json, Value as Json};
+
+use crate::api::ClassId;
+use crate::config::{AggregationConfig, AggregationConfigError, SetConfig};
+use crate::counters::Counters;
+use crate::frontend::http_server::{Answer, Frontend, Reply, Served};
+use crate::frontend::problem::problem;
+use crate::limits::Limits;
+use crate::net::coordinator::CoreHandle;
+use crate::net::http::{self, BadMessage, Request};
+use query::AggregationQuery;
+
+pub use range_cache::Memory;
+
+const JSON: &str = "application/json";
+const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.1";
+const OPENAPI_PATH: &str = "/openapi.json";
+/// The definition of the API, as it is published.
+pub const OPENAPI_TEXT: &str = include_str!("../../../docs/desk-openapi.json");
+
+/// Query names: the upper half is the seed of the process, the lower half counts.
+const NAME_SEED_MASK: u64 = 0xffff_ffff_0000_0000;
+
+/// The frontend of the aggregated sets.
+pub struct AggregationFrontend {
+    core: CoreHandle,
+    limits: Arc<Limits>,
+    range_cache: Memory,
+    /// Seal the cursors.
+    cursor_keys: Keys,
+    cursor_lifetime_s: u64,
+    sets: Vec<(SetConfig, ClassId)>,
+    /// The number in the name of the next query.
+    next_query: AtomicU64,
+}
+
+/// What a request asks for.
+enum Resource {
+    Sets,
+    OpenApi,
+    Query(AggregationQuery),
+}
+
+impl AggregationFrontend {
+    /// The frontend of these sets.
+    ///
+    /// # Errors
+    /// As [`AggregationConfig::check`] and [`AggregationConfig::keys`].
+    pub fn new(
+        config: &AggregationConfig,
+        core: CoreHandle,
+        limits: Arc<Limits>,
+        memory: Memory,
+        seed: u64,
+    ) -> Result<Self, AggregationConfigError> {
+        let classes = config.check(&core.deployment())?;
+        Ok(Self {
+            core,
+            limits,
+            range_cache: memory,
+            cursor_keys: config.keys()?,
+            cursor_lifetime_s: config.cursor_life_s,
+            sets: config.sets.iter().cloned().zip(classes).collect(),
+            next_query: AtomicU64::new(seed & NAME_SEED_MASK),
+        })
+    }
+
+    /// The resource of a request, or the reply to a request that has none.
+    fn resource(&self, request: &Request) -> Result<Resource, Reply> {
+        let path = http::decode(&request.path, false).ok_or_else(|| problem(400, "the path is malformed"))?;
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        let method = request.method.as_str();
+        match segments[..] {
+            ["v1", "sets", id, "query"] => {
+                let set = self.sets.iter().find(|(set, _)| set.id == id);
+                let set = set.ok_or_else(|| problem(404, "there is no such set"))?;
+                if method != "POST" {
+                    return Err(problem(405, "queries are sent by POST").with("Allow", "POST"));
+                }
+                self.query(set, &request.body).map(Resource::Query)
+            }
+            ["v1", "sets"] | ["openapi.json"] if method != "GET" && method != "HEAD" => {
+                Err(problem(405, "this is read by GET").with("Allow", "GET, HEAD"))
+            }
+            ["openapi.json"] if request.path == OPENAPI_PATH => Ok(Resource::OpenApi),
+            ["v1", "sets"] | ["openapi.json"] => Ok(Resource::Sets),
+            _ => Err(problem(404, "there is no such resource")),
+        }
+    }
+
+    /// The description of all sets.
+    fn sets(&self) -> Json {
+        let sets: Vec<Json> = self.sets.iter().map(|(set, class)| self.set(set, *class)).collect();
+        json!({"sets": sets, "ranges": self.core.deployment().shards})
+    }
+
+    fn set(&self, set: &SetConfig, class: ClassId) -> Json {
+        let deployment = self.core.deployment();
+        let min_coverage = deployment.settings.classes[deployment.current_class(class).0].min_coverage;
+        let measures: Vec<Json> = set
+            .measures
+            .iter()
+            .map(|measure| json!({"name": measure.name, "scale": measure.scale}))
+            .collect();
+        json!({
+            "id": set.id, "title": set.title, "class": set.class, "leastShare": min_coverage, "measures": measures
+        })
+    }
+}
+
+impl Frontend for AggregationFrontend {
+    fn serve(&self, request: Request, answer: Answer) -> Served {
+        Counters::add(&self.core.counters.aggregation_requests);
+        let reply = match self.resource(&request) {
+            Ok(Resource::Query(query)) => return self.submit(query, answer),
+            Ok(Resource::OpenApi) => document(OPENAPI, OPENAPI_TEXT.as_bytes().to_vec()),
+            Ok(Resource::Sets) => document(JSON, self.sets().to_string().into_bytes()),
+            Err(reply) => {
+                Counters::add(&self.core.counters.bad_requests);
+                reply
+            }
+        };
+        answer.send(reply);
+        Served::Now
+    }
+
+    fn reject_malformed(&self, bad: BadMessage) -> Reply {
+        problem(bad.status, bad.why)
+    }
+}
+
+fn document(kind: &'static str, body: Vec<u8>) -> Reply {
+    Reply { status: 200, kind, more: String::new(), body }
+}
--- /dev/null
+++ b/src/frontend/aggregation/query.rs
@@ -0,0 +1,164 @@
+//! From the body of a request to a query of the core.
+
+use std::sync::atomic::Ordering;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use curlewdeck_merge::merging::Merging;
+use curlewdeck_merge::query::{Op, Query};
+
+use super::response::QueryResponder;
+use super::wire::{invalid_field, QueryBody};
+use super::AggregationFrontend;
+use crate::api::{ClassId, ShardId};
+use crate::config::SetConfig;
+use crate::engine::{QueryRequest, ResponseValidator};
+use crate::frontend::http_server::{Answer, Reply, Served};
+use crate::frontend::problem::{query_deadline, unix_now};
+use crate::runtime::lock;
+
+/// The rows of an answer where the request names no limit.
+const DEFAULT_ROWS: usize = 10;
+const MAX_FILTER_FIELDS: usize = 16;
+/// Of a filter's field and of its value.
+const MAX_FILTER_BYTES: usize = 256;
+
+/// A valid query that has not been submitted yet.
+pub(super) struct AggregationQuery {
+    merging: Arc<Mutex<Merging>>,
+    class: ClassId,
+    timeout: Duration,
+}
+
+impl AggregationFrontend {
+    /// The query over a set that the body of a request asks for.
+    pub(super) fn query(
+        &self,
+        (set, class): &(SetConfig, ClassId),
+        body: &[u8],
+    ) -> Result<AggregationQuery, Reply> {
+        let body = QueryBody::parse(body)?;
+        let (measure, scale) = measure(set, body.measure.as_deref())?;
+        let limit = self.row_limit(body.limit)?;
+        if body.grouped && body.op == Op::List {
+            return Err(invalid_field("grouped", "a listing has no groups"));
+        }
+        check_filter(&body)?;
+        let timeout = self.timeout(body.timeout_ms)?;
+        let query = Query {
+            set: set.id.clone(),
+            op: body.op,
+            measure,
+            scale,
+            order: body.order,
+            grouped: body.grouped,
+            limit,
+            filter: body.filter,
+        };
+        let merging = self.merging(query, body.cursor.as_deref())?;
+        Ok(AggregationQuery {
+            merging: Arc::new(Mutex::new(merging)),
+            class: self.core.deployment().current_class(*class),
+            timeout,
+        })
+    }
+
+    fn row_limit(&self, limit: Option<usize>) -> Result<usize, Reply> {
+        let max_rows = self.limits.max_aggregation_rows;
+        match limit {
+            None => Ok(DEFAULT_ROWS),
+            Some(limit) if (1..=max_rows).contains(&limit) => Ok(limit),
+            Some(_) => Err(invalid_field("limit", &format!("1 to {max_rows} rows may be asked for"))),
+        }
+    }
+
+    fn timeout(&self, timeout_ms: Option<u64>) -> Result<Duration, Reply> {
+        let max_timeout = self.limits.aggregation_timeout;
+        match timeout_ms {
+            Some(0) => Err(invalid_field("timeoutMs", "it must be above 0")),
+            Some(timeout_ms) => Ok(Duration::from_millis(timeout_ms).min(max_timeout)),
+            None => Ok(max_timeout),
+        }
+    }
+
+    /// The merge of a query's first page, or of the page at a cursor.
+    fn merging(&self, query: Query, cursor: Option<&str>) -> Result<Merging, Reply> {
+        let ranges = self.core.deployment().shards;
+        let Some(text) = cursor else { return Ok(Merging::new(query, ranges)) };
+        if !query.paged() {
+            return Err(invalid_field("cursor", "only listings and grouped figures have pages"));
+        }
+        let cursor = self.cursor_keys.open(text, &query.digest(), ranges as usize, unix_now());
+        let cursor = cursor.map_err(|error| invalid_field("cursor", &error.to_string()))?;
+        Ok(Merging::resume(query, cursor))
+    }
+
+    /// Submits a query to the core: a part for each range, each with its own text.
+    pub(super) fn submit(&self, query: AggregationQuery, answer: Answer) -> Served {
+        let AggregationQuery { merging, class, timeout } = query;
+        let ranges = self.core.deployment().shards;
+        let weight = 1.0 / f64::from(ranges);
+        let part_texts = {
+            let merging = lock(&merging);
+            (0..ranges).map(|range| merging.text(range).into()).collect()
+        };
+        let request = QueryRequest {
+            name: format!("d{:016x}", self.next_query.fetch_add(1, Ordering::Relaxed)),
+            class,
+            is_retry: false,
+            deadline: query_deadline(&self.core, &self.limits, class, timeout, answer.received_at()),
+            parts: (0..ranges).map(|range| (ShardId(range), weight)).collect(),
+            text: "".into(),
+            part_texts,
+            validator: validator(merging.clone()),
+            client: answer.client(),
+        };
+        let responder = self.responder(merging, class);
+        let reply = Box::new(move |ended| responder.respond(ended, answer));
+        Served::Later(self.core.submit(request, reply))
+    }
+
+    fn responder(&self, merging: Arc<Mutex<Merging>>, class: ClassId) -> QueryResponder {
+        QueryResponder {
+            merging,
+            min_coverage: self.core.deployment().settings.classes[class.0].min_coverage,
+            range_cache: self.range_cache.clone(),
+            cursor_keys: self.cursor_keys.clone(),
+            cursor_lifetime_s: self.cursor_lifetime_s,
+            core: self.core.clone(),
+            chunk_bytes: self.limits.aggregation_chunk_bytes,
+        }
+    }
+}
+
+/// The name and scale of the measure of this name; by default the set's first one.
+fn measure(set: &SetConfig, name: Option<&str>) -> Result<(String, u8), Reply> {
+    let measure = match name {
+        None => &set.measures[0],
+        Some(name) => {
+            let found = set.measures.iter().find(|measure| measure.name == name);
+            found.ok_or_else(|| invalid_field("measure", "the set has no such measure"))?
+        }
+    };
+    Ok((measure.name.clone(), measure.scale))
+}
+
+fn check_filter(body: &QueryBody) -> Result<(), Reply> {
+    let is_too_long = |text: &String| text.len() > MAX_FILTER_BYTES;
+    let has_long_text = body.filter.iter().any(|(field, value)| is_too_long(field) || is_too_long(value));
+    if body.filter.len() > MAX_FILTER_FIELDS || has_long_text {
+        return Err(invalid_field("filter", "at most 16 fields of 256 bytes"));
+    }
+    Ok(())
+}
+
+/// Offers each value to the merge as it arrives.
+fn validator(merging: Arc<Mutex<Merging>>) -> ResponseValidator {
+    ResponseValidator::new(move |shard, value| {
+        let offered = lock(&merging).offer(shard.0, &value.data);
+        if let Err(invalid) = &offered {
+            log::warn!(range = shard.0, reason:% = invalid; "invalid value from a data node");
+        }
+        offered.is_ok()
+    })
+}
--- /dev/null
+++ b/src/frontend/aggregation/range_cache.rs
@@ -0,0 +1,39 @@
+//! The values of ranges that earlier answers had, for those that a later answer misses.
+
+use std::sync::{Arc, Mutex, MutexGuard};
+
+use curlewdeck_merge::recall::{Bounds, Recall};
+
+use crate::limits::Limits;
+use crate::net::coordinator::OnEndpointsStarted;
+use crate::runtime::{lock, nanos};
+
+/// The range cache. It is shared with the core, which tells when a data node has restarted.
+#[derive(Clone)]
+pub struct Memory(Arc<Mutex<Recall>>);
+
+impl Memory {
+    /// An empty cache for so many ranges.
+    pub fn new(limits: &Limits, ranges: u32) -> Self {
+        let bounds = Bounds {
+            entries: limits.range_cache_entries,
+            ranges: ranges as usize,
+            age: nanos(limits.range_cache_age),
+        };
+        Self(Arc::new(Mutex::new(Recall::new(bounds))))
+    }
+
+    /// Drops what restarted data nodes returned earlier.
+    pub fn forgetting(&self) -> OnEndpointsStarted {
+        let cache = self.clone();
+        Box::new(move |shards| {
+            let mut ranges = cache.ranges();
+            shards.iter().for_each(|shard| ranges.restarted(shard.0));
+        })
+    }
+
+    /// The cached ranges. The guard must not be held over a yield of the coroutine.
+    pub(super) fn ranges(&self) -> MutexGuard<'_, Recall> {
+        lock(&self.0)
+    }
+}
--- /dev/null
+++ b/src/frontend/aggregation/response.rs
@@ -0,0 +1,103 @@
+//! The reply to a query that the core has ended.
+
+use std::sync::{Arc, Mutex};
+
+use curlewdeck_merge::answer::Answer as MergedAnswer;
+use curlewdeck_merge::cursor::{Cursor, Keys};
+use curlewdeck_merge::merging::{Fault, Merging};
+use curlewdeck_merge::recall::Recall;
+
+use super::{document, Memory, JSON};
+use crate::counters::Counters;
+use crate::engine::{QueryOutcome, RejectReason};
+use crate::frontend::http_server::{Answer, Reply};
+use crate::frontend::problem::{problem, unanswered_reply, unix_now, with_retry_after};
+use crate::net::coordinator::CoreHandle;
+use crate::runtime::lock;
+
+/// Answers one query once the core has ended it.
+pub(super) struct QueryResponder {
+    pub(super) merging: Arc<Mutex<Merging>>,
+    /// An answer that covers less is none.
+    pub(super) min_coverage: f64,
+    pub(super) range_cache: Memory,
+    pub(super) cursor_keys: Keys,
+    pub(super) cursor_lifetime_s: u64,
+    pub(super) core: CoreHandle,
+    /// The size of the chunks of a long answer.
+    pub(super) chunk_bytes: usize,
+}
+
+impl QueryResponder {
+    /// Sends the reply, in chunks if it is long.
+    pub(super) fn respond(self, ended: Result<QueryOutcome, RejectReason>, answer: Answer) {
+        if let Some(reply) = self.unanswered_reply(&ended) {
+            return answer.send(reply);
+        }
+        let Ok(QueryOutcome::Answered { rows, .. }) = ended else {
+            return answer.send(problem(500, "there is no answer"));
+        };
+        let values: Vec<_> = rows.into_iter().map(|row| (row.shard.0, row.data)).collect();
+        match self.merge(&values) {
+            Ok(merged) => self.send(&merged, answer),
+            Err(fault) => answer.send(self.fault_reply(&fault)),
+        }
+    }
+
+    fn send(&self, merged: &MergedAnswer, answer: Answer) {
+        let mut chunks = merged.pieces(self.chunk_bytes).map(String::into_bytes);
+        let first = chunks.next().unwrap_or_default();
+        let rest: Vec<Vec<u8>> = chunks.collect();
+        if rest.is_empty() {
+            answer.send(document(JSON, first));
+        } else {
+            answer.stream(document(JSON, Vec::new()), Box::new(std::iter::once(first).chain(rest)));
+        }
+    }
+
+    /// Merges the values of the data nodes, with a sealed cursor where another page follows.
+    fn merge(&self, values: &[(u32, Arc<str>)]) -> Result<MergedAnswer, Fault> {
+        let merging = lock(&self.merging);
+        let mut cached = self.range_cache.ranges();
+        let merged = merging.finish(values, self.min_coverage, &mut cached, self.core.clock.now());
+        self.publish_cache_counts(&cached);
+        let mut merged = merged?;
+        merged.answer.head.next = merged.next.map(|ranges| {
+            let until = unix_now().saturating_add(self.cursor_lifetime_s);
+            self.cursor_keys.seal(&Cursor { query: merging.query().digest(), until, ranges })
+        });
+        Ok(merged.answer)
+    }
+
+    fn publish_cache_counts(&self, cached: &Recall) {
+        let counts = cached.counts();
+        let counters = &self.core.counters;
+        Counters::set(&counters.range_cache_hits, counts.hits);
+        Counters::set(&counters.range_cache_evictions, counts.evicted);
+        Counters::set(&counters.range_cache_contradictions, counts.contradictions);
+    }
+
+    /// The reply to a query that was not answered, which names a value that was not valid if there was one.
+    fn unanswered_reply(&self, ended: &Result<QueryOutcome, RejectReason>) -> Option<Reply> {
+        let reply = unanswered_reply(ended, self.core.queue_full_retry_after())?;
+        let merging = lock(&self.merging);
+        let invalid = merging.refused().next();
+        match (ended, invalid) {
+            (Ok(QueryOutcome::Failed), Some((range, reason))) => {
+                Some(problem(504, &format!("no answer in time; tag range {range}: {reason}")))
+            }
+            _ => Some(reply),
+        }
+    }
+
+    fn fault_reply(&self, fault: &Fault) -> Reply {
+        match fault {
+            // Missing ranges may be back soon, but a row that is too large stays so.
+            Fault::Below(cover) if cover.missing.values().all(|reason| reason.word() != "row-too-large") => {
+                with_retry_after(problem(503, &fault.to_string()), self.core.queue_full_retry_after())
+            }
+            Fault::Below(_) => problem(502, &fault.to_string()),
+            Fault::Overflow | Fault::Unfit(_) => problem(500, &fault.to_string()),
+        }
+    }
+}
