--- a/src/frontend/aggregation/range_cache.rs
+++ b/src/frontend/aggregation/range_cache.rs
@@ -8,7 +8,7 @@
 use crate::net::coordinator::OnEndpointsStarted;
 use crate::runtime::{lock, nanos};
 
-/// The range cache. It is shared with the core, which tells when a data node has restarted.
+/// The range cache. It is shared with the core, which reports restarted data nodes.
 #[derive(Clone)]
 pub struct Memory(Arc<Mutex<Recall>>);
 
--- a/src/frontend/http_server/accept.rs
+++ b/src/frontend/http_server/accept.rs
@@ -49,7 +49,7 @@
                 }
             }
         }
-        // Lets open connections run while many new ones come.
+        // Lets open connections run while many new ones arrive.
         may::coroutine::yield_now();
     })?;
     Ok(local)
--- a/src/frontend/http_server/eviction.rs
+++ b/src/frontend/http_server/eviction.rs
@@ -25,7 +25,7 @@
 enum Evictability {
     /// Idle for a short time after an answer.
     BrieflyIdle,
-    /// No complete request has come on it.
+    /// No complete request has been received on it.
     NothingServed,
     /// Idle for long after an answer.
     LongIdle,
--- a/src/frontend/http_server/frontend.rs
+++ b/src/frontend/http_server/frontend.rs
@@ -1,4 +1,4 @@
-//! What the server asks of a frontend, and what it gives to its connections.
+//! The interface between the server and a frontend, and what the connections of a frontend share.
 
 use std::sync::Arc;
 
--- a/src/frontend/http_server/reader.rs
+++ b/src/frontend/http_server/reader.rs
@@ -212,7 +212,7 @@
             self.pending.is_some() && self.requests.held() >= self.task.context.limits.read_ahead;
     }
 
-    /// Ends the connection unless any part of a request has come; returns whether it has ended.
+    /// Ends the connection unless any part of a request has been received; returns whether it has ended.
     fn end_connection(&self) -> bool {
         self.task.connection.end(self.task.context.service.now())
     }
@@ -253,7 +253,7 @@
             let now = self.task.context.service.now();
             let reply = self.task.frontend.reject_malformed(bad);
             self.answer(now, AnswerForm::default()).send(reply);
-            // The writer tells of each answer before it ends.
+            // The writer reports each answer before it ends.
             let _ = self.answers_written.recv();
         }
         FINISHED
--- /dev/null
+++ b/src/net/features/tests.rs
@@ -0,0 +1,55 @@
+use proptest::prelude::*;
+
+use super::*;
+
+#[test]
+fn a_ranges_query_names_the_range_and_its_offset() {
+    let text = "/collections/plazas/items?bbox=1,2,3,4&limit=10&cursor=5.20";
+    let names = Names { range: "tag range".into(), after: Some("behind".into()) };
+    let query = |range| RangeQuery::new(text, ShardId(range), &names).unwrap();
+    assert_eq!(query(5).target, "/collections/plazas/items?bbox=1,2,3,4&tag%20range=5&limit=10&offset=20");
+    assert_eq!(query(6).target, "/collections/plazas/items?bbox=1,2,3,4&tag%20range=6&limit=10");
+    assert_eq!(query(6).limit, Some(10));
+    let one = RangeQuery::new("/collections/plazas/items/a", ShardId(1), &names).unwrap();
+    assert_eq!((one.target.as_str(), one.limit), ("/collections/plazas/items/a", None));
+    assert_eq!(RangeQuery::new("/x?limit=ten", ShardId(1), &names), None);
+    let behind = RangeQuery::new("/x?limit=2&after=a%20b", ShardId(1), &names).unwrap();
+    assert_eq!(behind.target, "/x?behind=a%20b&tag%20range=1&limit=2");
+    assert_eq!(RangeQuery::new("/x?limit=2&after=a", ShardId(1), &Names::default()), None);
+}
+
+/// Guards against being led to another host, or into another request, by a server's next link.
+#[test]
+fn next_links_stay_at_their_server() {
+    let page = |href: &str| {
+        let body = format!(
+            r#"{{"type":"FeatureCollection","features":[],"links":[{{"rel":"next","href":{href:?}}}]}}"#
+        );
+        parse_page(&body).map(|p| p.next.unwrap())
+    };
+    assert_eq!(page("http://other.example/a?offset=2").as_deref(), Ok("/a?offset=2"));
+    assert_eq!(page("/a?offset=2").as_deref(), Ok("/a?offset=2"));
+    for bad in ["a?offset=2", "http://other.example", "/a b", "/a\r\nHost: x"] {
+        assert!(page(bad).is_err(), "{bad}");
+    }
+}
+
+#[test]
+fn features_are_kept_byte_for_byte() {
+    let body = r#"{"type":"FeatureCollection","features":[{"type": "Feature","id":1.0}]}"#;
+    let page = parse_page(body).unwrap();
+    assert_eq!(value(&page.features), r#"[{"type": "Feature","id":1.0}]"#);
+    assert_eq!(features_of(&value(&page.features)).unwrap().len(), 1);
+    assert_eq!(features_of(r#"{"type":"Feature","id":2}"#).unwrap().len(), 1);
+    assert!(features_of("5be2a07c").is_err());
+    assert!(parse_page(r#"{"type":"Feature"#).is_err());
+}
+
+proptest! {
+    /// Nothing that a feature server sends may panic.
+    #[test]
+    fn any_text_is_read_without_panic(text in ".{0,80}") {
+        let _ = (parse_page(&text), features_of(&text), Cursor::parse(&text));
+        let _ = RangeQuery::new(&text, ShardId(0), &Names::default());
+    }
+}
--- /dev/null
+++ b/src/net/http/headers.rs
@@ -0,0 +1,68 @@
+//! Header lines, and the framing of the body that they define.
+
+use super::{BadMessage, MALFORMED, UNKNOWN_TRANSFER_CODING};
+
+/// The header lines of a message, names in lower case.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Headers(Vec<(String, String)>);
+
+impl Headers {
+    /// The value of the first line of this name (in lower case).
+    pub fn get(&self, name: &str) -> Option<&str> {
+        self.all(name).next()
+    }
+
+    /// The values of all lines of this name.
+    fn all<'n, 'a: 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a str> + 'n {
+        self.0.iter().filter(move |line| line.0 == name).map(|line| line.1.as_str())
+    }
+
+    pub(super) fn read(lines: &[httparse::Header]) -> Result<Self, BadMessage> {
+        let read_line = |line: &httparse::Header| {
+            let value = std::str::from_utf8(line.value).map_err(|_| MALFORMED)?;
+            Ok((line.name.to_ascii_lowercase(), value.trim_matches([' ', '\t']).to_string()))
+        };
+        lines.iter().map(read_line).collect::<Result<_, _>>().map(Self)
+    }
+
+    /// Whether the comma-separated list in the lines of this name has the token.
+    pub(super) fn has_token(&self, name: &str, token: &str) -> bool {
+        let mut tokens = self.all(name).flat_map(|value| value.split(','));
+        tokens.any(|candidate| candidate.trim().eq_ignore_ascii_case(token))
+    }
+
+    /// How the body is framed. A length beside a transfer coding, or several codings, are an error: where the body ends is
+    /// ambiguous then, and what one reader takes for the body another may take for the next request.
+    pub(super) fn framing(&self) -> Result<Framing, BadMessage> {
+        let lengths: Vec<&str> = self.all("content-length").collect();
+        let codings: Vec<&str> = self.all("transfer-encoding").collect();
+        match (codings.as_slice(), lengths.as_slice()) {
+            ([coding], []) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
+            ([_], []) => Err(UNKNOWN_TRANSFER_CODING),
+            ([], []) => Ok(Framing::None),
+            ([], [first, more @ ..]) if more.iter().all(|length| length == first) => parse_length(first),
+            _ => Err(MALFORMED),
+        }
+    }
+}
+
+fn parse_length(text: &str) -> Result<Framing, BadMessage> {
+    let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_number {
+        return Err(MALFORMED);
+    }
+    text.parse().map(Framing::Length).map_err(|_| MALFORMED)
+}
+
+/// How the end of a body is marked.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Framing {
+    /// There is no body.
+    None,
+    /// By the end of the connection.
+    UntilEnd,
+    /// By its length in bytes.
+    Length(usize),
+    /// By the last chunk.
+    Chunked,
+}
--- /dev/null
+++ b/src/net/http/mod.rs
@@ -0,0 +1,40 @@
+//! HTTP/1.1 messages: pure functions over bytes, for the frontends, discovery and the feature servers.
+
+mod chunked;
+mod headers;
+mod percent;
+mod request;
+mod response;
+mod response_head;
+
+pub use chunked::Chunks;
+pub use headers::Headers;
+pub use percent::{decode, encode};
+pub use request::{Request, RequestReader};
+pub use response::{chunk, chunked_head, reason, response, LAST_CHUNK};
+pub use response_head::{parse_head, Head};
+
+/// Why a message is not accepted, with the status that says so.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct BadMessage {
+    /// The status of the response.
+    pub status: u16,
+    /// The reason, in a few words.
+    pub why: &'static str,
+}
+
+impl BadMessage {
+    const fn new(status: u16, why: &'static str) -> Self {
+        Self { status, why }
+    }
+}
+
+const MALFORMED: BadMessage = BadMessage::new(400, "malformed HTTP");
+const BODY_TOO_LARGE: BadMessage = BadMessage::new(413, "body too large");
+const HEADERS_TOO_LARGE: BadMessage = BadMessage::new(431, "header too large");
+const UNKNOWN_TRANSFER_CODING: BadMessage = BadMessage::new(501, "transfer coding not known");
+/// A request that is not complete in time.
+pub const TOO_SLOW: BadMessage = BadMessage::new(408, "the request did not come whole in time");
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/http/response_head.rs
@@ -0,0 +1,77 @@
+//! Heads of responses, and the bodies that follow them.
+
+use super::chunked::Chunks;
+use super::headers::Framing;
+use super::{BadMessage, Headers, BODY_TOO_LARGE, MALFORMED};
+use crate::limits::Limits;
+
+/// Statuses whose responses have no body (RFC 9112, section 6.3).
+const NO_CONTENT: u16 = 204;
+const NOT_MODIFIED: u16 = 304;
+
+/// The head of a response.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Head {
+    /// Its status.
+    pub status: u16,
+    /// Its headers.
+    pub headers: Headers,
+    framing: Framing,
+}
+
+/// The head of the response in `bytes` and its size; nothing while it is not complete.
+///
+/// # Errors
+/// It is malformed or too large.
+pub fn parse_head(bytes: &[u8], limits: &Limits) -> Result<Option<(Head, usize)>, BadMessage> {
+    let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut head = httparse::Response::new(&mut lines);
+    match head.parse(bytes) {
+        Ok(httparse::Status::Complete(size)) if size <= limits.max_head_bytes => {
+            let headers = Headers::read(head.headers)?;
+            let framing = match headers.framing()? {
+                Framing::None if !matches!(head.code, Some(NO_CONTENT | NOT_MODIFIED)) => Framing::UntilEnd,
+                framing => framing,
+            };
+            Ok(Some((Head { status: head.code.unwrap_or(0), headers, framing }, size)))
+        }
+        Ok(httparse::Status::Partial) if bytes.len() < limits.max_head_bytes => Ok(None),
+        _ => Err(MALFORMED),
+    }
+}
+
+impl Head {
+    /// The body that follows the head and how many bytes it takes; nothing while it is not complete.
+    ///
+    /// # Errors
+    /// It is malformed or larger than `max_bytes`.
+    pub fn body(&self, bytes: &[u8], max_bytes: usize) -> Result<Option<(Vec<u8>, usize)>, BadMessage> {
+        match self.framing {
+            Framing::None => Ok(Some((Vec::new(), 0))),
+            Framing::UntilEnd if bytes.len() > max_bytes => Err(BODY_TOO_LARGE),
+            Framing::UntilEnd => Ok(None),
+            Framing::Length(length) if length > max_bytes => Err(BODY_TOO_LARGE),
+            Framing::Length(length) => Ok(bytes.get(..length).map(|body| (body.to_vec(), length))),
+            Framing::Chunked => {
+                let (mut chunks, mut body) = (Chunks::default(), Vec::new());
+                let used = chunks.feed(bytes, &mut body, max_bytes)?;
+                Ok(chunks.done().then_some((body, used)))
+            }
+        }
+    }
+
+    /// Whether the body ends with the connection.
+    pub fn until_end(&self) -> bool {
+        self.framing == Framing::UntilEnd
+    }
+
+    /// Whether the body is in chunks.
+    pub fn chunked(&self) -> bool {
+        self.framing == Framing::Chunked
+    }
+
+    /// Whether the connection may be used again.
+    pub fn keep_alive(&self) -> bool {
+        !self.headers.has_token("connection", "close")
+    }
+}
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -1,6 +1,8 @@
-use super::*;
 use proptest::prelude::*;
 
+use super::*;
+use crate::limits::Limits;
+
 const POST: &[u8] = b"POST /tag-lookup?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nabcdGET";
 const CHUNKED: &[u8] =
     b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nT: v\r\n\r\n";
@@ -9,7 +11,7 @@
 fn parsed(bytes: &[u8]) -> Result<Option<(Request, usize)>, BadMessage> {
     let mut reader = RequestReader::default();
     reader.push(bytes);
-    Ok(reader.next(&Limits::default())?.map(|r| (r, reader.held.len())))
+    Ok(reader.next(&Limits::default())?.map(|r| (r, reader.held())))
 }
 
 /// Requests come in pieces: no prefix is an error or a request.
