--- a/src/frontend/aggregation/mod.rs
+++ b/src/frontend/aggregation/mod.rs
@@ -2,8 +2,8 @@
 //! covers. HTTP/1.1 and JSON, as `docs/desk-openapi.json` defines it.
 //!
 //! Each request becomes one query with a part for each range and a text of its own for each part. Values are checked as
-//! they arrive ([`curlewdeck_merge::merging::Merging::offer`]): an invalid one ends its attempt as one that may have run,
-//! and the engine retries elsewhere.
+//! they arrive ([`curlewdeck_merge::merging::Merging::offer`]): an invalid one ends its attempt as one that may have
+//! run, and the engine retries elsewhere.
 
 mod query;
 mod range_cache;
--- a/src/frontend/arrival_times.rs
+++ b/src/frontend/arrival_times.rs
@@ -1,5 +1,5 @@
-//! When the buffered bytes of a connection arrived: a request that was sent ahead waits for the answers before it, and its
-//! client's time runs meanwhile. Pure: the time is passed in.
+//! When the buffered bytes of a connection arrived: a request that was sent ahead waits for the answers before it, and
+//! its client's time runs meanwhile. Pure: the time is passed in.
 
 use std::collections::VecDeque;
 
--- a/src/frontend/features/mod.rs
+++ b/src/frontend/features/mod.rs
@@ -1,8 +1,8 @@
 //! The frontend of OGC API - Features: feature queries in, GeoJSON out.
 //!
-//! Each request for features becomes one query with a part for each tag range, and its answer is one page. A page follows
-//! the ranges in order, or the ids of the features where the data nodes return them so: see [`pages`]. Where a class may be
-//! answered in part, the ranges that did not answer are named in `missingRanges`, and `complete` is false.
+//! Each request for features becomes one query with a part for each tag range, and its answer is one page. A page
+//! follows the ranges in order, or the ids of the features where the data nodes return them so: see [`pages`]. Where a
+//! class may be answered in part, the ranges that did not answer are named in `missingRanges`, and `complete` is false.
 
 mod documents;
 mod filter;
--- a/src/frontend/features/pages.rs
+++ b/src/frontend/features/pages.rs
@@ -1,7 +1,7 @@
 //! Pages of features, merged from tag ranges. Pure.
 //!
-//! Where the feature servers return features in the order of their ids, a page continues after an id, and so repeats and
-//! skips nothing when a server dies or features change. Elsewhere it continues at an offset.
+//! Where the feature servers return features in the order of their ids, a page continues after an id, and so repeats
+//! and skips nothing when a server dies or features change. Elsewhere it continues at an offset.
 
 use std::borrow::Cow;
 
@@ -97,8 +97,8 @@
     (page.rows.iter().map(|r| r.1.feature).collect(), next)
 }
 
-/// The features of one page in the order of their ids, and where each range continues if there may be more: a missing range
-/// stays where it was. A feature of several ranges is returned once.
+/// The features of one page in the order of their ids, and where each range continues if there may be more: a missing
+/// range stays where it was. A feature of several ranges is returned once.
 ///
 /// # Errors
 /// A feature has no id; [`check_ids`] finds it first.
--- a/src/frontend/features/query.rs
+++ b/src/frontend/features/query.rs
@@ -53,7 +53,8 @@
         Self { first_range, ..Self::new(text) }
     }
 
-    /// Each range continues after an id of its own. Its value counts only if its features are in the order of their ids.
+    /// Each range continues after an id of its own. Its value counts only if its features are in the order of their
+    /// ids.
     pub(super) fn by_id(path: &str, reached: &[Reached], limit: usize) -> Self {
         Self {
             range_texts: reached.iter().map(|reached| range_text(path, &reached.place)).collect(),
--- a/src/frontend/http_server/accept.rs
+++ b/src/frontend/http_server/accept.rs
@@ -57,8 +57,8 @@
 
 /// Accepts connections at a socket that the process inherited, and that other processes may accept from.
 ///
-/// A thread accepts one connection at a time, and only once the one before it is served, so that none is taken that could
-/// not be read. It ends when the process finishes.
+/// A thread accepts one connection at a time, and only once the one before it is served, so that none is taken that
+/// could not be read. It ends when the process finishes.
 ///
 /// # Errors
 /// The socket cannot be used, or there is no thread.
@@ -156,7 +156,8 @@
     }
 }
 
-/// Answers that there is no place. While there are permits for it, the connection then lingers until the client has read so.
+/// Answers that there is no place. While there are permits for it, the connection then lingers until the client has
+/// read so.
 fn reject(stream: TcpStream, context: &FrontendContext) {
     let permit = context.turned_away.take();
     let lingers = permit.is_some();
--- a/src/frontend/http_server/client_connection.rs
+++ b/src/frontend/http_server/client_connection.rs
@@ -44,8 +44,8 @@
         Ok(read)
     }
 
-    /// Shuts the sending side down, unless any part of a request has been received. Its reader goes on to drop what is received,
-    /// so that the connection is not closed over unread bytes. Returns whether it has ended.
+    /// Shuts the sending side down, unless any part of a request has been received. Its reader goes on to drop what is
+    /// received, so that the connection is not closed over unread bytes. Returns whether it has ended.
     pub(super) fn end(&self, now: Nanos) -> bool {
         self.end_with(now, PartialRequest::KeepsOpen)
     }
@@ -62,7 +62,8 @@
         has_ended
     }
 
-    /// Closes it to make room for another connection, unless a request has been received. Returns whether it was closed.
+    /// Closes it to make room for another connection, unless a request has been received. Returns whether it was
+    /// closed.
     pub(super) fn evict(&self, now: Nanos) -> bool {
         let evicted = self.state().evict(now, self.stream.is_readable());
         if evicted {
--- a/src/frontend/http_server/eviction.rs
+++ b/src/frontend/http_server/eviction.rs
@@ -63,8 +63,8 @@
 }
 
 impl Service {
-    /// Evicts one connection so that a new one finds a place, by [`Evictability`] and then by how long it has been idle.
-    /// Never one with a pending request, nor one with received bytes that have not been read.
+    /// Evicts one connection so that a new one finds a place, by [`Evictability`] and then by how long it has been
+    /// idle. Never one with a pending request, nor one with received bytes that have not been read.
     pub(super) fn evict(&self, limits: &Limits) -> Eviction {
         let now = self.now();
         let open = self.connections();
--- a/src/frontend/http_server/linger.rs
+++ b/src/frontend/http_server/linger.rs
@@ -5,8 +5,8 @@
 use crate::limits::Limits;
 use crate::runtime::Stream;
 
-/// Reads and drops what the client still sends, for a bounded time and amount. Closing over unread bytes would reset the
-/// connection, and the client might lose the answer.
+/// Reads and drops what the client still sends, for a bounded time and amount. Closing over unread bytes would reset
+/// the connection, and the client might lose the answer.
 pub(super) fn linger(stream: &Stream, buffer: &mut [u8], limits: &Limits) {
     let start = Instant::now();
     let mut dropped_bytes = 0;
--- a/src/frontend/http_server/service.rs
+++ b/src/frontend/http_server/service.rs
@@ -100,7 +100,8 @@
         self.pending_requests.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Records a client that disconnected without its answer. Returns how many did since the last log line, if one is due.
+    /// Records a client that disconnected without its answer. Returns how many did since the last log line, if one is
+    /// due.
     pub(super) fn client_left_unanswered(&self) -> Option<u64> {
         let now = self.now();
         lock(&self.unanswered_log).occurred(now)
--- a/src/frontend/http_server/tests.rs
+++ b/src/frontend/http_server/tests.rs
@@ -18,8 +18,8 @@
     (ClientConnection::new(stream, 0), client)
 }
 
-/// Guards against serving a request on a connection that is being closed, whose answer would be lost, and against closing
-/// one on which a request has come.
+/// Guards against serving a request on a connection that is being closed, whose answer would be lost, and against
+/// closing one on which a request has come.
 #[test]
 fn a_connection_is_either_ended_or_served() {
     for close in [ClientConnection::end, ClientConnection::evict] {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Guards against ending a connection between the reading of a request's first and last bytes; a client that stops there
-/// does not keep others out.
+/// Guards against ending a connection between the reading of a request's first and last bytes; a client that stops
+/// there does not keep others out.
 #[test]
 fn a_partial_request_keeps_its_connection_open_until_it_is_evicted() {
     let (partial, mut client) = connection();
@@ -72,8 +72,8 @@
     assert!(!connection.is_client_connected());
 }
 
-/// Guards new connections while others end: the place of one that is no longer listed is about to be free, and they wait
-/// for it; they are rejected only where each place has a pending request.
+/// Guards new connections while others end: the place of one that is no longer listed is about to be free, and they
+/// wait for it; they are rejected only where each place has a pending request.
 #[test]
 fn eviction_waits_for_a_place_that_is_about_to_be_free() {
     let service = Service::new(
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -57,8 +57,8 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_secs())
 }
 
-/// The deadline of a query that was received at `received_at`: by its class or its client's timeout, whichever is less, and
-/// early enough for the answer to reach the client.
+/// The deadline of a query that was received at `received_at`: by its class or its client's timeout, whichever is less,
+/// and early enough for the answer to reach the client.
 pub fn query_deadline(
     core: &CoreHandle,
     limits: &Limits,
--- a/src/net/features/mod.rs
+++ b/src/net/features/mod.rs
@@ -1,8 +1,8 @@
 //! Requests to feature servers and their responses (OGC API - Features, GeoJSON): pure functions.
 //!
-//! The text of a feature query is the target of a request, path and query string, with two parameters of its own: `limit`,
-//! the number of features of each tag range, and where the page begins: `cursor=RANGE.OFFSET`, or `after=ID` where a
-//! listing continues after an id.
+//! The text of a feature query is the target of a request, path and query string, with two parameters of its own:
+//! `limit`, the number of features of each tag range, and where the page begins: `cursor=RANGE.OFFSET`, or `after=ID`
+//! where a listing continues after an id.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
--- a/src/net/http/headers.rs
+++ b/src/net/http/headers.rs
@@ -31,8 +31,8 @@
         tokens.any(|candidate| candidate.trim().eq_ignore_ascii_case(token))
     }
 
-    /// How the body is framed. A length beside a transfer coding, or several codings, are an error: where the body ends is
-    /// ambiguous then, and what one reader takes for the body another may take for the next request.
+    /// How the body is framed. A length beside a transfer coding, or several codings, are an error: where the body ends
+    /// is ambiguous then, and what one reader takes for the body another may take for the next request.
     pub(super) fn framing(&self) -> Result<Framing, BadMessage> {
         let lengths: Vec<&str> = self.all("content-length").collect();
         let codings: Vec<&str> = self.all("transfer-encoding").collect();
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -24,8 +24,8 @@
     pub chunks: bool,
 }
 
-/// Takes requests from the bytes of a connection as they arrive. Each byte is searched for the end of the head once, and
-/// copied into a body once, however the bytes are cut.
+/// Takes requests from the bytes of a connection as they arrive. Each byte is searched for the end of the head once,
+/// and copied into a body once, however the bytes are cut.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     buffer: Vec<u8>,
