--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -5,13 +5,13 @@
 use crate::query::{Page, Query, Reply};
 use crate::walk::{End, Step, Walk};
 
-/// Bytes of an answer.
-const ANSWER_BYTES: u64 = 64 * 1024 * 1024;
+/// The largest response that is read.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Beyond the time that the query gives the service: for the way, and for what a service that gives none may take.
+/// Added to the timeout of a query for the network, and for queries without one.
 const GRACE: Duration = Duration::from_secs(15);
 
-/// A set of data at a desk front.
+/// A data set at an aggregation frontend.
 #[derive(Debug, Clone)]
 pub struct Service {
     agent: ureq::Agent,
@@ -25,20 +25,21 @@
         Self { agent: config.new_agent(), url: format!("http://{address}/v1/sets/{set}/query") }
     }
 
-    /// Asks once.
-    pub fn ask(&self, query: &Query) -> Reply {
+    /// Sends a query once.
+    pub fn send(&self, query: &Query) -> Reply {
         self.exchange(query).unwrap_or_else(|why| Reply::Lost(why.to_string()))
     }
 
     fn exchange(&self, query: &Query) -> Result<Reply, ureq::Error> {
         let body = serde_json::to_string(query).map_err(|e| ureq::Error::Other(Box::new(e)))?;
-        let within = Duration::from_millis(query.timeout_ms.unwrap_or(0)) + GRACE;
-        let request = self.agent.post(&self.url).config().timeout_global(Some(within)).build();
-        let mut answer = request.header("Content-Type", "application/json").send(body)?;
-        let retry = answer.headers().get("retry-after").and_then(|v| v.to_str().ok()).map(str::to_string);
-        let status = answer.status().as_u16();
-        let text = answer.body_mut().with_config().limit(ANSWER_BYTES).read_to_string()?;
-        Ok(Reply::read(status, retry.as_deref(), &text))
+        let timeout = Duration::from_millis(query.timeout_ms.unwrap_or(0)) + GRACE;
+        let request = self.agent.post(&self.url).config().timeout_global(Some(timeout)).build();
+        let mut response = request.header("Content-Type", "application/json").send(body)?;
+        let retry_after =
+            response.headers().get("retry-after").and_then(|v| v.to_str().ok()).map(str::to_string);
+        let status = response.status().as_u16();
+        let text = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_string()?;
+        Ok(Reply::read(status, retry_after.as_deref(), &text))
     }
 }
 
@@ -56,7 +57,10 @@
         _ => agent.post(url).send(body),
     };
     let read = |mut answer: ureq::http::Response<ureq::Body>| {
-        Ok((answer.status().as_u16(), answer.body_mut().with_config().limit(ANSWER_BYTES).read_to_string()?))
+        Ok((
+            answer.status().as_u16(),
+            answer.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_string()?,
+        ))
     };
     called.and_then(read).map_err(|e| format!("{url}: {e}"))
 }
@@ -66,7 +70,7 @@
     loop {
         match walk.step().clone() {
             Step::Request(query) => {
-                if let Some(received) = walk.handle_reply(service.ask(&query)) {
+                if let Some(received) = walk.handle_reply(service.send(&query)) {
                     on_page(&received);
                 }
             }
