--- a/src/control.rs
+++ b/src/control.rs
@@ -59,7 +59,7 @@
     };
     if method != allowed && !(allowed == "GET" && method == "HEAD") {
         let text = format!("this is called by {allowed}");
-        return Reply::text(STATUS_METHOD_NOT_ALLOWED, &text).with("Allow", allowed);
+        return Reply::text(STATUS_METHOD_NOT_ALLOWED, &text).with_header("Allow", allowed);
     }
     match call(commands) {
         Ok(text) => Reply { body: text.into_bytes(), ..Reply::text(STATUS_OK, "") },
@@ -135,7 +135,7 @@
             .accept()
             .and_then(|(stream, _)| start_call(stream, &callers, calls.clone(), limits.clone()));
         if let Err(e) = started {
-            std::thread::sleep(errors.met(clock.now(), &e));
+            std::thread::sleep(errors.record(clock.now(), &e));
         }
     };
     thread("control", SMALL_STACK, accept)?;
@@ -164,7 +164,8 @@
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(limits.control_read))?;
     let Some((reply, is_head)) = read_and_answer(stream, calls, limits, deadline)? else { return Ok(()) };
-    let bytes = http::response(reply.status, reply.kind, &reply.more, &reply.body, false, is_head);
+    let bytes =
+        http::response(reply.status, reply.content_type, &reply.extra_headers, &reply.body, false, is_head);
     (&mut &*stream).write_all(&bytes)?;
     stream.shutdown(Shutdown::Write)?;
     drain_input(stream, Instant::now() + limits.control_linger)
@@ -179,16 +180,16 @@
 ) -> io::Result<Option<(Reply, bool)>> {
     let (mut requests, mut buffer) = (RequestReader::default(), [0; READ_BYTES]);
     loop {
-        match requests.next(limits) {
+        match requests.next_request(limits) {
             Ok(Some(request)) => return Ok(Some((calls.answer(&request), request.method == "HEAD"))),
             Ok(None) => {}
-            Err(bad) => return Ok(Some((Reply::text(bad.status, bad.why), false))),
+            Err(bad) => return Ok(Some((Reply::text(bad.status, bad.reason), false))),
         }
         match read_until(stream, &mut buffer, deadline) {
             Ok(0) => return Ok(None),
             Ok(count) => requests.push(&buffer[..count]),
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                return Ok(Some((Reply::text(http::TOO_SLOW.status, http::TOO_SLOW.why), false)));
+                return Ok(Some((Reply::text(http::TOO_SLOW.status, http::TOO_SLOW.reason), false)));
             }
             Err(e) => return Err(e),
         }
--- a/src/frontend/accept.rs
+++ b/src/frontend/accept.rs
@@ -23,7 +23,7 @@
     }
 
     /// Records an error at `now`; returns how long to wait before the next attempt.
-    pub fn met(&mut self, now: Nanos, error: &Error) -> Duration {
+    pub fn record(&mut self, now: Nanos, error: &Error) -> Duration {
         if let Some(occurrences) = self.log.occurred(now) {
             log::warn!(listener = self.listener, error:% = error, occurrences = occurrences; "accept failed");
         }
--- a/src/frontend/aggregation/mod.rs
+++ b/src/frontend/aggregation/mod.rs
@@ -91,12 +91,12 @@
                 let set = self.sets.iter().find(|(set, _)| set.id == id);
                 let set = set.ok_or_else(|| problem(404, "there is no such set"))?;
                 if method != "POST" {
-                    return Err(problem(405, "queries are sent by POST").with("Allow", "POST"));
+                    return Err(problem(405, "queries are sent by POST").with_header("Allow", "POST"));
                 }
                 self.query(set, &request.body).map(Resource::Query)
             }
             ["v1", "sets"] | ["openapi.json"] if method != "GET" && method != "HEAD" => {
-                Err(problem(405, "this is read by GET").with("Allow", "GET, HEAD"))
+                Err(problem(405, "this is read by GET").with_header("Allow", "GET, HEAD"))
             }
             ["openapi.json"] if request.path == OPENAPI_PATH => Ok(Resource::OpenApi),
             ["v1", "sets"] | ["openapi.json"] => Ok(Resource::Sets),
@@ -141,10 +141,10 @@
     }
 
     fn reject_malformed(&self, bad: BadMessage) -> Reply {
-        problem(bad.status, bad.why)
+        problem(bad.status, bad.reason)
     }
 }
 
 fn document(kind: &'static str, body: Vec<u8>) -> Reply {
-    Reply { status: 200, kind, more: String::new(), body }
+    Reply { status: 200, content_type: kind, extra_headers: String::new(), body }
 }
--- a/src/frontend/aggregation/query.rs
+++ b/src/frontend/aggregation/query.rs
@@ -8,7 +8,7 @@
 use curlewdeck_merge::query::{Op, Query};
 
 use super::response::QueryResponder;
-use super::wire::{invalid_field, QueryBody};
+use super::wire::{invalid_field, Body};
 use super::AggregationFrontend;
 use crate::api::{ClassId, ShardId};
 use crate::config::SetConfig;
@@ -37,7 +37,7 @@
         (set, class): &(SetConfig, ClassId),
         body: &[u8],
     ) -> Result<AggregationQuery, Reply> {
-        let body = QueryBody::parse(body)?;
+        let body = Body::parse(body)?;
         let (measure, scale) = measure(set, body.measure.as_deref())?;
         let limit = self.row_limit(body.limit)?;
         if body.grouped && body.op == Op::List {
@@ -143,7 +143,7 @@
     Ok((measure.name.clone(), measure.scale))
 }
 
-fn check_filter(body: &QueryBody) -> Result<(), Reply> {
+fn check_filter(body: &Body) -> Result<(), Reply> {
     let is_too_long = |text: &String| text.len() > MAX_FILTER_BYTES;
     let has_long_text = body.filter.iter().any(|(field, value)| is_too_long(field) || is_too_long(value));
     if body.filter.len() > MAX_FILTER_FIELDS || has_long_text {
--- a/src/frontend/aggregation/range_cache.rs
+++ b/src/frontend/aggregation/range_cache.rs
@@ -24,7 +24,7 @@
     }
 
     /// Drops what restarted data nodes returned earlier.
-    pub fn forgetting(&self) -> OnEndpointsStarted {
+    pub fn on_endpoints_started(&self) -> OnEndpointsStarted {
         let cache = self.clone();
         Box::new(move |shards| {
             let mut ranges = cache.ranges();
--- a/src/frontend/aggregation/wire.rs
+++ b/src/frontend/aggregation/wire.rs
@@ -10,10 +10,10 @@
 use crate::frontend::problem::PROBLEM_MEDIA_TYPE;
 use crate::net::http;
 
-/// The body of a query. Messages about a malformed one name the type, so its name on the wire is fixed.
+/// The body of a query. Messages about a malformed one name this type: its name is part of the protocol.
 #[derive(Debug, Deserialize)]
-#[serde(rename = "Body", deny_unknown_fields, rename_all = "camelCase")]
-pub(super) struct QueryBody {
+#[serde(deny_unknown_fields, rename_all = "camelCase")]
+pub(super) struct Body {
     pub(super) op: Op,
     pub(super) measure: Option<String>,
     #[serde(default)]
@@ -27,7 +27,7 @@
     pub(super) timeout_ms: Option<u64>,
 }
 
-impl QueryBody {
+impl Body {
     /// The body in these bytes, or the reply to a malformed one.
     pub(super) fn parse(bytes: &[u8]) -> Result<Self, Reply> {
         let mut json = serde_json::Deserializer::from_slice(bytes);
@@ -46,5 +46,10 @@
     let title = http::reason(400);
     let body =
         json!({"type": "about:blank", "title": title, "status": 400, "detail": detail, "field": field});
-    Reply { status: 400, kind: PROBLEM_MEDIA_TYPE, more: String::new(), body: body.to_string().into_bytes() }
+    Reply {
+        status: 400,
+        content_type: PROBLEM_MEDIA_TYPE,
+        extra_headers: String::new(),
+        body: body.to_string().into_bytes(),
+    }
 }
--- a/src/frontend/features/item.rs
+++ b/src/frontend/features/item.rs
@@ -47,5 +47,6 @@
         "<{base}{path}>; rel=\"self\"; type=\"{GEOJSON}\", <{base}{collection_path}>; rel=\"collection\"; type=\"{JSON}\""
     );
     let body = feature.get().as_bytes().to_vec();
-    Reply { status: 200, kind: GEOJSON, more: String::new(), body }.with("Link", &links)
+    Reply { status: 200, content_type: GEOJSON, extra_headers: String::new(), body }
+        .with_header("Link", &links)
 }
--- a/src/frontend/features/items.rs
+++ b/src/frontend/features/items.rs
@@ -104,7 +104,7 @@
             "links": self.links(&contents),
         });
         let body = feature_collection(&contents.features, &members);
-        Reply { status: 200, kind: GEOJSON, more: String::new(), body }
+        Reply { status: 200, content_type: GEOJSON, extra_headers: String::new(), body }
     }
 
     /// The ranges of the query without a readable value.
--- a/src/frontend/features/mod.rs
+++ b/src/frontend/features/mod.rs
@@ -118,7 +118,7 @@
         Counters::add(&self.core.counters.features_requests);
         let resource = match request.method.as_str() {
             "GET" | "HEAD" => self.resource(&request),
-            _ => Err(problem(405, "features are read by GET").with("Allow", "GET, HEAD")),
+            _ => Err(problem(405, "features are read by GET").with_header("Allow", "GET, HEAD")),
         };
         let base = self.base(&request);
         let reply = match resource {
@@ -139,12 +139,17 @@
     }
 
     fn reject_malformed(&self, bad: BadMessage) -> Reply {
-        problem(bad.status, bad.why)
+        problem(bad.status, bad.reason)
     }
 }
 
 fn document(kind: &'static str, body: &Json) -> Reply {
-    Reply { status: 200, kind, more: String::new(), body: body.to_string().into_bytes() }
+    Reply {
+        status: 200,
+        content_type: kind,
+        extra_headers: String::new(),
+        body: body.to_string().into_bytes(),
+    }
 }
 
 /// The features in the value of a range, if they can be read.
--- a/src/frontend/features/resource.rs
+++ b/src/frontend/features/resource.rs
@@ -38,7 +38,7 @@
             ["collections", id] => Resource::Collection(self.collection_index(id)?),
             ["collections", id, "items"] => {
                 let collection = self.collection_index(id)?;
-                return Ok(Resource::Items(collection, self.filter(collection, &request.query)?));
+                return Ok(Resource::Items(collection, self.filter(collection, &request.query_string)?));
             }
             ["collections", id, "items", feature]
                 if !feature.is_empty() && feature.len() <= MAX_FEATURE_ID_BYTES =>
@@ -47,7 +47,7 @@
             }
             _ => return Err(problem(404, "there is no such resource")),
         };
-        if !request.query.is_empty() {
+        if !request.query_string.is_empty() {
             return Err(problem(400, "this resource takes no parameters"));
         }
         Ok(resource)
--- a/src/frontend/http_server/accept.rs
+++ b/src/frontend/http_server/accept.rs
@@ -43,7 +43,7 @@
         match listener.accept() {
             Ok((stream, _)) => accept(stream, &frontend, &context),
             Err(error) => {
-                let pause = errors.met(context.service.now(), &error);
+                let pause = errors.record(context.service.now(), &error);
                 if !pause.is_zero() {
                     may::coroutine::sleep(pause);
                 }
@@ -116,7 +116,7 @@
                     }
                 }
                 Ok(None) => {}
-                Err(error) => std::thread::sleep(self.errors.met(self.service.now(), &error)),
+                Err(error) => std::thread::sleep(self.errors.record(self.service.now(), &error)),
             }
         }
     }
@@ -159,11 +159,12 @@
 /// Answers that there is no place. While there are permits for it, the connection then lingers until the client has
 /// read so.
 fn reject(stream: TcpStream, context: &FrontendContext) {
-    let permit = context.turned_away.take();
+    let permit = context.rejected.take();
     let lingers = permit.is_some();
     let Ok(stream) = Stream::new(stream, permit) else { return };
-    let reply = Reply::text(503, "too many connections").with("Retry-After", "1");
-    let bytes = http::response(reply.status, reply.kind, &reply.more, &reply.body, false, false);
+    let reply = Reply::text(503, "too many connections").with_header("Retry-After", "1");
+    let bytes =
+        http::response(reply.status, reply.content_type, &reply.extra_headers, &reply.body, false, false);
     // One write that does not wait: the connection is rejected in any case.
     let is_written = stream.write_all(&bytes, Duration::ZERO).is_ok();
     stream.shutdown_write();
--- a/src/frontend/http_server/answer.rs
+++ b/src/frontend/http_server/answer.rs
@@ -98,7 +98,7 @@
 impl OutboundAnswer {
     /// Writes the answer; the client must take each of its pieces within `timeout`.
     pub(super) fn write(&mut self, stream: &Stream, keep_alive: bool, timeout: Duration) -> io::Result<()> {
-        let Reply { status, kind, more, body } = &self.reply;
+        let Reply { status, content_type: kind, extra_headers: more, body } = &self.reply;
         let Some(pieces) = self.pieces.take() else {
             let bytes = http::response(*status, kind, more, body, keep_alive, self.form.head_only);
             return stream.write_all(&bytes, timeout);
--- a/src/frontend/http_server/frontend.rs
+++ b/src/frontend/http_server/frontend.rs
@@ -39,5 +39,5 @@
     /// Permits of the client connections of all frontends.
     pub permits: Permits,
     /// Permits of rejected connections that are kept until their client has read so.
-    pub turned_away: Permits,
+    pub rejected: Permits,
 }
--- a/src/frontend/http_server/reader.rs
+++ b/src/frontend/http_server/reader.rs
@@ -89,7 +89,7 @@
 
     /// Takes the next request, or else reads once.
     fn step(&mut self, buffer: &mut [u8]) -> Flow {
-        let has_sent_ahead = self.pending.is_some() && self.requests.begun();
+        let has_sent_ahead = self.pending.is_some() && self.requests.has_partial_request();
         self.take_written_answer(has_sent_ahead)?;
         let timeout = if self.pending.is_some() {
             self.pending_read_timeout(has_sent_ahead)
@@ -121,7 +121,7 @@
         };
         let Some(stays_open) = written else { return Flow::Continue(()) };
         self.pending = None;
-        self.request_began = self.requests.begun().then(Instant::now);
+        self.request_began = self.requests.has_partial_request().then(Instant::now);
         if stays_open {
             Flow::Continue(())
         } else {
@@ -131,8 +131,8 @@
 
     /// The next complete request, if one has been received.
     fn next_request(&mut self) -> Flow<Option<Request>> {
-        let next = self.requests.next(&self.task.context.limits);
-        let is_partial = self.requests.begun();
+        let next = self.requests.next_request(&self.task.context.limits);
+        let is_partial = self.requests.has_partial_request();
         self.task.connection.state().set_partial_request(is_partial);
         match next {
             Ok(None) if self.is_read_ahead_full => Flow::Break(FINISHED),
@@ -146,8 +146,9 @@
         if !self.task.connection.state().begin_request() {
             return Flow::Break(FINISHED);
         }
-        self.request_began = self.requests.begun().then(Instant::now);
-        let received_at = self.arrivals.take_request(self.requests.held(), self.task.context.service.now());
+        self.request_began = self.requests.has_partial_request().then(Instant::now);
+        let received_at =
+            self.arrivals.take_request(self.requests.buffered_bytes(), self.task.context.service.now());
         self.pending = Some(self.serve(request, received_at));
         Flow::Continue(())
     }
@@ -167,7 +168,7 @@
         let left =
             self.request_began.map(|began| limits.request_read_timeout.saturating_sub(began.elapsed()));
         if left.is_some_and(|left| left.is_zero()) {
-            if self.requests.begun() {
+            if self.requests.has_partial_request() {
                 return Flow::Break(self.reject_malformed(http::TOO_SLOW));
             }
             if self.end_connection() {
@@ -209,7 +210,7 @@
         self.requests.push(bytes);
         self.arrivals.record(bytes.len(), self.task.context.service.now());
         self.is_read_ahead_full =
-            self.pending.is_some() && self.requests.held() >= self.task.context.limits.read_ahead;
+            self.pending.is_some() && self.requests.buffered_bytes() >= self.task.context.limits.read_ahead;
     }
 
     /// Ends the connection unless any part of a request has been received; returns whether it has ended.
@@ -231,7 +232,7 @@
                 self.log_unanswered(Some(query.0));
                 self.task.context.core.client_disconnected(query);
             }
-            _ if self.requests.begun() => self.log_unanswered(None),
+            _ if self.requests.has_partial_request() => self.log_unanswered(None),
             _ => {}
         }
     }
@@ -240,7 +241,7 @@
     fn log_unanswered(&self, query: Option<u64>) {
         let Some(occurrences) = self.task.context.service.client_left_unanswered() else { return };
         log::info!(
-            connection = self.task.key, query = query, received_bytes = self.requests.held(),
+            connection = self.task.key, query = query, received_bytes = self.requests.buffered_bytes(),
             occurrences = occurrences;
             "client disconnected without an answer"
         );
@@ -263,7 +264,7 @@
         let form = AnswerForm {
             keep_alive: request.keep_alive,
             head_only: request.method == "HEAD",
-            accepts_chunks: request.chunks,
+            accepts_chunks: request.accepts_chunks,
         };
         let served = self.task.frontend.serve(request, self.answer(received_at, form));
         if let Served::Later(query) = served {
--- a/src/frontend/http_server/reply.rs
+++ b/src/frontend/http_server/reply.rs
@@ -6,9 +6,9 @@
     /// Status.
     pub status: u16,
     /// Content type.
-    pub kind: &'static str,
+    pub content_type: &'static str,
     /// Further header lines, each ended by CR LF.
-    pub more: String,
+    pub extra_headers: String,
     /// Body.
     pub body: Vec<u8>,
 }
@@ -16,13 +16,18 @@
 impl Reply {
     /// A plain line of text.
     pub fn text(status: u16, text: &str) -> Self {
-        Self { status, kind: "text/plain", more: String::new(), body: format!("{text}\n").into_bytes() }
+        Self {
+            status,
+            content_type: "text/plain",
+            extra_headers: String::new(),
+            body: format!("{text}\n").into_bytes(),
+        }
     }
 
     /// The same reply with a further header line.
     #[must_use]
-    pub fn with(mut self, name: &str, value: &str) -> Self {
-        self.more.push_str(&format!("{name}: {value}\r\n"));
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
+        self.extra_headers.push_str(&format!("{name}: {value}\r\n"));
         self
     }
 }
--- a/src/frontend/http_server/service.rs
+++ b/src/frontend/http_server/service.rs
@@ -53,7 +53,7 @@
     }
 
     /// Why the process is not ready for new clients; `None` if it is.
-    pub fn why_not(&self, core: &CoreHandle) -> Option<&'static str> {
+    pub fn not_ready_reason(&self, core: &CoreHandle) -> Option<&'static str> {
         self.lifecycle()
             .not_serving_reason()
             .or_else(|| (!core.ready()).then_some("no data node is known yet"))
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -13,7 +13,7 @@
 use crate::net::coordinator::CoreHandle;
 use crate::net::http::{BadMessage, Request};
 use crate::runtime::nanos;
-use wire::QueryBody;
+use wire::Body;
 
 const HEALTH_PATH: &str = "/_health";
 const MAX_REQUEST_ID_BYTES: usize = 128;
@@ -40,12 +40,12 @@
         let class_name = request.path.split('/').nth(1).unwrap_or("");
         let class = deployment.class_named(class_name).ok_or_else(|| Reply::text(404, "unknown class"))?;
         if request.method != "POST" {
-            return Err(Reply::text(405, "queries are sent by POST").with("Allow", "POST"));
+            return Err(Reply::text(405, "queries are sent by POST").with_header("Allow", "POST"));
         }
         let name = request_id(request)?.to_string();
         let class_deadline = Duration::from_nanos(deployment.settings.classes[class.0].deadline);
         let timeout = self.client_timeout(request)?.unwrap_or(class_deadline);
-        let body: QueryBody = serde_json::from_slice(&request.body)
+        let body: Body = serde_json::from_slice(&request.body)
             .map_err(|error| Reply::text(400, &format!("the body is not as expected: {error}")))?;
         let time_left = nanos(timeout.saturating_sub(self.limits.answer_margin));
         Ok(QueryRequest {
@@ -72,9 +72,9 @@
 
     fn health(&self, method: &str) -> Reply {
         if !matches!(method, "GET" | "HEAD") {
-            return Reply::text(405, "health is read by GET").with("Allow", "GET, HEAD");
+            return Reply::text(405, "health is read by GET").with_header("Allow", "GET, HEAD");
         }
-        match self.service.why_not(&self.core) {
+        match self.service.not_ready_reason(&self.core) {
             None => Reply::text(200, "ok"),
             Some(reason) => Reply::text(503, reason),
         }
@@ -102,7 +102,7 @@
     }
 
     fn reject_malformed(&self, bad: BadMessage) -> Reply {
-        Reply::text(bad.status, bad.why)
+        Reply::text(bad.status, bad.reason)
     }
 }
 
@@ -135,7 +135,9 @@
 fn query_reply(ended: Result<QueryOutcome, RejectReason>, queue_full_retry_after: Nanos) -> Reply {
     match ended {
         Ok(QueryOutcome::Answered { complete, rows, .. }) => match wire::answer_body(complete, &rows) {
-            Ok(body) => Reply { status: 200, kind: "application/json", more: String::new(), body },
+            Ok(body) => {
+                Reply { status: 200, content_type: "application/json", extra_headers: String::new(), body }
+            }
             Err(_) => Reply::text(500, "the answer cannot be written"),
         },
         Ok(QueryOutcome::Rejected { retry_after }) => {
@@ -158,7 +160,7 @@
 fn with_retry_after(reply: Reply, retry_after: Nanos) -> Reply {
     match retry_after {
         0 => reply,
-        wait => reply.with("Retry-After", &format!("{:.3}", wait as f64 / 1e9)),
+        wait => reply.with_header("Retry-After", &format!("{:.3}", wait as f64 / 1e9)),
     }
 }
 
--- a/src/frontend/platform/tests.rs
+++ b/src/frontend/platform/tests.rs
@@ -17,6 +17,6 @@
     let reply = query_reply(Ok(QueryOutcome::Answered { complete: false, coverage: 0.5, rows }), 0);
     assert_eq!(reply.body, br#"{"exact":false,"rows":[{"id":3,"data":"5be2\"a0"}]}"#);
     let reply = query_reply(Err(RejectReason::QueueFull), 250_000_000);
-    assert_eq!((reply.status, reply.more.as_str()), (503, "Retry-After: 0.250\r\n"));
+    assert_eq!((reply.status, reply.extra_headers.as_str()), (503, "Retry-After: 0.250\r\n"));
     assert_eq!(query_reply(Ok(QueryOutcome::Failed), 0).status, 504);
 }
--- a/src/frontend/platform/wire.rs
+++ b/src/frontend/platform/wire.rs
@@ -5,25 +5,23 @@
 use crate::api::ShardId;
 use crate::engine::Row;
 
-/// The body of a query. Messages about a malformed one name the type, so its name on the wire is fixed.
+/// The body of a query. Messages about a malformed one name this type: its name is part of the protocol.
 #[derive(Debug, Deserialize, PartialEq)]
-#[serde(rename = "Body")]
-pub(super) struct QueryBody {
-    pub(super) parts: Vec<QueryPart>,
+pub(super) struct Body {
+    pub(super) parts: Vec<BodyPart>,
     #[serde(rename = "expr")]
     pub(super) text: String,
 }
 
-/// One part of a query.
+/// One part of a query; messages name this type, too.
 #[derive(Debug, Deserialize, PartialEq)]
-#[serde(rename = "BodyPart")]
-pub(super) struct QueryPart {
+pub(super) struct BodyPart {
     id: u32,
     #[serde(rename = "w")]
     weight: f64,
 }
 
-impl QueryPart {
+impl BodyPart {
     /// The shard and its weight.
     pub(super) fn shard_weight(&self) -> (ShardId, f64) {
         (ShardId(self.id), self.weight)
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -22,13 +22,18 @@
 pub fn problem(status: u16, detail: &str) -> Reply {
     let body =
         json!({"type": "about:blank", "title": http::reason(status), "status": status, "detail": detail});
-    Reply { status, kind: PROBLEM_MEDIA_TYPE, more: String::new(), body: body.to_string().into_bytes() }
+    Reply {
+        status,
+        content_type: PROBLEM_MEDIA_TYPE,
+        extra_headers: String::new(),
+        body: body.to_string().into_bytes(),
+    }
 }
 
 /// Adds `Retry-After`, rounded up to the whole seconds that HTTP has.
 pub fn with_retry_after(reply: Reply, retry_after: Nanos) -> Reply {
     let seconds = retry_after.div_ceil(NANOS_PER_SECOND).max(1);
-    reply.with("Retry-After", &seconds.to_string())
+    reply.with_header("Retry-After", &seconds.to_string())
 }
 
 /// The reply to a query that was not answered; `None` if it was.
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -100,7 +100,7 @@
     /// Watches for changes after a version.
     fn watch(&self, connection: &Connection, since: u64) -> Result<(), CallError> {
         let (head, received) = self.request(connection, &format!("{PATH}?stream=1&index={since}"))?;
-        if head.chunked() || head.until_end() {
+        if head.is_chunked() || head.ends_with_connection() {
             return self.read_watch(connection, &head, received);
         }
         // A service without watches answers with what has changed by now.
@@ -129,7 +129,7 @@
     fn head(&self, connection: &Connection) -> Result<(http::Head, Vec<u8>), CallError> {
         let mut received = Vec::new();
         loop {
-            let parsed = http::parse_head(&received, &self.limits).map_err(|e| truncated(e.why))?;
+            let parsed = http::parse_head(&received, &self.limits).map_err(|e| truncated(e.reason))?;
             if let Some((head, size)) = parsed {
                 received.drain(..size);
                 return Ok((head, received));
@@ -154,9 +154,9 @@
     ) -> Result<(Vec<u8>, bool), CallError> {
         let (max_bytes, mut ended) = (self.limits.max_update_bytes, false);
         loop {
-            match head.body(&received, max_bytes).map_err(|e| truncated(e.why))? {
+            match head.body(&received, max_bytes).map_err(|e| truncated(e.reason))? {
                 Some((body, _)) => return Ok((body, ended)),
-                None if ended && head.until_end() => return Ok((received, ended)),
+                None if ended && head.ends_with_connection() => return Ok((received, ended)),
                 None if ended => return Err(truncated(CONNECTION_ENDED)),
                 None => ended = !connection.read(&mut received).map_err(|why| truncated(&why))?,
             }
@@ -174,14 +174,14 @@
         let (mut chunks, mut parser) = (Chunks::default(), WatchParser::default());
         let max_bytes = self.limits.max_update_bytes;
         loop {
-            if head.chunked() {
-                chunks.feed(&received, parser.buffer(), max_bytes).map_err(|e| truncated(e.why))?;
+            if head.is_chunked() {
+                chunks.decode(&received, parser.buffer(), max_bytes).map_err(|e| truncated(e.reason))?;
             } else {
                 parser.buffer().extend_from_slice(&received);
             }
             received.clear();
             self.send_events(&mut parser)?;
-            if chunks.done() {
+            if chunks.is_done() {
                 return Ok(());
             }
             let within_line = parser.is_within_object() || chunks.within_chunk();
--- a/src/net/feature_node/response.rs
+++ b/src/net/feature_node/response.rs
@@ -39,9 +39,11 @@
     /// The response, once it was received completely.
     fn parse_response(&self, received: &[u8]) -> Result<Option<PageResponse>, Outcome> {
         let parsed = http::parse_head(received, &self.context.limits);
-        let Some((head, head_length)) = parsed.map_err(|e| self.malformed(e.why))? else { return Ok(None) };
+        let Some((head, head_length)) = parsed.map_err(|e| self.malformed(e.reason))? else {
+            return Ok(None);
+        };
         let body = head.body(&received[head_length..], self.context.limits.max_frame_bytes);
-        let Some((body, body_length)) = body.map_err(|e| self.malformed(e.why))? else { return Ok(None) };
+        let Some((body, body_length)) = body.map_err(|e| self.malformed(e.reason))? else { return Ok(None) };
         let body = self.decode_text(body)?;
         // What follows belongs to no request: the response is used, the connection is not used again.
         let nothing_follows = received.len() == head_length + body_length;
@@ -52,7 +54,7 @@
     /// The response when the connection has ended: that may be the end of the body, too.
     fn parse_ended_response(&self, received: &[u8]) -> Result<PageResponse, Outcome> {
         match http::parse_head(received, &self.context.limits) {
-            Ok(Some((head, head_length))) if head.until_end() => {
+            Ok(Some((head, head_length))) if head.ends_with_connection() => {
                 let body = self.decode_text(received[head_length..].to_vec())?;
                 Ok(PageResponse { status: head.status, body, keep_alive: false })
             }
--- a/src/net/http/chunked.rs
+++ b/src/net/http/chunked.rs
@@ -31,7 +31,7 @@
 
 impl Chunks {
     /// Whether the last chunk has been read.
-    pub fn done(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
@@ -45,9 +45,14 @@
     ///
     /// # Errors
     /// They are malformed, or the data too large.
-    pub fn feed(&mut self, bytes: &[u8], data: &mut Vec<u8>, max_bytes: usize) -> Result<usize, BadMessage> {
+    pub fn decode(
+        &mut self,
+        bytes: &[u8],
+        data: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> Result<usize, BadMessage> {
         let mut used = 0;
-        while used < bytes.len() && !self.done() {
+        while used < bytes.len() && !self.is_done() {
             if let State::Data(left) = self.state {
                 used += self.read_data(left, &bytes[used..], data, max_bytes)?;
             } else {
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -20,12 +20,12 @@
     /// The status of the response.
     pub status: u16,
     /// The reason, in a few words.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 impl BadMessage {
     const fn new(status: u16, why: &'static str) -> Self {
-        Self { status, why }
+        Self { status, reason: why }
     }
 }
 
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -13,7 +13,7 @@
     /// Its path, without the query string.
     pub path: String,
     /// Its query string.
-    pub query: String,
+    pub query_string: String,
     /// Its headers.
     pub headers: Headers,
     /// Its body.
@@ -21,7 +21,7 @@
     /// Whether the connection stays open after the response.
     pub keep_alive: bool,
     /// Whether the client accepts a response in chunks (RFC 9112, section 7.1): since HTTP/1.1.
-    pub chunks: bool,
+    pub accepts_chunks: bool,
 }
 
 /// Takes requests from the bytes of a connection as they arrive. Each byte is searched for the end of the head once,
@@ -57,12 +57,12 @@
     }
 
     /// The number of bytes that are buffered and belong to no request yet.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
     /// Whether part of a request has arrived.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_request(&self) -> bool {
         !self.buffer.is_empty() || self.open.is_some()
     }
 
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// It is malformed or over a limit; the connection cannot be used any longer.
-    pub fn next(&mut self, limits: &Limits) -> Result<Option<Request>, BadMessage> {
+    pub fn next_request(&mut self, limits: &Limits) -> Result<Option<Request>, BadMessage> {
         if self.open.is_none() {
             self.read_head(limits)?;
         }
@@ -140,8 +140,8 @@
                 Ok((used, body.len() == *length))
             }
             Self::Chunked(chunks) => {
-                let used = chunks.feed(bytes, body, limits.max_body_bytes)?;
-                Ok((used, chunks.done()))
+                let used = chunks.decode(bytes, body, limits.max_body_bytes)?;
+                Ok((used, chunks.is_done()))
             }
         }
     }
@@ -177,11 +177,11 @@
     let request = Request {
         method: head.method.unwrap_or("").to_string(),
         path: path.to_string(),
-        query: query.to_string(),
+        query_string: query.to_string(),
         keep_alive: keeps_alive(&headers, is_http_1_1),
         headers,
         body: Vec::new(),
-        chunks: is_http_1_1,
+        accepts_chunks: is_http_1_1,
     };
     Ok(Some(ParsedHead { request, framing, size }))
 }
--- a/src/net/http/response_head.rs
+++ b/src/net/http/response_head.rs
@@ -54,19 +54,19 @@
             Framing::Length(length) => Ok(bytes.get(..length).map(|body| (body.to_vec(), length))),
             Framing::Chunked => {
                 let (mut chunks, mut body) = (Chunks::default(), Vec::new());
-                let used = chunks.feed(bytes, &mut body, max_bytes)?;
-                Ok(chunks.done().then_some((body, used)))
+                let used = chunks.decode(bytes, &mut body, max_bytes)?;
+                Ok(chunks.is_done().then_some((body, used)))
             }
         }
     }
 
     /// Whether the body ends with the connection.
-    pub fn until_end(&self) -> bool {
+    pub fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilEnd
     }
 
     /// Whether the body is in chunks.
-    pub fn chunked(&self) -> bool {
+    pub fn is_chunked(&self) -> bool {
         self.framing == Framing::Chunked
     }
 
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -11,7 +11,7 @@
 fn parsed(bytes: &[u8]) -> Result<Option<(Request, usize)>, BadMessage> {
     let mut reader = RequestReader::default();
     reader.push(bytes);
-    Ok(reader.next(&Limits::default())?.map(|r| (r, reader.held())))
+    Ok(reader.next_request(&Limits::default())?.map(|r| (r, reader.buffered_bytes())))
 }
 
 /// Requests come in pieces: no prefix is an error or a request.
@@ -81,7 +81,7 @@
     fn any_bytes_are_parsed_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = parsed(&bytes);
         let _ = parse_head(&bytes, &Limits::default());
-        let _ = Chunks::default().feed(&bytes, &mut Vec::new(), 64);
+        let _ = Chunks::default().decode(&bytes, &mut Vec::new(), 64);
     }
 
     /// However requests are cut, and whatever empty lines stand ahead, they come out the same, one by one.
@@ -97,13 +97,13 @@
             let (piece, later) = rest.split_at(cut.min(rest.len()));
             reader.push(piece);
             rest = later;
-            while let Some(request) = reader.next(&Limits::default()).unwrap() {
+            while let Some(request) = reader.next_request(&Limits::default()).unwrap() {
                 prop_assert_eq!(&request.body, b"abcd");
                 got.push(request.headers.get("transfer-encoding").is_some());
             }
         }
         prop_assert_eq!(got, order);
-        prop_assert!(!reader.begun());
+        prop_assert!(!reader.has_partial_request());
     }
 
     /// However a chunked body is cut, it comes out the same.
@@ -113,10 +113,10 @@
         let (mut chunks, mut out) = (Chunks::default(), Vec::new());
         for cut in cuts.into_iter().chain([64]) {
             let piece = &rest[..cut.min(rest.len())];
-            prop_assert_eq!(chunks.feed(piece, &mut out, 64), Ok(piece.len()));
+            prop_assert_eq!(chunks.decode(piece, &mut out, 64), Ok(piece.len()));
             rest = &rest[piece.len()..];
         }
-        prop_assert!(chunks.done());
+        prop_assert!(chunks.is_done());
         prop_assert_eq!(out, b"abc0123456789abcdef".to_vec());
     }
 }
--- a/src/replication/api.rs
+++ b/src/replication/api.rs
@@ -36,14 +36,16 @@
 
     fn reply_to(&self, outcome: RequestOutcome) -> Reply {
         let unavailable = |text: &str| {
-            Reply::text(503, text).with("Retry-After", &format!("{:.3}", self.retry_after.as_secs_f64()))
+            Reply::text(503, text)
+                .with_header("Retry-After", &format!("{:.3}", self.retry_after.as_secs_f64()))
         };
         match outcome {
             RequestOutcome::Committed(CommandOutcome::Written { version }) => {
-                Reply::text(200, "promised").with("Version", &version.to_string())
+                Reply::text(200, "promised").with_header("Version", &version.to_string())
             }
             RequestOutcome::Committed(CommandOutcome::VersionMismatch { current }) => {
-                Reply::text(412, &format!("it is at version {current}")).with("Version", &current.to_string())
+                Reply::text(412, &format!("it is at version {current}"))
+                    .with_header("Version", &current.to_string())
             }
             RequestOutcome::Committed(CommandOutcome::Rejected(why @ CommandRejection::TooManyKeys)) => {
                 Reply::text(507, &why.to_string())
@@ -52,7 +54,7 @@
             RequestOutcome::Committed(CommandOutcome::NoEffect) => Reply::text(200, "done"),
             RequestOutcome::Read(Some(value)) => {
                 let reply = Reply { body: value.value, ..Reply::text(200, "") };
-                reply.with("Version", &value.version.to_string())
+                reply.with_header("Version", &value.version.to_string())
             }
             RequestOutcome::Read(None) => Reply::text(404, "there is no such key"),
             RequestOutcome::Rejected(why @ RejectReason::Stopped) => Reply::text(410, &why.to_string()),
@@ -85,7 +87,7 @@
             }
             ("DELETE", None) => Reply::text(400, "If-Version is needed: the version that is to go"),
             _ => Reply::text(405, "keys are read by GET, and changed by PUT and DELETE")
-                .with("Allow", KEY_METHODS),
+                .with_header("Allow", KEY_METHODS),
         }
     }
 
@@ -103,7 +105,7 @@
             },
             "DELETE" => self.request(ClientRequest::RemoveMember(id)),
             _ => Reply::text(405, "members are added by PUT and removed by DELETE")
-                .with("Allow", "PUT, DELETE"),
+                .with_header("Allow", "PUT, DELETE"),
         }
     }
 }
@@ -122,8 +124,10 @@
                 Reply { body: self.status.latest().text().into_bytes(), ..Reply::text(200, "") }
             }
             ("/group/snapshot", "POST") => self.request(ClientRequest::CreateSnapshot),
-            ("/group/status", _) => Reply::text(405, "the status is read by GET").with("Allow", "GET"),
-            ("/group/snapshot", _) => Reply::text(405, "a snapshot is made by POST").with("Allow", "POST"),
+            ("/group/status", _) => Reply::text(405, "the status is read by GET").with_header("Allow", "GET"),
+            ("/group/snapshot", _) => {
+                Reply::text(405, "a snapshot is made by POST").with_header("Allow", "POST")
+            }
             _ => Reply::text(404, "no such call"),
         }
     }
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -50,7 +50,7 @@
         let service = Service::new(process.clock, Lifecycle::new(spans), nanos(limits.client_log_interval));
         let permits = Permits::new(limits.clients);
         let turned_away = Permits::new(limits.rejected_clients);
-        Self { shared: Shared { core, limits, service: Arc::new(service), permits, turned_away } }
+        Self { shared: Shared { core, limits, service: Arc::new(service), permits, rejected: turned_away } }
     }
 
     /// The client connections and the lifecycle of the process.
--- a/src/startup/operations.rs
+++ b/src/startup/operations.rs
@@ -20,7 +20,7 @@
 
 impl OperatorCommands for CoordinatorOperations {
     fn ready(&self) -> Result<(), &'static str> {
-        self.service.why_not(&self.core).map_or(Ok(()), Err)
+        self.service.not_ready_reason(&self.core).map_or(Ok(()), Err)
     }
 
     fn figures(&self) -> String {
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -80,7 +80,7 @@
         let restored = snapshot_store.as_ref().map(|store| store.contents());
         let core_config = CoreConfig {
             restored_ledger: restored.as_ref().map(|restored| restored.ledger.clone()),
-            on_endpoints_started: range_memory.as_ref().map(Memory::forgetting),
+            on_endpoints_started: range_memory.as_ref().map(Memory::on_endpoints_started),
             ..process.core_config(engine, list_state.lease, config.control.is_some())
         };
         let to_discovery = discovery.clone();
