--- a/crates/merge/examples/merge_check/stand_in.rs
+++ b/crates/merge/examples/merge_check/stand_in.rs
@@ -76,6 +76,59 @@
     groups
 }
 
+/// A row as it is sent: key, measure and JSON.
+type Line = (String, i64, String);
+
+/// The rows or groups as they are sent, in key order.
+fn lines(rows: &Snapshot, grouped_by: bool, folds: bool) -> Vec<Line> {
+    if grouped_by {
+        let line = |(key, m): (String, Vec<i64>)| {
+            let sum: i64 = m.iter().sum();
+            let row = match folds {
+                true => format!(
+                    "[{},{},{sum},{},{}]",
+                    quoted(&key),
+                    m.len(),
+                    m.iter().min().unwrap_or(&0),
+                    m.iter().max().unwrap_or(&0)
+                ),
+                false => format!("[{},{sum}]", quoted(&key)),
+            };
+            (key, sum, row)
+        };
+        grouped(rows).into_iter().map(line).collect()
+    } else {
+        let line = |(key, row): (&String, &Row)| {
+            let body = row.body.as_ref().map(|b| format!(",{b}")).unwrap_or_default();
+            (key.clone(), row.measure, format!("[{},{}{body}]", quoted(key), row.measure))
+        };
+        rows.iter().map(line).collect()
+    }
+}
+
+/// How many lines fit what the replica may send.
+fn count_fitting(lines: &[Line], limit: usize, manner: Manner) -> usize {
+    let mut given = 0;
+    let mut bytes = 300;
+    while given < lines.len().min(limit).min(manner.room) && bytes + lines[given].2.len() < manner.bytes {
+        bytes += lines[given].2.len() + 1;
+        given += 1;
+    }
+    given
+}
+
+/// What the header says of the lines that are not sent, if there are any.
+fn remainder(lines: &[Line], manner: Manner) -> Option<Json> {
+    let left: Vec<i64> = lines.iter().map(|l| l.1).collect();
+    if left.is_empty() {
+        return None;
+    }
+    Some(match manner.terse {
+        true => json!({}),
+        false => json!({"rows": left.len(), "most": left.iter().max(), "least": left.iter().min()}),
+    })
+}
+
 /// A replica's value for a query's text; rows whose keys begin alike before a `#` are one group. None where it
 /// cannot use the text, or has no data that is new enough.
 pub fn answer(rows: &Snapshot, version: u64, text: &str, manner: Manner) -> Option<String> {
@@ -99,30 +152,7 @@
         head["total"] = total(&all);
         return Some(head.to_string());
     }
-    // Key, measure, and the row as it is sent.
-    let mut lines: Vec<(String, i64, String)> = if grouped_by {
-        let line = |(key, m): (String, Vec<i64>)| {
-            let sum: i64 = m.iter().sum();
-            let row = match folds {
-                true => format!(
-                    "[{},{},{sum},{},{}]",
-                    quoted(&key),
-                    m.len(),
-                    m.iter().min().unwrap_or(&0),
-                    m.iter().max().unwrap_or(&0)
-                ),
-                false => format!("[{},{sum}]", quoted(&key)),
-            };
-            (key, sum, row)
-        };
-        grouped(rows).into_iter().map(line).collect()
-    } else {
-        let line = |(key, row): (&String, &Row)| {
-            let body = row.body.as_ref().map(|b| format!(",{b}")).unwrap_or_default();
-            (key.clone(), row.measure, format!("[{},{}{body}]", quoted(key), row.measure))
-        };
-        rows.iter().map(line).collect()
-    };
+    let mut lines = lines(rows, grouped_by, folds);
     if op == "rank" {
         lines.sort_by(|a, b| if descending { b.1.cmp(&a.1) } else { a.1.cmp(&b.1) }.then(a.0.cmp(&b.0)));
     } else {
@@ -132,12 +162,7 @@
         let measures: Vec<i64> = lines.iter().map(|l| l.1).collect();
         head["total"] = total(&measures);
     }
-    let mut given = 0;
-    let mut bytes = 300;
-    while given < lines.len().min(limit).min(manner.room) && bytes + lines[given].2.len() < manner.bytes {
-        bytes += lines[given].2.len() + 1;
-        given += 1;
-    }
+    let given = count_fitting(&lines, limit, manner);
     if given == 0 && !lines.is_empty() {
         head["too_large"] = json!({"key": lines[0].0, "bytes": lines[0].2.len()});
         if let Some(head) = head.as_object_mut() {
@@ -145,14 +170,8 @@
         }
         return Some(head.to_string());
     }
-    let left: Vec<i64> = lines[given..].iter().map(|l| l.1).collect();
-    if !left.is_empty() {
-        head["rest"] = match manner.terse {
-            true => json!({}),
-            false => {
-                json!({"rows": left.len(), "most": left.iter().max(), "least": left.iter().min()})
-            }
-        };
+    if let Some(remainder) = remainder(&lines[given..], manner) {
+        head["rest"] = remainder;
     }
     head["rows"] = json!(given);
     let mut text = head.to_string();
--- a/crates/merge/src/lib.rs
+++ b/crates/merge/src/lib.rs
@@ -1,10 +1,10 @@
-//! Merges the values that tag ranges gave into one exact answer that says what it covers.
+//! Merges the values of many tag ranges into one exact answer that says what it covers.
 //!
-//! A [`query::Query`] goes to each range as a text ([`query::Query::text`]). What a range answers is a
-//! [`value::Value`], checked when it comes ([`value::check`]): one that is malformed, speaks for another range or
-//! contradicts itself never counts. From the values that are in, [`rank`], [`aggregate`] and [`page`] make the answer;
-//! [`coverage`] says what it rests on, [`range_cache`] what is known of ranges that are missing, and [`cursor`] carries a
-//! listing from page to page. Nothing here does I/O or reads a clock.
+//! A [`query::Query`] is sent to each range as a request text ([`query::Query::text`]). A range returns a
+//! [`value::Value`], which [`value::check`] checks when it comes: one that is malformed, speaks for another range or is
+//! inconsistent is refused. [`merger`] holds the state of one query; [`rank`], [`aggregate`] and [`page`] merge the
+//! valid values. [`coverage`] tells which ranges are in, [`range_cache`] bounds those that are missing, and [`cursor`]
+//! carries a listing from page to page. The crate does no I/O and reads no clock.
 
 pub mod aggregate;
 pub mod aggregator;
