--- a/src/bin/curlewdeck-simulator-adapter/host.rs
+++ b/src/bin/curlewdeck-simulator-adapter/host.rs
@@ -3,9 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use base64::Engine;
-use curlewdeck::api::{
-    ClassId, EndpointRecord, EndpointUpdateKind, Event, KeyId, PartId, QueryId, ShardId, TenantId,
-};
+use curlewdeck::api::{ClassId, EndpointUpdateKind, Event, KeyId, PartId, QueryId, ShardId, TenantId};
 use curlewdeck::settings::{self, Deployment};
 use curlewdeck::Policy;
 
@@ -18,13 +16,13 @@
 
 /// One record of a registered endpoint list, not yet tied to the ids of an instance.
 #[derive(Clone)]
-struct EndpointLine {
-    server_name: String,
-    partition_group: u32,
-    started_at: u64,
-    capacity: f64,
-    state: curlewdeck::api::EndpointState,
-    zone: Option<String>,
+pub(crate) struct EndpointLine {
+    pub(crate) server_name: String,
+    pub(crate) partition_group: u32,
+    pub(crate) started_at: u64,
+    pub(crate) capacity: f64,
+    pub(crate) state: curlewdeck::api::EndpointState,
+    pub(crate) zone: Option<String>,
 }
 
 #[derive(Default)]
@@ -209,24 +207,11 @@
 
     fn backends_changed(&mut self, fields: &mut Fields) -> Result<(), String> {
         let coordinator: u32 = fields.number("mixer")?;
-        let change = match fields.text("kind")? {
-            "diff" => ListChange::List(EndpointUpdateKind::Delta),
-            "snapshot" => ListChange::List(EndpointUpdateKind::Snapshot),
-            "disk" => ListChange::Unconfirmed,
-            "error" => ListChange::Failed,
-            other => return Err(format!("backends_changed: unknown kind '{other}'")),
-        };
+        let change = ListChange::read(fields.text("kind")?)?;
         fields.optional_number::<u64>("stamp")?;
         let list: Option<usize> = fields.optional_number("set_id")?;
         fields.end()?;
-        let lines: &[EndpointLine] = match (change, list) {
-            (ListChange::Failed, _) => &[],
-            (_, Some(n)) => {
-                let lines = self.endpoint_lists.get(n).and_then(Option::as_ref);
-                lines.ok_or_else(|| format!("backends_changed: list {n} is not registered"))?
-            }
-            (_, None) => return Err("backends_changed: expected set_id, found '-'".to_string()),
-        };
+        let lines = registered_lines(&self.endpoint_lists, change, list)?;
         let instance = self.instances.get_mut(&coordinator).ok_or_else(|| unknown(coordinator))?;
         if !instance.in_round {
             instance.in_round = true;
@@ -244,17 +229,7 @@
                 kind
             }
         };
-        let mut records = Vec::with_capacity(lines.len());
-        for record in lines {
-            records.push(EndpointRecord {
-                server: instance.intern(&record.server_name),
-                partition_group: record.partition_group,
-                started_at: record.started_at,
-                capacity: record.capacity,
-                state: record.state,
-                zone: instance.zone(record.zone.as_deref()),
-            });
-        }
+        let records = lines.iter().map(|line| instance.endpoint_record(line)).collect();
         instance.events.push(Event::EndpointsUpdated { kind, records });
         Ok(())
     }
@@ -341,6 +316,34 @@
     Failed,
 }
 
+impl ListChange {
+    fn read(kind: &str) -> Result<Self, String> {
+        match kind {
+            "diff" => Ok(Self::List(EndpointUpdateKind::Delta)),
+            "snapshot" => Ok(Self::List(EndpointUpdateKind::Snapshot)),
+            "disk" => Ok(Self::Unconfirmed),
+            "error" => Ok(Self::Failed),
+            other => Err(format!("backends_changed: unknown kind '{other}'")),
+        }
+    }
+}
+
+/// The records of the registered list that a change names; none for a call that failed.
+fn registered_lines(
+    lists: &[Option<Vec<EndpointLine>>; MAX_LISTS],
+    change: ListChange,
+    list: Option<usize>,
+) -> Result<&[EndpointLine], String> {
+    match (change, list) {
+        (ListChange::Failed, _) => Ok(&[]),
+        (_, Some(n)) => {
+            let lines = lists.get(n).and_then(Option::as_deref);
+            lines.ok_or_else(|| format!("backends_changed: list {n} is not registered"))
+        }
+        (_, None) => Err("backends_changed: expected set_id, found '-'".to_string()),
+    }
+}
+
 fn unknown(coordinator: u32) -> String {
     format!("instance {coordinator} has not been enlisted")
 }
--- a/src/bin/curlewdeck-simulator-adapter/instance.rs
+++ b/src/bin/curlewdeck-simulator-adapter/instance.rs
@@ -3,9 +3,10 @@
 use std::collections::HashMap;
 use std::fmt::Write;
 
-use curlewdeck::api::{Action, Event, QueryId, ServerId, ZoneId};
+use curlewdeck::api::{Action, EndpointRecord, Event, QueryId, ServerId, ZoneId};
 use curlewdeck::Policy;
 
+use crate::host::EndpointLine;
 use crate::subscriber::Subscriber;
 use crate::wire::{CALL_REMINDER, TIMER_REMINDER};
 
@@ -55,6 +56,18 @@
         id
     }
 
+    /// A record of the endpoint list under this instance's ids.
+    pub(crate) fn endpoint_record(&mut self, line: &EndpointLine) -> EndpointRecord {
+        EndpointRecord {
+            server: self.intern(&line.server_name),
+            partition_group: line.partition_group,
+            started_at: line.started_at,
+            capacity: line.capacity,
+            state: line.state,
+            zone: self.zone(line.zone.as_deref()),
+        }
+    }
+
     /// A zone that the settings do not name is not known.
     pub(crate) fn zone(&self, zone: Option<&str>) -> Option<ZoneId> {
         let at = self.zone_names.iter().position(|z| Some(z.as_str()) == zone)?;
