--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -39,13 +39,6 @@
     Thread(#[source] io::Error),
 }
 
-/// For callers whose own errors are texts.
-impl From<AlertStartError> for String {
-    fn from(error: AlertStartError) -> Self {
-        error.to_string()
-    }
-}
-
 /// Has the alert on the process's shutdown sent.
 #[derive(Debug, Clone, Default)]
 pub struct ShutdownSignal(Arc<AtomicBool>);
--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -157,7 +157,7 @@
 
     fn check_group(&self) -> Result<(), EdgeError> {
         let Some(group) = &self.group else { return Ok(()) };
-        group.check().map_err(|error| EdgeError::Replication(error.into()))
+        Ok(group.check()?)
     }
 
     fn check_snmp(&self) -> Result<(), EdgeError> {
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -7,8 +7,9 @@
 use curlewdeck_merge::units::MAX_SCALE;
 use thiserror::Error;
 
-/// An error of a part that has no type of its own here.
-pub type BoxedError = Box<dyn std::error::Error + Send + Sync>;
+use crate::api::SettingsError;
+use crate::replication::config::GroupConfigError;
+use crate::settings::ReadError;
 
 /// Why the platform's configuration file cannot be used.
 #[derive(Debug, Error)]
@@ -25,9 +26,12 @@
     /// It is JSON, and a key is missing or of another type.
     #[error("not as expected: {0}")]
     Unexpected(#[source] serde_json::Error),
+    /// Its settings cannot be read.
+    #[error(transparent)]
+    Settings(#[from] ReadError),
     /// Its settings cannot be used.
-    #[error("{0}")]
-    Settings(#[source] BoxedError),
+    #[error(transparent)]
+    InvalidSettings(#[from] SettingsError),
     /// A variable of the environment is not an address.
     #[error("{variable}: '{text}' is no address")]
     Address {
@@ -83,8 +87,8 @@
     #[error(transparent)]
     Snmp(#[from] SnmpConfigError),
     /// The section `[group]`.
-    #[error("{0}")]
-    Replication(#[source] BoxedError),
+    #[error(transparent)]
+    Replication(#[from] GroupConfigError),
     /// The section `[state]` names a folder that is not there, or a period of 0.
     #[error("state: {}: a folder that is there, and every_s above 0", .folder.display())]
     State {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -17,8 +17,8 @@
 pub use aggregation::{AggregationConfig, MeasureConfig, SetConfig};
 pub use edge::{Edge, NodeProtocol, NodesConfig};
 pub use error::{
-    AggregationConfigError, BoxedError, ConfigError, EdgeError, FeaturesConfigError, SecretError,
-    SetConfigError, SnmpConfigError,
+    AggregationConfigError, ConfigError, EdgeError, FeaturesConfigError, SecretError, SetConfigError,
+    SnmpConfigError,
 };
 pub use features::{CollectionConfig, FeaturesConfig};
 pub use process::Config;
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -149,8 +149,8 @@
 }
 
 fn read_settings(text: &str) -> Result<Deployment, ConfigError> {
-    let deployment = settings::read(text).map_err(|error| ConfigError::Settings(error.into()))?;
-    deployment.settings.check().map_err(|error| ConfigError::Settings(error.into()))?;
+    let deployment = settings::read(text)?;
+    deployment.settings.check()?;
     Ok(deployment)
 }
 
--- a/src/frontend/http_server/mod.rs
+++ b/src/frontend/http_server/mod.rs
@@ -18,7 +18,6 @@
 pub use accept::{listen, listen_inherited};
 pub use answer::{Answer, BodyPieces};
 // The name under which the startup module knows it.
-pub use frontend::FrontendContext as Shared;
 pub use frontend::{Frontend, FrontendContext, Served};
 pub use reply::Reply;
 pub use service::Service;
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -54,13 +54,6 @@
     },
 }
 
-/// For callers whose own errors are texts.
-impl From<GroupConfigError> for String {
-    fn from(error: GroupConfigError) -> Self {
-        error.to_string()
-    }
-}
-
 impl GroupConfig {
     /// The members that the file names, by id.
     ///
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -30,7 +30,7 @@
 use config::GroupConfig;
 use member_handle::MemberHandle;
 use snapshot_replica::ReplicatedSnapshot;
-use startup::GroupStartError;
+pub use startup::GroupStartError;
 use status::SharedStatus;
 
 /// A member that runs in this process, with the calls of its clients.
--- a/src/replication/startup.rs
+++ b/src/replication/startup.rs
@@ -69,13 +69,6 @@
     Thread(#[source] io::Error),
 }
 
-/// For callers whose own errors are texts.
-impl From<GroupStartError> for String {
-    fn from(error: GroupStartError) -> Self {
-        error.to_string()
-    }
-}
-
 /// A member that runs.
 #[derive(Debug)]
 pub struct RunningMember {
--- a/src/snapshot_store/error.rs
+++ b/src/snapshot_store/error.rs
@@ -32,13 +32,6 @@
     TooLarge,
 }
 
-/// For callers whose own errors are texts.
-impl From<SnapshotError> for String {
-    fn from(error: SnapshotError) -> Self {
-        error.to_string()
-    }
-}
-
 /// What is wrong with a state folder.
 #[derive(Debug, thiserror::Error)]
 pub enum DirectoryError {
--- a/src/startup/error.rs
+++ b/src/startup/error.rs
@@ -5,9 +5,12 @@
 
 use thiserror::Error;
 
+use crate::alerts::AlertStartError;
 use crate::api::SettingsError;
-use crate::config::{AggregationConfigError, BoxedError, EdgeError, FeaturesConfigError, SnmpConfigError};
+use crate::config::{AggregationConfigError, EdgeError, FeaturesConfigError, SnmpConfigError};
 use crate::limits::LimitsError;
+use crate::replication::GroupStartError;
+use crate::snapshot_store::SnapshotError;
 use crate::snmp::SnmpStartError;
 
 /// Why a coordinator cannot be started, in one line.
@@ -18,7 +21,7 @@
     Edge(#[from] EdgeError),
     /// The listening socket that was to be inherited cannot be taken over.
     #[error("LB_LISTEN_FD: {0}")]
-    InheritedListener(#[source] BoxedError),
+    InheritedListener(String),
     /// The platform allows too little.
     #[error(transparent)]
     Limits(#[from] LimitsError),
@@ -29,11 +32,11 @@
     #[error("cannot start the actor of discovery: {0}")]
     Discovery(#[source] io::Error),
     /// The member of the replication group did not start.
-    #[error("{0}")]
-    Replication(#[source] BoxedError),
+    #[error(transparent)]
+    Replication(#[from] GroupStartError),
     /// The stored state cannot be used.
-    #[error("{0}")]
-    SnapshotStore(#[source] BoxedError),
+    #[error(transparent)]
+    SnapshotStore(#[from] SnapshotError),
     /// The core's actor did not start.
     #[error("cannot start the core: {0}")]
     Core(#[source] io::Error),
@@ -63,8 +66,8 @@
     #[error(transparent)]
     Aggregation(#[from] AggregationConfigError),
     /// Notifications cannot be sent.
-    #[error("{0}")]
-    Alerts(#[source] BoxedError),
+    #[error(transparent)]
+    Alerts(#[from] AlertStartError),
     /// The management agent's engine id cannot be used.
     #[error(transparent)]
     SnmpConfig(#[from] SnmpConfigError),
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -14,7 +14,7 @@
 use crate::control::{self, Operations};
 use crate::frontend::aggregation::{AggregationFrontend, Memory};
 use crate::frontend::features::FeaturesFrontend;
-use crate::frontend::http_server::{self, Frontend, Service, Shared};
+use crate::frontend::http_server::{self, Frontend, FrontendContext, Service};
 use crate::frontend::platform::Platform;
 use crate::net::coordinator::CoreHandle;
 use crate::replication::Group;
@@ -24,7 +24,7 @@
 
 /// Starts frontends that share the bounds on client connections and the lifecycle of the process.
 pub(super) struct Frontends {
-    shared: Shared,
+    shared: FrontendContext,
 }
 
 /// Where the frontends listen: none where one is not turned on.
@@ -50,7 +50,15 @@
         let service = Service::new(process.clock, Lifecycle::new(spans), nanos(limits.client_log_interval));
         let permits = Permits::new(limits.clients);
         let turned_away = Permits::new(limits.rejected_clients);
-        Self { shared: Shared { core, limits, service: Arc::new(service), permits, rejected: turned_away } }
+        Self {
+            shared: FrontendContext {
+                core,
+                limits,
+                service: Arc::new(service),
+                permits,
+                rejected: turned_away,
+            },
+        }
     }
 
     /// The client connections and the lifecycle of the process.
@@ -83,7 +91,7 @@
         seed: u64,
     ) -> Result<Option<SocketAddr>, StartError> {
         let Some(config) = config else { return Ok(None) };
-        let Shared { core, limits, .. } = self.shared.clone();
+        let FrontendContext { core, limits, .. } = self.shared.clone();
         let frontend = FeaturesFrontend::new(config, core, limits, seed)?;
         self.listen(config.listen, Arc::new(frontend)).map(Some)
     }
@@ -96,7 +104,7 @@
         seed: u64,
     ) -> Result<Option<SocketAddr>, StartError> {
         let Some((config, memory)) = config.zip(memory) else { return Ok(None) };
-        let Shared { core, limits, .. } = self.shared.clone();
+        let FrontendContext { core, limits, .. } = self.shared.clone();
         let frontend = AggregationFrontend::new(config, core, limits, memory, seed)?;
         self.listen(config.listen, Arc::new(frontend)).map(Some)
     }
@@ -108,8 +116,7 @@
         sockets: usize,
     ) -> Result<Option<ShutdownSignal>, StartError> {
         let Some(config) = config else { return Ok(None) };
-        let started = alerts::start(config, self.shared.core.clone(), &self.shared.limits, sockets);
-        started.map_err(|error| StartError::Alerts(error.into()))
+        Ok(alerts::start(config, self.shared.core.clone(), &self.shared.limits, sockets)?)
     }
 
     /// Starts the management agent, with the engine id and boots that were restored.
@@ -120,7 +127,7 @@
         restored: Option<SnapshotContents>,
     ) -> Result<Option<SocketAddr>, StartError> {
         let Some(config) = config else { return Ok(None) };
-        let Shared { core, limits, .. } = self.shared.clone();
+        let FrontendContext { core, limits, .. } = self.shared.clone();
         let engine = restored
             .filter(|restored| !restored.engine_id.is_empty())
             .map(|restored| (restored.engine_id, restored.boots));
@@ -132,7 +139,7 @@
     /// Starts to answer operators at the second address, if there is one.
     fn start_control(&self, address: Option<SocketAddr>) -> Result<Option<SocketAddr>, StartError> {
         let Some(address) = address else { return Ok(None) };
-        let Shared { core, limits, service, .. } = self.shared.clone();
+        let FrontendContext { core, limits, service, .. } = self.shared.clone();
         let max_calls = limits.control_calls;
         let operations = Operations(CoordinatorOperations { core, service, limits: limits.clone() });
         let started = control::start(address, Arc::new(operations), max_calls, limits);
@@ -145,7 +152,7 @@
         address: SocketAddr,
         inherited: Option<Inherited>,
     ) -> Result<SocketAddr, StartError> {
-        let Shared { core, limits, service, .. } = self.shared.clone();
+        let FrontendContext { core, limits, service, .. } = self.shared.clone();
         let frontend = Arc::new(Platform { core, limits, service });
         let Some(inherited) = inherited else { return self.listen(address, frontend) };
         http_server::listen_inherited(inherited, frontend, self.shared.clone())
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -80,5 +80,5 @@
 /// The listening socket that another process handed over, if the environment names one.
 fn take_inherited_listener(config: &Config) -> Result<Option<Inherited>, StartError> {
     let inherited = config.listen_fd.as_deref().map(Inherited::take).transpose();
-    inherited.map_err(|error| StartError::InheritedListener(error.into()))
+    inherited.map_err(StartError::InheritedListener)
 }
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -154,8 +154,7 @@
 
     fn start_replication(&self, group: Option<&GroupConfig>) -> Result<Option<Group>, StartError> {
         let Some(group) = group else { return Ok(None) };
-        let started = replication::start(group, &self.limits);
-        started.map(Some).map_err(|error| StartError::Replication(error.into()))
+        Ok(Some(replication::start(group, &self.limits)?))
     }
 
     /// The core's configuration, with nothing restored and nobody to hear of data nodes that started anew.
@@ -203,6 +202,5 @@
     let Some(state) = &edge.state else { return Ok(None) };
     let engine_id = edge.snmp.as_ref().map_or(Ok(Vec::new()), SnmpConfig::engine_id)?;
     let replica = group.filter(|_| state.replicated).map(|group| group.snapshot_replica(name));
-    let store = SnapshotStore::load(state, engine_id, replica);
-    Ok(Some(Arc::new(store.map_err(|error| StartError::SnapshotStore(error.into()))?)))
+    Ok(Some(Arc::new(SnapshotStore::load(state, engine_id, replica)?)))
 }
