--- a/src/config/aggregation.rs
+++ b/src/config/aggregation.rs
@@ -14,10 +14,10 @@
 use crate::net::http;
 use crate::settings::Deployment;
 
-/// What the edge's file says of the aggregation frontend.
+/// What the edge's file says of the aggregation frontend. Messages on a malformed section name this type.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct DeskConfig")]
-pub struct AggregationConfig {
+#[serde(deny_unknown_fields)]
+pub struct DeskConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// The file of the keys that seal cursors, the first one for new ones; without it a key is generated at the start,
@@ -56,7 +56,7 @@
     pub scale: u8,
 }
 
-impl AggregationConfig {
+impl DeskConfig {
     /// The class of each set.
     ///
     /// # Errors
--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -29,7 +29,7 @@
 pub struct Edge {
     /// The section `[nodes]`: the protocol of the data nodes.
     #[serde(default)]
-    pub nodes: NodesConfig,
+    pub nodes: Nodes,
     /// The section `[ogc]`: the frontend for feature queries.
     #[serde(rename = "ogc")]
     pub features: Option<FeaturesConfig>,
@@ -44,10 +44,10 @@
     pub group: Option<GroupConfig>,
 }
 
-/// The section `[nodes]`.
+/// The section `[nodes]`. Messages on a malformed one name this type.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Nodes")]
-pub struct NodesConfig {
+#[serde(deny_unknown_fields)]
+pub struct Nodes {
     /// The protocol of the data nodes.
     #[serde(default)]
     pub protocol: NodeProtocol,
@@ -60,7 +60,7 @@
     pub after_parameter: Option<String>,
 }
 
-impl Default for NodesConfig {
+impl Default for Nodes {
     fn default() -> Self {
         Self {
             protocol: NodeProtocol::default(),
--- a/src/config/features.rs
+++ b/src/config/features.rs
@@ -12,10 +12,10 @@
 use crate::net::http;
 use crate::settings::Deployment;
 
-/// What the edge's file says of the features frontend.
+/// What the edge's file says of the features frontend. Messages on a malformed section name this type.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct OgcConfig")]
-pub struct FeaturesConfig {
+#[serde(deny_unknown_fields)]
+pub struct OgcConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// What the pages' links begin with; `http://` and the request's host where it is not given.
@@ -54,7 +54,7 @@
     pub bbox: Option<[f64; 4]>,
 }
 
-impl FeaturesConfig {
+impl OgcConfig {
     /// The collections with their classes.
     ///
     /// # Errors
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -3,7 +3,8 @@
 //! Each section of the edge's file has its type here; the frontends and the management agent read theirs from this
 //! module, and this module reads nothing of theirs.
 //!
-//! A section whose type was renamed keeps the name that messages on malformed files give it, by serde's `expecting`.
+//! Messages on malformed files name the type of a section. Three keep the name that those messages have always given, and
+//! are known under a clearer one outside this module.
 
 mod aggregation;
 mod edge;
@@ -14,13 +15,13 @@
 mod secrets;
 mod snmp;
 
-pub use aggregation::{AggregationConfig, MeasureConfig, SetConfig};
-pub use edge::{Edge, NodeProtocol, NodesConfig};
+pub use aggregation::{DeskConfig as AggregationConfig, MeasureConfig, SetConfig};
+pub use edge::{Edge, NodeProtocol, Nodes as NodesConfig};
 pub use error::{
     AggregationConfigError, ConfigError, EdgeError, FeaturesConfigError, SecretError, SetConfigError,
     SnmpConfigError,
 };
-pub use features::{CollectionConfig, FeaturesConfig};
+pub use features::{CollectionConfig, OgcConfig as FeaturesConfig};
 pub use process::Config;
 pub use secrets::{read_cursor_keys, read_secret};
 pub use snmp::{NotifyConfig, SnmpAccess, SnmpConfig, SnmpUser, ViewConfig};
