--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which queued queries are sent, in which order, and which are shed.
+//! Admission control: selects the queued queries to start and those to shed.
 
 use std::cmp::Ordering;
 
@@ -10,16 +10,16 @@
 use super::Policy;
 use crate::api::{Nanos, PartId, QueryId, ServerId};
 
-/// A query is not kept out by parts of others whose value is this many times less.
+/// Parts whose value is lower than a query's by more than this factor do not count against its admission.
 const OUTRANK_FACTOR: f64 = 1.5;
 /// Queued queries are shed while more than this share of `max_open` is open.
 const SHED_OPEN_RATIO: f64 = 0.9;
-/// Throttled queries are admitted up to this many times the number of timely ones.
+/// Queries are throttled once the number that ended exceeds this multiple of the number answered in time.
 const THROTTLE_TIMELY_MULTIPLE: f64 = 1.25;
-/// The largest share of queries that are throttled, so that no coordinator rejects all it gets.
+/// Largest share of queries to throttle: a coordinator must not reject all of its queries.
 const MAX_THROTTLE_RATIO: f64 = 0.75;
 
-/// A queued query and what its place in the order of admission depends on.
+/// A queued query with the keys of its admission order.
 #[derive(Debug, Clone, Copy)]
 struct QueuedQuery {
     value_per_part: f64,
@@ -28,7 +28,7 @@
 }
 
 impl QueuedQuery {
-    /// The greatest value per part comes first, then the longest wait.
+    /// Orders by greatest value per part, then by longest wait.
     fn admission_order(&self, other: &Self) -> Ordering {
         other
             .value_per_part
@@ -38,14 +38,14 @@
     }
 }
 
-/// What a running query has in flight.
+/// The parts that a running query has in flight, and their value.
 #[derive(Debug, Clone, Copy)]
 struct RunningLoad {
     value_per_part: f64,
     parts_in_flight: usize,
 }
 
-/// Where the first attempt at a part goes.
+/// The replica selected for the first attempt at a part.
 #[derive(Debug, Clone, Copy)]
 struct PlannedAttempt {
     part: PartId,
@@ -59,7 +59,7 @@
 }
 
 impl Policy {
-    /// Sheds queued queries, and admits others while the in-flight limit allows it.
+    /// Sheds queued queries and admits others up to the in-flight limit.
     pub(super) fn admit(&mut self) {
         if self.review_queue.queued.is_empty() {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The queued queries, the first to be admitted first.
+    /// Returns the queued queries in admission order.
     fn admission_order(&self) -> Vec<QueuedQuery> {
         let queued = |&id: &QueryId| {
             let query = &self.queries[&id];
@@ -93,24 +93,24 @@
         order
     }
 
-    /// Rejects queued queries that are beyond `max_open`, too late or throttled, the last in the order of
-    /// admission first.
+    /// Ends queued queries that exceed `max_open`, are too late or are throttled, in reverse admission order.
     fn shed(&mut self, order: &[QueuedQuery]) {
         let throttle_ratio = self.throttle_ratio();
         let max_open = (self.settings.max_open as f64 * SHED_OPEN_RATIO) as usize;
         let mut open = self.queries.len() + self.load.open_parts;
         for queued in order.iter().rev() {
             let query = &self.queries[&queued.id];
-            let is_throttled = self.is_unpaced(query) && query.throttle_draw < throttle_ratio;
+            let is_throttled = self.exceeds_in_flight_limit(query) && query.throttle_draw < throttle_ratio;
             if open > max_open || self.is_too_late(query) || is_throttled {
                 open = open.saturating_sub(1 + query.parts.len());
-                self.end_unserved(queued.id);
+                self.give_up(queued.id);
             }
         }
     }
 
-    /// The share of unpaced queries to shed, by how many queries ended without a timely answer; 0 where
-    /// traffic is not low, since the limits of endpoints pace then.
+    /// Returns the share to shed of queries larger than the in-flight limit, from the number of queries that
+    /// ended without a timely answer. 0 unless traffic is low: otherwise the endpoint limits pace the
+    /// attempts.
     fn throttle_ratio(&mut self) -> f64 {
         if !self.is_low_traffic() {
             return 0.0;
@@ -120,18 +120,18 @@
         ((ended - THROTTLE_TIMELY_MULTIPLE * timely) / (ended + 1.0)).min(MAX_THROTTLE_RATIO)
     }
 
-    /// Whether a query goes out at once whatever the in-flight limit, because it has more parts than that.
-    fn is_unpaced(&self, query: &Query) -> bool {
+    /// Whether a query has more parts than the in-flight limit, which therefore does not pace it.
+    fn exceeds_in_flight_limit(&self, query: &Query) -> bool {
         query.completed_parts == 0 && query.parts.len() as f64 > self.load.in_flight_limit
     }
 
-    /// Whether too little of the latency objective is left for most parts.
+    /// Whether too little of the latency objective remains for most parts to complete.
     fn is_too_late(&self, query: &Query) -> bool {
         let objective = self.settings.classes[query.class.0].latency_objective;
         self.objective_ends_at(query) < self.now + self.hedge_delay(query.class).min(objective / 2)
     }
 
-    /// What each running query has in flight.
+    /// Returns the parts in flight of each running query.
     fn running_loads(&self) -> Vec<RunningLoad> {
         let running = self.queries.values().filter(|query| query.is_running());
         let load = |query: &Query| RunningLoad {
@@ -141,7 +141,7 @@
         running.map(load).collect()
     }
 
-    /// Sends the first attempts of a query, if enough of its parts can be sent.
+    /// Starts a query if enough of its parts can be sent.
     fn admit_query(&mut self, id: QueryId) {
         let Some(plan) = self.plan_first_attempts(&self.queries[&id]) else { return };
         for planned in plan {
@@ -152,8 +152,8 @@
         self.schedule_review(id);
     }
 
-    /// Where the parts go that a complete answer needs; the rest are spares. `None` where fewer can be sent
-    /// than any answer needs.
+    /// Selects replicas for as many parts as a complete answer requires; the other parts are spares. Returns
+    /// `None` if too few can be sent even for a partial answer.
     fn plan_first_attempts(&self, query: &Query) -> Option<Vec<PlannedAttempt>> {
         let required = if query.awaits_canary() { COVERAGE_TOLERANCE } else { self.required_coverage(query) };
         let min_coverage = required.min(self.settings.classes[query.class.0].min_coverage);
@@ -180,7 +180,7 @@
         suffices.then_some(plan)
     }
 
-    /// A plan in which nothing is planned yet, and each part could go to each of its replicas.
+    /// Returns a plan with no planned parts, in which each part is a candidate at each of its replicas.
     fn batch_candidates(&self, unsent: &[PartId]) -> BatchPlan {
         let mut batches = BatchPlan::default();
         if self.calls_are_shared() {
@@ -190,7 +190,7 @@
         batches
     }
 
-    /// Whether it pays to send parts of a query in one call.
+    /// Whether sending several parts in one call saves work.
     fn calls_are_shared(&self) -> bool {
         self.settings.layout.max_batch > 1 && self.settings.layout.call_overhead > 0
     }
--- a/crates/core/src/policy/answer.rs
+++ b/crates/core/src/policy/answer.rs
@@ -4,11 +4,12 @@
 use super::Policy;
 use crate::api::{Action, Nanos, PartId, QueryId, RetrySafety};
 
-/// Retry-after times lie in this last share of what they may be, so that clients do not come back together.
+/// Retry-after values are reduced by a random share up to this, so that clients do not retry at the same
+/// time.
 const RETRY_AFTER_SPREAD: f64 = 0.75;
 
 impl Policy {
-    /// Looks at a query after an event or when it is due: answers it, ends it, or sends what it lacks.
+    /// Reviews a query after an event or when it is due: answers it, ends it or sends further attempts.
     pub(super) fn review(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
         let is_running = query.is_running();
@@ -21,10 +22,10 @@
         }
         let is_over = self.now >= self.give_up_at(query);
         if is_over || is_running && self.is_unanswerable(query, self.is_poison_query(id)) {
-            return self.end_unserved(id);
+            return self.give_up(id);
         }
         if is_running && self.endpoints.list_is_usable {
-            self.send_missing(id);
+            self.send_missing_parts(id);
             self.retry_overdue(id);
             self.hedge_siblings(id);
         }
@@ -35,7 +36,7 @@
         !query.parts.is_empty() && self.completed_coverage(query) >= self.required_coverage(query)
     }
 
-    /// Answers the query's phase from what is complete; ends the query after its last phase.
+    /// Answers the query's phase from its completed parts; ends the query after its last phase.
     fn answer(&mut self, id: QueryId, complete: bool) {
         let Some(query) = self.queries.get(&id) else { return };
         let timely = self.now < self.objective_ends_at(query);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// What is left of the first phase is neither waited for nor admitted any more.
+    /// Cancels the rest of the first phase and waits for the parts of the second.
     fn await_second_phase(&mut self, id: QueryId, first_phase_complete: bool) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         self.review_queue.queued.remove(&id);
@@ -61,9 +62,9 @@
         self.schedule_review(id);
     }
 
-    /// Ends a query that is not waited for any longer: with a partial answer where that is possible, or
-    /// rejected where a retry by the client is harmless, or failed.
-    pub(super) fn end_unserved(&mut self, id: QueryId) {
+    /// Ends a query without a complete answer: answers it partially if possible, else rejects it if a retry
+    /// by the client is harmless, else fails it.
+    pub(super) fn give_up(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
         if self.is_partial_answer_possible(query) {
             return self.answer(id, false);
@@ -85,8 +86,8 @@
         is_idempotent || never_ran
     }
 
-    /// The longest time after which the client should retry: half of what is left of the latency objective,
-    /// or as long as clients follow it.
+    /// Returns the longest time that the client should wait before it retries: half of what remains of the
+    /// latency objective, or the longest that clients follow once the objective cannot be met.
     fn retry_after(&self, query: &Query) -> Nanos {
         let Some(longest) = self.settings.max_retry_after else { return 0 };
         let answered_at = self.now.saturating_add(self.latency.median);
@@ -101,7 +102,7 @@
         self.forget_query(id);
     }
 
-    /// Drops a query and cancels what is in flight for it.
+    /// Removes a query and cancels its attempts in flight.
     pub(super) fn forget_query(&mut self, id: QueryId) {
         let Some(query) = self.queries.remove(&id) else { return };
         self.review_queue.queued.remove(&id);
--- a/crates/core/src/policy/arrivals.rs
+++ b/crates/core/src/policy/arrivals.rs
@@ -1,17 +1,17 @@
-//! Takes in queries and their parts as they arrive.
+//! Handles arriving queries and parts, and the shutdown of the process.
 
 use super::part::Part;
 use super::query::{Query, QueryState};
 use super::Policy;
 use crate::api::{ClassId, Nanos, PartId, QueryId, ShardId, TenantId};
 
-/// A client's timeout is estimated by this quantile of its class's latest.
+/// The usual client timeout of a class is estimated by this quantile of its latest samples.
 const CLIENT_TIMEOUT_QUANTILE: f64 = 0.75;
-/// Client timeouts kept for each class.
+/// Samples of client timeouts kept for each class.
 pub(super) const CLIENT_TIMEOUT_SAMPLES: usize = 32;
-/// A timeout is shortened where it falls short of the estimate by more than the estimate over this.
+/// A timeout counts as shortened if it is below the estimate by more than the estimate divided by this.
 const CLIENT_TIMEOUT_TOLERANCE_DIVISOR: u64 = 50;
-/// A tenant is over its quota from this many times its share of the traffic on.
+/// A tenant is over its quota if its share of the traffic exceeds its share of all quotas by this factor.
 const OVER_QUOTA_FACTOR: f64 = 1.25;
 
 impl Policy {
@@ -36,7 +36,7 @@
         self.review_queue.pending.insert(id);
     }
 
-    /// The value of a timely answer: less where the tenant is over its quota.
+    /// Returns the value of a timely answer, reduced if the tenant is over its quota.
     fn priority_weight(&mut self, class: ClassId, tenant: Option<TenantId>) -> f64 {
         let priority_weight = self.settings.classes[class.0].priority_weight;
         let Some(tenant) = tenant.filter(|tenant| tenant.0 < self.tenant_arrivals.len()) else {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a tenant has more of this coordinator's traffic than its quota's share.
+    /// Whether a tenant's share of this coordinator's traffic exceeds its share of all quotas.
     fn is_over_quota(&mut self, tenant: TenantId) -> bool {
         let now = self.now;
         let arrivals: usize = self.tenant_arrivals.iter_mut().map(|tenant| tenant.count(now)).sum();
@@ -60,9 +60,8 @@
         own_arrivals * quotas > OVER_QUOTA_FACTOR * own_quota * arrivals as f64
     }
 
-    /// When the client first submitted the query. A deadline that is shorter than usual tells that it is a
-    /// retry, and how much of the client's time has passed; not while the process's shutdown shortens
-    /// deadlines.
+    /// Estimates when the client first submitted the query. A timeout shorter than usual indicates a retry,
+    /// and how much of the client's time has passed, unless the shutdown of the process shortens deadlines.
     fn first_submitted_at(&mut self, class: ClassId, is_retry: bool, deadline: Nanos) -> Nanos {
         if deadline >= self.shutdown_deadline {
             return self.now;
@@ -105,7 +104,7 @@
         }
     }
 
-    /// The process is shutting down: no query takes longer than until `deadline`.
+    /// Moves the deadlines of all open queries to `deadline` at the latest.
     pub(super) fn handle_shutting_down(&mut self, deadline: Nanos) {
         self.shutdown_deadline = deadline;
         self.queries.values_mut().for_each(|query| query.deadline = query.deadline.min(deadline));
--- a/crates/core/src/policy/attempt.rs
+++ b/crates/core/src/policy/attempt.rs
@@ -1,8 +1,8 @@
-//! Records of attempts: one kept with the part, one with the server until the attempt's outcome is known.
+//! Records of attempts: the part keeps one, and the server another until the attempt's outcome arrives.
 
 use crate::api::{ClassId, Nanos, PartId, ServerId};
 
-/// An attempt that has taken this share of its latency objective is overdue.
+/// An attempt is overdue after this share of its latency objective.
 pub(super) const OVERDUE_OBJECTIVE_RATIO: f64 = 0.4;
 
 /// Why an attempt was sent.
@@ -13,7 +13,6 @@
     Retry,
 }
 
-/// How far an attempt has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
     InFlight,
@@ -21,7 +20,7 @@
     Ended { never_ran: bool },
 }
 
-/// An attempt as its part's record holds it.
+/// The record of an attempt kept with its part.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
     pub(super) server: ServerId,
@@ -30,19 +29,20 @@
     pub(super) state: AttemptState,
 }
 
-/// An attempt as its server's record holds it: until its outcome, which may come after its query has ended.
+/// The record of an attempt kept with its server until its outcome, which may arrive after its query has
+/// ended.
 #[derive(Debug, Clone)]
 pub(super) struct InFlightAttempt {
     pub(super) part: PartId,
     /// Its number among the attempts of the part, from 0.
     pub(super) attempt: u32,
     pub(super) sent_at: Nanos,
-    /// The call that carries it, perhaps with other parts.
+    /// The call that carries it; the call may carry other parts too.
     pub(super) call: CallId,
     pub(super) class: ClassId,
     /// The class's latency objective when it was sent.
     pub(super) objective: Nanos,
-    /// How long its connection had been idle; `None` where one is opened for it.
+    /// How long its connection had been idle; `None` if it opened a new connection.
     pub(super) connection_idle: Option<Nanos>,
 }
 
@@ -52,6 +52,6 @@
     }
 }
 
-/// A call to a server, numbered by the policy.
+/// Number of a call to a server, assigned by the policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallId(pub(super) u64);
--- a/crates/core/src/policy/concurrency_limit.rs
+++ b/crates/core/src/policy/concurrency_limit.rs
@@ -1,39 +1,39 @@
-//! Limits of concurrency: of all attempts in flight, and of the calls in flight at one endpoint.
+//! Concurrency limits: on all attempts in flight, and on the calls in flight at each endpoint.
 //!
-//! Both rise additively with timely outcomes while they are in use, and fall by a factor with late or
-//! rejected ones.
+//! Both use additive increase and multiplicative decrease (AIMD): timely outcomes raise a limit that is in
+//! use, late or rejected ones lower it.
 
 use super::attempt::InFlightAttempt;
 use super::server::Server;
 use super::Policy;
 use crate::api::{Nanos, Outcome, ServerId};
 
-/// Start of the limit of all attempts in flight, as a share of `max_open`.
+/// Initial in-flight limit, as a share of `max_open`.
 const IN_FLIGHT_LIMIT_START_RATIO: f64 = 0.25;
-/// What a late or failed outcome under overload leaves of the limit of all attempts in flight.
+/// Factor applied to the in-flight limit by a late or failed outcome under overload.
 const IN_FLIGHT_LIMIT_DECREASE_FACTOR: f64 = 0.92;
-/// Calls in flight at an endpoint at the start.
+/// Initial limit of calls in flight at an endpoint.
 pub(super) const ENDPOINT_CONCURRENCY_LIMIT_START: f64 = 3.0;
-/// What a late outcome leaves of an endpoint's limit.
+/// Factor applied to an endpoint's limit by a late outcome.
 const ENDPOINT_CONCURRENCY_LIMIT_DECREASE_FACTOR: f64 = 0.8;
-/// What a rejection leaves of an endpoint's limit.
+/// Factor applied to an endpoint's limit by a rejection.
 const ENDPOINT_CONCURRENCY_LIMIT_REJECTED_FACTOR: f64 = 0.5;
 /// Largest increase of an endpoint's limit by one outcome, as a share of the limit.
 const ENDPOINT_CONCURRENCY_LIMIT_INCREASE_STEP: f64 = 0.25;
-/// Attempts at an endpoint that the least limits of all coordinators add up to.
+/// Sum over all coordinators of their minimum limits for one endpoint.
 const MIN_CONCURRENCY_PER_ENDPOINT: f64 = 2.0;
-/// A limit rises only while more than this share of it is in use.
+/// A limit increases only while more than this share of it is in use.
 const IN_USE_RATIO: f64 = 0.5;
-/// The least pause after a rejection is the shortest latency objective over this.
+/// The minimum pause of an endpoint is the shortest latency objective divided by this.
 const PAUSE_OBJECTIVE_DIVISOR: u64 = 4;
 
-/// The limit of all attempts in flight at the start.
+/// Returns the initial limit on all attempts in flight.
 pub(super) fn initial_in_flight_limit(max_open: usize) -> f64 {
     (max_open as f64 * IN_FLIGHT_LIMIT_START_RATIO).max(1.0)
 }
 
 impl Server {
-    /// Time between attempts where the limit is below one call; otherwise 0.
+    /// Returns the time between attempts if the limit is below one call; otherwise 0.
     pub(super) fn pacing_interval(&self, median_latency: Nanos) -> Nanos {
         if self.concurrency_limit < 1.0 {
             (median_latency as f64 / self.concurrency_limit) as Nanos
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Lowers the limit, once for all attempts sent before it was last lowered.
+    /// Lowers the limit, unless the attempt was sent before the limit was last lowered.
     fn decrease_limit(&mut self, attempt: &InFlightAttempt, factor: f64, min_limit: f64, now: Nanos) {
         if attempt.sent_at >= self.limit_decreased_at {
             self.concurrency_limit = (self.concurrency_limit * factor).max(min_limit);
@@ -55,14 +55,15 @@
         self.concurrency_limit += step.min(1.0 / self.concurrency_limit);
     }
 
-    /// Whether enough of the limit is in use that a higher one would matter.
+    /// Whether enough of the limit is in use to justify an increase.
     fn uses_limit(&self) -> bool {
         f64::from(self.calls_in_flight() + 1) > self.concurrency_limit * IN_USE_RATIO
     }
 }
 
 impl Policy {
-    /// Adapts the limit of all attempts in flight to an outcome that has no other known cause than load.
+    /// Adapts the limit on all attempts in flight to an outcome that is not attributed to another cause than
+    /// load.
     pub(super) fn adapt_in_flight_limit(&mut self, timely: bool) {
         self.load.record_timeliness(timely);
         let limit = self.load.in_flight_limit;
@@ -83,7 +84,7 @@
         outcome: Outcome,
         late: bool,
     ) {
-        // Below 1 where there are many coordinators: one attempt, then a pause.
+        // Below 1 with more than two coordinators: each sends single attempts with pauses between them.
         let min_limit = (MIN_CONCURRENCY_PER_ENDPOINT / f64::from(self.settings.coordinators)).min(1.0);
         let (now, jitter) = (self.now, self.rng.f64());
         let pause = self.latency.median.max(self.min_pause()) as f64;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The least time without attempts for an endpoint that is paused.
+    /// Returns the minimum time for which an endpoint is paused.
     pub(super) fn min_pause(&self) -> Nanos {
         self.settings.shortest_latency_objective() / PAUSE_OBJECTIVE_DIVISOR
     }
--- a/crates/core/src/policy/coverage.rs
+++ b/crates/core/src/policy/coverage.rs
@@ -1,14 +1,14 @@
-//! How much of a query's weight is complete, and how much an answer needs.
+//! Coverage: the share of a query's weight that is complete, and the share that an answer requires.
 
 use super::part::Part;
 use super::query::{Query, QueryPhase};
 use super::Policy;
 
-/// Sums of weights may fall short by this much.
+/// Tolerance for rounding errors in sums of weights.
 pub(super) const COVERAGE_TOLERANCE: f64 = 5e-5;
 
 impl Policy {
-    /// The coverage that completes the query's phase.
+    /// Returns the coverage that completes the query's current phase.
     pub(super) fn required_coverage(&self, query: &Query) -> f64 {
         let complete = match query.phase {
             QueryPhase::First => self.settings.classes[query.class.0].complete_coverage,
@@ -17,7 +17,7 @@
         complete - COVERAGE_TOLERANCE
     }
 
-    /// The weight of those parts of a query that the predicate holds for.
+    /// Returns the total weight of a query's parts that satisfy the predicate.
     pub(super) fn coverage(&self, query: &Query, predicate: impl Fn(&Part) -> bool) -> f64 {
         let parts = query.parts.iter().map(|id| &self.parts[id]);
         parts.filter(|part| predicate(part)).map(|part| part.weight).sum()
@@ -27,8 +27,8 @@
         self.coverage(query, |part| part.complete)
     }
 
-    /// Whether a partial answer from what is complete is due: it is still within the latency objective, and
-    /// it earns no less than a complete answer after it.
+    /// Whether a partial answer is due: the latency objective is about to end, and the partial answer earns
+    /// no less than a late complete one.
     pub(super) fn is_partial_answer_due(&self, query: &Query) -> bool {
         let class = &self.settings.classes[query.class.0];
         let is_last_phase = class.second_phase_parts == 0 || query.phase == QueryPhase::Second;
@@ -42,7 +42,7 @@
             && class.partial_value_ratio.unwrap_or(1.0) * share >= class.late_value_ratio
     }
 
-    /// Whether a partial answer may be given from what is complete, once no more is waited for.
+    /// Whether the completed parts suffice for a partial answer when the query is given up.
     pub(super) fn is_partial_answer_possible(&self, query: &Query) -> bool {
         let class = &self.settings.classes[query.class.0];
         let may_be_partial = class.min_coverage < class.complete_coverage
@@ -52,7 +52,7 @@
             && self.completed_coverage(query) >= class.min_coverage.max(COVERAGE_TOLERANCE)
     }
 
-    /// Whether the parts that can still complete are too few for any answer.
+    /// Whether too few parts can still complete for any answer.
     pub(super) fn is_unanswerable(&self, query: &Query, is_poison: bool) -> bool {
         let class = &self.settings.classes[query.class.0];
         let min_coverage = if class.min_coverage < class.complete_coverage {
--- a/crates/core/src/policy/deadlines.rs
+++ b/crates/core/src/policy/deadlines.rs
@@ -1,24 +1,24 @@
-//! The moments that matter to a query, and when it is reviewed next.
+//! Deadlines of a query and the time of its next review.
 
 use super::query::Query;
 use super::Policy;
 use crate::api::{Nanos, QueryId};
 
-/// Late answers are waited for only where they earn more than this share: less does not pay for the servers'
-/// work.
+/// A late answer is worth waiting for only if it earns more than this share of its value: less does not pay
+/// for the servers' work.
 const MIN_LATE_VALUE_RATIO: f64 = 0.2;
-/// Ticks before the latency objective at which an answer still reaches the client within it.
+/// An answer sent this many ticks before the end of the latency objective still reaches the client in time.
 const ANSWER_LEAD_TICKS: u64 = 2;
-/// Reviews in one hedge delay.
+/// Reviews during one hedge delay.
 const REVIEWS_PER_HEDGE_DELAY: u64 = 16;
 
 impl Policy {
-    /// When the latency objective of a query ends.
+    /// Returns when the latency objective of a query ends.
     pub(super) fn objective_ends_at(&self, query: &Query) -> Nanos {
         query.submitted_at.saturating_add(self.settings.classes[query.class.0].latency_objective)
     }
 
-    /// Until when an answer earns enough to be waited for.
+    /// Returns the time until which an answer earns enough to wait for it.
     pub(super) fn useful_until(&self, query: &Query) -> Nanos {
         if self.settings.classes[query.class.0].late_value_ratio > MIN_LATE_VALUE_RATIO {
             query.deadline
@@ -27,18 +27,19 @@
         }
     }
 
-    /// When a query is given up: a tick before its deadline at the latest, so that the client hears of it.
+    /// Returns when to give up a query: at least one tick before its deadline, so that the client still
+    /// receives the reply.
     pub(super) fn give_up_at(&self, query: &Query) -> Nanos {
         self.useful_until(query).min(query.deadline.saturating_sub(self.settings.tick))
     }
 
-    /// The last moment for an answer within the latency objective.
+    /// Returns the latest time to send an answer that arrives within the latency objective.
     pub(super) fn timely_answer_by(&self, query: &Query) -> Nanos {
         self.objective_ends_at(query).saturating_sub(ANSWER_LEAD_TICKS * self.settings.tick)
     }
 
-    /// Schedules the next review of a query, at a full tick if it can be: one round reviews all queries that
-    /// are due.
+    /// Schedules the next review of a query. Reviews are aligned to ticks where possible, so that one round
+    /// covers many queries.
     pub(super) fn schedule_review(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
         let tick = self.settings.tick;
--- a/crates/core/src/policy/decay.rs
+++ b/crates/core/src/policy/decay.rs
@@ -1,4 +1,4 @@
-//! Figures in which older evidence counts less: by time, and by later outcomes.
+//! Statistics that decay with time or with later outcomes.
 
 use crate::api::Nanos;
 
@@ -21,23 +21,23 @@
         *self = Self { value, set_at: now, half_life };
     }
 
-    /// Multiplies what is left of the score.
+    /// Multiplies the decayed score by a factor.
     pub(super) fn scale(&mut self, now: Nanos, factor: f64) {
         self.set(now, self.get(now) * factor, self.half_life);
     }
 }
 
-/// How many times the ratio elsewhere a [`FailureRatio`] must exceed to stand out.
-const STAND_OUT_FACTOR: f64 = 2.0;
+/// Factor by which a [`FailureRatio`] must exceed its baseline.
+const BASELINE_FACTOR: f64 = 2.0;
 
-/// Exponentially weighted share of failures among the latest outcomes.
+/// Exponentially weighted moving average of failures.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FailureRatio {
     ratio: f64,
 }
 
 impl FailureRatio {
-    /// Records an outcome; `weight` is its share of the new ratio.
+    /// Records an outcome; `weight` is its weight in the new ratio, from 0 to 1.
     pub(super) fn record(&mut self, failed: bool, weight: f64) {
         self.ratio += (f64::from(u8::from(failed)) - self.ratio) * weight;
     }
@@ -46,8 +46,9 @@
         self.ratio
     }
 
-    /// Whether failures are many here and few `elsewhere`, so that what is counted here is their cause.
-    pub(super) fn stands_out(&self, elsewhere: f64, threshold: f64) -> bool {
-        self.ratio > threshold && self.ratio > STAND_OUT_FACTOR * elsewhere
+    /// Whether the ratio is high, both absolutely and relative to `baseline`: the failures then have a cause
+    /// specific to what this ratio counts.
+    pub(super) fn exceeds_baseline(&self, baseline: f64, threshold: f64) -> bool {
+        self.ratio > threshold && self.ratio > BASELINE_FACTOR * baseline
     }
 }
--- a/crates/core/src/policy/dispatch.rs
+++ b/crates/core/src/policy/dispatch.rs
@@ -1,11 +1,11 @@
-//! Sending and cancelling attempts, and taking their ends.
+//! Sends and cancels attempts, and handles their results.
 
 use super::attempt::{Attempt, AttemptKind, AttemptState, InFlightAttempt};
 use super::slow_start::SlowStartBudget;
 use super::Policy;
 use crate::api::{Action, ClassId, Nanos, Outcome, PartId, ServerId};
 
-/// The end of an attempt, as [`Event::AttemptEnded`](crate::api::Event::AttemptEnded) tells it.
+/// The fields of [`Event::AttemptEnded`](crate::api::Event::AttemptEnded).
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptEnd {
     pub(super) part: PartId,
@@ -16,7 +16,8 @@
 }
 
 impl Policy {
-    /// Sends a part to a server, if its query has time left and its class allows another attempt.
+    /// Starts an attempt for a part unless its query has no useful time left or the part has reached the
+    /// maximum number of attempts.
     pub(super) fn start_attempt(&mut self, id: PartId, server: ServerId, kind: AttemptKind) {
         let Some(part) = self.parts.get(&id) else { return };
         let Some(query) = self.queries.get(&part.query) else { return };
@@ -35,7 +36,7 @@
         self.actions.push(Action::StartAttempt { part: id, server, timeout });
     }
 
-    /// Adds an attempt to its server's record.
+    /// Records an attempt with its server.
     fn record_in_flight(&mut self, id: ServerId, part: PartId, attempt: u32, class: ClassId) {
         let now = self.now;
         let call = self.calls.assign(id, self.settings.layout.max_batch);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Cancels what is in flight of a part.
+    /// Cancels a part's attempts in flight.
     pub(super) fn cancel_in_flight(&mut self, id: PartId) {
         let Some(part) = self.parts.get_mut(&id) else { return };
         let cancelled = part.cancel_in_flight();
@@ -81,7 +82,7 @@
         }
     }
 
-    /// A part is complete: its other attempts are cancelled, and it permits one hedge for a sibling.
+    /// Marks a part as complete, cancels its other attempts and grants its query a hedge permit.
     fn complete_part(&mut self, id: PartId) {
         let Some(part) = self.parts.get_mut(&id).filter(|part| !part.complete) else { return };
         part.complete = true;
--- a/crates/core/src/policy/endpoints.rs
+++ b/crates/core/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The servers of the endpoint list, and which of them hold which shards.
+//! The servers of the endpoint list, indexed by the shards they hold.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,22 @@
     EndpointRecord, EndpointState, EndpointUpdateKind, Nanos, ServerId, ShardId, ShardLayout, ZoneId,
 };
 
-/// Partition groups that are indexed; no server can be in one beyond.
+/// Bounds the index of partition groups; a server in a group beyond it receives no attempts.
 const MAX_PARTITION_GROUPS: u32 = 1 << 20;
-/// New servers take a random place below this in the order of their last dispatch.
+/// A new server starts with a random `last_dispatch` below this, which gives it a random place in the order
+/// of last use.
 pub(super) const FIRST_DISPATCH: u64 = 64;
 
 #[derive(Debug)]
 pub(super) struct Endpoints {
     pub(super) servers: BTreeMap<ServerId, Server>,
-    /// How many servers are active.
+    /// Number of active servers.
     pub(super) active: usize,
-    /// Whether attempts may be sent by the list. Not while its lease has expired, nor by a list from before
-    /// the start of the process: a drain notice may have been missed.
+    /// Whether attempts may be sent to servers of the list. False while its lease has expired or if it dates
+    /// from before the start of the process: a drain notice may have been missed.
     pub(super) list_is_usable: bool,
     active_by_partition_group: Vec<Vec<ServerId>>,
-    /// When the list was last confirmed, if it has been since the start of the process.
+    /// When the list was last confirmed since the start of the process.
     confirmed_at: Option<Nanos>,
     wall_clock_stepped: bool,
 }
@@ -44,7 +45,7 @@
     fn start_evidence(&self) -> StartEvidence {
         match self.confirmed_at {
             _ if self.wall_clock_stepped => StartEvidence::WallClockStepped,
-            Some(before) => StartEvidence::ConfirmedWithout(before),
+            Some(confirmed_at) => StartEvidence::AbsentFromListAt(confirmed_at),
             None => StartEvidence::FirstList,
         }
     }
@@ -71,7 +72,7 @@
                 restarted.push(record.server);
             }
         }
-        // An id is never reused: a removed server is needed only until its attempts have ended.
+        // Ids are never reused, so a removed server is kept only until its attempts have ended.
         self.servers.retain(|_, server| !server.is_removed() || !server.in_flight.is_empty());
         self.index_active();
         restarted
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The active servers that hold a shard.
+    /// Returns the active servers that hold a shard.
     pub(super) fn replicas(
         &self,
         shard: ShardId,
@@ -106,12 +107,12 @@
 }
 
 impl Server {
-    /// Follows its record in the list; returns whether it has restarted.
+    /// Applies the server's record in the list; returns whether the server has restarted.
     fn apply(&mut self, record: &EndpointRecord, now: Nanos, evidence: StartEvidence) -> bool {
         self.partition_group = record.partition_group;
         self.zone = record.zone;
         self.state = record.state;
-        // Any other time is another start, an earlier one too: the wall clock may have been stepped back.
+        // An earlier time is a restart too: the wall clock may have been stepped back.
         let restarted = record.started_at != 0 && record.started_at != self.started_at;
         if restarted {
             self.started_at = record.started_at;
@@ -128,7 +129,7 @@
         let limit = self.settings.burst_allowance().max(ENDPOINT_CONCURRENCY_LIMIT_START);
         let new_server = || Server::new(rng.u64(1..FIRST_DISPATCH), limit, classes);
         for id in self.endpoints.update(self.now, kind, records, new_server) {
-            // A random budget: else all coordinators would send to the restarted server at once.
+            // A random budget prevents all coordinators from sending to the restarted server at once.
             let budget = SlowStartBudget {
                 parts: self.rng.f64(),
                 counted_at: self.now,
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Tells the policy that the wall clock was stepped: a start that the list names from now on counts from
-    /// when it is heard of.
+    /// Handles a step of the wall clock: from now on, the slow start of a restarted server begins when the
+    /// list reports the restart, not at the reported start time.
     pub fn wall_clock_stepped(&mut self) {
         self.endpoints.wall_clock_stepped = true;
     }
--- a/crates/core/src/policy/hedging.rs
+++ b/crates/core/src/policy/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: a second attempt at a part that takes longer than most, while the first is in flight.
+//! Hedging: sends a second attempt for a slow part while the first is in flight.
 //!
 //! Each completed part permits one hedge for a sibling that has been in flight longer than the hedge delay.
 //! The first response wins, and the other attempt is cancelled.
@@ -8,20 +8,19 @@
 use super::Policy;
 use crate::api::{ClassId, Nanos, PartId, QueryId, RetrySafety, ServerId};
 
-/// The hedge delay while there are too few latency samples, as a share of the class's latency objective.
+/// Hedge delay until there are enough latency samples, as a share of the class's latency objective.
 const INITIAL_HEDGE_DELAY_OBJECTIVE_RATIO: f64 = 1.0 / 3.0;
-/// Hedges stay within this share of first attempts.
+/// Maximum ratio of hedges to first attempts.
 const HEDGE_BUDGET_RATIO: f64 = 0.1;
 
 impl Policy {
-    /// How long a part is in flight before it may be hedged.
+    /// Returns how long a part is in flight before it may be hedged.
     pub(super) fn hedge_delay(&self, class: ClassId) -> Nanos {
         let objective = self.settings.classes[class.0].latency_objective as f64;
         self.latency.tail.unwrap_or((objective * INITIAL_HEDGE_DELAY_OBJECTIVE_RATIO) as Nanos)
     }
 
-    /// Uses a query's hedge permits for its parts that are in flight longer than the hedge delay, the longest
-    /// first.
+    /// Spends a query's hedge permits on parts in flight for longer than the hedge delay, the longest first.
     pub(super) fn hedge_siblings(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(&id) else { return };
         let (class, mut permits) = (query.class, query.hedge_permits);
@@ -34,8 +33,8 @@
         self.queries.entry(id).and_modify(|query| query.hedge_permits = permits);
     }
 
-    /// Hedges a part if its class, the budgets and the state of the servers allow it; returns whether they
-    /// do.
+    /// Hedges a part if its class, the budgets and the health of the servers allow it; returns whether it
+    /// did.
     pub(super) fn hedge(&mut self, id: PartId) -> bool {
         self.may_hedge(id)
             && self.hedge_budget_left()
@@ -58,8 +57,8 @@
         (self.counts.hedges.count(self.now) + 1) as f64 <= max_hedges
     }
 
-    /// Whether a hedge at this server would need a new connection: the hedge may be needless before that
-    /// comes up.
+    /// Whether a hedge at this server would need a new connection; the part may complete before that is
+    /// established.
     pub(super) fn hedge_needs_connection(&self, server: ServerId) -> bool {
         self.settings.connection_idle_timeout.is_some()
             && !self.has_trusted_connection(&self.endpoints.servers[&server])
--- a/crates/core/src/policy/latency_stats.rs
+++ b/crates/core/src/policy/latency_stats.rs
@@ -6,19 +6,19 @@
 
 /// The hedge delay is this quantile of recent part latencies.
 const HEDGE_DELAY_QUANTILE: f64 = 0.95;
-/// Samples needed for the hedge delay; half of them for the lower quantiles.
+/// Minimum number of samples for the hedge delay; the other quantiles need half of it.
 const MIN_SAMPLES: usize = 20;
-/// Latency samples kept.
+/// Maximum number of latency samples.
 const MAX_SAMPLES: usize = 200;
-/// Age up to which samples count, in longest latency objectives.
+/// Maximum age of a sample, as a multiple of the longest latency objective.
 const SAMPLE_AGE_OBJECTIVES: u64 = 10;
 
-/// Recent part latencies, and their quantiles as last refreshed.
+/// Latencies of recent parts, and their quantiles at the last refresh.
 #[derive(Debug)]
 pub(super) struct LatencyStats {
     samples: RecentSamples,
     refresh_at: Nanos,
-    /// The quantile for the hedge delay, once there are enough samples.
+    /// The hedge delay quantile; `None` until there are enough samples.
     pub(super) tail: Option<Nanos>,
     /// 0 until there are enough samples.
     pub(super) median: Nanos,
@@ -37,13 +37,13 @@
     }
 }
 
-/// Age up to which samples count, by the longest latency objective.
+/// Returns the maximum age of a sample.
 pub(super) fn max_sample_age(longest_objective: Nanos) -> Nanos {
     longest_objective.saturating_mul(SAMPLE_AGE_OBJECTIVES)
 }
 
 impl Policy {
-    /// Takes the quantiles anew, at most once a tick: a tick may have many rounds.
+    /// Recomputes the quantiles at most once per tick, since a tick may have many rounds.
     pub(super) fn refresh_latency_quantiles(&mut self) {
         let (now, latency) = (self.now, &mut self.latency);
         if now < latency.refresh_at {
--- a/crates/core/src/policy/load_stats.rs
+++ b/crates/core/src/policy/load_stats.rs
@@ -1,4 +1,4 @@
-//! How much work the coordinator has in flight and how well it is served.
+//! Statistics of the coordinator's load and of the timeliness of its queries and attempts.
 
 use super::attempt::AttemptKind;
 use super::decay::FailureRatio;
@@ -6,26 +6,27 @@
 use super::Policy;
 use crate::api::{Nanos, Settings};
 
-/// Overload is counted from this ratio of late or failed outcomes on.
+/// The coordinator counts as overloaded above this ratio of late or failed outcomes.
 const OVERLOAD_THRESHOLD: f64 = 0.3;
-/// Share of the latest outcome in the overload ratio.
+/// Weight of the latest outcome in the overload ratio.
 const OVERLOAD_OUTCOME_WEIGHT: f64 = 1.0 / 16.0;
-/// Window of the counts of sends and ended queries, in longest latency objectives.
+/// Window of the traffic counts, as a multiple of the longest latency objective.
 const TRAFFIC_WINDOW_OBJECTIVES: u64 = 4;
-/// Traffic is low where one server gets less than one first send in so many shortest latency objectives.
+/// Traffic is low if the mean interval between first attempts at a server exceeds this multiple of the
+/// shortest latency objective.
 const LOW_TRAFFIC_OBJECTIVES: f64 = 2.0;
 
-/// Running figures of one coordinator's load.
+/// Current load of the coordinator.
 #[derive(Debug)]
 pub(super) struct LoadStats {
-    /// Bound of all attempts in flight.
+    /// Limit on all attempts in flight.
     pub(super) in_flight_limit: f64,
     pub(super) attempts_in_flight: usize,
     /// Parts of open queries that are not complete.
     pub(super) open_parts: usize,
-    /// Attempts that servers have completed, since the start.
+    /// Total number of successful attempts.
     pub(super) completed_attempts: u64,
-    /// Share of late or failed outcomes among the latest.
+    /// Weighted share of late or failed outcomes.
     overload_ratio: FailureRatio,
 }
 
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether late and failed outcomes are so many that load is their cause.
+    /// Whether the share of late or failed outcomes indicates overload.
     pub(super) fn is_overloaded(&self) -> bool {
         self.overload_ratio.get() > OVERLOAD_THRESHOLD
     }
@@ -50,7 +51,7 @@
     }
 }
 
-/// Counts over sliding windows: what arrived, was sent and has ended.
+/// Counts of arrivals, attempts and ended queries over sliding windows.
 #[derive(Debug)]
 pub(super) struct TrafficCounts {
     /// Queries and parts that arrived.
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Counts over windows of other lengths from now on.
+    /// Changes the lengths of the windows.
     pub(super) fn set_windows(&mut self, budget_window: Nanos, traffic_window: Nanos) {
         for count in [&mut self.arrivals, &mut self.charged_attempts] {
             count.set_window(budget_window);
@@ -108,19 +109,19 @@
     }
 }
 
-/// The window over which the retry budget counts.
+/// Returns the window of the retry budget.
 pub(super) fn budget_window(settings: &Settings) -> Nanos {
     let traffic_window = traffic_window(settings.longest_latency_objective());
     settings.retry_budget.map_or(traffic_window, |budget| budget.window)
 }
 
-/// The window over which traffic is counted, by the longest latency objective.
+/// Returns the window over which traffic is counted.
 pub(super) fn traffic_window(longest_objective: Nanos) -> Nanos {
     longest_objective.saturating_mul(TRAFFIC_WINDOW_OBJECTIVES)
 }
 
 impl Policy {
-    /// Mean time between this coordinator's first attempts at one server, in nanoseconds.
+    /// Returns the mean time between this coordinator's first attempts at one server, in nanoseconds.
     pub(super) fn mean_send_interval(&self) -> f64 {
         let window = traffic_window(self.settings.longest_latency_objective()) as f64;
         let from = self.now.saturating_sub(window as Nanos);
@@ -128,7 +129,7 @@
         window * self.endpoints.active.max(1) as f64 / sends as f64
     }
 
-    /// Whether single outcomes tell little, because each server is seldom sent to.
+    /// Whether attempts at each server are too rare for a single outcome to be significant.
     pub(super) fn is_low_traffic(&self) -> bool {
         let threshold = LOW_TRAFFIC_OBJECTIVES * self.settings.shortest_latency_objective() as f64;
         self.mean_send_interval() > threshold
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,13 +1,13 @@
-//! Decides for one coordinator where attempts go, when they are hedged or retried, and what is rejected.
+//! The routing policy of one coordinator: replica selection, hedging, retries and load shedding.
 //!
-//! [`Policy::round`] takes what has happened and returns what to do. A query is taken in (`arrivals`), waits
-//! for `admission`, which sends its parts to the best replicas (`replica_selection`, `dispatch`), and is
-//! reviewed after each event and from time to time (`answer`): answered, ended, or sent what it lacks
-//! (`retry`, `hedging`). Each outcome counts for or against its cause (`outcome_attribution`): a server
-//! (`outlier_detection`), a zone (`zone_health`), a connection (`connection_health`) or load
-//! (`concurrency_limit`). What may be sent to a server that has just started is for `slow_start`.
+//! [`Policy::round`] maps events to actions. A new query (`arrivals`) is queued for `admission`, which sends
+//! its parts to the best replicas (`replica_selection`, `dispatch`). After each event and at intervals, a
+//! review (`answer`) answers the query, ends it, or sends further attempts (`retry`, `hedging`).
+//! `outcome_attribution` assigns each outcome to a cause: a server (`outlier_detection`), a zone
+//! (`zone_health`), a connection (`connection_health`) or load (`concurrency_limit`). `slow_start` limits
+//! what is sent to a server that has just started.
 //!
-//! The other modules hold plain records.
+//! The other modules define records and statistics.
 
 mod admission;
 mod answer;
@@ -57,7 +57,7 @@
 use timers::Timers;
 use zone_health::ZoneHealth;
 
-/// Decides for one coordinator where attempts go, when they are hedged or retried, and what is rejected.
+/// The routing policy of one coordinator: replica selection, hedging, retries and load shedding.
 #[derive(Debug)]
 pub struct Policy {
     settings: Settings,
@@ -69,7 +69,7 @@
     review_queue: ReviewQueue,
     timers: Timers,
     calls: Calls,
-    /// Attempts sent so far.
+    /// Number of the last attempt sent; starts at [`FIRST_DISPATCH`].
     dispatches: u64,
     latency: LatencyStats,
     load: LoadStats,
@@ -78,19 +78,19 @@
     zones: Vec<ZoneHealth>,
     /// Queries that arrived, by tenant.
     tenant_arrivals: Vec<SlidingCount>,
-    /// Time between a query's arrival and its deadline, by class.
+    /// Time from a query's arrival to its deadline, by class.
     client_timeouts: Vec<RecentSamples>,
-    /// When the process ends, once it is shutting down.
+    /// When the process ends; [`Nanos::MAX`] unless it is shutting down.
     shutdown_deadline: Nanos,
-    /// What this round has decided so far.
+    /// Actions of the current round.
     actions: Vec<Action>,
 }
 
 impl Policy {
-    /// Makes a policy that knows nothing but its settings. Equal seeds and events give equal actions.
+    /// Creates a policy with no servers and no queries. Equal settings, seeds and events give equal actions.
     ///
     /// # Errors
-    /// Names a setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let longest_objective = settings.longest_latency_objective();
@@ -120,8 +120,8 @@
         })
     }
 
-    /// Takes what has happened up to `now` and returns what to do, in this order.
-    /// A clock that runs backwards counts as the latest time seen.
+    /// Processes the events up to `now` and returns the resulting actions in order.
+    /// If `now` is earlier than in a previous round, the latest time seen is used instead.
     pub fn round(&mut self, now: Nanos, events: Vec<Event>) -> Vec<Action> {
         self.now = self.now.max(now);
         self.calls.begin_round();
@@ -137,7 +137,7 @@
     }
 
     fn review_pending(&mut self) {
-        let due = self.timers.take_due(self.now);
+        let due = self.timers.pop_due(self.now);
         self.review_queue.pending.extend(due);
         for query in std::mem::take(&mut self.review_queue.pending) {
             self.review(query);
@@ -162,11 +162,12 @@
             }
             Event::ClientDisconnected(query) => self.forget_query(query),
             Event::ShuttingDown(deadline) => self.handle_shutting_down(deadline),
-            Event::TimerFired => self.timers.fired(),
+            Event::TimerFired => self.timers.handle_fired(),
         }
     }
 
-    /// Takes over settings whose classes begin with those it has: see [`Settings::carried_over_from`].
+    /// Replaces the settings; the current classes must keep their indices, see
+    /// [`Settings::carried_over_from`].
     pub fn update_settings(&mut self, settings: Settings) {
         let classes = settings.classes.len();
         let longest_objective = settings.longest_latency_objective();
@@ -180,7 +181,8 @@
         self.settings = settings;
     }
 
-    /// How many servers it remembers: those in the endpoint list, and removed ones with attempts in flight.
+    /// Returns the number of tracked servers: those in the endpoint list, and removed ones with attempts in
+    /// flight.
     pub fn servers(&self) -> usize {
         self.endpoints.servers.len()
     }
--- a/crates/core/src/policy/outcome_attribution.rs
+++ b/crates/core/src/policy/outcome_attribution.rs
@@ -1,4 +1,4 @@
-//! Finds the cause that an outcome speaks for or against: server, class, zone, connection or load.
+//! Attributes each outcome to a cause: server, class, zone, connection or load.
 
 use super::attempt::InFlightAttempt;
 use super::dispatch::AttemptEnd;
@@ -10,20 +10,20 @@
 const LATE_OBJECTIVE_RATIO: f64 = 0.25;
 /// ...and this many times the lower quartile of recent latencies.
 const LATE_QUARTILE_MULTIPLE: f64 = 2.0;
-/// A late success speaks against its server from this many times the median latency on.
+/// A late success raises its server's outlier score if it takes more than this many times the median latency.
 const SLOW_MEDIAN_MULTIPLE: f64 = 2.5;
-/// What one failure counts for while load may be its cause.
+/// Factor applied to timeouts and slow successes under overload, since load may be their cause.
 const OVERLOADED_SCORE_FACTOR: f64 = 0.5;
 
 impl Policy {
-    /// Takes an attempt off its server's record and records its outcome for what may have caused it.
+    /// Removes an attempt from its server's record and attributes its outcome to a cause.
     pub(super) fn record_outcome(&mut self, end: &AttemptEnd) {
         let Some(attempt) = self.take_in_flight(end) else { return };
         let (outcome, late) = (end.outcome, self.is_late(&attempt, end.latency));
         if outcome == Outcome::NotSent || outcome == Outcome::Cancelled && !late {
             return;
         }
-        if self.path_explains(&attempt, end, late) {
+        if self.record_path_outcome(&attempt, end, late) {
             return;
         }
         if loses_connection(outcome) {
@@ -56,19 +56,19 @@
         latency as f64 > usual.max(LATE_OBJECTIVE_RATIO * attempt.objective as f64)
     }
 
-    /// Records an outcome for the connection and the zone; returns whether one of them explains it.
-    fn path_explains(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd, late: bool) -> bool {
+    /// Records an outcome for the connection and the zone; returns whether it is attributed to one of them.
+    fn record_path_outcome(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd, late: bool) -> bool {
         let zone = self.endpoints.zone_of(end.server);
         let timely = end.outcome == Outcome::Success && !late;
-        let idle_explains =
+        let lost_on_idle_connection =
             !self.is_zone_degraded(zone) && self.record_connection_outcome(attempt, end.outcome, end.latency);
-        if !idle_explains && end.outcome != Outcome::Rejected && !loses_connection(end.outcome) {
+        if !lost_on_idle_connection && end.outcome != Outcome::Rejected && !loses_connection(end.outcome) {
             self.record_zone_outcome(zone, !timely);
         }
-        idle_explains || !timely && self.is_zone_degraded(zone)
+        lost_on_idle_connection || !timely && self.is_zone_degraded(zone)
     }
 
-    /// Records an outcome that its server must answer for.
+    /// Records an outcome that is attributed to the server.
     fn record_server_outcome(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd, late: bool) {
         let overload_factor = if self.load.is_overloaded() { OVERLOADED_SCORE_FACTOR } else { 1.0 };
         let slow = late && end.latency as f64 > SLOW_MEDIAN_MULTIPLE * self.latency.median as f64;
@@ -85,7 +85,7 @@
             Outcome::Success => return self.lower_outlier_score(end.server, attempt.class),
             _ => return,
         };
-        // What was sent before the last failure was seen belongs to that failure.
+        // Attempts sent before the last failure was recorded count as part of that failure.
         let raised_at = self.endpoints.servers.get(&end.server).map(|server| server.outlier_score_raised_at);
         if raised_at.is_some_and(|raised_at| attempt.sent_at >= raised_at) {
             self.raise_outlier_score(end.server, attempt.class, score);
@@ -93,7 +93,7 @@
     }
 }
 
-/// Whether an outcome means that the connection, with all that was in flight on it, is gone.
+/// Whether an outcome means that the connection and all attempts in flight on it are lost.
 fn loses_connection(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::ConnectionReset | Outcome::MalformedResponse)
 }
--- a/crates/core/src/policy/outlier_detection.rs
+++ b/crates/core/src/policy/outlier_detection.rs
@@ -1,8 +1,8 @@
-//! Outlier detection: servers that fail or are slow while their peers are not get fewer attempts, or none.
+//! Outlier detection: servers that fail or are slow while their peers are not receive fewer attempts or none.
 //!
-//! Each failure raises a server's outlier score, which decays with time and falls with timely outcomes. It is
-//! kept for each class too: where one class alone fails, the successes of others clear the server but not the
-//! class.
+//! Each failure raises a server's outlier score, which decays with time and falls with timely outcomes. Each
+//! class also has a separate score: if only one class fails, the successes of other classes lower the
+//! server's score but not that of the class.
 
 use super::decay::DecayingScore;
 use super::replica_selection::HealthTier;
@@ -11,55 +11,56 @@
 use super::Policy;
 use crate::api::{ClassId, Nanos, Outcome, ServerId};
 
-/// Peers come first from this score on.
+/// From this score on, healthy replicas are preferred to the server.
 const DEPRIORITIZE_THRESHOLD: f64 = 0.5;
-/// Nothing is sent from this score on while a peer is healthier.
+/// From this score on, the server receives nothing while a replica of a better tier exists.
 const EJECTION_THRESHOLD: f64 = 1.5;
-/// The score rises no further.
+/// Upper bound of the score.
 const MAX_OUTLIER_SCORE: f64 = 4.0;
 /// Added by a failed or overdue attempt.
 pub(super) const FAILURE_SCORE: f64 = 1.0;
-/// Added by a connection that did not come up.
+/// Added by a failed connect.
 pub(super) const CONNECT_FAILURE_SCORE: f64 = 2.0;
-/// Added by a lost connection, whatever was in flight on it: connections break at sound servers too.
+/// Added by a lost connection, however many attempts were in flight on it: healthy servers lose connections
+/// too.
 const CONNECTION_LOSS_SCORE: f64 = 0.4;
 /// Added by a slow success.
 pub(super) const SLOW_SCORE: f64 = 0.5;
-/// What a timely success leaves of the score.
+/// Factor applied to the score by a timely success.
 const SUCCESS_SCORE_FACTOR: f64 = 0.25;
-/// Failures in a row that one success takes back where traffic is low; otherwise it takes back all.
+/// Consecutive failures that one success cancels when traffic is low; otherwise it cancels all.
 const LOW_TRAFFIC_FORGIVEN_FAILURES: u32 = 2;
-/// The half-life of a score is this many intervals between attempts at one server, where that is longer than
+/// Half-life of a score, as a multiple of the mean interval between attempts at one server. The minimum is
 /// the shortest latency objective.
 const HALF_LIFE_SEND_INTERVALS: f64 = 2.0;
-/// Longest half-life before doublings, in shortest latency objectives.
+/// Maximum half-life before doublings, as a multiple of the shortest latency objective.
 const MAX_HALF_LIFE_OBJECTIVES: f64 = 6.0;
-/// The same, as a share of the warm-up duration; the longer of both holds.
+/// The same as a share of the warm-up duration; the longer of the two applies.
 const MAX_HALF_LIFE_WARM_UP_RATIO: f64 = 0.5;
-/// Each failure in a row doubles the half-life, up to so many times.
+/// Each consecutive failure doubles the half-life, up to this many times.
 const MAX_HALF_LIFE_DOUBLINGS: u32 = 3;
 
 impl Server {
-    /// The scores that an outcome of a class counts for.
+    /// Returns the scores that an outcome of a class affects.
     fn scores_of(&mut self, class: ClassId) -> [&mut DecayingScore; 2] {
         [&mut self.outlier_score, &mut self.class_outlier_scores[class.0]]
     }
 
-    /// Whether its outcomes of all classes make it an outlier.
+    /// Whether its score over all classes makes it an outlier.
     pub(super) fn is_suspect(&self, now: Nanos) -> bool {
         self.outlier_score.get(now) >= DEPRIORITIZE_THRESHOLD
     }
 }
 
 impl Policy {
-    /// How healthy a server looks for a class, with so many parts planned for it.
+    /// Returns the health tier of a server for a class, given the number of parts planned for it.
     pub(super) fn health_tier(&self, server: &Server, class: ClassId, planned: u32) -> HealthTier {
         let class_score = server.class_outlier_scores[class.0].get(self.now);
         let score = server.outlier_score.get(self.now).max(class_score);
         let is_busy = planned > 0 || !server.in_flight.is_empty();
         let is_suspect = score >= DEPRIORITIZE_THRESHOLD;
-        let is_on_trial = is_busy && (is_suspect || server.is_unreachable);
-        if score >= EJECTION_THRESHOLD || self.is_zone_degraded(server.zone) || is_on_trial {
+        let has_probe_in_flight = is_busy && (is_suspect || server.is_unreachable);
+        if score >= EJECTION_THRESHOLD || self.is_zone_degraded(server.zone) || has_probe_in_flight {
             HealthTier::Ejected
         } else if is_suspect {
             HealthTier::Deprioritized
@@ -68,7 +69,6 @@
         }
     }
 
-    /// Raises the outlier score of a server.
     pub(super) fn raise_outlier_score(&mut self, id: ServerId, class: ClassId, amount: f64) {
         let (now, base_half_life) = (self.now, self.base_half_life());
         let Some(server) = self.endpoints.servers.get_mut(&id) else { return };
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The half-life of outlier scores: longer where traffic is low, since evidence comes seldom.
+    /// Returns the half-life of outlier scores; it is longer when traffic is low, since outcomes are rare.
     fn base_half_life(&self) -> Nanos {
         let objective = self.settings.shortest_latency_objective() as f64;
         let warm_up = self.settings.slow_start.warm_up_duration as f64;
@@ -95,8 +95,8 @@
         (HALF_LIFE_SEND_INTERVALS * self.mean_send_interval()).clamp(objective, max_half_life) as Nanos
     }
 
-    /// Records that a connection was lost, with all that was in flight on it. Only after a reset may the
-    /// server have died; the next connect shows it.
+    /// Records the loss of a connection once for all attempts in flight on it. Only a reset may mean that the
+    /// server has died; the next connect shows whether it has.
     pub(super) fn record_connection_loss(&mut self, id: ServerId, class: ClassId, outcome: Outcome) {
         let now = self.now;
         let Some(server) = self.endpoints.servers.get_mut(&id) else { return };
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Sends a server nothing for a while.
+    /// Stops sending to a server for the minimum pause.
     pub(super) fn pause_endpoint(&mut self, id: ServerId) {
         let until = self.now + self.min_pause();
         if let Some(server) = self.endpoints.servers.get_mut(&id) {
@@ -122,7 +122,7 @@
         let (now, low_traffic) = (self.now, self.is_low_traffic());
         let overload_duration = self.settings.slow_start.overload_duration;
         let Some(server) = self.endpoints.servers.get_mut(&id) else { return };
-        // A server that stalls now and then has many single successes where it is seldom sent to.
+        // With low traffic, a server that stalls intermittently still has many isolated successes.
         let (factor, forgiven) = if low_traffic {
             (SUCCESS_SCORE_FACTOR.sqrt(), LOW_TRAFFIC_FORGIVEN_FAILURES)
         } else {
@@ -134,7 +134,7 @@
         }
         server.is_unreachable = false;
         let disrupted_for = server.disrupted_since.take().map(|since| now.saturating_sub(since));
-        // A shorter disruption leaves no time for a restart.
+        // A shorter disruption is too short for a restart.
         if disrupted_for.is_some_and(|duration| duration >= overload_duration) {
             server.slow_start_since = Some(now);
             let completed_attempts = self.load.completed_attempts;
@@ -142,8 +142,8 @@
         }
     }
 
-    /// How many servers in the endpoint list are sent nothing now. One that was ejected or whose zone
-    /// degraded a moment ago does not count.
+    /// Returns the number of servers in the endpoint list that receive no attempts. A server that was
+    /// ejected, or whose zone became degraded, within the last minimum pause is not counted.
     pub fn excluded_servers(&self) -> usize {
         let recently = self.now.saturating_sub(self.min_pause());
         let is_ejected = |server: &Server| {
--- a/crates/core/src/policy/part.rs
+++ b/crates/core/src/policy/part.rs
@@ -16,13 +16,13 @@
 }
 
 impl Part {
-    /// A weight that is not a finite positive number counts as 0.
+    /// Creates a part without attempts. A weight that is not finite and positive counts as 0.
     pub(super) fn new(query: QueryId, shard: ShardId, weight: f64) -> Self {
         let weight = if weight.is_finite() { weight.max(0.0) } else { 0.0 };
         Self { query, shard, weight, complete: false, attempts: Vec::new(), connection_losses: 0 }
     }
 
-    /// The attempts in flight, with their numbers.
+    /// Returns the attempts in flight with their numbers.
     pub(super) fn in_flight(&self) -> impl Iterator<Item = (u32, &Attempt)> {
         let numbered = (0..).zip(&self.attempts);
         numbered.filter(|(_, attempt)| attempt.state == AttemptState::InFlight)
@@ -44,18 +44,18 @@
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
 
-    /// Whether every attempt so far is proved never to have run.
+    /// Whether no attempt so far can have run.
     pub(super) fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::Ended { never_ran: true })
     }
 
-    /// When the first attempt that may have run was sent.
+    /// Returns when the first attempt that may have run was sent.
     pub(super) fn first_possible_run(&self) -> Option<Nanos> {
         let may_have_run = |a: &&Attempt| a.state != AttemptState::Ended { never_ran: true };
         self.attempts.iter().find(may_have_run).map(|attempt| attempt.sent_at)
     }
 
-    /// When it was first sent; `now` if it was not.
+    /// Returns when the first attempt was sent; `now` if there is none.
     pub(super) fn first_sent_at(&self, now: Nanos) -> Nanos {
         self.attempts.first().map_or(now, |attempt| attempt.sent_at)
     }
@@ -69,7 +69,7 @@
         in_flight
     }
 
-    /// Marks an attempt as ended; returns its state before, or `None` where there is no such attempt.
+    /// Marks an attempt as ended; returns its previous state, or `None` if the attempt does not exist.
     pub(super) fn end_attempt(&mut self, number: u32, outcome: Outcome) -> Option<AttemptState> {
         let attempt = self.attempts.get_mut(number as usize)?;
         let ended = AttemptState::Ended { never_ran: outcome.never_ran() };
--- a/crates/core/src/policy/query.rs
+++ b/crates/core/src/policy/query.rs
@@ -5,13 +5,12 @@
 use super::part::Part;
 use crate::api::{ClassId, Nanos, PartId};
 
-/// How far a query has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueryState {
-    /// It waits for admission.
+    /// Waiting for admission.
     Queued,
     Running,
-    /// Its first phase is answered, and the parts of the second have not arrived.
+    /// The first phase is answered, and no part of the second has arrived.
     BetweenPhases,
 }
 
@@ -26,23 +25,24 @@
     pub(super) class: ClassId,
     /// Value of a complete and timely answer.
     pub(super) priority_weight: f64,
-    /// When the client first submitted it, as far as that is known.
+    /// When the client first submitted it; estimated.
     pub(super) submitted_at: Nanos,
-    /// When the client gives up.
+    /// When the client stops waiting, or the process ends if that is earlier.
     pub(super) deadline: Nanos,
     pub(super) state: QueryState,
     pub(super) phase: QueryPhase,
     pub(super) first_phase_complete: bool,
-    /// The parts of its phase.
+    /// The parts of its current phase.
     pub(super) parts: Vec<PartId>,
-    /// Hedges that completed parts have permitted and that are not used yet.
+    /// Unused hedge permits, granted by completed parts.
     pub(super) hedge_permits: u32,
-    /// The most connections that one part has lost.
+    /// Maximum number of connections lost by any one part.
     pub(super) connection_losses: u32,
     pub(super) completed_parts: u32,
-    /// One part is sent ahead, the rest once it is complete.
+    /// Whether one part is sent first and the others only after it has completed.
     pub(super) canary: bool,
-    /// Random draw in 0..1; a throttled query below the throttle ratio is shed.
+    /// Random number in 0..1; a query larger than the in-flight limit is shed if this is below the throttle
+    /// ratio.
     pub(super) throttle_draw: f64,
 }
 
@@ -69,7 +69,7 @@
         self.state == QueryState::Running
     }
 
-    /// Whether it waits for its canary part.
+    /// Whether its canary part has yet to complete.
     pub(super) fn awaits_canary(&self) -> bool {
         self.canary && self.completed_parts == 0
     }
@@ -80,7 +80,7 @@
         self.hedge_permits = 0;
     }
 
-    /// Its incomplete parts with exactly one attempt in flight, the longest in flight first.
+    /// Returns its incomplete parts with exactly one attempt in flight, the longest in flight first.
     pub(super) fn lone_attempts(&self, parts: &BTreeMap<PartId, Part>) -> Vec<LoneAttempt> {
         let mut lone: Vec<LoneAttempt> = Vec::new();
         for &id in &self.parts {
@@ -95,7 +95,7 @@
     }
 }
 
-/// The only attempt in flight of a part. Ordered by the time of its send, then by part.
+/// The only attempt in flight of a part. Ordered by send time, then by part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LoneAttempt {
     pub(super) sent_at: Nanos,
--- a/crates/core/src/policy/replica_selection.rs
+++ b/crates/core/src/policy/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Which replica takes a part.
+//! Selects the replica for an attempt at a part.
 
 use super::calls::BatchPlan;
 use super::part::Part;
@@ -6,41 +6,41 @@
 use super::Policy;
 use crate::api::{ClassId, ServerId};
 
-/// How healthy a server looks; the least comes first.
+/// Health of a server in order of preference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum HealthTier {
     Healthy,
-    /// Taken when no healthy replica can be.
+    /// Used if no healthy replica is available.
     Deprioritized,
-    /// Taken when no replica is healthier, if only a full one.
+    /// Used only if no replica is in a better tier; one that is at its limit counts.
     Ejected,
 }
 
-/// Which replicas of a part come into question.
+/// The replicas of a part to select from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Candidates {
-    /// Those that no attempt has gone to.
+    /// Replicas that no attempt was sent to.
     Untried,
     All,
 }
 
-/// How well a replica suits a part: compared field by field in this order, the least is taken.
+/// Rank of a replica for a part; fields are compared in this order, and the lowest rank is selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReplicaRank {
     tier: HealthTier,
-    /// With the one for this part, unless it joins a call that is planned.
+    /// Includes the call for this part, unless the part joins a planned call.
     calls_in_flight: u32,
-    /// Parts that its call could carry beside those in question.
-    free_batch_places: u32,
+    /// Batch capacity that remains after all parts that could share the call.
+    free_batch_slots: u32,
     needs_connection: bool,
     is_in_other_zone: bool,
-    /// The least recently used comes first.
+    /// The least recently used replica is preferred.
     last_dispatch: u64,
 }
 
 impl Policy {
-    /// The best replica for a part, or `None` where each is paused, full, beyond its slow start or worse than
-    /// `worst_tier`.
+    /// Returns the best replica for a part; `None` if each is paused, at its concurrency limit, out of slow
+    /// start budget or worse than `worst_tier`.
     pub(super) fn select_replica(
         &self,
         part: &Part,
@@ -67,12 +67,11 @@
                 best = Some((rank, id));
             }
         }
-        // A full server is no reason to send to an ejected one.
+        // An ejected server does not replace one that is only at its limit.
         best.filter(|(rank, _)| rank.tier < HealthTier::Ejected || all_ejected).map(|(_, id)| id)
     }
 
-    /// Whether a server with so many parts planned for it may be sent one more by its pause and its slow
-    /// start.
+    /// Whether the pause and the slow start of a server allow one part more than those planned.
     fn may_send_now(&self, server: &Server, planned: u32) -> bool {
         let allowance = self.slow_start_allowance(server);
         let within_allowance = allowance.is_none_or(|allowance| allowance >= f64::from(planned + 1));
@@ -86,7 +85,7 @@
         ReplicaRank {
             tier: self.health_tier(server, class, planned),
             calls_in_flight: server.calls_in_flight() + (planned + 1).div_ceil(max_batch),
-            free_batch_places: max_batch.saturating_sub(plan.batch_peers(id)),
+            free_batch_slots: max_batch.saturating_sub(plan.batch_peers(id)),
             needs_connection: !self.has_trusted_connection(server),
             is_in_other_zone: local_zone.is_some() && server.zone != local_zone,
             last_dispatch: server.last_dispatch,
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: further attempts at parts that failed or are overdue, and the budget they are charged to.
+//! Retries: further attempts at failed or overdue parts, and the retry budget.
 
 use super::attempt::{AttemptKind, OVERDUE_OBJECTIVE_RATIO};
 use super::calls::BatchPlan;
@@ -8,38 +8,39 @@
 use super::Policy;
 use crate::api::{ClassId, Nanos, PartId, QueryId, ServerId};
 
-/// The retry budget where the settings have none: this many attempts...
+/// Default retry budget: this many attempts...
 const DEFAULT_BASE_ATTEMPTS: f64 = 3.0;
 /// ...and this share of the queries and parts that arrived.
 const DEFAULT_BUDGET_RATIO: f64 = 0.2;
-/// Share of the budget open to queries that can be answered already.
+/// Share of the budget available to queries that can already be answered partially.
 const ANSWERABLE_BUDGET_SHARE: f64 = 0.5;
-/// Connections lost by one part, with no part of its query complete, that show the query to be their cause.
+/// A query is treated as the cause of lost connections once one of its parts has lost this many and none of
+/// its parts has completed.
 const POISON_CONNECTION_LOSSES: u32 = 2;
 
 impl Policy {
-    /// Whether a part that is not in flight may be attempted again by the rules of its class.
+    /// Whether the rules of its class allow another attempt at a part.
     pub(super) fn may_retry(&self, part: &Part, class: ClassId) -> bool {
         let class = &self.settings.classes[class.0];
         self.now < class.retry_deadline(part.first_possible_run())
             && part.attempts.len() < class.max_attempts as usize
     }
 
-    /// Whether another attempt repeats no work, since none so far has run. A budget in the settings counts it
-    /// all the same.
+    /// Whether another attempt is not charged to the budget: it repeats no work because no attempt so far can
+    /// have run. A budget from the settings is charged for it too.
     pub(super) fn is_free_retry(&self, part: &Part) -> bool {
         self.settings.retry_budget.is_none() && part.never_ran()
     }
 
-    /// Whether a query looks like the cause of lost connections; nothing more of it is sent.
+    /// Whether a query is the presumed cause of lost connections; no further attempts are sent for it.
     pub(super) fn is_poison_query(&self, id: QueryId) -> bool {
         let is_poison =
             |query: &Query| query.completed_parts == 0 && query.connection_losses >= POISON_CONNECTION_LOSSES;
         self.queries.get(&id).is_some_and(is_poison)
     }
 
-    /// Whether the retry budget has room for another attempt. A share of it is kept for queries without any
-    /// answer.
+    /// Whether the retry budget allows another attempt. Part of the budget is reserved for queries that
+    /// cannot be answered yet.
     fn retry_budget_left(&mut self, id: QueryId) -> bool {
         let query = &self.queries[&id];
         let min_coverage = self.settings.classes[query.class.0].min_coverage;
@@ -55,9 +56,8 @@
         used as f64 <= (base_attempts + ratio * arrivals) * share
     }
 
-    /// Sends what a running query lacks: spare parts in place of late or failed ones, then failed parts
-    /// again.
-    pub(super) fn send_missing(&mut self, id: QueryId) {
+    /// Sends spare parts to replace late or failed ones, then retries failed parts while coverage is missing.
+    pub(super) fn send_missing_parts(&mut self, id: QueryId) {
         if self.is_poison_query(id) {
             return;
         }
@@ -77,11 +77,12 @@
         }
     }
 
-    /// Sends unsent parts where those that are complete or not yet late do not suffice; returns the
-    /// coverage of what is complete or in flight then.
+    /// Sends unsent parts while the parts that are complete or on time do not cover a complete answer.
+    /// Returns the resulting coverage of parts that are complete or in flight.
     fn send_spares(&mut self, id: QueryId) -> f64 {
         let query = &self.queries[&id];
-        let holds_back_rest = query.awaits_canary() || query.canary && self.review_queue.queued.contains(&id);
+        let awaits_canary_or_admission =
+            query.awaits_canary() || query.canary && self.review_queue.queued.contains(&id);
         let required = self.required_coverage(query);
         let late_before = self.now.saturating_sub(self.spare_delay(query.class));
         let is_on_time = |part: &Part| part.in_flight().any(|(_, attempt)| attempt.sent_at > late_before);
@@ -89,7 +90,7 @@
         let mut attempted_coverage = self.coverage(query, |part| part.complete || part.is_in_flight());
         for part in self.unsent_parts(query) {
             if on_time_coverage < required
-                && !holds_back_rest
+                && !awaits_canary_or_admission
                 && self.send_to_best_replica(part, AttemptKind::First, HealthTier::Ejected)
             {
                 on_time_coverage += self.parts[&part].weight;
@@ -99,7 +100,7 @@
         attempted_coverage
     }
 
-    /// How long a part is in flight before a spare is sent in its place.
+    /// Returns how long a part is in flight before a spare replaces it.
     fn spare_delay(&self, class: ClassId) -> Nanos {
         if self.load.is_overloaded() {
             self.overdue_after(class)
@@ -112,14 +113,14 @@
         query.parts.iter().copied().filter(|id| self.parts[id].is_unsent()).collect()
     }
 
-    /// How long a part is in flight before it is overdue.
+    /// Returns how long a part is in flight before it is overdue.
     fn overdue_after(&self, class: ClassId) -> Nanos {
         let objective = self.settings.classes[class.0].latency_objective as f64;
         ((objective * OVERDUE_OBJECTIVE_RATIO) as Nanos).max(self.hedge_delay(class))
     }
 
-    /// Hedges overdue parts without a permit, or cancels and retries them elsewhere, so that a silent server
-    /// does not cost the whole latency objective.
+    /// Hedges overdue parts without a permit, or cancels and retries them at another replica, so that an
+    /// unresponsive server does not use up the latency objective.
     pub(super) fn retry_overdue(&mut self, id: QueryId) {
         if self.load.is_overloaded() || self.is_poison_query(id) {
             return;
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Sends a part to the best replica of at most this tier, if the budget allows it; returns whether one
-    /// was found.
+    /// Sends a part to the best replica that is not worse than `worst_tier`, if the budget allows it; returns
+    /// whether it did.
     pub(super) fn send_to_best_replica(
         &mut self,
         id: PartId,
@@ -161,7 +162,7 @@
         true
     }
 
-    /// The best untried replica, or for a part that is not in flight one that was tried before.
+    /// Returns the best untried replica; for a retry of a part not in flight, falls back to a tried one.
     fn replica_for(&self, id: PartId, kind: AttemptKind, worst_tier: HealthTier) -> Option<ServerId> {
         let (part, plan) = (&self.parts[&id], BatchPlan::default());
         let untried = self.select_replica(part, Candidates::Untried, &plan, worst_tier);
--- a/crates/core/src/policy/review_queue.rs
+++ b/crates/core/src/policy/review_queue.rs
@@ -1,4 +1,4 @@
-//! Which queries wait for admission and which are to be reviewed.
+//! Queries that wait for admission or for a review.
 
 use std::collections::BTreeSet;
 
@@ -8,6 +8,6 @@
 pub(super) struct ReviewQueue {
     /// Queries with parts that wait for admission.
     pub(super) queued: BTreeSet<QueryId>,
-    /// Queries that something has happened to since their last review, or that are due.
+    /// Queries affected by an event since their last review, or due for one.
     pub(super) pending: BTreeSet<QueryId>,
 }
--- a/crates/core/src/policy/server.rs
+++ b/crates/core/src/policy/server.rs
@@ -1,4 +1,4 @@
-//! What the policy remembers of one server.
+//! The policy's record of one server.
 
 use super::attempt::InFlightAttempt;
 use super::decay::DecayingScore;
@@ -10,38 +10,38 @@
     pub(super) partition_group: u32,
     pub(super) state: EndpointState,
     pub(super) zone: Option<ZoneId>,
-    /// When its process last started, by the endpoint list; 0: long ago.
+    /// When its process last started, as reported by the endpoint list; 0: long ago.
     pub(super) started_at: Nanos,
-    /// When its slow start began; `None` if it was never seen to start.
+    /// When its slow start began; `None` if no start is known.
     pub(super) slow_start_since: Option<Nanos>,
     pub(super) slow_start_budget: SlowStartBudget,
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// Number of the last attempt sent to it, among all attempts.
+    /// Sequence number, over all servers, of the last attempt sent to it.
     pub(super) last_dispatch: u64,
-    /// Most calls in flight here; below 1 it paces.
+    /// Maximum number of calls in flight; below 1 it sets the interval between attempts.
     pub(super) concurrency_limit: f64,
     pub(super) limit_decreased_at: Nanos,
-    /// Nothing is sent before this.
+    /// No attempt is sent before this time.
     pub(super) paused_until: Nanos,
-    /// When its connection was last used; `None` where there is none.
+    /// When its connection was last used; `None` if there is none.
     pub(super) connection_used_at: Option<Nanos>,
     /// When a connection to it was last lost.
     pub(super) connection_lost_at: Nanos,
-    /// By the outcomes of all classes.
+    /// Score from the outcomes of all classes.
     pub(super) outlier_score: DecayingScore,
-    /// By the outcomes of each class.
+    /// Scores from the outcomes of each class, by class index.
     pub(super) class_outlier_scores: Vec<DecayingScore>,
     pub(super) consecutive_failures: u32,
-    /// When its outlier score was last raised.
     pub(super) outlier_score_raised_at: Nanos,
-    /// No connection came up, and nothing has succeeded since.
+    /// Whether a connect has failed and no attempt has succeeded since.
     pub(super) is_unreachable: bool,
-    /// When a connection was reset or did not come up, if nothing has succeeded since.
+    /// When a connection was first reset or a connect first failed since the last success; `None` if neither
+    /// happened.
     pub(super) disrupted_since: Option<Nanos>,
 }
 
 impl Server {
-    /// A server that the endpoint list is about to describe.
+    /// Creates the record of a server before its endpoint record is applied.
     pub(super) fn new(last_dispatch: u64, concurrency_limit: f64, classes: usize) -> Self {
         Self {
             partition_group: 0,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Forgets what was known of the process before it restarted.
+    /// Clears the state that belongs to the process before its restart.
     pub(super) fn reset(&mut self, concurrency_limit: f64) {
         self.concurrency_limit = concurrency_limit;
         self.consecutive_failures = 0;
@@ -85,7 +85,7 @@
         self.state == EndpointState::Removed
     }
 
-    /// Calls in flight here; a call may carry several parts.
+    /// Returns the number of calls in flight; a call may carry several parts.
     pub(super) fn calls_in_flight(&self) -> u32 {
         let mut calls: Vec<_> = self.in_flight.iter().map(|attempt| attempt.call).collect();
         calls.sort_unstable();
--- a/crates/core/src/policy/sliding_window.rs
+++ b/crates/core/src/policy/sliding_window.rs
@@ -4,7 +4,7 @@
 
 use crate::api::Nanos;
 
-/// Counts what happened within the last `window`.
+/// Counts events within the last `window`.
 #[derive(Debug, Clone)]
 pub(super) struct SlidingCount {
     window: Nanos,
@@ -16,7 +16,7 @@
         Self { window, times: VecDeque::new() }
     }
 
-    /// Counts over a window of another length from now on; what was dropped before does not come back.
+    /// Changes the length of the window; events that were already pruned are not restored.
     pub(super) fn set_window(&mut self, window: Nanos) {
         self.window = window;
     }
@@ -26,13 +26,13 @@
         self.times.push_back(now);
     }
 
-    /// How many happened in the window that ends at `now`, its first moment excluded.
+    /// Returns the number of events in the window that ends at `now`; the start of the window is excluded.
     pub(super) fn count(&mut self, now: Nanos) -> usize {
         self.prune(now);
         self.times.len()
     }
 
-    /// How many happened at or after `from`, without pruning older ones.
+    /// Returns the number of events at or after `from`, without pruning older ones.
     pub(super) fn count_since(&self, from: Nanos) -> usize {
         self.times.len() - self.times.partition_point(|&time| time < from)
     }
@@ -50,7 +50,7 @@
     value: Nanos,
 }
 
-/// Quantiles of the last `capacity` samples that are no older than `max_age`.
+/// Quantiles of the last `capacity` samples, excluding those older than `max_age`.
 #[derive(Debug, Clone)]
 pub(super) struct RecentSamples {
     capacity: usize,
@@ -70,7 +70,7 @@
         self.samples.push_back(Sample { taken_at: now, value });
     }
 
-    /// The quantile, or `None` while fewer than `min_samples` samples are recent enough.
+    /// Returns the quantile, or `None` if fewer than `min_samples` samples are recent enough.
     pub(super) fn quantile(&self, now: Nanos, quantile: f64, min_samples: usize) -> Option<Nanos> {
         let is_recent = |sample: &&Sample| sample.taken_at.saturating_add(self.max_age) >= now;
         let mut values: Vec<Nanos> = self.samples.iter().filter(is_recent).map(|s| s.value).collect();
--- a/crates/core/src/policy/tests.rs
+++ b/crates/core/src/policy/tests.rs
@@ -4,7 +4,7 @@
 
 const MS: Nanos = 1_000_000;
 
-/// Settings with one class of this latency objective.
+/// Returns settings with one class that has this latency objective.
 fn settings_with_objective(objective: Nanos) -> Settings {
     let class = format!(
         r#"{{"name":"a","aim_ns":{objective},"deadline_ns":9000000000,"effect":"idempotent","importance":1,
@@ -20,7 +20,8 @@
     settings::read(&text).unwrap().settings
 }
 
-/// Guards against a mean over a longer time than attempts are counted for: steady traffic looks low then.
+/// The attempts must be counted over the new, longer window: steady traffic looks low if the count still
+/// covers the old one.
 #[test]
 fn the_mean_send_interval_is_kept_when_the_latency_objective_becomes_longer() {
     let mut policy = Policy::new(settings_with_objective(500 * MS), 7).unwrap();
--- a/crates/core/src/policy/timers.rs
+++ b/crates/core/src/policy/timers.rs
@@ -1,4 +1,4 @@
-//! When queries are due for review, and the timer that is set for it.
+//! Schedules the reviews of queries and the timer for the next one.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -24,12 +24,12 @@
         self.reviews.push(Reverse(DueReview { at, query }));
     }
 
-    pub(super) fn fired(&mut self) {
+    pub(super) fn handle_fired(&mut self) {
         self.armed_for = None;
     }
 
-    /// Takes out the queries that are due.
-    pub(super) fn take_due(&mut self, now: Nanos) -> Vec<QueryId> {
+    /// Removes and returns the queries that are due.
+    pub(super) fn pop_due(&mut self, now: Nanos) -> Vec<QueryId> {
         let mut due = Vec::new();
         while let Some(&Reverse(review)) = self.reviews.peek().filter(|review| review.0.at <= now) {
             self.reviews.pop();
@@ -38,7 +38,8 @@
         due
     }
 
-    /// How long until the next review, if no timer is armed for it yet; the caller arms one.
+    /// Returns the delay of the timer that the caller must set; `None` if no review is scheduled or an armed
+    /// timer fires in time for the next one.
     fn arm(&mut self, now: Nanos) -> Option<Nanos> {
         let next = self.reviews.peek()?.0.at.max(now + 1);
         if self.armed_for.is_some_and(|armed| now < armed && armed <= next) {
@@ -50,7 +51,7 @@
 }
 
 impl Policy {
-    /// Asks for a timer where the next review needs one.
+    /// Requests a timer for the next review if none is armed for it.
     pub(super) fn arm_timer(&mut self) {
         let timer = self.timers.arm(self.now).map(|after| Action::SetTimer { after });
         self.actions.extend(timer);
--- a/crates/core/src/policy/zone_health.rs
+++ b/crates/core/src/policy/zone_health.rs
@@ -1,14 +1,15 @@
-//! Health of the paths to zones: failures that the servers of one zone share are not the servers' fault.
+//! Health of the network paths to zones: failures common to the servers of a zone are attributed to its path,
+//! not to the servers.
 
 use super::decay::FailureRatio;
 use super::Policy;
 use crate::api::{Action, Nanos, Outcome, ServerId, ZoneId};
 
-/// A zone is degraded from this failure ratio on.
+/// A zone may be degraded above this failure ratio.
 const ZONE_FAILURE_THRESHOLD: f64 = 0.4;
-/// Share of the latest outcome in a zone's failure ratio.
+/// Weight of the latest outcome in a zone's failure ratio.
 const ZONE_OUTCOME_WEIGHT: f64 = 1.0 / 6.0;
-/// A degraded zone is checked once in the shortest latency objective over this.
+/// The interval between checks of a degraded zone is the shortest latency objective divided by this.
 const ZONE_CHECK_OBJECTIVE_DIVISOR: u64 = 2;
 
 /// Health of the path to one zone.
@@ -19,7 +20,7 @@
 }
 
 impl Policy {
-    /// Takes the outcome of a health check. One that was not sent says nothing.
+    /// Records the outcome of a health check; ignores a check that was not sent.
     pub(super) fn handle_health_checked(&mut self, server: ServerId, outcome: Outcome) {
         if outcome == Outcome::NotSent {
             return;
@@ -33,14 +34,14 @@
         }
     }
 
-    /// Whether failures are many in this zone and few in the best one.
+    /// Whether this zone's failure ratio is high, both absolutely and relative to the best zone.
     pub(super) fn is_zone_degraded(&self, zone: Option<ZoneId>) -> bool {
         let Some(health) = zone.and_then(|zone| self.zones.get(zone.0 as usize)) else { return false };
         let best_ratio = self.zones.iter().map(|zone| zone.failures.get()).fold(1.0, f64::min);
-        health.failures.stands_out(best_ratio, ZONE_FAILURE_THRESHOLD)
+        health.failures.exceeds_baseline(best_ratio, ZONE_FAILURE_THRESHOLD)
     }
 
-    /// Checks the health of a server in each degraded zone, which gets few parts that could show its
+    /// Checks the health of a server in each degraded zone, because too few parts are sent there to detect
     /// recovery.
     pub(super) fn probe_degraded_zones(&mut self) {
         if !self.endpoints.list_is_usable {
@@ -64,7 +65,7 @@
             Some(&server) if self.settings.may_check_health => {
                 self.actions.push(Action::CheckHealth { server });
             }
-            // What cannot be checked recovers with time.
+            // Recovery cannot be checked, so the failure ratio decays with time.
             _ => self.record_zone_outcome(zone, false),
         }
     }
