--- a/crates/core/src/api/endpoints.rs
+++ b/crates/core/src/api/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which servers there are and in which state.
+//! The endpoint list: the servers and their states.
 
 use super::{Nanos, ServerId, ZoneId};
 
@@ -7,38 +7,38 @@
 pub enum EndpointState {
     /// In service.
     Active,
-    /// Finishing its work; it gets no new attempt.
+    /// Completing the attempts in flight; receives no new ones.
     Draining,
-    /// It has left the list.
+    /// No longer in the list.
     Removed,
 }
 
 /// One record of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointRecord {
-    /// The server.
+    /// The server that the record describes; an id is never reused for another one.
     pub server: ServerId,
     /// Its partition group, which determines its shards: see [`ShardLayout`](super::ShardLayout).
     pub partition_group: u32,
     /// When its process last started; 0: long ago.
     pub started_at: Nanos,
-    /// Its capacity in comparison with others.
+    /// Its capacity relative to other servers.
     pub capacity: f64,
-    /// Its state.
+    /// Whether it may receive new attempts.
     pub state: EndpointState,
-    /// Its zone, where that is known.
+    /// Its zone; `None` if unknown.
     pub zone: Option<ZoneId>,
 }
 
-/// How an update of the endpoint list relates to the list that is held.
+/// How an update of the endpoint list relates to the current list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
     /// Only the records that changed.
     Delta,
     /// The complete list; servers that are missing have left.
     Snapshot,
-    /// The complete list as it was held before the start of the process. It may be out of date: nothing is sent by
-    /// it until any other update has come, if only an empty one.
+    /// The complete list as known before the process started. It may be out of date: no attempt is sent until an
+    /// update of another kind, possibly empty, arrives.
     Unconfirmed,
 }
 
--- a/crates/core/src/api/events.rs
+++ b/crates/core/src/api/events.rs
@@ -1,4 +1,4 @@
-//! What the policy is told.
+//! The events that the policy receives.
 
 use super::{
     ClassId, EndpointRecord, EndpointUpdateKind, KeyId, Nanos, PartId, QueryId, ServerId, ShardId, TenantId,
@@ -7,23 +7,23 @@
 /// How an attempt or a health check ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The server returned a result.
     Success,
-    /// The server returned an error; it may have run.
+    /// The server returned an error; the attempt may have run.
     ServerError,
-    /// The server rejected it unseen; it never ran.
+    /// The server rejected the attempt before processing it; it never ran.
     Rejected,
-    /// No response in time; it may have run or still run.
+    /// No response arrived in time; the attempt may have run or still be running.
     TimedOut,
-    /// No connection came up; it never ran.
+    /// The connection could not be established; the attempt never ran.
     ConnectFailed,
-    /// The connection was lost; it may have run.
+    /// The connection was lost; the attempt may have run.
     ConnectionReset,
-    /// What came on its connection could not be read, and the connection was closed from this side; it may have run.
+    /// The data received on the connection was malformed, and the coordinator closed it; the attempt may have run.
     MalformedResponse,
-    /// It was cancelled from this side; it may have run.
+    /// The coordinator cancelled the attempt; it may have run.
     Cancelled,
-    /// It was not sent; it never ran.
+    /// The attempt was not sent; it never ran.
     NotSent,
 }
 
@@ -34,39 +34,39 @@
     }
 }
 
-/// What the policy is told.
+/// An input of [`Policy::round`](crate::Policy::round).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The lease of the endpoint list has ended: nothing may be sent by it until the next
+    /// The lease of the endpoint list has expired: no attempt may be sent until the next
     /// [`Event::EndpointsUpdated`].
     EndpointListExpired,
     /// The endpoint list, or a change to it.
     EndpointsUpdated {
-        /// How the update relates to the list that is held.
+        /// How the update relates to the current list.
         kind: EndpointUpdateKind,
-        /// Its records.
+        /// All servers of the list or only the changed ones, depending on `kind`.
         records: Vec<EndpointRecord>,
     },
-    /// A query has come; its parts follow in the same round.
+    /// A query has arrived; its parts follow in the same round.
     QueryArrived {
-        /// Its id.
+        /// Identifies the query in later events and actions.
         id: QueryId,
-        /// Its class.
+        /// Index into the classes of the current settings.
         class: ClassId,
-        /// Its tenant, where there are tenants.
+        /// The tenant that submitted it; `None` if the deployment has no tenants.
         tenant: Option<TenantId>,
-        /// What it is about, where queries carry keys.
+        /// Identifies the data that it needs; `None` if queries carry no keys.
         key: Option<KeyId>,
-        /// Whether the client marks it as a retry of its own.
+        /// Whether the client marks it as a retry.
         is_retry: bool,
-        /// When the client gives up on it.
+        /// When the client stops waiting for the answer.
         deadline: Nanos,
     },
-    /// The process is shutting down: no query takes longer than this, those that are queued included.
+    /// The process is shutting down: every query, queued or running, ends by this time.
     ShuttingDown(Nanos),
-    /// A part of a query that is open.
+    /// A part of an open query has arrived.
     PartArrived {
-        /// Its id.
+        /// Identifies the part in later events and actions.
         id: PartId,
         /// The query it belongs to.
         query: QueryId,
@@ -75,13 +75,13 @@
         /// Its share of the weight of its phase of the query.
         weight: f64,
     },
-    /// An attempt has ended. Comes once for each [`Action::StartAttempt`](super::Action::StartAttempt).
+    /// An attempt has ended. Sent exactly once for each [`Action::StartAttempt`](super::Action::StartAttempt).
     AttemptEnded {
-        /// The part.
+        /// The part that the attempt was started for.
         part: PartId,
         /// The attempt's number, from 0.
         attempt: u32,
-        /// The server it went to.
+        /// The server it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
@@ -90,14 +90,14 @@
     },
     /// A health check has ended.
     HealthChecked {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the check ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the check was sent.
         latency: Nanos,
     },
-    /// The client has disconnected: the query is over, with all its parts.
+    /// The client has disconnected: the query and all its parts end.
     ClientDisconnected(QueryId),
     /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) has fired.
     TimerFired,
--- a/crates/core/src/api/ids.rs
+++ b/crates/core/src/api/ids.rs
@@ -1,6 +1,6 @@
-//! Ids and the unit of time.
+//! Identifiers and the unit of time.
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 macro_rules! id {
@@ -41,7 +41,7 @@
     u32
 );
 id!(
-    /// What a query is about; queries of one key need the same data.
+    /// The key of a query; queries with the same key need the same data.
     KeyId,
     u64
 );
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the policy: settings, ids, the events it is told of and the actions it asks for.
+//! The interface of the policy: its settings, the events it receives and the actions it requests.
 //!
-//! Times are nanoseconds of one clock that never runs backwards. Ids are opaque numbers chosen by the
-//! embedder: unique for the life of a [`crate::Policy`], never reused.
+//! Times are nanoseconds of one monotonic clock. Ids are opaque numbers chosen by the embedder: unique for
+//! the life of a [`crate::Policy`], never reused.
 
 mod actions;
 mod endpoints;
--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -1,66 +1,68 @@
-//! The settings of the policy: classes of query, limits, and the rules of the service.
+//! The settings of the policy: query classes, tenants, limits and the rules of the deployment.
 
 use std::fmt;
 
 use super::{ClassId, Nanos, ZoneId};
 
-/// What a retry of a part does at the data nodes, by the class of its query.
+/// Whether a part may be retried after it may have run at a data node, by the class of its query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
     /// A part may run any number of times.
     Idempotent,
-    /// A retry within [`Class::retry_window`] of the first attempt is dropped by the data nodes.
+    /// Data nodes ignore a retry within [`Class::retry_window`] of the first attempt.
     Deduplicated,
-    /// No part may run twice.
+    /// A part must not run twice.
     AtMostOnce,
 }
 
-/// A class of query.
+/// A query class: its objective, its value and its retry rules.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns its full value.
+    /// An answer within this time of the first submission earns its full value.
     pub latency_objective: Nanos,
-    /// The client waits this long over all its retries.
+    /// How long the client waits in total, its retries included.
     pub deadline: Nanos,
     /// Value of a complete answer within the latency objective.
     pub priority_weight: f64,
     /// Share of the value that an answer after the latency objective earns.
     pub late_value_ratio: f64,
-    /// What a retry of a part does.
+    /// Whether a part may run more than once.
     pub retry_safety: RetrySafety,
-    /// For [`RetrySafety::Deduplicated`]: how long retries are dropped.
+    /// For [`RetrySafety::Deduplicated`]: how long after the first attempt data nodes ignore retries.
     pub retry_window: Nanos,
-    /// Least share of the weight that an answer may be given from.
+    /// Minimum share of the weight for a partial answer.
     pub min_coverage: f64,
-    /// Share of the first phase's weight that makes a complete answer.
+    /// Share of the first phase's weight that a complete answer requires.
     pub complete_coverage: f64,
-    /// An incomplete answer earns this times its share of `complete_coverage`, where that is known.
+    /// A partial answer earns this times its share of `complete_coverage`; `None` if unknown.
     pub partial_value_ratio: Option<f64>,
-    /// Parts of the second phase; 0 where there is one phase.
+    /// Number of parts of the second phase; 0 for a single phase.
     pub second_phase_parts: u32,
-    /// Most attempts for one part.
+    /// Maximum number of attempts for one part.
     pub max_attempts: u32,
-    /// The settings no longer name it, or with other rules: only queries that are open are of it.
+    /// The current settings no longer contain this class with these rules: no new query gets it, and open queries
+    /// keep it.
     pub retired: bool,
 }
 
 /// A tenant and its share of the service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Queries a second over all coordinators that count as within its quota.
+    /// Queries per second, over all coordinators, that count as within its quota.
     pub quota: f64,
-    /// Its fraction of the service.
+    /// Its share of the service, as a fraction.
     pub fair_share: f64,
 }
 
-/// How the endpoint list comes from discovery.
+/// How updates of the endpoint list arrive from discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Discovery pushes changes.
     Push,
-    /// Changes arrive only where the embedder asks for them.
+    /// Changes arrive only in response to polls by the embedder.
     Poll {
-        /// A coordinator without a watch that has not asked for this long counts as notified of every change.
+        /// Discovery considers a coordinator without a watch notified of every change once it has not polled for
+        /// this long.
         poll_interval_max: Nanos,
     },
 }
@@ -68,108 +70,108 @@
 /// A budget of attempts beyond each part's first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// The span over which both sides are counted.
+    /// Sliding window over which attempts and arrivals are counted.
     pub window: Nanos,
-    /// Attempts allowed whatever the traffic.
+    /// Attempts allowed regardless of traffic.
     pub base_attempts: f64,
-    /// Further attempts for each query or part taken.
+    /// Additional attempts allowed for each query or part that arrives.
     pub ratio: f64,
 }
 
-/// Which servers hold which shards: shard s is held by partition groups (s + j) mod `partition_groups`, j below
+/// The assignment of shards to servers: partition groups (s + j) mod `partition_groups` hold shard s, for j below
 /// `groups_per_shard`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardLayout {
-    /// How many partition groups there are.
+    /// Number of partition groups; a server belongs to one of them.
     pub partition_groups: u32,
-    /// How many consecutive partition groups hold a shard.
+    /// Number of consecutive partition groups that hold a shard.
     pub groups_per_shard: u32,
-    /// The most parts one call carries.
+    /// Maximum number of parts in one call.
     pub max_batch: u32,
-    /// Work of a call beside that of its parts.
+    /// Processing time of a call in addition to that of its parts.
     pub call_overhead: Nanos,
 }
 
-/// What the rules of the service state about servers that have just started.
+/// Capacity and overload rules for servers that have just started.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartPolicy {
-    /// Least share of its capacity that a server starts at.
+    /// Minimum share of its capacity that a server has when it starts.
     pub initial_capacity_ratio: f64,
-    /// It has its full capacity after this long at most.
+    /// A server reaches its full capacity within this time.
     pub warm_up_duration: Nanos,
-    /// Sent more than this multiple of its present capacity...
+    /// A server fails when it is sent more than this multiple of its current capacity...
     pub overload_multiple: f64,
-    /// ...for this long, it fails.
+    /// ...for this long.
     pub overload_duration: Nanos,
-    /// How many processes may stand in the place of one coordinator at once, and share what it may send such a
-    /// server.
+    /// Number of processes that may serve at once as one coordinator and share its allowance for a server in slow
+    /// start.
     pub processes: u32,
 }
 
-/// Everything an instance of the policy is told at its start.
+/// The settings of one instance of the policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How many coordinators there are.
+    /// Number of coordinators that share the data nodes.
     pub coordinators: u32,
-    /// Classes of query.
+    /// Query classes; [`ClassId`] is an index into them.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants; empty if the deployment has none.
     pub tenants: Vec<Tenant>,
-    /// Value of a query beyond its tenant's quota, as a fraction.
+    /// Factor by which the value of a query is multiplied while its tenant is over its quota.
     pub over_quota_value_ratio: f64,
-    /// How the endpoint list comes.
+    /// How updates of the endpoint list arrive.
     pub discovery: DiscoveryMode,
-    /// Which servers hold which shards.
+    /// The assignment of shards to servers.
     pub layout: ShardLayout,
-    /// Most queries and parts held at once.
+    /// Maximum number of open queries and parts.
     pub max_open: usize,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Whether a part may have two attempts in flight at once.
+    /// Whether a part may have two attempts in flight.
     pub may_hedge: bool,
-    /// Whether the health of servers may be checked.
+    /// Whether the policy may request health checks of servers.
     pub may_check_health: bool,
-    /// Longest retry-after that clients follow; none where it is not passed on to them.
+    /// Longest retry-after that clients follow; `None` if it is not sent to them.
     pub max_retry_after: Option<Nanos>,
-    /// Budget of further attempts, where stated.
+    /// Retry budget; `None`: the policy's default.
     pub retry_budget: Option<RetryBudget>,
-    /// The rule for servers that have just started.
+    /// Rules for servers that have just started.
     pub slow_start: SlowStartPolicy,
-    /// Least time between rounds.
+    /// Minimum time between rounds.
     pub tick: Nanos,
-    /// How many zones there are; 0 where zones are not known.
+    /// Number of zones; 0 if unknown.
     pub zones: u32,
-    /// The zone that this instance is in, where that is known.
+    /// The zone of this instance; `None` if unknown.
     pub local_zone: Option<ZoneId>,
-    /// Whether clients mark the queries that they retry.
+    /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
-    /// Data nodes close connections that have been idle for this long, where that is known.
+    /// Data nodes close connections that have been idle for this long; `None` if unknown.
     pub connection_idle_timeout: Option<Nanos>,
 }
 
-/// More zones than this are a mistake.
+/// A larger number of zones is a configuration error.
 const MAX_ZONES: u32 = 1 << 16;
 
-/// Why settings cannot be used.
+/// Why settings are invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no class.
+    /// The settings contain no class.
     NoClasses,
-    /// A class has a time of zero, or a share or weight out of range.
+    /// A class has a zero duration or attempt limit, or a ratio or weight that is out of range.
     InvalidClass(ClassId, &'static str),
-    /// The layout names no partition groups, none a shard or an empty batch.
+    /// The number of partition groups, of groups per shard or of parts per call is zero.
     InvalidLayout(&'static str),
-    /// A figure of the rules or limits is out of range.
+    /// Another value is out of range.
     InvalidFigure(&'static str),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoClasses => write!(f, "settings name no class of query"),
-            Self::InvalidClass(class, what) => write!(f, "class {}: {what}", class.0),
-            Self::InvalidLayout(what) => write!(f, "layout: {what}"),
-            Self::InvalidFigure(what) => write!(f, "{what}"),
+            Self::NoClasses => write!(f, "classes must not be empty"),
+            Self::InvalidClass(class, reason) => write!(f, "class {}: {reason}", class.0),
+            Self::InvalidLayout(reason) => write!(f, "layout: {reason}"),
+            Self::InvalidFigure(reason) => write!(f, "{reason}"),
         }
     }
 }
@@ -177,22 +179,23 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Attempts that each coordinator may send one server at once: bursts of so many coordinators seldom coincide.
+    /// Attempts that each coordinator may send one server at once. It is the square root of the number of
+    /// coordinators because their bursts seldom coincide.
     pub fn burst_allowance(&self) -> f64 {
         f64::from(self.coordinators).sqrt()
     }
 
-    /// How many processes share what a server in slow start may be sent.
-    pub fn slow_start_sharers(&self) -> f64 {
+    /// Number of processes, over all coordinators, that share a server's slow start allowance.
+    pub fn slow_start_processes(&self) -> f64 {
         f64::from(self.coordinators) * f64::from(self.slow_start.processes)
     }
 
-    /// The shortest latency objective of all classes in use.
+    /// The shortest latency objective of the classes that are not retired.
     pub fn shortest_latency_objective(&self) -> Nanos {
         self.latency_objectives().min().unwrap_or(1)
     }
 
-    /// The longest latency objective of all classes in use.
+    /// The longest latency objective of the classes that are not retired.
     pub fn longest_latency_objective(&self) -> Nanos {
         self.latency_objectives().max().unwrap_or(1)
     }
@@ -201,66 +204,72 @@
         self.classes.iter().filter(|c| !c.retired).map(|c| c.latency_objective)
     }
 
-    /// These settings, taken over from `before` while queries are open, and the names of their classes. Classes of the
-    /// same rules keep their indices, others are added behind them, and those that are missing are retired: an index is
-    /// never given again, so that each query keeps the rules it came under. The layout, zones, tenants and discovery
-    /// mode hold from one start to the next. `names` are the class names of both: `before`'s first.
+    /// Merges these settings with `before`, which they replace while queries are open; returns them with the names of
+    /// their classes. A class with unchanged name and rules keeps its index, other classes are appended, and missing
+    /// ones are retired. An index is never reused, so each query keeps the rules that it arrived under. The layout,
+    /// zones, tenants and discovery mode change only with a restart. `names` are the class names: those of `before`,
+    /// then those of `self`.
     pub fn carried_over_from(self, before: &Self, names: (&[String], &[String])) -> (Self, Vec<String>) {
-        let (mut classes, mut all) = (before.classes.clone(), names.0.to_vec());
+        let (mut classes, mut class_names) = (before.classes.clone(), names.0.to_vec());
         classes.iter_mut().for_each(|c| c.retired = true);
         for (class, name) in self.classes.into_iter().zip(names.1) {
-            let same =
-                |i: &usize| all[*i] == *name && Class { retired: false, ..classes[*i].clone() } == class;
-            match (0..classes.len()).find(same) {
+            let is_unchanged = |i: &usize| {
+                class_names[*i] == *name && Class { retired: false, ..classes[*i].clone() } == class
+            };
+            match (0..classes.len()).find(is_unchanged) {
                 Some(i) => classes[i].retired = false,
                 None => {
                     classes.push(class);
-                    all.push(name.clone());
+                    class_names.push(name.clone());
                 }
             }
         }
         let Self { tenants, discovery, layout, zones, local_zone, .. } = before.clone();
-        (Self { classes, tenants, discovery, layout, zones, local_zone, ..self }, all)
+        (Self { classes, tenants, discovery, layout, zones, local_zone, ..self }, class_names)
     }
 
-    /// Checks that the settings can be used.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Says which setting cannot be used and why.
+    /// Returns the first setting that is invalid and why.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
         for (i, class) in self.classes.iter().enumerate() {
-            class.check().map_err(|what| SettingsError::InvalidClass(ClassId(i), what))?;
+            class.check().map_err(|reason| SettingsError::InvalidClass(ClassId(i), reason))?;
         }
         let layout = &self.layout;
         if layout.partition_groups == 0 || layout.groups_per_shard == 0 || layout.max_batch == 0 {
-            return Err(SettingsError::InvalidLayout("cells, in_a_row and batch must be above 0"));
+            return Err(SettingsError::InvalidLayout("positions, in_a_row and batch must be above 0"));
         }
-        let good = |x: f64| x.is_finite() && x >= 0.0;
-        let budget = self.retry_budget.is_none_or(|b| good(b.base_attempts) && good(b.ratio));
+        let is_non_negative = |x: f64| x.is_finite() && x >= 0.0;
+        let is_valid_budget = |b: RetryBudget| is_non_negative(b.base_attempts) && is_non_negative(b.ratio);
+        let budget = self.retry_budget.is_none_or(is_valid_budget);
         let slow_start = &self.slow_start;
         let initial_ratio = slow_start.initial_capacity_ratio;
-        let tenants = self.tenants.iter().all(|t| good(t.quota) && good(t.fair_share));
-        let figures = [
-            (self.coordinators > 0, "coordinators must be above 0"),
-            (self.tick > 0, "tick must be above 0"),
+        let tenants = self.tenants.iter().all(|t| is_non_negative(t.quota) && is_non_negative(t.fair_share));
+        let checks = [
+            (self.coordinators > 0, "balancers must be above 0"),
+            (self.tick > 0, "tick_ns must be above 0"),
             (self.zones <= MAX_ZONES, "zones must be at most 65536"),
-            (budget, "the budget's figures must be 0 or more"),
-            (good(initial_ratio) && initial_ratio <= 1.0, "cold share must lie within 0 and 1"),
-            (good(slow_start.overload_multiple), "cold multiple must be 0 or more"),
-            (tenants && good(self.over_quota_value_ratio), "tenants' figures must be 0 or more"),
+            (budget, "min_extra and resend_ratio must be 0 or more"),
+            (is_non_negative(initial_ratio) && initial_ratio <= 1.0, "cold_share must be between 0 and 1"),
+            (is_non_negative(slow_start.overload_multiple), "tip_multiple must be 0 or more"),
+            (
+                tenants && is_non_negative(self.over_quota_value_ratio),
+                "quota_rps, share and over_share_worth must be 0 or more",
+            ),
         ];
-        match figures.iter().find(|f| !f.0) {
-            Some(f) => Err(SettingsError::InvalidFigure(f.1)),
+        match checks.iter().find(|check| !check.0) {
+            Some(check) => Err(SettingsError::InvalidFigure(check.1)),
             None => Ok(()),
         }
     }
 }
 
 impl Class {
-    /// Until when a further attempt at a part may begin, the first that may have run having been sent at `first`.
+    /// When retries of a part must stop; `first` is when the first attempt that may have run was sent.
     pub fn retry_deadline(&self, first: Option<Nanos>) -> Nanos {
         match (self.retry_safety, first) {
             (RetrySafety::Idempotent, _) | (_, None) => Nanos::MAX,
@@ -270,18 +279,21 @@
     }
 
     fn check(&self) -> Result<(), &'static str> {
-        let share = |x: f64| (0.0..=1.0).contains(&x);
+        let is_ratio = |x: f64| (0.0..=1.0).contains(&x);
         if self.latency_objective == 0 || self.deadline == 0 {
-            return Err("aim and deadline must be above 0");
+            return Err("aim_ns and deadline_ns must be above 0");
         }
         if self.max_attempts == 0 {
             return Err("max_attempts must be above 0");
         }
-        if !(share(self.min_coverage) && share(self.complete_coverage) && share(self.late_value_ratio)) {
-            return Err("floor, need and late_worth must lie within 0 and 1");
+        if !(is_ratio(self.min_coverage)
+            && is_ratio(self.complete_coverage)
+            && is_ratio(self.late_value_ratio))
+        {
+            return Err("class_floor, complete_from and late_worth must be between 0 and 1");
         }
         if !self.partial_value_ratio.is_none_or(|p| p.is_finite() && p >= 0.0) {
-            return Err("partial must be 0 or more");
+            return Err("class_partial must be 0 or more");
         }
         if !(self.priority_weight.is_finite() && self.priority_weight >= 0.0) {
             return Err("importance must be 0 or more");
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of curlewdeck and the engine round them.
+//! The policy of a curlewdeck coordinator and the engine that runs it.
 //!
-//! What is decided stands in [`policy`], behind [`api`]; [`engine`] owns the guarantees that do not rest on it;
-//! [`settings`] reads what an instance is told. None of them does I/O, reads a clock or knows a wire.
+//! [`policy`] makes the decisions, behind the interface in [`api`]. [`engine`] enforces the guarantees that must
+//! hold whatever the policy decides. [`settings`] parses the settings of an instance. None of them does I/O, reads
+//! a clock or depends on a wire protocol.
 
 pub mod api;
 pub mod engine;
--- a/crates/core/src/policy/replica_selection.rs
+++ b/crates/core/src/policy/replica_selection.rs
@@ -12,7 +12,7 @@
     Healthy,
     /// Used if no healthy replica is available.
     Deprioritized,
-    /// Used only if no replica is in a better tier; one that is at its limit counts.
+    /// Used only if every replica that may be sent to is ejected, including those at their concurrency limit.
     Ejected,
 }
 
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -82,7 +82,7 @@
     /// Returns this coordinator's share of the parts that one core completes since the budget was counted.
     fn one_core_share(&self, budget: &SlowStartBudget) -> f64 {
         let elapsed = self.now.saturating_sub(budget.counted_at) as f64;
-        let processes = self.settings.slow_start_sharers();
+        let processes = self.settings.slow_start_processes();
         ONE_CORE_RATIO * elapsed / (self.expected_part_latency().max(1) as f64 * processes)
     }
 
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -2,7 +2,7 @@
 use crate::api::Class;
 use proptest::prelude::*;
 
-/// Settings of these classes, each with one of a few rules.
+/// Settings with these classes, each given by the number of its name and of its rules.
 fn deployment(classes: &[(u8, u8)]) -> Deployment {
     let class = |&(name, rules): &(u8, u8)| {
         let effect = ["idempotent", "deduplicated", "at_most_once"][usize::from(rules % 3)];
@@ -21,19 +21,20 @@
     read(&text).unwrap()
 }
 
-/// Guards data nodes in slow start against two processes that serve in the place of one.
+/// Two processes that serve as one coordinator overload a data node in slow start if each uses the full allowance.
 #[test]
-fn processes_in_one_place_share_the_slow_start_allowance() {
-    let (alone, beside) = (deployment(&[(0, 0)]), deployment(&[(0, 0)]).sharing_with(1));
-    assert_eq!((alone.settings.slow_start_sharers(), beside.settings.slow_start_sharers()), (1.0, 2.0));
+fn processes_of_one_coordinator_share_the_slow_start_allowance() {
+    let (single, shared) = (deployment(&[(0, 0)]), deployment(&[(0, 0)]).sharing_with(1));
+    assert_eq!((single.settings.slow_start_processes(), shared.settings.slow_start_processes()), (1.0, 2.0));
     assert_eq!(
-        beside.carried_over_from(&alone).settings.slow_start_sharers(),
+        shared.carried_over_from(&single).settings.slow_start_processes(),
         2.0,
         "kept when settings change"
     );
 }
 
-/// Guards large deployments: the settings of 1,024 coordinators and 1,024 partition groups, indented, are accepted.
+/// Limits on the values or on the size of the text must not reject a large deployment: 1,024 coordinators and 1,024
+/// partition groups, indented.
 #[test]
 fn a_thousand_coordinators_and_partition_groups_are_accepted() {
     let text = r#"{"balancers":1024,"classes":[{"name":"c","aim_ns":1000,"deadline_ns":9000,"effect":"idempotent",
@@ -47,12 +48,12 @@
         (deployment.settings.coordinators, deployment.settings.layout.partition_groups, deployment.shards),
         (1024, 1024, 4096)
     );
-    assert_eq!(deployment.settings.slow_start_sharers(), 1024.0);
+    assert_eq!(deployment.settings.slow_start_processes(), 1024.0);
 }
 
-/// Guards the texts that the command line prints.
+/// The command line prints these texts; renaming a type of the parser changes them.
 #[test]
-fn errors_keep_their_texts() {
+fn parse_errors_have_stable_texts() {
     let error = |text: &str| read(text).unwrap_err().to_string();
     assert_eq!(
         error("null"),
@@ -77,8 +78,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards open queries against settings that change: an index means one name and one set of rules for good,
-    /// and new queries are of exactly the classes that the last settings name.
+    /// A class index that changes its name or rules on a reload gives open queries the wrong rules. New queries must
+    /// get exactly the classes of the latest settings.
     #[test]
     fn a_class_index_keeps_its_rules_when_settings_change(
         updates in proptest::collection::vec(proptest::collection::btree_map(0..4_u8, 0..4_u8, 1..4), 1..12),
@@ -92,7 +93,7 @@
             };
             prop_assert!(next.settings.check().is_ok());
             prop_assert_eq!(next.class_names.len(), next.settings.classes.len());
-            prop_assert!(next.class_names.len() <= 16, "the same rules are found again");
+            prop_assert!(next.class_names.len() <= 16, "unchanged rules reuse their index");
             for (i, before) in now.iter().flat_map(|n| n.settings.classes.iter().enumerate()) {
                 let retired = next.settings.classes[i].retired;
                 prop_assert_eq!(&next.settings.classes[i], &Class { retired, ..before.clone() });
--- a/crates/core/src/settings/wire.rs
+++ b/crates/core/src/settings/wire.rs
@@ -1,5 +1,5 @@
-//! The settings object under the names that the wire uses, and its mapping to [`Deployment`]. Nothing else knows these
-//! names.
+//! The serialized settings object and its conversion to [`Deployment`]. Other modules use its key names only in
+//! error messages.
 
 use serde::Deserialize;
 
@@ -11,15 +11,15 @@
 
 const MILLISECOND: Nanos = 1_000_000;
 
-/// What holds where the settings say nothing of connections.
+/// Parameters of connections, where the settings omit them.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 30_000 * MILLISECOND;
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250 * MILLISECOND;
 const DEFAULT_MULTIPLEX: usize = 32;
 
-/// What a class covers of its weight for a complete answer, where the settings do not say.
+/// Share of the weight that a complete answer requires, where the settings omit it.
 const DEFAULT_COMPLETE_COVERAGE: f64 = 1.0;
 
-/// The whole object. Errors that the command line prints contain the names of these types, so they stay.
+/// The settings object. Error messages on the command line contain the names of these types: do not rename them.
 #[derive(Deserialize)]
 pub(super) struct WireInfo {
     balancers: u32,
@@ -61,7 +61,7 @@
     importance: f64,
 }
 
-/// The layout of the shards. Its lists have an entry for each class.
+/// The shard layout, and lists with one entry for each class.
 #[derive(Deserialize)]
 struct WireDomain {
     #[serde(default)]
@@ -121,7 +121,6 @@
 }
 
 impl WireInfo {
-    /// The settings under the names that the rest of the program uses.
     pub(super) fn into_deployment(self) -> Result<Deployment, ReadError> {
         Ok(Deployment {
             settings: self.settings()?,
