--- a/crates/core/src/engine/answers.rs
+++ b/crates/core/src/engine/answers.rs
@@ -1,4 +1,4 @@
-//! How queries end: answered from the parts that are in, rejected, failed, or closed by their clients.
+//! Ends queries: with an answer from the values received so far, as rejected, as failed, or on client disconnect.
 
 use super::command::Command;
 use super::outcome::{QueryOutcome, Row};
@@ -7,10 +7,10 @@
 use super::Engine;
 use crate::api::{Class, Event, Outcome, PartId, QueryId};
 
-/// Sums of weights may fall this much short of a bound.
+/// Sums of weights may fall short of a bound by this much.
 const COVERAGE_TOLERANCE: f64 = 1e-4;
 
-/// What the class of a query asks of the answer of a phase, as shares of its weight.
+/// The coverage that a query's class requires of a phase's answer, as shares of the phase's weight.
 struct RequiredCoverage {
     /// For a complete answer.
     complete: f64,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The values that the parts of a phase have.
+/// The values received for the parts of a phase.
 #[derive(Default)]
 struct CollectedValues {
     rows: Vec<Row>,
@@ -47,15 +47,16 @@
 }
 
 impl Engine {
-    /// Ends the phase of a query with the values that are in. It is marked complete only if the policy says so and its
-    /// class agrees; an answer that its class does not allow becomes a failure.
+    /// Ends the current phase of a query with the values received so far. The result is marked complete only if the
+    /// policy marks it so and the coverage meets the requirement of the class. The query fails if its class does not
+    /// allow the answer.
     pub(super) fn answer(&mut self, id: QueryId, complete: bool) {
         let Some(query) = self.queries.get(id) else { return };
         let class = &self.deployment.settings.classes[query.class.0];
         let required = RequiredCoverage::of(class, query.phase);
         let CollectedValues { rows, scored, coverage } = self.collect_values(query);
         if rows.is_empty() || !required.allows_answer(coverage) {
-            return self.fail_against_policy(id);
+            return self.fail_despite_policy(id);
         }
         let complete = complete && required.is_complete(coverage);
         match query.phase {
@@ -80,17 +81,18 @@
         collected
     }
 
-    /// Fails the queries that the policy has left open for too long after their deadlines.
+    /// Fails the queries that are still open when their deadline and grace period have passed.
     pub(super) fn fail_overdue_queries(&mut self) {
         while let Some(id) = self.deadlines.queries.pop_due(self.now) {
             if self.queries.contains(id) {
-                self.fail_against_policy(id);
+                self.fail_despite_policy(id);
             }
         }
     }
 
-    /// Fails a query that the policy takes to be open, or answered in a way that is not allowed.
-    fn fail_against_policy(&mut self, id: QueryId) {
+    /// Fails a query that the policy left open or answered in a way that its class does not allow. The disconnect event
+    /// makes the policy forget the query.
+    fn fail_despite_policy(&mut self, id: QueryId) {
         self.finish(id, QueryOutcome::Failed);
         self.events.push(Event::ClientDisconnected(id));
     }
--- a/crates/core/src/engine/attempt_table.rs
+++ b/crates/core/src/engine/attempt_table.rs
@@ -5,14 +5,14 @@
 use super::cancellation::CancellationToken;
 use crate::api::{Nanos, PartId, ServerId};
 
-/// An attempt, numbered by the engine for its life.
+/// Identifies an attempt; unique over the lifetime of the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
 /// An attempt that has not ended.
 pub(super) struct Attempt {
     pub(super) part: PartId,
-    /// Its number among those of its part, from 0.
+    /// Index among the attempts of its part, from 0.
     pub(super) number: u32,
     pub(super) server: ServerId,
     pub(super) sent_at: Nanos,
@@ -27,7 +27,7 @@
 }
 
 impl AttemptTable {
-    /// An id that was not given before.
+    /// Returns an id that was not used before.
     pub(super) fn allocate_id(&mut self) -> AttemptId {
         let id = AttemptId(self.next_id);
         self.next_id += 1;
@@ -54,7 +54,7 @@
         self.attempts.len()
     }
 
-    /// The servers that attempts are in flight to.
+    /// Returns the servers that have attempts in flight.
     pub(super) fn servers(&self) -> HashSet<ServerId> {
         self.attempts.values().map(|attempt| attempt.server).collect()
     }
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: started by the policy, ended by its data node, its timeout or a cancellation.
+//! The lifecycle of an attempt: the policy starts it; a response, an error, a timeout or a cancellation ends it.
 
 use super::attempt_table::{Attempt, AttemptId};
 use super::cancellation::CancellationToken;
@@ -8,8 +8,8 @@
 use crate::api::{Event, Nanos, Outcome, PartId, ServerId};
 
 impl Engine {
-    /// An attempt has ended; reports after the first one are ignored. Returns the outcome that counts: a value that is
-    /// not valid makes it [`Outcome::MalformedResponse`].
+    /// Records the end of an attempt; later reports about the same attempt are ignored. Returns the outcome after
+    /// validation: [`Outcome::MalformedResponse`] if the value is invalid.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -31,8 +31,8 @@
         outcome
     }
 
-    /// The outcome of an attempt once its value has been validated. The value of a part that has one already, or is not
-    /// open any more, is not used, and so not validated.
+    /// Validates the value of an attempt and returns the resulting outcome. A value is not used, and so not validated,
+    /// if its part already has one or is no longer open.
     fn validate(&self, part: PartId, outcome: Outcome, value: Option<&Value>) -> Outcome {
         if outcome != Outcome::Success {
             return outcome;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Starts an attempt. One that may not be sent ends at once as [`Outcome::NotSent`].
+    /// Starts an attempt. An attempt that must not be sent ends immediately with [`Outcome::NotSent`].
     pub(super) fn start_attempt(&mut self, part_id: PartId, server: ServerId, timeout: Nanos) {
         let id = self.attempts.allocate_id();
         let Some(part) = self.queries.part_mut(part_id) else { return };
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Ends an attempt from this side, and has its data node told.
+    /// Ends an attempt with this outcome and cancels it at its data node.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         if let Some(attempt) = self.attempts.get(id) {
             self.commands.push(Command::CancelAttempt { server: attempt.server, attempt: id });
--- a/crates/core/src/engine/batching.rs
+++ b/crates/core/src/engine/batching.rs
@@ -1,4 +1,4 @@
-//! Joins attempts to one data node into calls.
+//! Combines attempts to the same data node into calls.
 
 use std::collections::HashMap;
 
@@ -6,16 +6,16 @@
 use super::command::Command;
 use crate::api::ServerId;
 
-/// Joins the attempts of one run to the same server into calls of up to `max_batch` parts, and leaves out those that
-/// have ended since they were started. A joined attempt moves to the place of its call's first one; all other commands
-/// keep their order.
+/// Combines the attempts of one run to the same server into calls of up to `max_batch` parts, and drops attempts that
+/// have already ended. A combined attempt moves to the position of the first one in its call; all other commands keep
+/// their order.
 pub(super) fn batch_calls(
     commands: impl ExactSizeIterator<Item = Command>,
     max_batch: usize,
     is_in_flight: impl Fn(AttemptId) -> bool,
 ) -> Vec<Command> {
     let mut batched: Vec<Command> = Vec::with_capacity(commands.len());
-    // Where the last call to each server stands.
+    // Index in `batched` of the last call to each server.
     let mut last_calls: HashMap<ServerId, usize> = HashMap::new();
     for command in commands {
         let Command::SendCall { server, call } = command else {
@@ -25,7 +25,7 @@
         if !call.iter().all(|dispatch| is_in_flight(dispatch.attempt)) {
             continue;
         }
-        let last_call = last_calls.get(&server).and_then(|&place| batched.get_mut(place));
+        let last_call = last_calls.get(&server).and_then(|&index| batched.get_mut(index));
         match last_call {
             Some(Command::SendCall { call: last, .. }) if last.len() + call.len() <= max_batch => {
                 last.extend(call);
--- a/crates/core/src/engine/cancellation.rs
+++ b/crates/core/src/engine/cancellation.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may still be sent: cancelled by the engine, or abandoned by its client.
+//! Prevents attempts from being sent after the engine has cancelled them or their client has disconnected.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,21 +6,21 @@
 
 use super::optional_check::OptionalCheck;
 
-/// Whether a client is still connected.
+/// Returns whether a client is still connected.
 pub type IsConnected = dyn Fn() -> bool + Send + Sync;
 
-/// Whether the client of a query is still connected, as its frontend sees it at any moment. Without a check the
-/// client counts as connected.
+/// A frontend's check of whether the client of a query is still connected. Without a check the client counts as
+/// connected.
 #[derive(Clone, Default, PartialEq)]
 pub struct ClientLiveness(OptionalCheck<IsConnected>);
 
 impl ClientLiveness {
-    /// A client that is connected for as long as `is_connected` returns true.
+    /// Creates a check that calls `is_connected` each time the liveness of the client is queried.
     pub fn new(is_connected: impl Fn() -> bool + Send + Sync + 'static) -> Self {
         Self(OptionalCheck::new(Arc::new(is_connected)))
     }
 
-    /// Whether the client is still connected.
+    /// Returns whether the client is connected now.
     pub fn is_connected(&self) -> bool {
         self.0.get().is_none_or(|is_connected| is_connected())
     }
@@ -32,41 +32,41 @@
     }
 }
 
-/// Tells whether an attempt may still be sent.
+/// Shared flag that is active while an attempt may still be sent.
 ///
-/// The engine cancels it as soon as the attempt has ended, before the query's answer is handed out. A sender checks it
-/// right before the first byte of a frame, so that nothing is sent for a query that has its answer, whatever mailbox
-/// the attempt waits in. The same holds for a query whose client has disconnected.
+/// The engine cancels the token as soon as the attempt has ended, before it returns the query's answer. A sender checks
+/// the token right before it writes the first byte of a frame, so that no attempt of an answered query is sent,
+/// whichever mailbox it waits in. The token is also inactive once the client of the query has disconnected.
 #[derive(Debug, Clone, Default)]
 pub struct CancellationToken {
-    flag: Arc<AtomicBool>,
+    active: Arc<AtomicBool>,
     client: ClientLiveness,
 }
 
 impl CancellationToken {
-    /// Active until it is cancelled.
+    /// Creates a token that is active until it is cancelled.
     pub fn new() -> Self {
         Self::for_client(ClientLiveness::default())
     }
 
-    /// Active until it is cancelled or this client has disconnected.
+    /// Creates a token that is active until it is cancelled or the client has disconnected.
     pub fn for_client(client: ClientLiveness) -> Self {
-        Self { flag: Arc::new(AtomicBool::new(true)), client }
+        Self { active: Arc::new(AtomicBool::new(true)), client }
     }
 
-    /// Whether the attempt may still be sent.
+    /// Returns whether the attempt may still be sent.
     pub fn is_active(&self) -> bool {
-        self.flag.load(Ordering::Acquire) && self.client.is_connected()
+        self.active.load(Ordering::Acquire) && self.client.is_connected()
     }
 
-    /// From now on the attempt may not be sent.
+    /// Prevents the attempt from being sent from now on.
     pub(super) fn cancel(&self) {
-        self.flag.store(false, Ordering::Release);
+        self.active.store(false, Ordering::Release);
     }
 }
 
 impl PartialEq for CancellationToken {
     fn eq(&self, other: &Self) -> bool {
-        Arc::ptr_eq(&self.flag, &other.flag)
+        Arc::ptr_eq(&self.active, &other.active)
     }
 }
--- a/crates/core/src/engine/command.rs
+++ b/crates/core/src/engine/command.rs
@@ -1,4 +1,4 @@
-//! What the engine wants its embedder to do.
+//! The commands that the engine returns to its embedder.
 
 use std::sync::Arc;
 
@@ -8,81 +8,81 @@
 use super::request::PartRequest;
 use crate::api::{Nanos, Outcome, QueryId, ServerId};
 
-/// An attempt on its way to a data node.
+/// An attempt to send to a data node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Dispatch {
-    /// The attempt.
+    /// Identifies the attempt in the report of its end.
     pub attempt: AttemptId,
-    /// What it carries.
+    /// The content of the request.
     pub part: Arc<PartRequest>,
-    /// Until when its response is waited for.
+    /// The time at which the engine stops waiting for a response.
     pub deadline: Nanos,
-    /// Sending it may not begin from this time on: its class allows retries only until then.
+    /// The first byte must be sent before this time, at which the class's retry window closes.
     pub start_deadline: Nanos,
-    /// Whether it may still be sent.
+    /// Checked before the first byte is sent: a cancelled attempt must not be sent.
     pub cancellation: CancellationToken,
 }
 
-/// A change of an attempt, for the request ledger: each attempt is started once and ends once.
+/// The start or end of an attempt, for the request ledger. Each attempt starts once and ends once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// It was started.
+    /// The policy started the attempt.
     Started {
-        /// Where it goes.
+        /// The data node that it goes to.
         server: ServerId,
-        /// Its number among those of its part, from 0.
+        /// Index among the attempts of its part, from 0.
         number: u32,
         /// Whether another attempt of the part is in flight.
         hedge: bool,
     },
-    /// It has ended, and its value has been validated.
+    /// The attempt has ended, and its value has been validated.
     Ended {
-        /// Where it went.
+        /// The data node that it went to.
         server: ServerId,
-        /// How it ended.
+        /// The outcome after validation.
         outcome: Outcome,
     },
 }
 
-/// What the embedder is to do, in the order in which commands are returned.
+/// A command for the embedder. Commands are executed in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Send one call with these attempts.
     SendCall {
-        /// Where to.
+        /// The data node to send it to.
         server: ServerId,
-        /// The attempts of the call.
+        /// The attempts that the call carries, at least one.
         call: Vec<Dispatch>,
     },
-    /// Stop waiting for an attempt: its end has been recorded already.
+    /// Stop waiting for an attempt. Its end has been recorded already.
     CancelAttempt {
-        /// Where it went.
+        /// The data node that it went to.
         server: ServerId,
-        /// The attempt.
+        /// The attempt to cancel, sent or still waiting to be sent.
         attempt: AttemptId,
     },
     /// Check the health of a data node.
     CheckHealth {
-        /// Which.
+        /// The data node to check.
         server: ServerId,
     },
     /// Close idle connections to a data node.
     CloseIdleConnections {
-        /// Which.
+        /// The data node that the connections lead to.
         server: ServerId,
     },
-    /// Forget a data node: it has left the endpoint list, and no attempt is in flight there.
+    /// Forget a data node that has left the endpoint list and has no attempt in flight.
     ForgetServer {
-        /// Which.
+        /// The data node to forget. Its id is not reused.
         server: ServerId,
     },
-    /// Record this in the request ledger.
+    /// Record the start or end of an attempt in the request ledger.
     RecordAttempt(AttemptEvent),
     /// Give a query its final answer.
     FinishQuery {
-        /// The query.
+        /// The query, which is no longer open.
         query: QueryId,
-        /// The answer.
+        /// The final answer.
         outcome: QueryOutcome,
     },
 }
--- a/crates/core/src/engine/deadlines.rs
+++ b/crates/core/src/engine/deadlines.rs
@@ -1,4 +1,4 @@
-//! When the engine has to act with nothing else happening.
+//! Times at which the engine acts without an event.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,15 +6,15 @@
 use super::attempt_table::AttemptId;
 use crate::api::{Nanos, QueryId};
 
-/// What is due at a time. Ordered by time first.
+/// A key and the time at which it is due. Ordered by time first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline<K> {
     at: Nanos,
     key: K,
 }
 
-/// Keys by the time at which they are due. A key whose matter is settled stays until it is due or
-/// [`DeadlineQueue::discard_settled`] removes it.
+/// A priority queue of keys by the time at which they are due. A key whose attempt or query has ended stays until it is
+/// due or [`DeadlineQueue::discard_ended`] removes it.
 pub(super) struct DeadlineQueue<K>(BinaryHeap<Reverse<Deadline<K>>>);
 
 impl<K: Ord + Copy> DeadlineQueue<K> {
@@ -26,7 +26,7 @@
         self.0.push(Reverse(Deadline { at, key }));
     }
 
-    /// Removes the earliest key that is due by `now`.
+    /// Removes and returns the earliest key if it is due by `now`.
     pub(super) fn pop_due(&mut self, now: Nanos) -> Option<K> {
         if self.next()? > now {
             return None;
@@ -34,14 +34,14 @@
         self.0.pop().map(|Reverse(deadline)| deadline.key)
     }
 
-    /// Removes keys from the front up to the first one that is not settled yet.
-    pub(super) fn discard_settled(&mut self, is_settled: impl Fn(K) -> bool) {
-        while self.0.peek().is_some_and(|Reverse(deadline)| is_settled(deadline.key)) {
+    /// Removes keys from the front of the queue up to the first one that has not ended.
+    pub(super) fn discard_ended(&mut self, has_ended: impl Fn(K) -> bool) {
+        while self.0.peek().is_some_and(|Reverse(deadline)| has_ended(deadline.key)) {
             self.0.pop();
         }
     }
 
-    /// When the earliest key is due.
+    /// Returns the time at which the earliest key is due.
     pub(super) fn next(&self) -> Option<Nanos> {
         self.0.peek().map(|Reverse(deadline)| deadline.at)
     }
@@ -54,11 +54,11 @@
 
 /// All deadlines of the engine.
 pub(super) struct Deadlines {
-    /// Timers that the policy has set.
+    /// Timers set by the policy.
     pub(super) policy_timers: DeadlineQueue<()>,
-    /// When attempts time out.
+    /// Timeouts of attempts.
     pub(super) attempts: DeadlineQueue<AttemptId>,
-    /// When the engine itself ends queries that the policy has left open.
+    /// Times at which the engine fails queries that the policy has left open.
     pub(super) queries: DeadlineQueue<QueryId>,
 }
 
--- a/crates/core/src/engine/health_checks.rs
+++ b/crates/core/src/engine/health_checks.rs
@@ -1,10 +1,10 @@
-//! Health checks that have not been answered.
+//! Health checks in flight.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::api::{Nanos, ServerId};
 
-/// When the unanswered health checks of each server were sent. They are answered in the order of their sending.
+/// The send times of each server's health checks in flight. They end in the order in which they were sent.
 #[derive(Default)]
 pub(super) struct PendingHealthChecks(HashMap<ServerId, VecDeque<Nanos>>);
 
@@ -13,7 +13,7 @@
         self.0.entry(server).or_default().push_back(now);
     }
 
-    /// The oldest check of a server has ended; returns when it was sent.
+    /// Removes the oldest check of a server and returns its send time.
     pub(super) fn ended(&mut self, server: ServerId) -> Option<Nanos> {
         self.0.get_mut(&server)?.pop_front()
     }
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -1,10 +1,10 @@
-//! The engine of one coordinator: queries, their parts and attempts, and the deadlines of all of them around the
-//! [`Policy`]. It does no I/O, reads no clock and knows no wire format: the embedder reports what happened and when, and
-//! carries out the [`Command`]s that [`Engine::run`] returns.
+//! The engine of one coordinator: it tracks queries, parts, attempts and their deadlines, and executes the decisions of
+//! the [`Policy`]. It does no I/O, reads no clock and is independent of the wire format: the embedder reports events
+//! with their times and executes the [`Command`]s that [`Engine::run`] returns.
 //!
-//! It guarantees what a client may rely on, whatever the policy decides: each query gets exactly one final answer,
+//! It guarantees the following to clients, whatever the policy decides: each query gets exactly one final answer,
 //! shortly after its deadline at the latest; each attempt ends exactly once; an answer consists of values that data
-//! nodes returned, is marked complete only when it is, and never covers less than its class demands.
+//! nodes returned, is marked complete only when it is, and never covers less than its class requires.
 
 mod answers;
 mod attempt_table;
@@ -48,16 +48,16 @@
 use crate::settings::Deployment;
 use crate::Policy;
 
-/// Rounds of the policy that one run may take: each follows from the outcomes and parts that the one before made.
+/// Limit on policy rounds in one run: each round handles the events that the previous round's actions produced.
 const MAX_ROUNDS_PER_RUN: usize = 16;
 
 /// The engine of one coordinator.
 pub struct Engine {
     policy: Policy,
     deployment: Deployment,
-    /// How long after a query's deadline the engine itself ends it.
+    /// Time from a query's deadline until the engine fails it if the policy has not ended it.
     deadline_grace: Nanos,
-    /// All queries are answered by then: the process ends.
+    /// Upper bound on the deadlines of all queries; [`Nanos::MAX`] unless the process is shutting down.
     shutdown_deadline: Nanos,
     /// The latest time that the embedder has reported.
     now: Nanos,
@@ -67,18 +67,18 @@
     attempts: AttemptTable,
     health_checks: PendingHealthChecks,
     deadlines: Deadlines,
-    /// What the policy has not been told yet.
+    /// Events for the next round of the policy.
     events: Vec<Event>,
-    /// What the embedder has not been told yet.
+    /// Commands that the next run returns to the embedder.
     commands: Vec<Command>,
 }
 
 impl Engine {
-    /// An engine that knows no data node yet. A query that the policy leaves open is ended `deadline_grace` after its
-    /// deadline, and its name is not accepted again for `name_reuse_delay` after its end.
+    /// Creates an engine without data nodes. A query that the policy leaves open fails `deadline_grace` after its
+    /// deadline. The name of a query is accepted again `name_reuse_delay` after the query has ended.
     ///
     /// # Errors
-    /// Says which setting cannot be used.
+    /// Returns the setting that is invalid.
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -102,84 +102,87 @@
         })
     }
 
-    /// Takes over new settings. Queries that are open keep the rules they came under.
+    /// Replaces the settings. Open queries keep the rules that were in force when they were submitted.
     pub fn update_settings(&mut self, deployment: Deployment) -> &Deployment {
         self.deployment = deployment.carried_over_from(&self.deployment);
         self.policy.update_settings(self.deployment.settings.clone());
         &self.deployment
     }
 
-    /// How many queries are open.
+    /// Returns the number of queries without a final answer, queued ones included.
     pub fn open_queries(&self) -> usize {
         self.queries.len()
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts that have not ended.
     pub fn in_flight_attempts(&self) -> usize {
         self.attempts.len()
     }
 
-    /// How many data nodes are in service by the endpoint list.
+    /// Returns the number of data nodes that are active in the endpoint list.
     pub fn active_servers(&self) -> usize {
         self.servers.active()
     }
 
-    /// How many data nodes are not forgotten.
+    /// Returns the number of data nodes that have an id. This includes nodes that have left the endpoint list but still
+    /// have attempts in flight.
     pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// How many data nodes the endpoint list has.
+    /// Returns the number of data nodes in the endpoint list, draining ones included.
     pub fn listed_servers(&self) -> usize {
         self.servers.listed()
     }
 
-    /// How many data nodes of the endpoint list get no attempts now: they drain or are ejected.
+    /// Returns the number of data nodes in the endpoint list that currently get no attempts because they are draining
+    /// or ejected.
     pub fn excluded_servers(&self) -> usize {
         self.policy.excluded_servers()
     }
 
-    /// The data node's name; empty where it is not known.
+    /// Returns the name of a data node, or an empty string if the id is unknown.
     pub fn server_name(&self, id: ServerId) -> &str {
         self.servers.name(id)
     }
 
-    /// The id of a data node that is known.
+    /// Returns the id of a data node, or `None` if the name is unknown.
     pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.servers.id(name)
     }
 
-    /// The id of a data node, which is added where it is not known. Ids are given in the order in which names are met,
-    /// and never reused.
+    /// Returns the id of a data node, and assigns one if the name is new. Ids are assigned in ascending order and never
+    /// reused.
     pub fn intern(&mut self, name: &str) -> ServerId {
         self.servers.intern(name)
     }
 
-    /// The process shuts down: all queries are answered by this time, whatever their deadlines, queued ones included.
-    pub fn shut_down_by(&mut self, by: Nanos) {
-        self.shutdown_deadline = self.shutdown_deadline.min(by);
-        for (id, query) in self.queries.iter_mut().filter(|(_, query)| query.deadline > by) {
-            query.deadline = by;
-            self.deadlines.queries.push(by.saturating_add(self.deadline_grace), id);
+    /// Begins the shutdown of the process: limits the deadlines of open queries, queued ones
+    /// included, and of new ones to `deadline`.
+    pub fn shut_down_by(&mut self, deadline: Nanos) {
+        self.shutdown_deadline = self.shutdown_deadline.min(deadline);
+        for (id, query) in self.queries.iter_mut().filter(|(_, query)| query.deadline > deadline) {
+            query.deadline = deadline;
+            self.deadlines.queries.push(deadline.saturating_add(self.deadline_grace), id);
         }
-        self.events.push(Event::ShuttingDown(by));
+        self.events.push(Event::ShuttingDown(deadline));
     }
 
-    /// The client of a query has disconnected.
+    /// Closes a query whose client has disconnected, and cancels its attempts. The query gets no answer.
     pub fn client_disconnected(&mut self, query: QueryId) {
         if self.close(query) {
             self.events.push(Event::ClientDisconnected(query));
         }
     }
 
-    /// The wall clock was stepped: starts of data nodes that the endpoint list reports from now on count from when they
-    /// are reported.
+    /// Handles a step of the wall clock: from now on, a data node's start counts from the time at which the endpoint
+    /// list reports it.
     pub fn wall_clock_stepped(&mut self) {
         self.policy.wall_clock_stepped();
     }
 
-    /// Applies an update of the endpoint list. Servers that are missing from a complete list are removed. Returns the
-    /// shards of which a holder is new or has restarted: its data may be older than what was seen before.
+    /// Applies an update of the endpoint list. A complete list removes the servers that are missing from it. Returns
+    /// the shards that a new or restarted server holds: its data may be older than data returned before.
     pub fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) -> Vec<ShardId> {
         let update = self.servers.apply(kind, endpoints, &self.deployment.zone_names);
         self.events.push(Event::EndpointsUpdated { kind, records: update.records });
@@ -187,12 +190,12 @@
         self.shards_held_by(&update.restarted_groups)
     }
 
-    /// The lease of the endpoint list has expired: nothing is sent until the next update of it.
+    /// Handles the expiry of the endpoint list's lease: no attempt is sent until the next update of the list.
     pub fn endpoint_list_expired(&mut self) {
         self.events.push(Event::EndpointListExpired);
     }
 
-    /// A health check has ended.
+    /// Records the outcome of a data node's oldest health check in flight. Without one, the report is ignored.
     pub fn health_checked(&mut self, now: Nanos, server: ServerId, outcome: Outcome) {
         self.advance_to(now);
         let Some(sent_at) = self.health_checks.ended(server) else { return };
@@ -200,17 +203,18 @@
         self.events.push(Event::HealthChecked { server, outcome, latency });
     }
 
-    /// When [`Engine::run`] is next due with nothing else happening.
+    /// Returns the time at which [`Engine::run`] is next due if no event is reported before; `None` if nothing is scheduled.
     pub fn next_deadline(&mut self) -> Option<Nanos> {
-        self.deadlines.attempts.discard_settled(|id| !self.attempts.contains(id));
-        self.deadlines.queries.discard_settled(|id| !self.queries.contains(id));
+        self.deadlines.attempts.discard_ended(|id| !self.attempts.contains(id));
+        self.deadlines.queries.discard_ended(|id| !self.queries.contains(id));
         if !self.events.is_empty() {
             return Some(self.now);
         }
         self.deadlines.next()
     }
 
-    /// Lets the policy act on all that was reported, and on what is due by `now`.
+    /// Runs the policy on all reported events and on the timers and deadlines that are due by `now`. Returns the
+    /// commands to execute, in order.
     pub fn run(&mut self, now: Nanos) -> Vec<Command> {
         self.advance_to(now);
         self.fire_policy_timers();
@@ -222,14 +226,14 @@
             }
             let events = std::mem::take(&mut self.events);
             for action in self.policy.round(self.now, events) {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
         let max_batch = self.deployment.settings.layout.max_batch as usize;
         batching::batch_calls(self.commands.drain(..), max_batch, |id| self.attempts.contains(id))
     }
 
-    /// Time never runs backwards, whatever the embedder reports.
+    /// Keeps time monotonic: ignores a time that is earlier than the current one.
     fn advance_to(&mut self, now: Nanos) {
         self.now = self.now.max(now);
     }
@@ -244,7 +248,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::StartAttempt { part, server, timeout } => self.start_attempt(part, server, timeout),
             Action::CancelAttempt { part, attempt } => {
@@ -275,7 +279,7 @@
         }
     }
 
-    /// Forgets the data nodes that have left the endpoint list, once no attempt is in flight to them.
+    /// Forgets the data nodes that have left the endpoint list and have no attempt in flight.
     fn forget_removed_servers(&mut self) {
         if self.servers.listed() == self.servers.len() {
             return;
@@ -286,7 +290,7 @@
         }
     }
 
-    /// The shards that any of these partition groups holds.
+    /// Returns the shards that at least one of these partition groups holds.
     fn shards_held_by(&self, partition_groups: &[u32]) -> Vec<ShardId> {
         let layout = &self.deployment.settings.layout;
         let is_in_a_group =
--- a/crates/core/src/engine/optional_check.rs
+++ b/crates/core/src/engine/optional_check.rs
@@ -1,23 +1,21 @@
-//! A check that a frontend may attach to a query.
+//! An optional check that a frontend attaches to a query.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// A function shared by all clones, or none. Two are equal if they share one function or neither has any.
+/// An optional function, shared by all clones. Two checks are equal if they share one function or neither has one.
 pub(super) struct OptionalCheck<F: ?Sized>(Option<Arc<F>>);
 
 impl<F: ?Sized> OptionalCheck<F> {
-    /// A check by this function.
     pub(super) fn new(check: Arc<F>) -> Self {
         Self(Some(check))
     }
 
-    /// The function, if there is one.
     pub(super) fn get(&self) -> Option<&F> {
         self.0.as_deref()
     }
 
-    /// Formats the type that holds this check, with whether there is a function.
+    /// Formats the type that contains this check, and whether the check has a function.
     pub(super) fn fmt_as(&self, type_name: &str, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let content = if self.0.is_some() { "check" } else { "any" };
         write!(f, "{type_name}({content})")
--- a/crates/core/src/engine/outcome.rs
+++ b/crates/core/src/engine/outcome.rs
@@ -7,44 +7,44 @@
 /// A value from a data node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Value {
-    /// Its score: the second phase of a query goes to the shards with the highest ones.
+    /// The second phase of a query goes to the shards with the highest scores.
     pub score: u64,
-    /// The value, unchanged.
+    /// The content as the data node returned it.
     pub data: Arc<str>,
 }
 
 /// A row of an answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// The shard.
+    /// The shard that the value was requested for.
     pub shard: ShardId,
-    /// The value, unchanged.
+    /// The content of the value as the data node returned it.
     pub data: Arc<str>,
 }
 
-/// The one final answer of a query.
+/// The final answer of a query. Each query gets exactly one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QueryOutcome {
-    /// Served.
+    /// Answered with the values of some or all parts.
     Answered {
-        /// Whether the answer is complete.
+        /// Whether the policy and the coverage rules of the class both count every phase as complete.
         complete: bool,
-        /// The share of the weight that the rows make up.
+        /// Share of the last phase's weight that the rows cover, from 0 to 1.
         coverage: f64,
-        /// The values that were received.
+        /// The values received in the last phase.
         rows: Vec<Row>,
     },
-    /// Rejected; a retry is harmless.
+    /// Rejected; the client can safely retry.
     Rejected {
-        /// How long the client should wait before it retries; 0: no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Failed: parts of the query may have run.
+    /// Failed; parts of the query may have run.
     Failed,
 }
 
 impl QueryOutcome {
-    /// The outcome in a word, for logs.
+    /// Returns the outcome as a single word for logs.
     pub fn word(&self) -> &'static str {
         match self {
             Self::Answered { complete: true, .. } => "complete",
--- a/crates/core/src/engine/query_table.rs
+++ b/crates/core/src/engine/query_table.rs
@@ -10,12 +10,12 @@
 use super::validation::ResponseValidator;
 use crate::api::{ClassId, Nanos, Outcome, PartId, QueryId, ShardId};
 
-/// The phase that a query is in.
+/// The current phase of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueryPhase {
     First,
     Second {
-        /// Whether the values of the first phase made a complete answer.
+        /// Whether the first phase ended with a complete answer.
         first_phase_complete: bool,
     },
 }
@@ -25,19 +25,19 @@
     pub(super) name: String,
     pub(super) class: ClassId,
     pub(super) deadline: Nanos,
-    /// The text of the parts that have none of their own.
+    /// The text of parts that have no text of their own.
     pub(super) text: Arc<str>,
     pub(super) validator: ResponseValidator,
     pub(super) client: ClientLiveness,
     pub(super) phase: QueryPhase,
-    /// The parts of its phase.
+    /// The parts of the current phase.
     pub(super) parts: Vec<PartId>,
 }
 
 /// An attempt of a part, whether it has ended or not.
 struct StartedAttempt {
     started_at: Nanos,
-    /// Whether it is proved that the data node never ran it.
+    /// Whether its outcome proves that the data node never ran it.
     never_ran: bool,
 }
 
@@ -54,7 +54,7 @@
     pub(super) weight: f64,
     pub(super) request: Arc<PartRequest>,
     pub(super) value: Option<Value>,
-    /// All of its attempts, by number.
+    /// All attempts of the part, indexed by number.
     started: Vec<StartedAttempt>,
     in_flight: Vec<InFlightAttempt>,
 }
@@ -80,7 +80,7 @@
         number
     }
 
-    /// Records how an attempt has ended. The first value that succeeded is the part's.
+    /// Records the end of an attempt. The part keeps the value of its first successful attempt.
     pub(super) fn record_end(&mut self, id: AttemptId, number: u32, outcome: Outcome, value: Option<Value>) {
         self.started[number as usize].never_ran = outcome.never_ran();
         self.in_flight.retain(|attempt| attempt.id != id);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// When the first attempt started that may have run.
+    /// Returns the start time of the first attempt that may have run.
     pub(super) fn first_possible_run(&self) -> Option<Nanos> {
         self.started.iter().find(|attempt| !attempt.never_ran).map(|attempt| attempt.started_at)
     }
@@ -98,18 +98,18 @@
         !self.in_flight.is_empty()
     }
 
-    /// The attempt of this number, if it has not ended.
+    /// Returns the attempt with this number, or `None` if it has ended.
     pub(super) fn in_flight_attempt(&self, number: u32) -> Option<AttemptId> {
         self.in_flight.iter().find(|attempt| attempt.number == number).map(|attempt| attempt.id)
     }
 
-    /// The attempts that have not ended, in the order of their start.
+    /// Returns the attempts that have not ended, in the order in which they started.
     pub(super) fn in_flight_attempts(&self) -> impl Iterator<Item = AttemptId> + '_ {
         self.in_flight.iter().map(|attempt| attempt.id)
     }
 }
 
-/// All open queries, with the parts of their phases. A part belongs to an open query.
+/// All open queries and the parts of their current phases. Every part belongs to an open query.
 #[derive(Default)]
 pub(super) struct QueryTable {
     queries: BTreeMap<QueryId, Query>,
@@ -134,7 +134,7 @@
         self.queries.contains_key(&id)
     }
 
-    /// Removes a query. Its parts are left to [`Self::remove_part`].
+    /// Removes a query, but not its parts: the caller removes them with [`Self::remove_part`].
     pub(super) fn remove(&mut self, id: QueryId) -> Option<Query> {
         self.queries.remove(&id)
     }
@@ -143,17 +143,16 @@
         self.queries.iter_mut().map(|(&id, query)| (id, query))
     }
 
-    /// How many queries are open.
     pub(super) fn len(&self) -> usize {
         self.queries.len()
     }
 
-    /// How many parts the open queries have.
+    /// Returns the number of parts of all open queries.
     pub(super) fn part_count(&self) -> usize {
         self.parts.len()
     }
 
-    /// Adds a part to its query, if that is open.
+    /// Adds a part to its query. Returns `None` if the query is not open.
     pub(super) fn add_part(&mut self, part: Part) -> Option<PartId> {
         let query = self.queries.get_mut(&part.query)?;
         let id = PartId(self.next_part);
@@ -175,7 +174,7 @@
         self.parts.remove(&id)
     }
 
-    /// The parts of a query's phase that have a value, with it.
+    /// Returns the parts of a query's current phase that have a value, with their values.
     pub(super) fn answered_parts<'a>(
         &'a self,
         query: &'a Query,
--- a/crates/core/src/engine/request.rs
+++ b/crates/core/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! What a frontend submits, and what its parts carry to data nodes.
+//! Queries as frontends submit them, and the requests that their parts send to data nodes.
 
 use std::sync::Arc;
 
@@ -9,59 +9,60 @@
 /// A query as a frontend submits it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueryRequest {
-    /// Its name on the wire.
+    /// Identifies the query on the wire; the names of its parts begin with it.
     pub name: String,
-    /// Its class.
+    /// Index of the query's class in the settings, which determines its rules for coverage, retries and admission.
     pub class: ClassId,
-    /// Whether the client marks it as a retry of its own.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Nanos,
-    /// Shards and their shares of the answer.
+    /// Each shard with its share of the answer; the shares add up to 1.
     pub parts: Vec<(ShardId, f64)>,
-    /// The text that each part carries.
+    /// The text that parts send if they have none of their own.
     pub text: Arc<str>,
-    /// The texts of the parts of the first phase, in the order of `parts`, where they do not all carry `text`.
+    /// The texts of the first phase's parts, in the order of `parts`; empty if all parts send `text`.
     pub part_texts: Vec<Arc<str>>,
-    /// The check of values.
+    /// Checks each value before it counts for a part.
     pub validator: ResponseValidator,
-    /// Its client.
+    /// Whether the client is still connected.
     pub client: ClientLiveness,
 }
 
-/// Why a query is not accepted.
+/// The reason why a query was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// As many queries and parts are open as the settings allow.
+    /// The query and its parts would exceed the limit on open queries and parts.
     QueueFull,
-    /// It names no part, a shard that does not exist or one shard twice, or its weights do not add up to one.
+    /// The query has no parts, an unknown shard, the same shard twice, a weight that is not positive, or weights that
+    /// do not add up to 1.
     InvalidParts,
-    /// A query of this name is open, or was a short while ago: data nodes answer by name.
+    /// A query with this name is open or ended recently. Responses are matched to queries by name.
     DuplicateName,
-    /// There is no such class.
+    /// The settings do not contain the class.
     UnknownClass,
-    /// Its deadline has passed already.
+    /// The query's deadline has passed.
     DeadlinePassed,
 }
 
-/// What a part carries to its data node.
+/// The request that a part sends to a data node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartRequest {
-    /// The part's name on the wire.
+    /// Identifies the part on the wire: the query's name, the shard and, in the second phase, a suffix.
     pub name: String,
-    /// Its shard.
+    /// The shard to query.
     pub shard: ShardId,
-    /// The query's text.
+    /// The text of the query, or the part's own text.
     pub text: Arc<str>,
-    /// In a second phase: how the first one ended.
+    /// The result of the first phase; `None` in the first phase.
     pub first_phase: Option<FirstPhase>,
 }
 
-/// How the first phase of a query ended, as the parts of its second phase tell their data nodes.
+/// The result of a query's first phase, which the parts of the second phase send to their data nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FirstPhase {
     /// The shards whose values were received, in ascending order.
     pub shards: Vec<ShardId>,
-    /// Whether they made a complete answer.
+    /// Whether the first phase ended with a complete answer.
     pub complete: bool,
 }
--- a/crates/core/src/engine/second_phase.rs
+++ b/crates/core/src/engine/second_phase.rs
@@ -1,4 +1,4 @@
-//! The second phase of a query: its parts go to the shards whose values had the highest scores in the first.
+//! The second phase of a query: its parts go to the shards with the highest scores in the first phase.
 
 use std::cmp::Reverse;
 
@@ -8,14 +8,14 @@
 use super::Engine;
 use crate::api::{QueryId, ShardId};
 
-/// A shard whose value is in, and the value's score.
+/// A shard and the score of the value received from it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ScoredShard {
     pub(super) score: u64,
     pub(super) shard: ShardId,
 }
 
-/// The shards with the highest scores, `count` at most; of equal scores, the lower shard is first.
+/// Returns up to `count` shards with the highest scores, best first; of equal scores, the lower shard comes first.
 fn best_shards(mut scored: Vec<ScoredShard>, count: usize) -> Vec<ShardId> {
     scored.sort_unstable_by_key(|s| (Reverse(s.score), s.shard));
     scored.truncate(count);
@@ -23,7 +23,7 @@
 }
 
 impl Engine {
-    /// Replaces the parts of the first phase, of which these have a value, by those of the second.
+    /// Replaces the parts of the first phase with those of the second. `scored` lists the shards that returned a value.
     pub(super) fn begin_second_phase(
         &mut self,
         id: QueryId,
--- a/crates/core/src/engine/servers.rs
+++ b/crates/core/src/engine/servers.rs
@@ -1,4 +1,4 @@
-//! The data nodes that the engine knows, as the endpoint list has them.
+//! The data nodes that the engine knows, with their states in the endpoint list.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -6,24 +6,24 @@
     EndpointRecord, EndpointState, EndpointUpdateKind, Nanos, ServerId, ShardId, ShardLayout, ZoneId,
 };
 
-/// One record of the endpoint list, under the names that discovery uses.
+/// One record of the endpoint list as discovery reports it: with names in place of ids.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// The data node's name: the same for all coordinators and after a restart.
+    /// Identifies the data node across coordinators and restarts.
     pub name: String,
-    /// Its partition group.
+    /// Determines the shards that the data node holds.
     pub partition_group: u32,
-    /// When its process last started; 0: long ago.
+    /// Time of the last start of its process; 0 if that was long ago.
     pub started_at: Nanos,
-    /// Its capacity in comparison with others.
+    /// Capacity relative to other data nodes.
     pub capacity: f64,
-    /// Its state.
+    /// Whether it is active, draining or removed.
     pub state: EndpointState,
-    /// Its zone's name.
+    /// Name of its zone; `None` if unknown.
     pub zone: Option<String>,
 }
 
-/// Whether the servers of a partition group hold a shard.
+/// Returns whether the servers of a partition group hold a shard.
 pub(super) fn group_holds(layout: &ShardLayout, partition_group: u32, shard: ShardId) -> bool {
     let groups = u64::from(layout.partition_groups);
     let first_group = u64::from(shard.0) % groups;
@@ -33,21 +33,22 @@
 
 struct Server {
     name: String,
-    /// Its partition group, once the endpoint list has named it.
+    /// `None` until the endpoint list has contained the server.
     partition_group: Option<u32>,
-    /// When it last started, once the endpoint list has named it.
+    /// Time of its last start; `None` until the endpoint list has contained the server.
     started_at: Option<Nanos>,
     state: EndpointState,
 }
 
-/// An update of the endpoint list, with the servers' ids.
+/// The result of applying an update of the endpoint list.
 pub(super) struct AppliedUpdate {
+    /// The records of the update, with ids in place of names.
     pub(super) records: Vec<EndpointRecord>,
-    /// The partition groups of servers that are new or have restarted; one may stand here several times.
+    /// The partition groups of servers that are new or have restarted; may contain duplicates.
     pub(super) restarted_groups: Vec<u32>,
 }
 
-/// All servers that are not forgotten. Ids are given in the order in which names are met, and never reused.
+/// All known servers. Ids are assigned in ascending order and never reused.
 #[derive(Default)]
 pub(super) struct ServerTable {
     servers: BTreeMap<ServerId, Server>,
@@ -56,12 +57,12 @@
 }
 
 impl ServerTable {
-    /// The id of a server that is known.
+    /// Returns the id of a server, or `None` if the name is unknown.
     pub(super) fn id(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
 
-    /// The id of a server, which is added where it is not known.
+    /// Returns the id of a server, and adds the server if the name is new.
     pub(super) fn intern(&mut self, name: &str) -> ServerId {
         if let Some(id) = self.id(name) {
             return id;
@@ -79,7 +80,7 @@
         id
     }
 
-    /// The name of a server; empty where it is not known.
+    /// Returns the name of a server, or an empty string if the id is unknown.
     pub(super) fn name(&self, id: ServerId) -> &str {
         self.servers.get(&id).map_or("", |server| &server.name)
     }
@@ -92,12 +93,11 @@
         self.servers.len()
     }
 
-    /// How many servers are in service.
     pub(super) fn active(&self) -> usize {
         self.servers.values().filter(|server| server.state == EndpointState::Active).count()
     }
 
-    /// How many servers the endpoint list has.
+    /// Returns the number of servers in the endpoint list, draining ones included.
     pub(super) fn listed(&self) -> usize {
         self.servers.values().filter(|server| server.state != EndpointState::Removed).count()
     }
@@ -106,13 +106,13 @@
         self.servers.get(&id).is_some_and(|server| server.state == EndpointState::Active)
     }
 
-    /// Whether a server holds a shard.
+    /// Returns whether a server holds a shard; false if its partition group is unknown.
     pub(super) fn holds(&self, id: ServerId, shard: ShardId, layout: &ShardLayout) -> bool {
         let group = self.servers.get(&id).and_then(|server| server.partition_group);
         group.is_some_and(|group| group_holds(layout, group, shard))
     }
 
-    /// Applies an update of the endpoint list. Servers that are missing from a complete list are removed.
+    /// Applies an update of the endpoint list. A complete list removes the servers that are missing from it.
     pub(super) fn apply(
         &mut self,
         kind: EndpointUpdateKind,
@@ -154,7 +154,7 @@
         });
     }
 
-    /// Forgets the servers that have left the endpoint list, but for those in `in_use`; returns their ids.
+    /// Forgets the servers that have left the endpoint list, except those in `in_use`. Returns the forgotten ids.
     pub(super) fn forget_removed(&mut self, in_use: &HashSet<ServerId>) -> Vec<ServerId> {
         let forgotten: Vec<ServerId> = self
             .servers
--- a/crates/core/src/engine/submission.rs
+++ b/crates/core/src/engine/submission.rs
@@ -1,4 +1,4 @@
-//! Whether a query is accepted, and how it is opened.
+//! Validates submitted queries and opens those that are accepted.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -8,27 +8,27 @@
 use super::Engine;
 use crate::api::{Event, Nanos, QueryId, ShardId};
 
-/// The weights of a query's parts may add up to this much more or less than 1: clients round them.
+/// Allowed difference between 1 and the sum of a query's weights, because clients round weights.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// Ends the name of a part of the second phase.
+/// Appended to the names of parts of the second phase.
 const SECOND_PHASE_SUFFIX: &str = ".fetch";
 
-/// A part that is to be added to an open query.
+/// A part to add to an open query.
 pub(super) struct NewPart {
     pub(super) shard: ShardId,
     pub(super) weight: f64,
-    /// Its own text, where it does not carry the query's.
+    /// `None` if the part sends the query's text.
     pub(super) text: Option<Arc<str>>,
-    /// In a second phase: how the first one ended.
+    /// The result of the first phase; `None` in the first phase.
     pub(super) first_phase: Option<FirstPhase>,
 }
 
 impl Engine {
-    /// Accepts a query under an id that the embedder has not used before.
+    /// Opens a query under an id that the embedder has not used before.
     ///
     /// # Errors
-    /// Says why it is not accepted; then it gets no answer from the engine.
+    /// Returns the reason why the query was not accepted. The engine then returns no answer for it.
     pub fn submit(&mut self, now: Nanos, id: QueryId, request: QueryRequest) -> Result<(), RejectReason> {
         self.advance_to(now);
         let deadline = self.check(&request)?;
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    /// Checks whether a query is accepted now; returns the deadline that it has then.
+    /// Checks whether a query can be accepted. Returns its deadline, limited to that of the shutdown.
     fn check(&mut self, request: &QueryRequest) -> Result<Nanos, RejectReason> {
         let settings = &self.deployment.settings;
         if request.class.0 >= settings.classes.len() {
@@ -79,7 +79,7 @@
         Ok(deadline)
     }
 
-    /// Adds a part to an open query.
+    /// Adds a part to a query and reports it to the policy, if the query is open.
     pub(super) fn add_part(&mut self, query_id: QueryId, new: NewPart) {
         let Some(query) = self.queries.get(query_id) else { return };
         let NewPart { shard, weight, text, first_phase } = new;
@@ -93,13 +93,13 @@
     }
 }
 
-/// Whether a query names at least one part and each shard once, of `shards` (0: as many as there may be), with weights
-/// that add up to one.
+/// Returns whether a query has at least one part, no shard twice, only shards below `shards` (0: no limit), and
+/// positive weights that add up to 1.
 fn has_valid_parts(request: &QueryRequest, shards: u32) -> bool {
     let named: HashSet<ShardId> = request.parts.iter().map(|part| part.0).collect();
-    let exist = named.iter().all(|shard| shards == 0 || shard.0 < shards);
+    let all_known = named.iter().all(|shard| shards == 0 || shard.0 < shards);
     let all_positive = request.parts.iter().all(|part| part.1 > 0.0);
     let sum: f64 = request.parts.iter().map(|part| part.1).sum();
     let sum_is_one = (sum - 1.0).abs() <= WEIGHT_SUM_TOLERANCE;
-    !named.is_empty() && named.len() == request.parts.len() && exist && all_positive && sum_is_one
+    !named.is_empty() && named.len() == request.parts.len() && all_known && all_positive && sum_is_one
 }
--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -14,8 +14,8 @@
     Engine::new(deployment(3), 7, DEADLINE_GRACE, NAME_REUSE_DELAY).unwrap()
 }
 
-/// Settings with so many attempts for a part.
-fn deployment(attempts: u32) -> Deployment {
+/// Settings that allow `max_attempts` attempts for a part.
+fn deployment(max_attempts: u32) -> Deployment {
     let class = |name: &str| {
         format!(
             r#"{{"name":"{name}","aim_ns":500000000,"deadline_ns":2000000000,"effect":"idempotent","importance":1,"late_worth":0.3}}"#
@@ -24,7 +24,7 @@
     let text = format!(
         r#"{{"balancers":1,"classes":[{},{},{}],"discovery":"on_request","domain":{{"batch":2,"overhead_ns":1000,
         "class_floor":[1,0.5,1],"class_partial":[0.9,0.8,0.9],"complete_from":[1,1,1],"in_a_row":2,"positions":3,
-        "ranges":6,"second_step":[0,0,2]}},"limits":{{"cancel":true,"max_attempts":{attempts},"max_open":60,"probes":true,
+        "ranges":6,"second_step":[0,0,2]}},"limits":{{"cancel":true,"max_attempts":{max_attempts},"max_open":60,"probes":true,
         "may_duplicate":true}},"rules":{{"cold_ns":1000000000,"cold_share":0.2,"fall_ns":1000000000,
         "must_ask_in_ns":1000000000,"tip_multiple":2}},"tick_ns":5000000,"zones":["a"]}}"#,
         class("a"),
@@ -63,7 +63,7 @@
     }
 }
 
-/// A query that was accepted.
+/// A query that the engine has accepted.
 struct SubmittedQuery {
     class: usize,
     parts: usize,
@@ -76,29 +76,29 @@
     dispatch: Dispatch,
 }
 
-/// Clients, data nodes and discovery around an engine, and what they have seen of it.
+/// Simulates the clients, data nodes and discovery of an engine, and records the engine's commands to check them.
 #[derive(Default)]
 struct Simulation {
     now: Nanos,
     submitted: BTreeMap<QueryId, SubmittedQuery>,
-    /// How many final answers each query was given.
+    /// Number of final answers for each query.
     answers: BTreeMap<QueryId, usize>,
     disconnected: HashSet<QueryId>,
     in_flight: BTreeMap<AttemptId, SentAttempt>,
-    /// The states of the data nodes by number.
+    /// The states of the data nodes by node number.
     states: BTreeMap<u32, EndpointState>,
     attempts_started: usize,
     attempts_ended: usize,
-    /// The indices of the classes under their present rules.
+    /// The indices of the classes under the settings in force.
     classes: [usize; 3],
-    /// By the name of a part: how often it was sent.
+    /// Number of attempts sent for each part, by the part's name.
     sends: BTreeMap<String, u32>,
 }
 
 impl Simulation {
     fn run(&mut self, engine: &mut Engine) {
         for command in engine.run(self.now) {
-            self.carry_out(engine, command);
+            self.execute(engine, command);
         }
         assert_eq!(
             self.attempts_started - self.attempts_ended,
@@ -108,13 +108,17 @@
         for attempt in self.in_flight.values() {
             assert!(attempt.dispatch.cancellation.is_active(), "an attempt in flight is cancelled");
         }
-        assert_eq!(engine.in_flight_attempts(), self.in_flight.len(), "attempts without an end");
+        assert_eq!(
+            engine.in_flight_attempts(),
+            self.in_flight.len(),
+            "the engine and the simulation disagree on the attempts in flight"
+        );
     }
 
-    fn carry_out(&mut self, engine: &Engine, command: Command) {
+    fn execute(&mut self, engine: &Engine, command: Command) {
         match command {
             Command::SendCall { server, call } => {
-                assert!(call.len() <= 2, "more parts than a call carries");
+                assert!(call.len() <= 2, "a call has more parts than the batch limit");
                 for dispatch in call {
                     self.send(engine, server, dispatch);
                 }
@@ -122,12 +126,12 @@
             Command::CancelAttempt { attempt, .. } => {
                 let cancelled = self.in_flight.remove(&attempt);
                 let is_active = cancelled.is_some_and(|attempt| attempt.dispatch.cancellation.is_active());
-                assert!(!is_active, "sent after its end");
+                assert!(!is_active, "a cancelled attempt can still be sent");
             }
             Command::FinishQuery { query, outcome } => self.finish(query, &outcome),
             Command::ForgetServer { server } => {
                 let in_flight = self.in_flight.values().any(|attempt| attempt.server == server);
-                assert!(!in_flight, "forgotten with attempts in flight");
+                assert!(!in_flight, "a server with attempts in flight was forgotten");
                 assert_eq!(engine.server_name(server), "");
             }
             Command::RecordAttempt(AttemptEvent::Started { .. }) => self.attempts_started += 1,
@@ -138,16 +142,20 @@
 
     fn send(&mut self, engine: &Engine, server: ServerId, dispatch: Dispatch) {
         let number: u32 = engine.server_name(server)[1..].parse().unwrap();
-        assert_eq!(self.states[&number], EndpointState::Active, "sent to a data node that drains");
+        assert_eq!(
+            self.states[&number],
+            EndpointState::Active,
+            "an attempt was sent to a data node that is not active"
+        );
         let holds_shard = (0..2).any(|j| (dispatch.part.shard.0 + j) % 3 == number % 3);
-        assert!(holds_shard, "sent to a data node without the shard");
+        assert!(holds_shard, "an attempt was sent to a data node that does not hold the shard");
         assert!(dispatch.deadline > self.now);
         let sends = self.sends.entry(dispatch.part.name.clone()).or_default();
         *sends += 1;
         let part = engine.queries.part(engine.attempts.get(dispatch.attempt).unwrap().part).unwrap();
         let class = engine.queries.get(part.query).unwrap().class;
         let max_attempts = engine.deployment.settings.classes[class.0].max_attempts;
-        assert!(*sends <= max_attempts, "sent too often");
+        assert!(*sends <= max_attempts, "a part exceeded its attempt limit");
         let attempt = dispatch.attempt;
         assert!(self.in_flight.insert(attempt, SentAttempt { server, dispatch }).is_none());
     }
@@ -155,10 +163,13 @@
     fn finish(&mut self, query: QueryId, outcome: &QueryOutcome) {
         *self.answers.entry(query).or_default() += 1;
         let SubmittedQuery { class, parts, deadline } = self.submitted[&query];
-        assert!(self.now <= deadline + DEADLINE_GRACE, "answered late");
+        assert!(
+            self.now <= deadline + DEADLINE_GRACE,
+            "a query was answered after its deadline and grace period"
+        );
         if let QueryOutcome::Answered { complete, rows, .. } = outcome {
             let needed = if class == 2 { parts.min(2) } else { parts };
-            assert!(!complete || rows.len() == needed, "marked complete that is not");
+            assert!(!complete || rows.len() == needed, "an incomplete answer is marked complete");
             assert!(2 * rows.len() >= needed && (class == 1 || rows.len() == needed));
             assert!(rows.iter().all(|r| *r.data == *format!("v{}", r.shard.0)));
         }
@@ -177,7 +188,7 @@
             10 => self.disconnect(engine, QueryId(pick as u64 % self.submitted.len().max(1) as u64)),
             11 => drop(engine.update_endpoints(EndpointUpdateKind::Delta, &[])),
             15 => self.update_settings(engine, 1 + pick as u32 % 3),
-            _ => return self.pass(engine, pick as Nanos % 300 * MS),
+            _ => return self.advance(engine, pick as Nanos % 300 * MS),
         }
         self.run(engine);
     }
@@ -208,7 +219,7 @@
         let data = format!("v{}", dispatch.part.shard.0).into();
         let value = Some(Value { score: pick as u64, data }).filter(|_| outcome == Outcome::Success);
         engine.attempt_ended(self.now, id, outcome, value.clone());
-        // A second report on it is ignored.
+        // A second report about the same attempt is ignored.
         engine.attempt_ended(self.now, id, Outcome::ConnectionReset, value);
     }
 
@@ -232,11 +243,11 @@
         let before = engine.deployment.class_names.len();
         let updated = engine.update_settings(deployment(max_attempts));
         let classes = updated.class_names.len();
-        assert!(classes >= before && classes <= 9, "classes are found again");
+        assert!(classes >= before && classes <= 9, "unchanged classes are reused");
         self.classes = ["a", "b", "c"].map(|name| updated.class_named(name).unwrap().0);
     }
 
-    fn pass(&mut self, engine: &mut Engine, span: Nanos) {
+    fn advance(&mut self, engine: &mut Engine, span: Nanos) {
         let end = self.now + span;
         while let Some(at) = engine.next_deadline().filter(|&at| at <= end) {
             self.now = self.now.max(at);
@@ -249,10 +260,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens in whatever order: each query gets exactly one correct answer in time, each
-    /// attempt one end, and nothing is sent where it may not be.
+    /// Checks random sequences of events: each query gets exactly one correct answer in time, each attempt ends once,
+    /// and attempts go only to active data nodes that hold their shard.
     #[test]
-    fn every_query_gets_one_answer(steps in proptest::collection::vec((0..16u8, any::<usize>()), 0..150)) {
+    fn every_query_gets_exactly_one_answer(steps in proptest::collection::vec((0..16u8, any::<usize>()), 0..150)) {
         let mut engine = engine();
         let mut simulation = Simulation { now: MS, classes: [0, 1, 2], ..Simulation::default() };
         let all: Vec<Endpoint> = (0..6).map(|n| endpoint(n, EndpointState::Active)).collect();
@@ -262,7 +273,7 @@
         for (kind, pick) in steps {
             simulation.step(&mut engine, kind, pick);
         }
-        simulation.pass(&mut engine, 10_000 * MS);
+        simulation.advance(&mut engine, 10_000 * MS);
         for id in simulation.submitted.keys() {
             let answers = simulation.answers.get(id).copied().unwrap_or(0);
             prop_assert_eq!(answers, usize::from(!simulation.disconnected.contains(id)), "{:?}", id);
@@ -271,9 +282,9 @@
     }
 }
 
-/// The guarantee that does not rest on the policy: its timers never fire here.
+/// The engine fails an overdue query itself: the policy's timers are removed and never fire in this test.
 #[test]
-fn a_query_that_the_policy_leaves_open_fails_after_its_deadline() {
+fn query_left_open_by_the_policy_fails_after_its_deadline() {
     let mut engine = engine();
     engine.update_endpoints(EndpointUpdateKind::Snapshot, &[endpoint(0, EndpointState::Active)]);
     engine.submit(MS, QueryId(1), request(0, &[0], 100 * MS)).unwrap();
@@ -287,8 +298,8 @@
     assert_eq!((failures.count(), engine.open_queries(), engine.in_flight_attempts()), (1, 0, 0));
 }
 
-/// Guards against growth over a long day on which data nodes are replaced: each is forgotten once it is
-/// removed and no attempt is in flight to it, and its id is not reused.
+/// Tables would grow without bound as data nodes are replaced over a day. A removed data node is forgotten once it has
+/// no attempt in flight, and its id is not reused.
 #[test]
 fn removed_servers_are_forgotten_once_no_attempt_is_in_flight() {
     let mut engine = engine();
@@ -305,12 +316,12 @@
         engine.update_endpoints(EndpointUpdateKind::Delta, &[endpoint(3 * n, EndpointState::Removed)]);
         assert!(
             engine.run(MS).iter().all(|c| !matches!(c, Command::ForgetServer { .. })),
-            "an attempt is in flight"
+            "a server with an attempt in flight was forgotten"
         );
         engine.attempt_ended(MS, call[0].attempt, Outcome::ServerError, None);
         engine.client_disconnected(QueryId(u64::from(n)));
         engine.run(MS);
-        // An update that does not name it, and one that does: it is not added again.
+        // Neither an update without the server nor one that removes it adds it again.
         engine.update_endpoints(EndpointUpdateKind::Delta, &[]);
         engine.update_endpoints(EndpointUpdateKind::Delta, &[endpoint(3 * n, EndpointState::Removed)]);
         assert!(engine.run(MS).contains(&Command::ForgetServer { server: *server }));
@@ -333,8 +344,8 @@
         let parts = (0..).zip(weights).map(|(s, &w)| (ShardId(s), w)).collect();
         QueryRequest { parts, ..request(0, &[0], MS * 9) }
     };
-    for bad in [&[0.5, 0.4][..], &[1.5, -0.5], &[0.0, 1.0], &[f64::NAN], &[f64::INFINITY], &[2.0]] {
-        assert_eq!(submit(&mut engine, 0, weighted(bad)), Err(RejectReason::InvalidParts), "{bad:?}");
+    for weights in [&[0.5, 0.4][..], &[1.5, -0.5], &[0.0, 1.0], &[f64::NAN], &[f64::INFINITY], &[2.0]] {
+        assert_eq!(submit(&mut engine, 0, weighted(weights)), Err(RejectReason::InvalidParts), "{weights:?}");
     }
     let accepted = (0..20).filter(|&id| submit(&mut engine, id, request(0, &all, MS * 9)).is_ok()).count();
     assert_eq!(accepted, 60 / 7);
@@ -348,10 +359,10 @@
     commands.iter().flat_map(call).collect()
 }
 
-/// Guards against answering with a value that its frontend cannot use: the attempt counts as one that may have run,
-/// another replica is tried, and each part carries its own text.
+/// An answer must not contain a value that its frontend rejects: the attempt counts as one that may have run, and the
+/// part is retried at another replica. Each part sends its own text.
 #[test]
-fn an_attempt_with_an_invalid_value_is_retried_elsewhere() {
+fn attempt_with_an_invalid_value_is_retried() {
     let mut engine = engine();
     engine.update_endpoints(
         EndpointUpdateKind::Snapshot,
@@ -391,12 +402,12 @@
     )));
 }
 
-/// A data node that is new or has restarted may have older data: its shards are reported, once.
+/// A new or restarted data node may have older data: its shards are reported once.
 #[test]
 fn shards_of_new_and_restarted_servers_are_reported() {
     let mut engine = engine();
     let at = |n, started_at| Endpoint { started_at, ..endpoint(n, EndpointState::Active) };
-    // Of three partition groups with two a shard, group 1 holds shards 0, 1, 3 and 4.
+    // With three partition groups and two groups per shard, group 1 holds shards 0, 1, 3 and 4.
     let shards = [0, 1, 3, 4].map(ShardId).to_vec();
     assert_eq!(engine.update_endpoints(EndpointUpdateKind::Delta, &[at(1, 5)]), shards);
     assert_eq!(engine.update_endpoints(EndpointUpdateKind::Delta, &[at(1, 5)]), []);
@@ -404,22 +415,22 @@
     assert_eq!(engine.update_endpoints(EndpointUpdateKind::Delta, &[]), []);
 }
 
-/// Guards against two open queries of one name, whose responses could not be told apart; rounded weights
-/// are accepted.
+/// Responses to two open queries with the same name could not be distinguished. The weights, whose sum is only
+/// approximately 1, are accepted.
 #[test]
-fn a_name_is_reserved_until_a_while_after_its_query() {
+fn query_name_is_reserved_until_the_reuse_delay_after_its_end() {
     let mut engine = engine();
-    let one =
+    let thirds =
         QueryRequest { parts: (0..3).map(|s| (ShardId(s), 0.3333)).collect(), ..request(0, &[0], MS * 9) };
-    assert_eq!(engine.submit(MS, QueryId(0), one.clone()), Ok(()));
-    assert_eq!(engine.submit(MS, QueryId(1), one.clone()), Err(RejectReason::DuplicateName));
+    assert_eq!(engine.submit(MS, QueryId(0), thirds.clone()), Ok(()));
+    assert_eq!(engine.submit(MS, QueryId(1), thirds.clone()), Err(RejectReason::DuplicateName));
     engine.client_disconnected(QueryId(0));
-    // Late responses may still arrive.
-    assert_eq!(engine.submit(2 * MS, QueryId(2), one.clone()), Err(RejectReason::DuplicateName));
-    assert_eq!(engine.submit(MS + NAME_REUSE_DELAY, QueryId(3), one), Ok(()));
+    // Late responses with this name may still arrive.
+    assert_eq!(engine.submit(2 * MS, QueryId(2), thirds.clone()), Err(RejectReason::DuplicateName));
+    assert_eq!(engine.submit(MS + NAME_REUSE_DELAY, QueryId(3), thirds), Ok(()));
 }
 
-/// Guards the end of the process: open and new queries are answered by then, whatever their deadlines.
+/// A shutdown answers open and new queries by its deadline, even if their own deadlines are later.
 #[test]
 fn no_query_is_open_after_the_shutdown_deadline() {
     let mut engine = engine();
--- a/crates/core/src/engine/validation.rs
+++ b/crates/core/src/engine/validation.rs
@@ -7,21 +7,21 @@
 use super::outcome::Value;
 use crate::api::ShardId;
 
-/// Whether a value may count for a shard.
+/// Returns whether a value is valid for a shard.
 pub type IsValid = dyn Fn(ShardId, &Value) -> bool + Send + Sync;
 
-/// A frontend's check of a value before it counts for its part. It is called once for each value that arrives
-/// while the part has none. Without a check every value counts.
+/// A frontend's check of the values for a part. It is called once for each value that arrives while the part has no
+/// value. Without a check every value is valid.
 #[derive(Clone, Default, PartialEq)]
 pub struct ResponseValidator(OptionalCheck<IsValid>);
 
 impl ResponseValidator {
-    /// Accepts the values for which `is_valid` returns true.
+    /// Creates a validator that accepts the values for which `is_valid` returns true.
     pub fn new(is_valid: impl Fn(ShardId, &Value) -> bool + Send + Sync + 'static) -> Self {
         Self(OptionalCheck::new(Arc::new(is_valid)))
     }
 
-    /// Whether this value may count for this shard.
+    /// Returns whether the value is valid for the shard.
     pub(super) fn accepts(&self, shard: ShardId, value: &Value) -> bool {
         self.0.get().is_none_or(|is_valid| is_valid(shard, value))
     }
