--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Replaces the settings. Open queries keep the rules that were in force when they were submitted.
+    /// Replaces the settings and returns those in force. Open queries keep the rules under which they were submitted.
     pub fn update_settings(&mut self, deployment: Deployment) -> &Deployment {
         self.deployment = deployment.carried_over_from(&self.deployment);
         self.policy.update_settings(self.deployment.settings.clone());
@@ -157,8 +157,8 @@
         self.servers.intern(name)
     }
 
-    /// Begins the shutdown of the process: limits the deadlines of open queries, queued ones
-    /// included, and of new ones to `deadline`.
+    /// Begins the shutdown of the process: limits the deadlines of open queries, queued ones included, and of new ones
+    /// to `deadline`.
     pub fn shut_down_by(&mut self, deadline: Nanos) {
         self.shutdown_deadline = self.shutdown_deadline.min(deadline);
         for (id, query) in self.queries.iter_mut().filter(|(_, query)| query.deadline > deadline) {
@@ -203,7 +203,8 @@
         self.events.push(Event::HealthChecked { server, outcome, latency });
     }
 
-    /// Returns the time at which [`Engine::run`] is next due if no event is reported before; `None` if nothing is scheduled.
+    /// Returns the time at which [`Engine::run`] is next due if no event is reported before; `None` if nothing is
+    /// scheduled.
     pub fn next_deadline(&mut self) -> Option<Nanos> {
         self.deadlines.attempts.discard_ended(|id| !self.attempts.contains(id));
         self.deadlines.queries.discard_ended(|id| !self.queries.contains(id));
--- a/crates/core/tests/answer.rs
+++ b/crates/core/tests/answer.rs
@@ -1,13 +1,14 @@
-//! Answers: complete, partial, of two phases, and the end of queries without one.
+//! Complete answers, partial answers, answers of two-phase queries, and queries that end without an answer.
 
 mod common;
 
 use common::*;
 use curlewdeck_core::api::*;
 
-/// Passes the first of the query's sends, then lets time go on; returns the age at which it was answered.
-fn answered_at(set: Settings, span: Nanos) -> Option<(Nanos, bool)> {
-    let mut harness = PolicyHarness::new(set, 4);
+/// Completes one of a query's two parts, then advances the time by up to `span`. Returns the query's age when it was
+/// answered, and whether the answer was complete; `None` if it was not answered.
+fn answered_at(settings: Settings, span: Nanos) -> Option<(Nanos, bool)> {
+    let mut harness = PolicyHarness::new(settings, 4);
     harness.warm_up(20);
     let (_, _, actions) = harness.query(0, 2);
     let start = harness.now;
@@ -15,7 +16,7 @@
     harness.now += 100 * MS;
     harness.round(vec![harness.ended(&first[0], 0, Outcome::Success)]);
     while harness.now < start + span {
-        let actions = harness.pass(5 * MS);
+        let actions = harness.advance(5 * MS);
         let complete = actions.iter().find_map(|a| match a {
             Action::Answer { complete, .. } => Some(*complete),
             _ => None,
@@ -44,33 +45,33 @@
 }
 
 #[test]
-fn a_partial_answer_is_given_when_time_is_up_and_marked_incomplete() {
-    let mut set = settings();
-    set.classes[0].min_coverage = 0.5;
-    let mut harness = PolicyHarness::new(set, 2);
+fn a_partial_answer_is_given_at_the_latency_objective_and_marked_incomplete() {
+    let mut settings = settings();
+    settings.classes[0].min_coverage = 0.5;
+    let mut harness = PolicyHarness::new(settings, 2);
     let (query, _, actions) = harness.query(0, 2);
     harness.round(vec![harness.ended(&sends(&actions)[0], 0, Outcome::Success)]);
-    assert!(harness.pass(1300 * MS).contains(&Action::Answer { query, complete: false }));
+    assert!(harness.advance(1300 * MS).contains(&Action::Answer { query, complete: false }));
 }
 
 #[test]
-fn an_attempt_times_out_when_its_answer_can_earn_nothing_more() {
+fn an_attempt_times_out_when_its_answer_can_no_longer_earn_value() {
     for (late_value_ratio, timeout) in [(0.1, 1200), (0.3, 4000)] {
         let mut harness = PolicyHarness::new(partial(late_value_ratio), 4);
         let (_, _, actions) = harness.query(0, 1);
-        let lasts = actions.iter().find_map(|a| match a {
+        let sent_timeout = actions.iter().find_map(|a| match a {
             Action::StartAttempt { timeout, .. } => Some(*timeout),
             _ => None,
         });
-        assert_eq!(lasts, Some(timeout * MS));
+        assert_eq!(sent_timeout, Some(timeout * MS));
     }
 }
 
 #[test]
 fn a_second_phase_is_sent_and_answered() {
-    let mut set = settings();
-    set.classes[0].second_phase_parts = 1;
-    let mut harness = PolicyHarness::new(set, 3);
+    let mut settings = settings();
+    settings.classes[0].second_phase_parts = 1;
+    let mut harness = PolicyHarness::new(settings, 3);
     let (query, _, actions) = harness.query(0, 1);
     let done = vec![harness.ended(&sends(&actions)[0], 0, Outcome::Success)];
     assert!(harness.round(done).contains(&Action::Answer { query, complete: true }));
@@ -86,21 +87,22 @@
 fn an_at_most_once_query_that_may_have_run_fails_instead_of_being_rejected() {
     let mut harness = PolicyHarness::new(settings(), 3);
     let (query, _, _) = harness.query(1, 1);
-    let end = harness.pass(1300 * MS);
+    let end = harness.advance(1300 * MS);
     assert!(end.contains(&Action::Fail { query }));
     assert!(!end.iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
 #[test]
-fn a_query_that_is_given_up_is_rejected_once_with_a_retry_after() {
+fn a_query_that_cannot_be_served_is_rejected_once_with_a_retry_after() {
     let mut harness = PolicyHarness::new(settings(), 0);
     let (query, _, _) = harness.query(0, 2);
-    let end = harness.pass(1300 * MS);
+    let end = harness.advance(1300 * MS);
     let rejected = |a: &&Action| matches!(a, Action::Reject { query: q, retry_after } if *q == query && *retry_after > 0);
     assert_eq!(end.iter().filter(rejected).count(), 1);
 }
 
-/// Guards against a round for each open query where one a tick does: the coordinator has part of a core.
+/// The policy reviews all open queries in one round a tick. A round for each query would cost too much CPU time, since
+/// a coordinator has only part of a core.
 #[test]
 fn open_queries_are_reviewed_together() {
     let mut harness = PolicyHarness::new(settings(), 3);
@@ -109,7 +111,7 @@
         harness.now += 300_000;
         harness.query(0, 2);
     }
-    // Only the policy's own timers wake it: the next is due where the last asked for it.
+    // The only events are the policy's own timers; each round sets the next one.
     let (mut rounds, end) = (0, harness.now + 200 * MS);
     let mut next = harness.now + MS;
     while next < end {
@@ -125,18 +127,18 @@
     assert!(rounds <= 200 / 5 + 2, "{rounds} rounds in 40 ticks");
 }
 
-/// A client's retry of a query: its id, and its canary part as it is sent ahead.
+/// Submits a client's retry of a query. Returns its id and its canary part, which is sent first.
 fn retried_query(harness: &mut PolicyHarness, parts: u64) -> (QueryId, Sent) {
     let (query, mut events) = harness.query_events(0, parts);
     if let Event::QueryArrived { is_retry, .. } = &mut events[0] {
         *is_retry = true;
     }
     let canary = sends(&harness.round(events));
-    assert_eq!(canary.len(), 1, "one part is sent ahead");
+    assert_eq!(canary.len(), 1, "only the canary part is sent first");
     (query, canary[0])
 }
 
-/// Sends and serves the second phase of a query; returns how often it was answered after its first phase.
+/// Runs the second phase of a query. Returns the number of answers after its first phase.
 fn answers_of_second_phase(harness: &mut PolicyHarness, query: QueryId) -> usize {
     let part = Event::PartArrived { id: PartId(900), query, shard: ShardId(0), weight: 1.0 };
     let mut actions = harness.round(vec![part]);
@@ -146,29 +148,29 @@
     actions.iter().filter(|a| matches!(a, Action::Answer { .. })).count()
 }
 
-/// Guards against a query that goes back to admission after its first phase: it is answered twice by that phase, and the
-/// second is never sent.
+/// A query that returned to admission after its first phase would be answered twice from that phase, and its second
+/// phase would never be sent.
 #[test]
-fn a_retry_whose_canary_part_completes_the_first_phase_goes_on_to_the_second() {
-    let mut set = settings();
-    set.classes[0].second_phase_parts = 1;
-    let mut harness = PolicyHarness::new(set, 3);
+fn a_retry_whose_canary_part_completes_the_first_phase_starts_the_second() {
+    let mut settings = settings();
+    settings.classes[0].second_phase_parts = 1;
+    let mut harness = PolicyHarness::new(settings, 3);
     let (query, canary) = retried_query(&mut harness, 1);
     let actions = harness.round(vec![harness.ended(&canary, 0, Outcome::Success)]);
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Answer { .. })).count(), 1, "{actions:?}");
     assert_eq!(answers_of_second_phase(&mut harness, query), 1);
 }
 
-/// Guards the same where the first phase is answered in part while the rest of it waits for admission: no more of that
-/// phase is sent.
+/// The same failure for a first phase that gets a partial answer while its other parts wait for admission: these parts
+/// must not be sent.
 #[test]
-fn a_first_phase_that_is_answered_in_part_while_it_is_queued_goes_on_to_the_second() {
-    let mut set = settings();
-    set.classes[0].second_phase_parts = 1;
-    set.classes[0].min_coverage = 0.2;
-    let mut harness = PolicyHarness::new(set, 3);
+fn a_query_whose_first_phase_is_partially_answered_while_queued_starts_the_second() {
+    let mut settings = settings();
+    settings.classes[0].second_phase_parts = 1;
+    settings.classes[0].min_coverage = 0.2;
+    let mut harness = PolicyHarness::new(settings, 3);
     let (query, canary) = retried_query(&mut harness, 4);
-    // The list expires as the canary part completes, so the rest stays queued until it is too late for it.
+    // The endpoint list expires as the canary part completes, so the other parts stay queued until it is too late.
     let done = harness.ended(&canary, 0, Outcome::Success);
     let mut actions = harness.round(vec![Event::EndpointListExpired, done]);
     harness.now += 1190 * MS;
@@ -179,12 +181,13 @@
     assert_eq!(answers_of_second_phase(&mut harness, query), 1);
 }
 
-/// Guards against telling a client that a retry is harmless where the first phase has run and the second has not.
+/// A rejection promises the client that a retry is safe. An at-most-once query whose first phase has run must fail
+/// instead, even if the second phase never ran.
 #[test]
 fn an_at_most_once_query_whose_second_phase_never_ran_fails() {
-    let mut set = settings();
-    set.classes[1].second_phase_parts = 1;
-    let mut harness = PolicyHarness::new(set, 3);
+    let mut settings = settings();
+    settings.classes[1].second_phase_parts = 1;
+    let mut harness = PolicyHarness::new(settings, 3);
     let (query, _, actions) = harness.query(1, 1);
     harness.round(vec![harness.ended(&sends(&actions)[0], 0, Outcome::Success)]);
     let part = Event::PartArrived { id: PartId(900), query, shard: ShardId(0), weight: 1.0 };
@@ -197,7 +200,7 @@
             && !end.contains(&Action::Fail { query })
             && harness.now < START + 4000 * MS
         {
-            end.extend(harness.pass(5 * MS));
+            end.extend(harness.advance(5 * MS));
         }
         second = sends(&end);
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness for tests of the policy: settings, endpoint lists and queries in few words.
+//! Shared helpers for tests of the policy: settings, endpoint lists and queries.
 #![allow(dead_code, unused_imports, unreachable_pub)]
 
 use curlewdeck_core::api::*;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Settings with one class that may be answered from half of its parts.
+/// Settings with one class that allows partial answers from half of the weight.
 pub fn partial(late_value_ratio: f64) -> Settings {
     let class = Class {
         min_coverage: 0.5,
--- a/crates/core/tests/common/policy_harness.rs
+++ b/crates/core/tests/common/policy_harness.rs
@@ -1,20 +1,20 @@
-//! One policy under test, with time and events in the hands of the test.
+//! A policy under test; the test controls time and events.
 
 use curlewdeck_core::api::*;
 use curlewdeck_core::Policy;
 
 use super::{record, sends, Sent, MS, START};
 
-/// One policy and the time that it is told.
+/// A policy and the current time.
 pub struct PolicyHarness {
     pub policy: Policy,
     pub now: Nanos,
-    next: u64,
+    next_id: u64,
 }
 
 impl PolicyHarness {
     pub fn new(settings: Settings, servers: u32) -> Self {
-        let mut harness = Self { policy: Policy::new(settings, 7).unwrap(), now: START, next: 0 };
+        let mut harness = Self { policy: Policy::new(settings, 7).unwrap(), now: START, next_id: 0 };
         let records = (0..servers).map(|s| record(s, EndpointState::Active)).collect();
         harness.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, records }]);
         harness
@@ -24,8 +24,8 @@
         self.policy.round(self.now, events)
     }
 
-    /// Lets time pass in ticks, with nothing but wakes, and gathers the actions.
-    pub fn pass(&mut self, span: Nanos) -> Vec<Action> {
+    /// Advances the time in ticks of 5 ms with a timer event in each, and returns all actions.
+    pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
@@ -35,7 +35,7 @@
         actions
     }
 
-    /// A query with its parts, all at shard 0; returns its id, its parts' ids and the actions.
+    /// Submits a query whose parts are all for shard 0. Returns its id, the ids of its parts and the actions.
     pub fn query(&mut self, class: usize, parts: u64) -> (QueryId, Vec<PartId>, Vec<Action>) {
         let (id, events) = self.query_events(class, parts);
         let ids = (id.0 + 1..=id.0 + parts).map(PartId).collect();
@@ -44,8 +44,8 @@
     }
 
     pub fn query_events(&mut self, class: usize, parts: u64) -> (QueryId, Vec<Event>) {
-        let id = QueryId(self.next);
-        self.next += 1 + parts;
+        let id = QueryId(self.next_id);
+        self.next_id += 1 + parts;
         let deadline = self.now + 4000 * MS;
         let mut events = vec![Event::QueryArrived {
             id,
@@ -70,7 +70,7 @@
         Event::AttemptEnded { part: send.part, attempt, server: send.server, outcome, latency }
     }
 
-    /// Serves `n` one-part queries of 100 ms each, so that the policy has samples.
+    /// Serves `n` one-part queries in 100 ms each, so that the policy has latency samples.
     pub fn warm_up(&mut self, n: usize) {
         for _ in 0..n {
             let (_, _, actions) = self.query(0, 1);
@@ -81,9 +81,9 @@
     }
 }
 
-/// Servers with these zones, all holding shard 0.
-pub fn harness_with_zones(set: Settings, zones: &[u32]) -> PolicyHarness {
-    let mut harness = PolicyHarness::new(Settings { zones: 3, ..set }, 0);
+/// Creates a harness with one server for each entry of `zones`, all of which hold shard 0.
+pub fn harness_with_zones(settings: Settings, zones: &[u32]) -> PolicyHarness {
+    let mut harness = PolicyHarness::new(Settings { zones: 3, ..settings }, 0);
     let zone = |z: u32| Some(ZoneId(z));
     let to_record =
         |(s, &z): (usize, &u32)| EndpointRecord { zone: zone(z), ..record(s as u32, EndpointState::Active) };
@@ -92,12 +92,12 @@
     harness
 }
 
-/// Ends every send in turn, and what the policy sends for it: 100 ms, or silent for 600 ms where `bad` says
-/// so.
+/// Ends every sent attempt in turn, including those that the policy sends in response: successfully after 100 ms, or
+/// with a timeout after 600 ms if `is_silent` returns true for the server. Returns the servers used.
 pub fn serve_actions(
     harness: &mut PolicyHarness,
     actions: &[Action],
-    bad: impl Fn(ServerId) -> bool,
+    is_silent: impl Fn(ServerId) -> bool,
 ) -> Vec<ServerId> {
     let mut used = Vec::new();
     let mut attempts = std::collections::BTreeMap::new();
@@ -105,9 +105,8 @@
     while let Some(sent) = queue.pop() {
         used.push(sent.server);
         let attempt = attempts.entry(sent.part).and_modify(|n| *n += 1).or_insert(0);
-        let silent = bad(sent.server);
         let (latency, outcome) =
-            if silent { (600 * MS, Outcome::TimedOut) } else { (100 * MS, Outcome::Success) };
+            if is_silent(sent.server) { (600 * MS, Outcome::TimedOut) } else { (100 * MS, Outcome::Success) };
         harness.now += latency;
         let ended = harness.ended_after(&sent, *attempt, outcome, latency);
         queue.extend(sends(&harness.round(vec![ended])));
@@ -115,23 +114,23 @@
     used
 }
 
-/// Serves one-part queries one after the other; returns the servers used.
+/// Serves `n` one-part queries one after the other with [`serve_actions`]. Returns the servers used.
 pub fn serve(
     harness: &mut PolicyHarness,
     n: usize,
     class: usize,
-    bad: impl Fn(ServerId) -> bool,
+    is_silent: impl Fn(ServerId) -> bool,
 ) -> Vec<ServerId> {
     let mut used = Vec::new();
     for _ in 0..n {
         let (_, _, actions) = harness.query(class, 1);
-        used.extend(serve_actions(harness, &actions, &bad));
+        used.extend(serve_actions(harness, &actions, &is_silent));
         harness.now += 50 * MS;
     }
     used
 }
 
-/// A query of class 0 whose deadline is `client_timeout` from now; returns its id and the actions.
+/// Submits a query of class 0 whose deadline is `client_timeout` from now. Returns its id and the actions.
 pub fn query_with_deadline(
     harness: &mut PolicyHarness,
     parts: u64,
--- a/crates/core/tests/connection_health.rs
+++ b/crates/core/tests/connection_health.rs
@@ -1,4 +1,4 @@
-//! Health of connections: idle ones that are dropped unseen, and new ones that do not come up.
+//! Connection health: idle connections that are dropped without notice, and new connections that cannot be established.
 
 mod common;
 
@@ -9,8 +9,8 @@
 
 #[test]
 fn silent_idle_connections_are_closed_before_use() {
-    let set = Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() };
-    let mut harness = PolicyHarness::new(set, 3);
+    let settings = Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() };
+    let mut harness = PolicyHarness::new(settings, 3);
     serve(&mut harness, 20, 0, |_| false);
     let mut closed = 0;
     for _ in 0..12 {
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn a_server_that_is_silent_on_every_connection_has_none_closed() {
-    let set = Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() };
-    let mut harness = PolicyHarness::new(set, 3);
+fn connections_to_a_server_that_never_responds_are_not_closed() {
+    let settings = Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() };
+    let mut harness = PolicyHarness::new(settings, 3);
     serve(&mut harness, 20, 0, |_| false);
     for _ in 0..30 {
         let (_, _, actions) = harness.query(0, 1);
@@ -39,11 +39,11 @@
 
 #[test]
 fn attempts_lost_together_on_an_idle_connection_do_not_count_against_connections_in_use() {
-    let set = Settings { connection_idle_timeout: Some(30_000 * MS), max_open: 1000, ..settings() };
-    let mut harness = PolicyHarness::new(set, 6);
+    let settings = Settings { connection_idle_timeout: Some(30_000 * MS), max_open: 1000, ..settings() };
+    let mut harness = PolicyHarness::new(settings, 6);
     let (mut closed, mut lost, mut open) = (0, 0, BTreeSet::new());
     for _ in 0..12 {
-        // A connection is dropped unseen whenever it has been idle for 3 s: it answers nothing until closed.
+        // Any connection idle for 3 s is dropped without notice: attempts on it get no response until it is closed.
         let (mut closed_now, mut in_flight, mut attempts) = (Vec::new(), Vec::new(), BTreeMap::new());
         let mut used = BTreeSet::new();
         let (_, _, mut actions) = harness.query(0, 12);
@@ -54,23 +54,23 @@
                     Action::StartAttempt { part, server, .. } => {
                         let attempt = attempts.entry(*part).and_modify(|n| *n += 1).or_insert(0);
                         let sent = Sent { part: *part, server: *server };
-                        let good = closed_now.contains(server) || !open.contains(server);
+                        let responds = closed_now.contains(server) || !open.contains(server);
                         used.insert(*server);
-                        lost += usize::from(!good);
+                        lost += usize::from(!responds);
                         in_flight.push((
-                            harness.now + if good { 100 } else { 600 } * MS,
+                            harness.now + if responds { 100 } else { 600 } * MS,
                             sent,
                             *attempt,
-                            good,
+                            responds,
                         ));
                     }
                     _ => {}
                 }
             }
             harness.now += 50 * MS;
-            let (due, left): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|o| o.0 <= harness.now);
-            in_flight = left;
-            let ended = due.iter().map(|(_, s, n, good)| match good {
+            let (due, not_due): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|o| o.0 <= harness.now);
+            in_flight = not_due;
+            let ended = due.iter().map(|(_, s, n, responds)| match responds {
                 true => harness.ended(s, *n, Outcome::Success),
                 false => harness.ended_after(s, *n, Outcome::TimedOut, 600 * MS),
             });
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn idle_connections_are_suspect_even_if_most_servers_keep_theirs() {
+fn idle_connections_are_closed_even_if_most_servers_keep_theirs() {
     let mut harness =
         PolicyHarness::new(Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() }, 5);
     for _ in 0..60 {
@@ -94,7 +94,7 @@
         let done = sends(&actions).iter().map(|s| harness.ended(s, 0, Outcome::Success)).collect();
         harness.round(done);
     }
-    // One lost, three answered on idle connections: a quarter of the servers drop them.
+    // On idle connections, one attempt in four is lost: a quarter of the servers drop them.
     let mut closed = 0;
     for n in 0..24 {
         harness.now += 3000 * MS;
@@ -113,9 +113,10 @@
     assert!(closed >= 10, "{closed}");
 }
 
-/// The quiet case of the test above: idle ones are lost, but new ones often cannot be opened at all.
+/// Closing idle connections would do harm here: some of them are dropped without notice, but new connections often
+/// cannot be established at all.
 #[test]
-fn idle_connections_are_kept_while_new_ones_do_not_come_up() {
+fn idle_connections_are_kept_while_new_ones_cannot_be_established() {
     let mut harness =
         PolicyHarness::new(Settings { connection_idle_timeout: Some(30_000 * MS), ..settings() }, 5);
     let mut closed = 0;
@@ -133,7 +134,7 @@
         };
         let retries = sends(&harness.round(vec![ended]));
         harness.round(retries.iter().map(|s| harness.ended(s, 1, Outcome::Success)).collect());
-        harness.pass(1000 * MS);
+        harness.advance(1000 * MS);
     }
     assert!(closed <= 5, "{closed}");
 }
--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -1,7 +1,6 @@
-//! Random steps over the decisions: from the round on in which an update of the list comes, nothing is sent
-//! to a server that is not up, and none such is health checked, whichever way leads there. A round holds
-//! several events in any order, as after a pause of the process: updates of the list, ends of attempts,
-//! queries.
+//! Property test with random events: from the round that contains an update of the endpoint list on, inactive servers
+//! get no attempts and no health checks, whichever decision would cause them. A round contains several events in any
+//! order, as after a pause of the process: updates of the list, ends of attempts, queries.
 
 mod common;
 
@@ -19,18 +18,18 @@
 const SHARDS: u32 = 3;
 const ZONES: u32 = 2;
 
-/// What happens in a round.
+/// An event in a round.
 #[derive(Debug, Clone)]
 enum Step {
     Query { class: usize, parts: u32 },
-    End { pick: usize, outcome: Outcome },
+    EndAttempt { pick: usize, outcome: Outcome },
     Delta { records: Vec<(u32, EndpointState)> },
     Snapshot { records: Vec<(u32, EndpointState)> },
     EmptyDelta,
     Disconnect { pick: usize },
 }
 
-/// Several events at one moment, and the time that passes behind them.
+/// Several simultaneous events, and the time in milliseconds until the next round.
 type Round = (Vec<Step>, u64);
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -50,14 +49,14 @@
     prop_oneof![2 => Just(EndpointState::Active), 2 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)]
 }
 
-fn records(most: usize) -> impl Strategy<Value = Vec<(u32, EndpointState)>> {
-    proptest::collection::vec((0..SERVERS, state()), 0..most)
+fn records(max_len: usize) -> impl Strategy<Value = Vec<(u32, EndpointState)>> {
+    proptest::collection::vec((0..SERVERS, state()), 0..max_len)
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         5 => (0..3usize, 1..=SHARDS).prop_map(|(class, parts)| Step::Query { class, parts }),
-        8 => (any::<usize>(), outcome()).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
+        8 => (any::<usize>(), outcome()).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
         2 => records(4).prop_map(|records| Step::Delta { records }),
         1 => records(8).prop_map(|records| Step::Snapshot { records }),
         1 => Just(Step::EmptyDelta),
@@ -69,7 +68,7 @@
     (proptest::collection::vec(step(), 0..6), prop_oneof![2 => 0..20u64, 1 => 20..800u64])
 }
 
-/// What was seen over all cases: without each of these the rule was not tried.
+/// Counts over all cases: the test has exercised the rule only if each of them is large enough.
 #[derive(Debug, Default)]
 struct Exercised {
     sends: u32,
@@ -97,19 +96,19 @@
     settings: Settings,
     policy: Policy,
     now: Nanos,
-    wake: Option<Nanos>,
-    next: u64,
+    timer_at: Option<Nanos>,
+    next_id: u64,
     queries: BTreeMap<QueryId, Query>,
     parts: BTreeMap<PartId, Part>,
-    /// The servers that are up by the updates so far.
-    up: BTreeSet<ServerId>,
+    /// The servers that are active according to the updates so far.
+    active: BTreeSet<ServerId>,
     in_flight: Vec<(PartId, u32, ServerId, Nanos)>,
     health_checks: Vec<(ServerId, Nanos)>,
     exercised: &'a RefCell<Exercised>,
 }
 
-/// Two phases, partial answers, hedges and health checks, two zones, and no bound on further attempts but
-/// those of the classes.
+/// Settings with two phases, partial answers, hedges, health checks and two zones. Only the limits of the classes apply
+/// to attempts beyond the first.
 fn settings_with_all_kinds_of_attempts() -> Settings {
     let mut settings = settings();
     settings.classes[0].second_phase_parts = 2;
@@ -137,11 +136,11 @@
             settings,
             policy,
             now: START,
-            wake: None,
-            next: 0,
+            timer_at: None,
+            next_id: 0,
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
-            up: BTreeSet::new(),
+            active: BTreeSet::new(),
             in_flight: Vec::new(),
             health_checks: Vec::new(),
             exercised,
@@ -152,15 +151,19 @@
         harness
     }
 
-    /// The model of the list: the last word on a server holds.
-    fn list(&mut self, kind: EndpointUpdateKind, records: &[(u32, EndpointState)]) -> Event {
+    /// Updates the model of the endpoint list, in which the last record of a server counts, and returns the event.
+    fn update_list(&mut self, kind: EndpointUpdateKind, records: &[(u32, EndpointState)]) -> Event {
         if kind == EndpointUpdateKind::Snapshot {
-            self.up.clear();
+            self.active.clear();
         }
         for &(server, state) in records {
             match state {
-                EndpointState::Active => drop(self.up.insert(ServerId(server))),
-                EndpointState::Draining | EndpointState::Removed => drop(self.up.remove(&ServerId(server))),
+                EndpointState::Active => {
+                    self.active.insert(ServerId(server));
+                }
+                EndpointState::Draining | EndpointState::Removed => {
+                    self.active.remove(&ServerId(server));
+                }
             }
         }
         let to_record = |&(server, state): &(u32, EndpointState)| EndpointRecord {
@@ -174,7 +177,7 @@
     fn events(&mut self, step: &Step) -> Vec<Event> {
         match step {
             Step::Query { class, parts } => self.query(*class, *parts),
-            Step::End { pick, outcome } if !self.in_flight.is_empty() => {
+            Step::EndAttempt { pick, outcome } if !self.in_flight.is_empty() => {
                 let (part, attempt, server, sent) = self.in_flight.swap_remove(pick % self.in_flight.len());
                 if let Some(p) = self.parts.get_mut(&part) {
                     p.in_flight.remove(&attempt);
@@ -182,9 +185,9 @@
                 let latency = self.now - sent;
                 vec![Event::AttemptEnded { part, attempt, server, outcome: *outcome, latency }]
             }
-            Step::End { .. } => self.health_checked().into_iter().collect(),
-            Step::Delta { records } => vec![self.list(EndpointUpdateKind::Delta, records)],
-            Step::Snapshot { records } => vec![self.list(EndpointUpdateKind::Snapshot, records)],
+            Step::EndAttempt { .. } => self.end_health_check().into_iter().collect(),
+            Step::Delta { records } => vec![self.update_list(EndpointUpdateKind::Delta, records)],
+            Step::Snapshot { records } => vec![self.update_list(EndpointUpdateKind::Snapshot, records)],
             Step::EmptyDelta => {
                 vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: Vec::new() }]
             }
@@ -195,14 +198,14 @@
         }
     }
 
-    fn health_checked(&mut self) -> Option<Event> {
+    fn end_health_check(&mut self) -> Option<Event> {
         let (server, sent) = self.health_checks.pop()?;
         Some(Event::HealthChecked { server, outcome: Outcome::ConnectFailed, latency: self.now - sent })
     }
 
     fn query(&mut self, class: usize, parts: u32) -> Vec<Event> {
-        let id = QueryId(self.next);
-        self.next += 1;
+        let id = QueryId(self.next_id);
+        self.next_id += 1;
         let shards: Vec<ShardId> = (0..parts).map(ShardId).collect();
         self.queries.insert(id, Query { class, shards: shards.clone(), is_second_phase: false });
         let mut events = vec![Event::QueryArrived {
@@ -221,21 +224,21 @@
         let weight = 1.0 / shards.len() as f64;
         let mut events = Vec::new();
         for &shard in shards {
-            let id = PartId(self.next);
-            self.next += 1;
+            let id = PartId(self.next_id);
+            self.next_id += 1;
             self.parts.insert(id, Part { is_second_phase, ..Part::default() });
             events.push(Event::PartArrived { id, query, shard, weight });
         }
         events
     }
 
-    /// One round, and those that follow from it at the same moment.
+    /// Runs a round, and further rounds at the same time until no more events result.
     fn round(&mut self, events: Vec<Event>) {
         let mut events = events;
         loop {
             let actions = self.policy.round(self.now, std::mem::take(&mut events));
             for action in actions {
-                events.extend(self.act(&action));
+                events.extend(self.execute(&action));
             }
             if events.is_empty() {
                 return;
@@ -243,29 +246,29 @@
         }
     }
 
-    fn act(&mut self, action: &Action) -> Vec<Event> {
+    fn execute(&mut self, action: &Action) -> Vec<Event> {
         match *action {
-            Action::StartAttempt { part, server, .. } => self.sent(part, server),
+            Action::StartAttempt { part, server, .. } => self.record_send(part, server),
             Action::CheckHealth { server } => {
-                assert!(self.up.contains(&server), "health check of an inactive server");
+                assert!(self.active.contains(&server), "health check of an inactive server");
                 self.exercised.borrow_mut().health_checks += 1;
                 self.health_checks.push((server, self.now));
             }
-            Action::CancelAttempt { part, attempt } => return self.cancelled(part, attempt),
-            Action::Answer { query, .. } => return self.answered(query),
+            Action::CancelAttempt { part, attempt } => return self.cancel_attempt(part, attempt),
+            Action::Answer { query, .. } => return self.answer(query),
             Action::Reject { query, .. } | Action::Fail { query } => drop(self.queries.remove(&query)),
             Action::SetTimer { after } => {
                 let at = self.now + after;
-                self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
+                self.timer_at = Some(self.timer_at.map_or(at, |timer| timer.min(at)));
             }
             Action::CloseIdleConnections { .. } => {}
         }
         Vec::new()
     }
 
-    fn sent(&mut self, id: PartId, server: ServerId) {
-        assert!(self.up.contains(&server), "sent to an inactive server");
-        let Some(part) = self.parts.get_mut(&id) else { panic!("sent what is not known") };
+    fn record_send(&mut self, id: PartId, server: ServerId) {
+        assert!(self.active.contains(&server), "an attempt was sent to an inactive server");
+        let Some(part) = self.parts.get_mut(&id) else { panic!("an attempt of an unknown part was sent") };
         let mut exercised = self.exercised.borrow_mut();
         exercised.sends += 1;
         exercised.retries += u32::from(part.attempts > 0);
@@ -276,7 +279,7 @@
         part.attempts += 1;
     }
 
-    fn cancelled(&mut self, part: PartId, attempt: u32) -> Vec<Event> {
+    fn cancel_attempt(&mut self, part: PartId, attempt: u32) -> Vec<Event> {
         let Some(at) = self.in_flight.iter().position(|o| (o.0, o.1) == (part, attempt)) else {
             return Vec::new();
         };
@@ -293,7 +296,7 @@
         }]
     }
 
-    fn answered(&mut self, id: QueryId) -> Vec<Event> {
+    fn answer(&mut self, id: QueryId) -> Vec<Event> {
         let has_second_phase =
             |q: &Query| self.settings.classes[q.class].second_phase_parts > 0 && !q.is_second_phase;
         match self.queries.get_mut(&id) {
@@ -309,12 +312,12 @@
         }
     }
 
-    /// Time passes: only the policy's own timers wake it.
-    fn pass(&mut self, span: Nanos) {
+    /// Advances the time; the only events are the policy's own timers.
+    fn advance(&mut self, span: Nanos) {
         let end = self.now + span;
-        while let Some(at) = self.wake.filter(|&w| w <= end) {
+        while let Some(at) = self.timer_at.filter(|&timer| timer <= end) {
             self.now = at.max(self.now);
-            self.wake = None;
+            self.timer_at = None;
             self.round(vec![Event::TimerFired]);
         }
         self.now = end;
@@ -322,7 +325,7 @@
 }
 
 #[test]
-fn no_attempt_goes_to_an_inactive_server_from_the_round_of_the_update_on() {
+fn inactive_servers_get_no_attempts_from_the_round_of_the_update_on() {
     let exercised = RefCell::new(Exercised::default());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[37; 32]);
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
@@ -333,7 +336,7 @@
         for (steps, ms) in &rounds {
             let events: Vec<Event> = steps.iter().flat_map(|step| harness.events(step)).collect();
             harness.round(events);
-            harness.pass(ms * MS);
+            harness.advance(ms * MS);
         }
         Ok(())
     });
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: who may be sent attempts by it, and when it may be used.
+//! The endpoint list: the servers that get attempts, and the times at which the list is usable.
 
 mod common;
 
@@ -22,7 +22,7 @@
     assert_eq!(sends(&actions)[0].server, ServerId(0));
 }
 
-/// A policy that knows the list from before its start, and no other.
+/// Creates a policy whose only endpoint list is the unconfirmed one from before the restart of its process.
 fn restarted() -> PolicyHarness {
     let mut harness = PolicyHarness::new(settings(), 0);
     harness.policy = Policy::new(settings(), 7).unwrap();
@@ -31,17 +31,16 @@
     harness
 }
 
-/// Guards servers that began to drain while this process was away: what the one before it was notified of
-/// counts for it too. Queries go out with the first update, if only an empty one, where that leaves a
-/// server in.
+/// Servers may begin to drain while the process restarts, and a notification to the previous process binds the new one
+/// too. Queries wait for the first update, which may be empty, and are sent if it leaves a server active.
 #[test]
-fn nothing_is_sent_by_an_unconfirmed_list() {
+fn no_attempt_is_sent_while_the_list_is_unconfirmed() {
     for (kind, draining) in
         [(EndpointUpdateKind::Delta, 1), (EndpointUpdateKind::Snapshot, 3), (EndpointUpdateKind::Delta, 0)]
     {
         let mut harness = restarted();
         assert!(sends(&harness.query(0, 3).2).is_empty());
-        assert!(sends(&harness.pass(300 * MS)).is_empty());
+        assert!(sends(&harness.advance(300 * MS)).is_empty());
         let records: Vec<_> = (0..draining).map(|s| record(s, EndpointState::Draining)).collect();
         let sent = sends(&harness.round(vec![Event::EndpointsUpdated { kind, records }]));
         assert!(sent.iter().all(|s| s.server.0 >= draining), "{sent:?}");
@@ -49,12 +48,12 @@
     }
 }
 
-/// Guards against a wait that time alone ends: whether the list may be used is for the subscription to say.
+/// Only an update from the subscription makes an unconfirmed list usable; no timeout does.
 #[test]
 fn an_unconfirmed_list_does_not_become_usable_with_time() {
     let mut harness = restarted();
     for _ in 0..100 {
         assert!(sends(&harness.query(0, 1).2).is_empty());
-        assert!(sends(&harness.pass(1000 * MS)).is_empty());
+        assert!(sends(&harness.advance(1000 * MS)).is_empty());
     }
 }
--- a/crates/core/tests/invalid_input.rs
+++ b/crates/core/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Settings, ids and events that cannot be used.
+//! Invalid settings, unknown ids and invalid events.
 
 mod common;
 
@@ -7,19 +7,19 @@
 use curlewdeck_core::Policy;
 
 #[test]
-fn unusable_settings_are_named() {
-    let mut set = settings();
-    set.classes.clear();
-    assert_eq!(Policy::new(set, 1).err(), Some(SettingsError::NoClasses));
-    let mut set = settings();
-    set.layout.partition_groups = 0;
-    assert!(matches!(Policy::new(set, 1), Err(SettingsError::InvalidLayout(_))));
-    let mut set = settings();
-    set.classes[1].complete_coverage = f64::NAN;
-    assert!(matches!(Policy::new(set, 1), Err(SettingsError::InvalidClass(ClassId(1), _))));
-    let mut set = settings();
-    set.classes[0].max_attempts = 0;
-    assert!(Policy::new(set, 1).is_err_and(|e| e.to_string().contains("max_attempts")));
+fn errors_name_the_invalid_setting() {
+    let mut without_classes = settings();
+    without_classes.classes.clear();
+    assert_eq!(Policy::new(without_classes, 1).err(), Some(SettingsError::NoClasses));
+    let mut without_groups = settings();
+    without_groups.layout.partition_groups = 0;
+    assert!(matches!(Policy::new(without_groups, 1), Err(SettingsError::InvalidLayout(_))));
+    let mut with_invalid_coverage = settings();
+    with_invalid_coverage.classes[1].complete_coverage = f64::NAN;
+    assert!(matches!(Policy::new(with_invalid_coverage, 1), Err(SettingsError::InvalidClass(ClassId(1), _))));
+    let mut without_attempts = settings();
+    without_attempts.classes[0].max_attempts = 0;
+    assert!(Policy::new(without_attempts, 1).is_err_and(|e| e.to_string().contains("max_attempts")));
 }
 
 #[test]
@@ -28,14 +28,16 @@
     assert!(matches!(bad, Err(SettingsError::InvalidFigure(what)) if what.contains("zones")));
     let mut harness = harness_with_zones(settings(), &[0, 9, 4_000_000]);
     let served = serve(&mut harness, 9, 0, |_| false);
-    assert_eq!(served.len(), 9, "a zone out of range counts as none");
+    assert_eq!(served.len(), 9, "a zone out of range counts as unknown");
     harness.round(vec![Event::HealthChecked {
         server: ServerId(77),
         outcome: Outcome::ConnectionReset,
         latency: u64::MAX,
     }]);
-    let odd = Sent { part: PartId(1 << 40), server: ServerId(0) };
-    assert!(sends(&harness.round(vec![harness.ended_after(&odd, 3, Outcome::Success, u64::MAX)])).is_empty());
+    let unknown = Sent { part: PartId(1 << 40), server: ServerId(0) };
+    assert!(
+        sends(&harness.round(vec![harness.ended_after(&unknown, 3, Outcome::Success, u64::MAX)])).is_empty()
+    );
 }
 
 #[test]
@@ -51,5 +53,5 @@
     assert!(sends(&harness.round(events)).is_empty());
     harness.now -= 500 * MS;
     let (_, _, actions) = harness.query(0, 1);
-    assert_eq!(sends(&actions).len(), 1, "a clock that runs backwards counts as the latest time seen");
+    assert_eq!(sends(&actions).len(), 1, "a time before the latest one counts as the latest");
 }
--- a/crates/core/tests/outlier_detection.rs
+++ b/crates/core/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: servers that fail or are slow while their peers are not.
+//! Outlier detection: servers that fail or are slow while their peers are healthy.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use curlewdeck_core::api::*;
 
 #[test]
-fn a_silent_server_comes_last_once_its_attempt_is_cancelled() {
+fn a_silent_server_is_deprioritized_once_its_attempt_is_cancelled() {
     let mut harness = PolicyHarness::new(settings(), 3);
     harness.warm_up(40);
     let silent = ServerId(0);
@@ -20,8 +20,8 @@
             harness.round(vec![harness.ended(&first, 0, Outcome::Success)]);
             continue;
         }
-        let retries = sends(&harness.pass(490 * MS));
-        assert_eq!(retries.len(), 1, "retried elsewhere");
+        let retries = sends(&harness.advance(490 * MS));
+        assert_eq!(retries.len(), 1, "the part is retried at another server");
         let Sent { part, server } = first;
         let latency = 490 * MS;
         let end = Event::AttemptEnded { part, attempt: 0, server, outcome: Outcome::Cancelled, latency };
@@ -35,14 +35,13 @@
 fn a_slow_server_is_deprioritized() {
     let mut harness = PolicyHarness::new(settings(), 4);
     let slow = ServerId(0);
-    let mut late = 0;
+    let mut sent_to_slow = 0;
     for i in 0..60 {
         let (_, _, actions) = harness.query(0, 1);
         let sent = sends(&actions)[0];
-        let taken = if sent.server == slow { 400 } else { 50 };
-        late += u32::from(i >= 40 && sent.server == slow);
-        harness.now += taken * MS;
-        let latency = taken * MS;
+        let latency = if sent.server == slow { 400 } else { 50 } * MS;
+        sent_to_slow += u32::from(i >= 40 && sent.server == slow);
+        harness.now += latency;
         let Sent { part, server } = sent;
         harness.round(vec![Event::AttemptEnded {
             part,
@@ -52,23 +51,23 @@
             latency,
         }]);
     }
-    assert!(late <= 1, "{late} of the last 20 went to the slow server");
+    assert!(sent_to_slow <= 1, "{sent_to_slow} of the last 20 went to the slow server");
 }
 
 #[test]
-fn a_full_replica_does_not_push_work_to_an_ejected_one() {
+fn parts_beyond_a_replicas_limit_are_not_sent_to_an_ejected_one() {
     let mut harness = PolicyHarness::new(settings(), 2);
     let (_, _, actions) = harness.query(0, 1);
-    let dead = sends(&actions)[0];
-    harness.round(vec![harness.ended(&dead, 0, Outcome::ConnectFailed)]);
+    let ejected = sends(&actions)[0];
+    harness.round(vec![harness.ended(&ejected, 0, Outcome::ConnectFailed)]);
     for _ in 0..10 {
         let (_, _, actions) = harness.query(0, 1);
-        assert!(sends(&actions).iter().all(|s| s.server != dead.server));
+        assert!(sends(&actions).iter().all(|s| s.server != ejected.server));
     }
 }
 
 #[test]
-fn a_server_that_ignores_one_class_keeps_serving_the_others() {
+fn a_server_that_is_silent_for_one_class_still_gets_the_others() {
     let mut harness = PolicyHarness::new(settings(), 4);
     for class in [0, 2] {
         serve(&mut harness, 20, class, |_| false);
@@ -83,8 +82,8 @@
     assert!(other_class.contains(&ServerId(0)), "{other_class:?}");
 }
 
-/// Guards against waiting with a part whose connection broke, and against ejecting its server for it or
-/// taking it for restarted: connections break at sound servers, too.
+/// Connections to healthy servers break too: a part whose connection breaks is retried immediately, and its server is
+/// neither ejected nor considered restarted.
 #[test]
 fn a_connection_reset_neither_delays_a_retry_nor_ejects_its_server() {
     let mut harness = PolicyHarness::new(settings(), 3);
@@ -99,15 +98,15 @@
         harness.now += 100 * MS;
         let done = harness.round(retries.iter().map(|s| harness.ended(s, 1, Outcome::Success)).collect());
         assert!(done.contains(&Action::Answer { query, complete: true }));
-        harness.pass(2000 * MS);
+        harness.advance(2000 * MS);
         let used: std::collections::BTreeSet<ServerId> =
             serve(&mut harness, 6, 0, |_| false).into_iter().collect();
         assert_eq!(used.len(), 3);
     }
 }
 
-/// Guards against holding malformed responses, which may come from any server, against one: it is neither
-/// ejected nor taken for restarted, and its queries are sent on.
+/// Any server may send a malformed response: the server is neither ejected nor considered restarted, and the parts are
+/// retried.
 #[test]
 fn malformed_responses_do_not_eject_their_server() {
     let mut harness = PolicyHarness::new(settings(), 3);
@@ -115,7 +114,7 @@
     for _ in 0..6 {
         let (query, _, actions) = harness.query(0, 3);
         let first = sends(&actions);
-        // One connection, with three parts of one query out.
+        // All three parts of the query are in flight on one connection.
         let retries =
             harness.round(first.iter().map(|s| harness.ended(s, 0, Outcome::MalformedResponse)).collect());
         let retried = sends(&retries);
@@ -123,29 +122,29 @@
         harness.now += 100 * MS;
         let done = harness.round(retried.iter().map(|s| harness.ended(s, 1, Outcome::Success)).collect());
         assert!(done.contains(&Action::Answer { query, complete: true }));
-        harness.pass(2000 * MS);
+        harness.advance(2000 * MS);
         let used: std::collections::BTreeSet<ServerId> =
             serve(&mut harness, 6, 0, |_| false).into_iter().collect();
         assert_eq!(used.len(), 3);
     }
 }
 
-/// Guards against trusting a server that stalls half of the time anew for each part that it answers: where a
-/// coordinator sends to it once in seconds, it comes after the others for long.
+/// A success must not fully clear a server that stalls on every second attempt: if a coordinator sends to it only once
+/// in several seconds, the server stays deprioritized for a long time.
 #[test]
-fn a_server_that_stalls_now_and_then_is_avoided_where_traffic_is_low() {
-    let mut set = Settings { coordinators: 100, ..settings() };
-    set.classes.iter_mut().for_each(|c| c.latency_objective = 300 * MS);
-    let mut harness = PolicyHarness::new(set, 4);
-    let (mut at_bad, mut all) = (0, 0);
+fn a_server_that_stalls_intermittently_is_avoided_under_low_traffic() {
+    let mut settings = Settings { coordinators: 100, ..settings() };
+    settings.classes.iter_mut().for_each(|c| c.latency_objective = 300 * MS);
+    let mut harness = PolicyHarness::new(settings, 4);
+    let (mut sent_to_stalling, mut total) = (0, 0);
     for _ in 0..120 {
         harness.now += 1000 * MS;
         let mut actions = harness.query(0, 1).2;
         let mut attempt = 0;
         while let Some(&sent) = sends(&actions).first() {
-            all += 1;
-            let stalled = sent.server.0 == 0 && at_bad % 2 == 0;
-            at_bad += usize::from(sent.server.0 == 0);
+            total += 1;
+            let stalled = sent.server.0 == 0 && sent_to_stalling % 2 == 0;
+            sent_to_stalling += usize::from(sent.server.0 == 0);
             let (outcome, latency) =
                 if stalled { (Outcome::TimedOut, 200 * MS) } else { (Outcome::Success, 50 * MS) };
             harness.now += latency;
@@ -153,5 +152,8 @@
             attempt += 1;
         }
     }
-    assert!(at_bad > 2 && at_bad * 6 < all, "{at_bad} of {all} parts");
+    assert!(
+        sent_to_stalling > 2 && sent_to_stalling * 6 < total,
+        "{sent_to_stalling} of {total} attempts went to the stalling server"
+    );
 }
--- a/crates/core/tests/policy_invariants.rs
+++ b/crates/core/tests/policy_invariants.rs
@@ -1,4 +1,4 @@
-//! Property tests with a fixed seed: arbitrary legal event streams, the six rules asserted.
+//! Property tests with a fixed seed: check the rules of the policy against arbitrary valid event streams.
 
 mod common;
 
@@ -13,10 +13,10 @@
 #[derive(Debug, Clone)]
 enum Step {
     Query { class: usize, parts: u64 },
-    End { pick: usize, outcome: Outcome },
-    List { server: u32, state: EndpointState, restart: bool },
+    EndAttempt { pick: usize, outcome: Outcome },
+    UpdateList { server: u32, state: EndpointState, restart: bool },
     Disconnect { pick: usize },
-    Pass { ms: u64 },
+    Advance { ms: u64 },
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -36,16 +36,16 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..3usize, 0..5u64).prop_map(|(class, parts)| Step::Query { class, parts }),
-        8 => (any::<usize>(), outcome()).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        1 => (0..4u32, state(), any::<bool>()).prop_map(|(server, state, restart)| Step::List { server, state, restart }),
+        8 => (any::<usize>(), outcome()).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
+        1 => (0..4u32, state(), any::<bool>()).prop_map(|(server, state, restart)| Step::UpdateList { server, state, restart }),
         1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
-        4 => (1..400u64).prop_map(|ms| Step::Pass { ms }),
+        4 => (1..400u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
 #[derive(Debug)]
 struct Attempt {
-    sent: Nanos,
+    sent_at: Nanos,
     outcome: Option<Outcome>,
 }
 
@@ -73,33 +73,33 @@
     disconnected: bool,
 }
 
-/// What the outside sees: it plays the servers and checks every action against the rules.
+/// Simulates clients, servers and discovery, and checks every action of the policy against the rules.
 struct Harness {
-    set: Settings,
+    settings: Settings,
     policy: Policy,
     now: Nanos,
-    wake: Option<Nanos>,
-    next: u64,
+    timer_at: Option<Nanos>,
+    next_id: u64,
     queries: BTreeMap<QueryId, Query>,
     parts: BTreeMap<PartId, Part>,
     active: BTreeMap<ServerId, bool>,
     in_flight: Vec<(PartId, u32, ServerId, Nanos)>,
     arrivals: Vec<Nanos>,
     further_attempts: Vec<Nanos>,
-    /// Queries whose first phase was answered in this round: the parts of the second arrive in the next.
+    /// Queries whose first phase was answered in this round; the parts of their second phase arrive in the next.
     second_phases: Vec<QueryId>,
     log: Vec<Action>,
 }
 
 impl Harness {
-    fn new(set: Settings) -> Self {
-        let policy = Policy::new(set.clone(), 11).unwrap();
+    fn new(settings: Settings) -> Self {
+        let policy = Policy::new(settings.clone(), 11).unwrap();
         let mut harness = Self {
-            set,
+            settings,
             policy,
             now: START,
-            wake: None,
-            next: 0,
+            timer_at: None,
+            next_id: 0,
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
             active: (0..4).map(|s| (ServerId(s), true)).collect(),
@@ -130,10 +130,10 @@
         }
     }
 
-    /// The one part of a query's second phase arrives.
+    /// Adds the only part of a query's second phase and returns the event of its arrival.
     fn second_phase_part(&mut self, query: QueryId) -> Event {
-        let id = PartId(self.next);
-        self.next += 1;
+        let id = PartId(self.next_id);
+        self.next_id += 1;
         let part = Part { query, phase: Phase::Second, weight: 1.0, attempts: Vec::new(), complete: false };
         self.parts.insert(id, part);
         self.arrivals.push(self.now);
@@ -144,15 +144,21 @@
         match action {
             Action::StartAttempt { part, server, timeout } => self.check_send(*part, *server, *timeout),
             Action::CancelAttempt { part, attempt } => {
-                assert!((*attempt as usize) < self.parts[part].attempts.len(), "cancel of nothing sent");
+                assert!(
+                    (*attempt as usize) < self.parts[part].attempts.len(),
+                    "an attempt was cancelled that was never sent"
+                );
             }
             Action::Answer { query, complete } => {
                 let Query { class, phase, .. } = self.queries[query];
-                let class = &self.set.classes[class];
+                let class = &self.settings.classes[class];
                 let of_phase = |p: &&Part| p.query == *query && p.phase == phase && p.complete;
                 let weight: f64 = self.parts.values().filter(of_phase).map(|p| p.weight).sum();
-                assert!(weight >= class.min_coverage - 1e-4, "answer below the least coverage");
-                assert!(!complete || weight >= class.complete_coverage - 1e-4, "marked complete and is not");
+                assert!(weight >= class.min_coverage - 1e-4, "an answer is below the minimum coverage");
+                assert!(
+                    !complete || weight >= class.complete_coverage - 1e-4,
+                    "an incomplete answer is marked complete"
+                );
                 if class.second_phase_parts > 0 && phase == Phase::First {
                     self.queries.entry(*query).and_modify(|q| q.phase = Phase::Second);
                     self.second_phases.push(*query);
@@ -163,21 +169,24 @@
             Action::Reject { query, .. } => {
                 self.close(*query);
                 let at_most_once =
-                    self.set.classes[self.queries[query].class].retry_safety == RetrySafety::AtMostOnce;
+                    self.settings.classes[self.queries[query].class].retry_safety == RetrySafety::AtMostOnce;
                 let never_ran = self
                     .parts
                     .values()
                     .filter(|p| p.query == *query)
                     .all(|p| p.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::never_ran)));
-                assert!(!at_most_once || never_ran, "rejected what may have run");
+                assert!(!at_most_once || never_ran, "an at-most-once query was rejected that may have run");
             }
             Action::Fail { query } => self.close(*query),
             Action::CheckHealth { .. } => {
-                assert!(self.set.may_check_health, "a health check where none is allowed")
+                assert!(
+                    self.settings.may_check_health,
+                    "a health check was sent although the settings do not allow it"
+                )
             }
             Action::SetTimer { after } => {
                 let at = self.now + after;
-                self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
+                self.timer_at = Some(self.timer_at.map_or(at, |timer| timer.min(at)));
             }
             _ => {}
         }
@@ -186,41 +195,44 @@
     fn close(&mut self, query: QueryId) {
         let q = self.queries.get_mut(&query).unwrap();
         q.final_answers += 1;
-        assert!(!q.disconnected && q.final_answers == 1, "a second final answer");
-        assert!(self.now <= q.deadline + 20 * MS, "final answer too late");
+        assert!(
+            !q.disconnected && q.final_answers == 1,
+            "a query got a second final answer, or one after its client disconnected"
+        );
+        assert!(self.now <= q.deadline + 20 * MS, "a final answer came too late");
     }
 
     fn check_send(&mut self, part: PartId, server: ServerId, timeout: Nanos) {
-        assert!(self.active[&server], "sent to an inactive server");
+        assert!(self.active[&server], "an attempt was sent to an inactive server");
         let p = self.parts.get_mut(&part).unwrap();
         let q = &self.queries[&p.query];
-        assert!(q.final_answers == 0 && !q.disconnected, "sent after the end");
-        assert_eq!(p.phase, q.phase, "sent after the end of its phase");
+        assert!(q.final_answers == 0 && !q.disconnected, "an attempt was sent after the end of its query");
+        assert_eq!(p.phase, q.phase, "an attempt was sent after the end of its phase");
         assert!(self.now + timeout <= q.deadline);
-        let class = &self.set.classes[q.class];
+        let class = &self.settings.classes[q.class];
         let may_have_run = p.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran));
         match class.retry_safety {
             RetrySafety::Idempotent => {}
-            RetrySafety::AtMostOnce => assert!(may_have_run.is_none(), "an at-most-once part sent twice"),
+            RetrySafety::AtMostOnce => assert!(may_have_run.is_none(), "an at-most-once part was sent twice"),
             RetrySafety::Deduplicated => {
                 assert!(
-                    may_have_run.is_none_or(|a| self.now <= a.sent + class.retry_window),
-                    "past the retry window"
+                    may_have_run.is_none_or(|a| self.now <= a.sent_at + class.retry_window),
+                    "a deduplicated part was sent after its retry window"
                 );
             }
         }
-        p.attempts.push(Attempt { sent: self.now, outcome: None });
+        p.attempts.push(Attempt { sent_at: self.now, outcome: None });
         let number = p.attempts.len() as u32 - 1;
         assert!(p.attempts.len() <= class.max_attempts as usize);
         self.in_flight.push((part, number, server, self.now));
         if number > 0 {
             self.further_attempts.push(self.now);
-            let budget = self.set.retry_budget.unwrap();
+            let budget = self.settings.retry_budget.unwrap();
             let from = self.now - budget.window;
             let count = |times: &[Nanos]| times.iter().filter(|&&t| t > from).count() as f64;
             assert!(
                 count(&self.further_attempts) <= budget.base_attempts + budget.ratio * count(&self.arrivals),
-                "over the retry budget"
+                "attempts exceed the retry budget"
             );
         }
     }
@@ -228,7 +240,7 @@
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Query { class, parts } => self.query(class, parts),
-            Step::End { pick, outcome } if !self.in_flight.is_empty() => {
+            Step::EndAttempt { pick, outcome } if !self.in_flight.is_empty() => {
                 let (part, attempt, server, sent) = self.in_flight.swap_remove(pick % self.in_flight.len());
                 let p = self.parts.get_mut(&part).unwrap();
                 p.attempts[attempt as usize].outcome = Some(outcome);
@@ -236,8 +248,8 @@
                 let latency = self.now - sent;
                 self.round(vec![Event::AttemptEnded { part, attempt, server, outcome, latency }]);
             }
-            Step::End { .. } => {}
-            Step::List { server, state, restart } => {
+            Step::EndAttempt { .. } => {}
+            Step::UpdateList { server, state, restart } => {
                 self.active.insert(ServerId(server), state == EndpointState::Active);
                 let started_at = if restart { self.now } else { 0 };
                 let zone = Some(ZoneId(server % 3));
@@ -257,13 +269,13 @@
                     self.round(vec![Event::ClientDisconnected(id)]);
                 }
             }
-            Step::Pass { ms } => self.pass(ms * MS),
+            Step::Advance { ms } => self.advance(ms * MS),
         }
     }
 
     fn query(&mut self, class: usize, parts: u64) {
-        let id = QueryId(self.next);
-        self.next += 1 + parts;
+        let id = QueryId(self.next_id);
+        self.next_id += 1 + parts;
         let deadline = self.now + 3000 * MS;
         self.queries.insert(
             id,
@@ -288,46 +300,46 @@
         self.round(events);
     }
 
-    /// Time passes: only the policy's own timers wake it.
-    fn pass(&mut self, span: Nanos) {
+    /// Advances the time; the only events are the policy's own timers.
+    fn advance(&mut self, span: Nanos) {
         let end = self.now + span;
-        while let Some(at) = self.wake.filter(|&w| w <= end) {
+        while let Some(at) = self.timer_at.filter(|&timer| timer <= end) {
             self.now = at.max(self.now);
-            self.wake = None;
+            self.timer_at = None;
             self.round(vec![Event::TimerFired]);
         }
         self.now = end;
     }
 }
 
-fn run(steps: &[Step], set: Settings) -> Vec<Action> {
-    let mut harness = Harness::new(set);
+fn run(steps: &[Step], settings: Settings) -> Vec<Action> {
+    let mut harness = Harness::new(settings);
     for step in steps {
         harness.step(step);
     }
-    harness.pass(10_000 * MS);
-    let lost = harness.queries.values().filter(|q| q.final_answers == 0 && !q.disconnected).count();
-    assert_eq!(lost, 0, "queries without a final answer");
+    harness.advance(10_000 * MS);
+    let unanswered = harness.queries.values().filter(|q| q.final_answers == 0 && !q.disconnected).count();
+    assert_eq!(unanswered, 0, "queries without a final answer");
     harness.log
 }
 
 fn mixed() -> Settings {
-    let mut set = settings();
-    set.classes[0].complete_coverage = 0.7;
-    set.classes[0].min_coverage = 0.4;
-    set.classes[2].late_value_ratio = 0.3;
-    // One zone less than the list names: a zone out of range is not known.
-    set.zones = 2;
-    set.connection_idle_timeout = Some(5000 * MS);
-    set.clients_mark_retries = true;
-    set
+    let mut settings = settings();
+    settings.classes[0].complete_coverage = 0.7;
+    settings.classes[0].min_coverage = 0.4;
+    settings.classes[2].late_value_ratio = 0.3;
+    // The endpoint list contains one zone more: a zone out of range counts as unknown.
+    settings.zones = 2;
+    settings.connection_idle_timeout = Some(5000 * MS);
+    settings.clients_mark_retries = true;
+    settings
 }
 
-/// Partial answers, value of late answers, shared calls, a budget of a tenth and no health checks.
+/// Settings with partial answers, value for late answers, shared calls, a retry budget of a tenth and no health checks.
 fn partial() -> Settings {
-    let mut set = mixed();
+    let mut settings = mixed();
     for (class, (min_coverage, late_value_ratio)) in
-        set.classes.iter_mut().zip([(0.5, 0.1), (1.0, 0.0), (0.6, 0.3)])
+        settings.classes.iter_mut().zip([(0.5, 0.1), (1.0, 0.0), (0.6, 0.3)])
     {
         let retry_safety = RetrySafety::Idempotent;
         *class = Class {
@@ -339,26 +351,26 @@
             ..class.clone()
         };
     }
-    set.layout = ShardLayout { max_batch: 4, call_overhead: 58 * MS, ..set.layout };
-    set.retry_budget = Some(RetryBudget { window: 5000 * MS, base_attempts: 5.0, ratio: 0.1 });
-    set.classes.iter_mut().for_each(|c| c.max_attempts = 4);
-    Settings { may_check_health: false, ..set }
+    settings.layout = ShardLayout { max_batch: 4, call_overhead: 58 * MS, ..settings.layout };
+    settings.retry_budget = Some(RetryBudget { window: 5000 * MS, base_attempts: 5.0, ratio: 0.1 });
+    settings.classes.iter_mut().for_each(|c| c.max_attempts = 4);
+    Settings { may_check_health: false, ..settings }
 }
 
-/// Queries of two phases, answered in part or only when they are complete.
+/// Settings with two-phase queries, some of whose classes allow partial answers.
 fn two_phases() -> Settings {
-    let mut set = mixed();
-    set.classes.iter_mut().for_each(|c| c.second_phase_parts = 1);
-    set
+    let mut settings = mixed();
+    settings.classes.iter_mut().for_each(|c| c.second_phase_parts = 1);
+    settings
 }
 
-fn assert_invariants(set: fn() -> Settings) {
+fn assert_invariants(settings: fn() -> Settings) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[42; 32]);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = proptest::collection::vec(step(), 1..200);
     let result = runner.run(&steps, |steps| {
-        assert_eq!(run(&steps, set()), run(&steps, set()));
+        assert_eq!(run(&steps, settings()), run(&steps, settings()));
         Ok(())
     });
     result.unwrap();
@@ -374,7 +386,7 @@
     assert_invariants(partial);
 }
 
-/// Guards against queries that are sent on, or answered again, in a phase that has its answer.
+/// A phase that has been answered must get no more attempts and no second answer.
 #[test]
 fn invariants_hold_with_two_phases() {
     assert_invariants(two_phases);
--- a/crates/core/tests/replica_selection.rs
+++ b/crates/core/tests/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Replica selection: which server takes a part.
+//! Replica selection: the choice of the server for each part.
 
 mod common;
 
@@ -14,8 +14,8 @@
     assert_eq!(servers, [0, 1, 2]);
 }
 
-/// Guards against paying for traffic between zones where nothing is gained by it; fewest calls in flight comes
-/// before that.
+/// Cross-zone traffic costs money and has no benefit between equal replicas. The number of calls in flight takes
+/// precedence over the zone.
 #[test]
 fn the_local_zone_comes_first_among_equal_replicas() {
     let mut harness = PolicyHarness::new(Settings { zones: 2, local_zone: Some(ZoneId(1)), ..settings() }, 0);
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start, as one coordinator keeps it.
+//! Slow start limits of a single coordinator.
 
 mod common;
 
@@ -22,7 +22,7 @@
         to_restarted += sends(&actions).iter().filter(|s| s.server == ServerId(1)).count();
         harness.round(done);
     }
-    // The fewest in flight alone would split the forty evenly.
+    // Selection by the fewest in flight alone would split the 40 attempts evenly.
     assert!(
         to_restarted >= 1 && to_restarted * 3 <= 40 - to_restarted,
         "{to_restarted} of 40 went to the server in slow start"
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn connects_that_fail_everywhere_begin_no_slow_start() {
+fn connection_failures_at_all_servers_start_no_slow_start() {
     let mut harness =
         PolicyHarness::new(Settings { connection_idle_timeout: Some(100 * MS), ..settings() }, 8);
     let mut attempts = std::collections::BTreeMap::new();
@@ -43,14 +43,14 @@
                 let failed = harness.ended(&sent, *attempt, Outcome::ConnectFailed);
                 later.extend(harness.round(vec![failed]));
             }
-            later.extend(harness.pass(100 * MS));
+            later.extend(harness.advance(100 * MS));
             actions = later;
         }
     }
-    harness.pass(20_000 * MS);
+    harness.advance(20_000 * MS);
     for _ in 0..2 {
         let (_, _, actions) = harness.query(0, 8);
-        assert_eq!(sends(&actions).len(), 8, "no server is in slow start");
+        assert_eq!(sends(&actions).len(), 8, "a server is in slow start");
         harness.now += 100 * MS;
         let done = sends(&actions).iter().map(|s| harness.ended(s, 0, Outcome::Success)).collect();
         harness.round(done);
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn a_slow_start_budget_below_one_part_still_adds_up_to_parts() {
-    let mut set = settings();
-    set.coordinators = 100;
-    let mut harness = PolicyHarness::new(set, 2);
+fn a_slow_start_budget_below_one_part_accumulates_to_whole_parts() {
+    let mut settings = settings();
+    settings.coordinators = 100;
+    let mut harness = PolicyHarness::new(settings, 2);
     harness.warm_up(40);
     let started = EndpointRecord { started_at: harness.now, ..record(1, EndpointState::Active) };
     harness.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: vec![started] }]);
@@ -74,37 +74,39 @@
     assert!((1..12).contains(&to_restarted), "{to_restarted}");
 }
 
-/// Guards against a fleet that rejects queries beside servers in slow start with room, and against one whose
-/// coordinators save up until together they push a server in slow start over. What a coordinator may send one
-/// and does not adds up to a third of the root of their number, at least to one part: so many may go at once
-/// and not one more, however long it left them unused while other servers completed parts for it.
+/// With too small a burst, a fleet rejects queries although servers in slow start have free capacity; with too large a
+/// burst, its coordinators together overload a server in slow start. The unused budget of a coordinator accumulates to
+/// a third of the square root of the number of coordinators, and to at least one part. That many parts can be sent at
+/// once, however long the budget was unused while other servers completed parts for the coordinator.
 #[test]
-fn an_unused_slow_start_budget_adds_up_among_many_coordinators_only() {
+fn an_unused_slow_start_budget_accumulates_only_among_many_coordinators() {
     let work = 50 * MS;
-    for (coordinators, fit) in [(1, 1), (3, 1), (9, 1), (36, 2), (100, 3), (320, 5)] {
-        // Shard 0 is held by the server in slow start alone, shard 1 by one that is warm.
+    for (coordinators, burst) in [(1, 1), (3, 1), (9, 1), (36, 2), (100, 3), (320, 5)] {
+        // Only the server in slow start holds shard 0; only the warm server holds shard 1.
         let layout = ShardLayout { partition_groups: 2, groups_per_shard: 1, ..settings().layout };
-        let set = Settings { coordinators, layout, ..settings() };
+        let settings = Settings { coordinators, layout, ..settings() };
         let records = [0, 1]
-            .map(|cell| EndpointRecord { partition_group: cell, ..record(cell, EndpointState::Active) });
+            .map(|group| EndpointRecord { partition_group: group, ..record(group, EndpointState::Active) });
         let restart = START + 1000 * MS;
-        for unused in [set.slow_start.warm_up_duration / 2, set.slow_start.warm_up_duration - 200 * MS] {
-            let mut coordinator = Coordinator::new(&set, 1, &records);
+        for unused in
+            [settings.slow_start.warm_up_duration / 2, settings.slow_start.warm_up_duration - 200 * MS]
+        {
+            let mut coordinator = Coordinator::new(&settings, 1, &records);
             let started = EndpointRecord { started_at: restart, ..records[0] };
             let update =
                 vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: vec![started] }];
             coordinator.policy.round(restart, update);
             let end = restart + unused;
-            let mut elsewhere = 0;
+            let mut sent_to_warm = 0;
             for now in (restart..end).step_by(STEP as usize) {
                 let (sent, _) =
                     coordinator.round_at(now, vec![], &[ShardId(1)], |_, _| (now + work, Outcome::Success));
                 assert!(sent.iter().all(|s| s.0 == 1), "{sent:?}");
-                elsewhere += sent.len();
+                sent_to_warm += sent.len();
             }
-            assert!(elsewhere > 500, "{elsewhere} parts at the warm server");
+            assert!(sent_to_warm > 500, "{sent_to_warm} parts at the warm server");
             let at_once: usize = (0..8).map(|_| coordinator.round(end, 1, work).0.len()).sum();
-            assert_eq!(at_once, fit, "{coordinators} coordinators, {} ms unused", unused / MS);
+            assert_eq!(at_once, burst, "{coordinators} coordinators, {} ms unused", unused / MS);
         }
     }
 }
--- a/crates/core/tests/source_limits.rs
+++ b/crates/core/tests/source_limits.rs
@@ -1,4 +1,4 @@
-//! Keeps every file of the policy short enough to read at a sitting.
+//! Limits the length of the policy's source files and their lines, so that each file can be read in one sitting.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 const MAX_NON_BLANK_LINES: usize = 300;
 const MAX_LINE_LENGTH: usize = 110;
 
-/// All files below a folder, those of its subfolders included.
+/// Returns all files in a folder and its subfolders.
 fn files_below(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).unwrap() {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_file_of_the_policy_stays_within_its_limits() {
+fn every_file_of_the_policy_is_within_the_length_limits() {
     let files = files_below(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy"));
     assert!(files.iter().any(|file| file.ends_with("policy/mod.rs")), "{files:?}");
     for file in files {
@@ -31,6 +31,10 @@
         let is_long = |line: &str| line.chars().count() > MAX_LINE_LENGTH;
         let long: Vec<usize> =
             (1..).zip(text.lines()).filter(|(_, line)| is_long(line)).map(|(n, _)| n).collect();
-        assert!(long.is_empty(), "{}: lines past {MAX_LINE_LENGTH} characters: {long:?}", file.display());
+        assert!(
+            long.is_empty(),
+            "{}: lines longer than {MAX_LINE_LENGTH} characters: {long:?}",
+            file.display()
+        );
     }
 }
--- a/crates/core/tests/wall_clock_steps.rs
+++ b/crates/core/tests/wall_clock_steps.rs
@@ -1,5 +1,5 @@
-//! Wall clocks may be stepped, forward or back, while a coordinator runs: a data node that has started is
-//! in slow start for its span of real time, whatever Unix time the list gives for its start.
+//! Wall clocks may be stepped forward or back while a coordinator runs. A data node that has started is in slow start
+//! for the full warm-up duration, whatever Unix time the endpoint list contains for its start.
 
 mod common;
 
@@ -10,8 +10,8 @@
 const SECOND: Nanos = 1_000 * MS;
 const RESTARTED: ServerId = ServerId(1);
 
-/// How often a server is sent to in `span`, of two that hold the one shard, beside queries one after the
-/// other.
+/// Serves one-part queries one after the other for `span`, with two servers that hold the shard. Returns the number of
+/// attempts sent to the restarted server.
 fn sent_to_restarted_server(harness: &mut PolicyHarness, span: Nanos) -> usize {
     let (end, mut sent) = (harness.now + span, 0);
     while harness.now < end {
@@ -25,11 +25,11 @@
     sent
 }
 
-/// The list's service is heard of every second, without a change, for so long.
+/// Confirms the endpoint list with an empty update every second for `span`.
 fn confirm_list_every_second(harness: &mut PolicyHarness, span: Nanos) {
     let end = harness.now + span;
     while harness.now < end {
-        harness.pass(SECOND);
+        harness.advance(SECOND);
         harness.round(vec![Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, records: Vec::new() }]);
     }
 }
@@ -42,8 +42,8 @@
     }]);
 }
 
-/// What a server in slow start is sent within the rule's span when its start is claimed as it is.
-fn sent_after_honest_start() -> usize {
+/// Returns the number of attempts sent in one overload window to a server in slow start whose start time is correct.
+fn sent_after_correct_start() -> usize {
     let mut harness = PolicyHarness::new(settings(), 2);
     harness.warm_up(40);
     confirm_list_every_second(&mut harness, 10 * SECOND);
@@ -52,7 +52,7 @@
     sent_to_restarted_server(&mut harness, settings().slow_start.overload_duration)
 }
 
-/// What a warm one is sent in that time.
+/// Returns the number of attempts sent to a warm server in the same time.
 fn sent_to_warm_server() -> usize {
     let mut harness = PolicyHarness::new(settings(), 2);
     harness.warm_up(40);
@@ -60,31 +60,31 @@
 }
 
 fn assert_in_slow_start(harness: &mut PolicyHarness, case: &str) {
-    let (sent_after_honest_start, sent) = (
-        sent_after_honest_start(),
+    let (sent_after_correct_start, sent) = (
+        sent_after_correct_start(),
         sent_to_restarted_server(harness, settings().slow_start.overload_duration),
     );
     assert!(
-        sent <= sent_after_honest_start + 2,
-        "{case}: {sent} parts, where {sent_after_honest_start} go when the start is claimed as it is"
+        sent <= sent_after_correct_start + 2,
+        "{case}: {sent} parts, but {sent_after_correct_start} with the correct start time"
     );
 }
 
-/// Both must tell apart what is counted below.
+/// The tests below rely on a clear difference between these two counts.
 #[test]
 fn a_server_in_slow_start_gets_far_less_than_a_warm_one() {
     assert!(
-        sent_after_honest_start() + 4 < sent_to_warm_server(),
+        sent_after_correct_start() + 4 < sent_to_warm_server(),
         "{} and {}",
-        sent_after_honest_start(),
+        sent_after_correct_start(),
         sent_to_warm_server()
     );
 }
 
-/// A server restarts after the wall clocks of all machines were stepped back: its start lies before what was
-/// heard since.
+/// A server restarts after the wall clocks of all machines were stepped back: its reported start time is earlier than
+/// the last confirmation of the list.
 #[test]
-fn a_start_claimed_after_the_wall_clock_went_back_counts_from_now() {
+fn a_start_reported_after_a_step_back_counts_from_now() {
     for back in [2 * SECOND, 5 * SECOND, 20 * SECOND, HOUR] {
         for kind in [EndpointUpdateKind::Delta, EndpointUpdateKind::Snapshot] {
             let mut harness = PolicyHarness::new(settings(), 2);
@@ -98,10 +98,10 @@
     }
 }
 
-/// The wall clock went forward: the start lies ahead, and the slow start begins when it is heard of, and
-/// ends.
+/// After a step forward, the reported start time is in the future. Slow start begins when the start is reported, and
+/// ends after the warm-up duration.
 #[test]
-fn a_start_claimed_after_the_wall_clock_went_forward_counts_from_now_and_ends() {
+fn a_start_reported_after_a_step_forward_counts_from_now_and_slow_start_ends() {
     let mut harness = PolicyHarness::new(settings(), 2);
     harness.warm_up(40);
     confirm_list_every_second(&mut harness, 10 * SECOND);
@@ -112,15 +112,15 @@
     let sent = sent_to_restarted_server(&mut harness, settings().slow_start.overload_duration);
     assert!(
         sent + 4 >= sent_to_warm_server(),
-        "{sent} parts once it is warm, where {} go to a warm one",
+        "{sent} parts after the warm-up, but {} to a warm server",
         sent_to_warm_server()
     );
 }
 
-/// A server that has started once starts again after the wall clock was stepped back by an hour: the second
-/// start has an earlier time than the first.
+/// A server restarts after the wall clock was stepped back by an hour: its second start has an earlier time than the
+/// first.
 #[test]
-fn a_second_start_with_an_earlier_time_is_a_start() {
+fn a_second_start_with_an_earlier_time_begins_slow_start() {
     let mut harness = PolicyHarness::new(settings(), 2);
     harness.now += 2 * HOUR;
     harness.warm_up(40);
@@ -133,10 +133,9 @@
     assert_in_slow_start(&mut harness, "the second start");
 }
 
-/// The same start claimed again is no change: a snapshot after a broken watch begins no slow start, and
-/// neither does one without the time.
+/// A snapshot after a broken watch repeats known start times, or lacks them: neither begins another slow start.
 #[test]
-fn a_known_start_is_not_counted_anew() {
+fn a_known_start_does_not_begin_slow_start_again() {
     let mut harness = PolicyHarness::new(settings(), 2);
     let start = harness.now;
     update_list(&mut harness, EndpointUpdateKind::Delta, start);
@@ -147,14 +146,14 @@
         let sent = sent_to_restarted_server(&mut harness, settings().slow_start.overload_duration);
         assert!(
             sent + 4 >= sent_to_warm_server(),
-            "{sent} parts, where {} go to a warm one",
+            "{sent} parts, but {} to a warm server",
             sent_to_warm_server()
         );
     }
 }
 
-/// A coordinator that has just started believes the first list: servers that started long ago are warm.
-/// Whether the wall clock was stepped before it began cannot be seen by it.
+/// A coordinator that has just started accepts the start times of its first list: servers that started long ago are
+/// warm. It cannot detect steps of the wall clock before its own start.
 #[test]
 fn servers_of_the_first_list_that_started_long_ago_are_warm() {
     for kind in [EndpointUpdateKind::Snapshot, EndpointUpdateKind::Unconfirmed] {
@@ -168,39 +167,39 @@
         let sent = sent_to_restarted_server(&mut harness, settings().slow_start.overload_duration);
         assert!(
             sent + 4 >= sent_to_warm_server(),
-            "{kind:?}: {sent} parts, where {} go to a warm one",
+            "{kind:?}: {sent} parts, but {} to a warm server",
             sent_to_warm_server()
         );
     }
 }
 
-/// The list was not heard of for a minute, and in that time the wall clock was stepped back, as the process
-/// has seen: what restarted meanwhile cannot be known by its time.
+/// The list was not confirmed for a minute, and the process detected a step back of the wall clock in that time: start
+/// times from the outage are not reliable.
 #[test]
 fn a_start_after_an_outage_with_a_clock_step_counts_from_now() {
     let mut harness = PolicyHarness::new(settings(), 2);
     harness.warm_up(40);
     confirm_list_every_second(&mut harness, 10 * SECOND);
-    harness.pass(60 * SECOND);
+    harness.advance(60 * SECOND);
     harness.policy.wall_clock_stepped();
     let now = harness.now;
     update_list(&mut harness, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
     assert_in_slow_start(&mut harness, "an outage and a step");
 }
 
-/// Without a step, a start in an outage is believed: the server is as warm as it says.
+/// Without a clock step, the reported start time of a server that restarted during an outage of discovery is used.
 #[test]
-fn a_start_in_an_outage_is_believed() {
+fn a_start_time_in_an_outage_without_a_clock_step_is_accepted() {
     let mut harness = PolicyHarness::new(settings(), 2);
     harness.warm_up(40);
     confirm_list_every_second(&mut harness, 10 * SECOND);
-    harness.pass(60 * SECOND);
+    harness.advance(60 * SECOND);
     let now = harness.now;
     update_list(&mut harness, EndpointUpdateKind::Snapshot, now - 30 * SECOND);
     let sent = sent_to_restarted_server(&mut harness, settings().slow_start.overload_duration);
     assert!(
         sent + 4 >= sent_to_warm_server(),
-        "{sent} parts, where {} go to a warm one",
+        "{sent} parts, but {} to a warm server",
         sent_to_warm_server()
     );
 }
