--- a/crates/membership/src/call.rs
+++ b/crates/membership/src/call.rs
@@ -1,53 +1,53 @@
-//! Calls to discovery, as the embedder sees them.
+//! Calls to discovery: their identifiers, requests and results.
 
-/// A call to discovery, numbered for the life of its subscription.
+/// The identifier of a call to discovery, unique within its subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 /// What a call requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Request {
-    /// The complete list, and a watch from its version on.
+    /// The complete list, followed by a watch for later changes.
     Snapshot,
-    /// A watch on what has changed since a version.
+    /// A watch for the changes after a version.
     Watch {
-        /// That version.
+        /// The last version that the coordinator has.
         since: u64,
     },
 }
 
-/// How a call has ended.
+/// The reason why a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// This machine could not even try: no socket, port or memory for it.
+    /// The call failed on this machine before it was sent: no socket, port or memory was available.
     LocalFailure,
-    /// No connection came up: refused, or out of reach.
+    /// No connection was established: refused or unreachable.
     Unreachable,
-    /// The connection has ended before any response, or none came for the call's lifetime.
+    /// The connection ended before a response, or no response arrived within the call's lifetime.
     Unanswered,
-    /// The service has answered that it is busy or down.
+    /// The service responded that it is busy or down.
     Busy,
-    /// The service has answered that it cannot do what was requested.
+    /// The service responded that it does not accept the request.
     Rejected,
-    /// The response was complete, and no watch followed it.
+    /// The response was complete, without a watch after it.
     Complete,
-    /// The service has ended the watch between two of its lines.
+    /// The service ended the watch between two lines.
     WatchEnded,
-    /// The connection has failed between two lines of the watch.
+    /// The connection failed between two lines of the watch.
     Broken,
-    /// The connection has ended or failed within a response's head or a line: what it would have said is lost.
+    /// The connection ended or failed within a response head or a line, which is lost.
     Truncated,
-    /// What came could not be read, and may have been a change.
+    /// The received data could not be parsed and may have been a change.
     Unreadable,
 }
 
 impl CallEnd {
-    /// Whether the call may have gone on as a watch, which is to be reopened.
+    /// Whether the call may have become a watch, which has to be reopened.
     pub(crate) fn may_have_been_watch(self) -> bool {
         matches!(self, Self::WatchEnded | Self::Broken | Self::Truncated | Self::Complete)
     }
 
-    /// Whether the service may not have worked for the call at all: no response came.
+    /// Whether no response arrived, so that the call may have cost the service no work.
     pub(crate) fn was_not_served(self) -> bool {
         matches!(self, Self::Unreachable | Self::Unanswered)
     }
--- a/crates/membership/src/confirmation.rs
+++ b/crates/membership/src/confirmation.rs
@@ -1,33 +1,33 @@
-//! Whether the endpoint list from before the start of the process may be used.
+//! Decides whether a restarted process may use the endpoint list of the previous process.
 
 use curlewdeck_core::api::Nanos;
 
 use crate::NOTIFIED_AFTER;
 
-/// Where discovery cannot be heard for this long after the start, the list from before it is used all the same: a
-/// coordinator that never serves anybody helps nobody.
+/// How long after the start an unconfirmed list is withheld. After that it is used without confirmation, since a
+/// coordinator would otherwise reject all queries for as long as discovery fails.
 const UNCONFIRMED_WAIT: Nanos = 5 * NOTIFIED_AFTER;
 
-/// How far the endpoint list from before the start has been confirmed.
+/// Whether discovery has confirmed the endpoint list of the previous process.
 ///
-/// Changes that the previous process was notified of count for this one too, and a list that may lack some of them is no
-/// basis for sending. A call that fails or is late confirms nothing: discovery may have had changes, and been reachable,
-/// while this process was away.
+/// This process also counts as notified of the changes that were announced before its start, so it must not send
+/// queries by a list that may lack some of them. A failed or late call confirms nothing: discovery may have been
+/// reachable and had changes between the two processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Confirmation {
-    /// Discovery has not been heard since the start.
+    /// Nothing has been received from discovery since the start.
     Unconfirmed {
         /// When the process started.
         since: Nanos,
     },
-    /// Discovery could not be heard for so long that the list is used unconfirmed.
+    /// Nothing was received within the wait for a confirmation, so the list is used without one.
     Assumed,
-    /// Discovery has confirmed the list or sent a newer one.
+    /// Discovery confirmed the list or sent a newer one.
     Confirmed,
 }
 
 impl Confirmation {
-    /// The state of a process that starts now.
+    /// Creates the state of a process that starts at `now`.
     pub fn new(now: Nanos) -> Self {
         Self::Unconfirmed { since: now }
     }
@@ -37,12 +37,12 @@
         !matches!(self, Self::Unconfirmed { .. })
     }
 
-    /// Discovery was heard: a snapshot, a delta, or a heartbeat on a watch from the version that is held.
+    /// Records a snapshot, a delta, or a heartbeat on a watch from the version that the coordinator has.
     pub fn confirm(&mut self) {
         *self = Self::Confirmed;
     }
 
-    /// When the list is used unconfirmed, if discovery is not heard before.
+    /// When the list becomes usable without confirmation; `None` once it is usable.
     pub fn deadline(self) -> Option<Nanos> {
         match self {
             Self::Unconfirmed { since } => Some(since.saturating_add(UNCONFIRMED_WAIT)),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Time has passed. Returns whether the list has become usable just now.
+    /// Makes the list usable once its deadline has passed. Returns whether this call did so.
     pub fn expire(&mut self, now: Nanos) -> bool {
         let is_due = self.deadline().is_some_and(|deadline| deadline <= now);
         if is_due {
--- a/crates/membership/src/contact.rs
+++ b/crates/membership/src/contact.rs
@@ -1,53 +1,54 @@
-//! Whether discovery has been out of reach ever since it was last heard.
+//! Tracks whether discovery has been unreachable ever since the last message from it.
 //!
-//! A call that is refused shows that discovery is out of reach now, not that it was before: a watch that had fallen silent
-//! may have missed a change that discovery had, and could be reached for, until then.
+//! A refused call shows that discovery is unreachable now, but not that it was unreachable before. A watch that was
+//! already silent may have missed a change from the time when discovery was still reachable.
 
 use curlewdeck_core::api::Nanos;
 
 use crate::{CALL_GAP, HEARTBEAT_INTERVAL, SAFETY_MARGIN};
 
-/// A watch that broke later than this after its last line had fallen silent before.
+/// The longest time between the last line and the end of a live watch. A longer one shows that the watch was silent.
 const LIVE_WATCH_SILENCE: Nanos = HEARTBEAT_INTERVAL + SAFETY_MARGIN;
-/// Two calls that were refused, the one this long after the other, belong to one outage.
+/// The longest time between two refused calls of one outage.
 const OUTAGE_CALL_GAP: Nanos = CALL_GAP + SAFETY_MARGIN;
 
-/// The last that is known of discovery.
+/// The last known state of discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Contact {
-    /// It was heard at this time.
-    Heard(Nanos),
-    /// It was out of reach at this time, and nothing can have been missed since it was heard.
-    OutOfReach(Nanos),
-    /// It could be reached after it was heard, and may have had a change that did not arrive.
-    MayHaveMissed,
+    /// A message arrived from discovery at this time.
+    Received(Nanos),
+    /// Discovery was unreachable at this time, and no update can have been missed since its last message.
+    Unreachable(Nanos),
+    /// Discovery was reachable after its last message, and may have had a change that did not arrive.
+    MayHaveMissedUpdate,
 }
 
 impl Contact {
-    /// The watch has ended, in whatever way, or its service is left.
+    /// Records the end of the watch, for any reason, or a move to another service.
     pub(crate) fn watch_ended(&mut self, now: Nanos) {
-        if let Self::Heard(heard_at) = *self {
-            let was_live = now.saturating_sub(heard_at) <= LIVE_WATCH_SILENCE;
-            *self = if was_live { Self::OutOfReach(now) } else { Self::MayHaveMissed };
+        if let Self::Received(received_at) = *self {
+            let was_live = now.saturating_sub(received_at) <= LIVE_WATCH_SILENCE;
+            *self = if was_live { Self::Unreachable(now) } else { Self::MayHaveMissedUpdate };
         }
     }
 
-    /// A call that began at this time has reached the service, which sent no update.
-    pub(crate) fn reached(&mut self, begun_at: Nanos) {
-        if matches!(*self, Self::OutOfReach(since) if begun_at > since) {
-            *self = Self::MayHaveMissed;
+    /// Records that a call begun at `begun_at` reached the service, which sent no update.
+    pub(crate) fn call_reached_service(&mut self, begun_at: Nanos) {
+        if matches!(*self, Self::Unreachable(since) if begun_at > since) {
+            *self = Self::MayHaveMissedUpdate;
         }
     }
 
-    /// A call that began at this time was refused. Returns whether discovery has been out of reach since it was last heard.
-    pub(crate) fn refused(&mut self, begun_at: Nanos) -> bool {
+    /// Records that a call begun at `begun_at` was refused. Returns whether discovery has been unreachable since its
+    /// last message.
+    pub(crate) fn call_refused(&mut self, begun_at: Nanos) -> bool {
         match *self {
-            Self::Heard(at) => begun_at.saturating_sub(at) <= LIVE_WATCH_SILENCE,
-            Self::OutOfReach(at) if begun_at.saturating_sub(at) <= OUTAGE_CALL_GAP => {
-                *self = Self::OutOfReach(at.max(begun_at));
+            Self::Received(at) => begun_at.saturating_sub(at) <= LIVE_WATCH_SILENCE,
+            Self::Unreachable(at) if begun_at.saturating_sub(at) <= OUTAGE_CALL_GAP => {
+                *self = Self::Unreachable(at.max(begun_at));
                 true
             }
-            Self::OutOfReach(_) | Self::MayHaveMissed => false,
+            Self::Unreachable(_) | Self::MayHaveMissedUpdate => false,
         }
     }
 }
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,71 +1,71 @@
 //! How long the endpoint list may be used without an update.
 //!
-//! A coordinator counts as notified of a change whether or not the notice arrived, by several clauses, each with a span of
-//! its own. The lease ends at the earliest moment at which a change that was missed could count by any of them, and is
-//! renewed by every update or heartbeat. So a list that may lack a change which counts is never used, whatever kept the
-//! change away.
+//! The notification rule has several clauses, each with its own time limit, after which a coordinator counts as
+//! notified of a change even if the notification did not arrive. The lease ends at the earliest time at which any of
+//! these limits could pass for a missed change. Each update or heartbeat renews it. A list that may lack a change is
+//! therefore never used after the coordinator counts as notified of that change.
 //!
-//! A discovery that is unreachable can have notified nobody, and extends the lease where it has been so ever since it was
-//! last heard.
+//! An unreachable discovery cannot notify any coordinator, so the lease is extended if discovery has been unreachable
+//! ever since its last message.
 
 use curlewdeck_core::api::{DiscoveryMode, Nanos};
 
 use crate::contact::Contact;
 use crate::{NOTIFIED_AFTER, SAFETY_MARGIN};
 
-/// A change that a watch may have ended instead of sending counts this long after the watch's end.
+/// A coordinator counts as notified of a change this long after a watch has ended instead of sending it.
 const WATCH_END_NOTIFIED_AFTER: Nanos = NOTIFIED_AFTER / 3;
-/// A change that a new service has counts this long after the signal to move there.
+/// A coordinator counts as notified of a new service's changes this long after the signal to move to that service.
 pub(crate) const MOVE_NOTIFIED_AFTER: Nanos = NOTIFIED_AFTER / 3 * 2;
 
 /// Until when the endpoint list may be used.
 #[derive(Debug)]
 pub struct Lease {
     discovery: DiscoveryMode,
-    /// When it ends but for the deadlines below.
+    /// When the lease ends, unless one of the deadlines below is earlier.
     renewed_until: Nanos,
     contact: Contact,
-    /// A watch has ended, maybe instead of sending a change: that counts from then on, unreachable service or not.
+    /// The deadline set by a watch that may have ended instead of sending a change; an outage does not extend it.
     watch_end_deadline: Option<Nanos>,
-    /// The service has been left for another one, which has to be heard by then.
+    /// The deadline for a message from the new service after a move.
     move_deadline: Option<Nanos>,
-    /// A configuration is being read again that may name another service, which has to be heard by then.
+    /// The deadline for a message from the service that the configuration being reloaded may name.
     reload_deadline: Option<Nanos>,
 }
 
 impl Lease {
-    /// A lease that has not begun: there has been no update yet.
+    /// Creates an expired lease; the first update starts it.
     pub fn new(discovery: DiscoveryMode) -> Self {
         Self {
             discovery,
             renewed_until: 0,
-            contact: Contact::MayHaveMissed,
+            contact: Contact::MayHaveMissedUpdate,
             watch_end_deadline: None,
             move_deadline: None,
             reload_deadline: None,
         }
     }
 
-    /// When it ends, if it is not renewed.
+    /// When the lease ends unless it is renewed.
     pub fn ends_at(&self) -> Nanos {
         let deadlines = [self.watch_end_deadline, self.move_deadline, self.reload_deadline];
         deadlines.into_iter().flatten().fold(self.renewed_until, Nanos::min)
     }
 
-    /// The service in use has sent an update or a heartbeat.
+    /// Renews the lease after an update or a heartbeat from the service in use.
     pub fn renew(&mut self, now: Nanos) {
         self.renewed_until = span_end(now, NOTIFIED_AFTER);
-        self.contact = Contact::Heard(now);
+        self.contact = Contact::Received(now);
         self.watch_end_deadline = None;
         self.move_deadline = None;
     }
 
-    /// The list is used although nothing has confirmed it, until there is an update or a heartbeat.
-    pub fn assume(&mut self) {
+    /// Allows the use of an unconfirmed list until the first update or heartbeat.
+    pub fn assume_valid(&mut self) {
         self.renewed_until = Nanos::MAX;
     }
 
-    /// The service has ended a watch in order, maybe instead of sending a change.
+    /// Records an orderly end of a watch by the service, which may have ended it instead of sending a change.
     pub fn watch_ended(&mut self, now: Nanos) {
         self.contact.watch_ended(now);
         match self.discovery {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The connection of a watch has failed between two lines. A local agent may have had a change since, which counts at
-    /// once.
+    /// Records that the connection of a watch failed between two lines. A local agent may have had a change since then,
+    /// of which the coordinator counts as notified at once.
     pub fn watch_broken(&mut self, now: Nanos) {
         self.contact.watch_ended(now);
         if self.discovery == DiscoveryMode::Push {
@@ -85,21 +85,21 @@
         }
     }
 
-    /// A response or a line has come in part, and will not be completed: it may have been a change.
+    /// Records that a response or a line arrived only in part. It may have been a change.
     pub fn update_lost(&mut self, now: Nanos) {
         self.end_by(now);
     }
 
-    /// A call that began at this time has reached the service, which sent no update: it may have had a change.
+    /// Records that a call begun at `begun_at` reached the service, which sent no update but may have had a change.
     pub fn discovery_reached(&mut self, begun_at: Nanos) {
-        self.contact.reached(begun_at);
+        self.contact.call_reached_service(begun_at);
     }
 
-    /// Discovery turns out now to have been unreachable at an earlier time: spans that are not over yet begin anew with its
-    /// return, if it has been unreachable ever since it was last heard. One that is over stays over until the next update,
-    /// but for that of a local agent, whose watch ended when it went down.
+    /// Records that discovery was unreachable at the earlier time `at`. If it has been unreachable ever since its last
+    /// message, time limits that have not passed restart when it returns. An expired lease stays expired until the next
+    /// update, except with a local agent, whose watch ended when the agent went down.
     pub fn discovery_unreachable(&mut self, now: Nanos, at: Nanos) {
-        if !self.contact.refused(at) {
+        if !self.contact.call_refused(at) {
             return self.watch_was_silent();
         }
         if self.discovery == DiscoveryMode::Push {
@@ -113,39 +113,39 @@
         self.move_deadline = self.move_deadline.map(|deadline| deadline.max(move_deadline));
     }
 
-    /// A local agent was down at this time: it answers at once, and has not. Its watch ended as it went down, or is silent
-    /// with it. That extends no lease whose watch was silent and has ended since, for whatever reason.
+    /// Records that a local agent was down at this time: it normally answers at once, but did not. Its watch ended when
+    /// it went down, or is silent because of it. A lease whose watch was silent before it ended is not extended.
     pub fn agent_down(&mut self, at: Nanos) {
-        if self.contact == Contact::MayHaveMissed {
+        if self.contact == Contact::MayHaveMissedUpdate {
             return;
         }
-        self.contact.refused(at);
+        self.contact.call_refused(at);
         self.renewed_until = self.renewed_until.max(span_end(at, NOTIFIED_AFTER));
     }
 
-    /// A configuration begins to be read again after a signal.
+    /// Records a signal to reload the configuration. Further signals do not move its deadline.
     pub fn reload_begins(&mut self, now: Nanos) {
         self.reload_deadline.get_or_insert(span_end(now, MOVE_NOTIFIED_AFTER));
     }
 
-    /// The configuration that was read again is in use, or rejected for good.
+    /// Records that the reloaded configuration is in use, or was rejected without further retries.
     pub fn reload_settled(&mut self) {
         self.reload_deadline = None;
     }
 
-    /// The service has been left for another one.
+    /// Records a move to another service.
     pub fn service_moved(&mut self, now: Nanos) {
         self.contact.watch_ended(now);
         let deadline = self.reload_deadline.unwrap_or(span_end(now, MOVE_NOTIFIED_AFTER));
         self.move_deadline = Some(deadline);
     }
 
-    /// A watch had fallen silent before discovery went out of reach: what it missed counts by the silence, and a local agent
-    /// that answered nothing was no sign of an outage.
+    /// Ends the lease by the last message of a watch that was silent before discovery became unreachable. The time
+    /// limit for missed changes runs from that message, and a local agent's missing answer was not a sign of an outage.
     fn watch_was_silent(&mut self) {
-        if let Contact::Heard(at) = self.contact {
+        if let Contact::Received(at) = self.contact {
             self.end_by(span_end(at, NOTIFIED_AFTER));
-            self.contact = Contact::MayHaveMissed;
+            self.contact = Contact::MayHaveMissedUpdate;
         }
     }
 
@@ -154,7 +154,7 @@
     }
 }
 
-/// The end of a span that began at a time, early enough to act by it.
+/// The end of a span, less the margin needed to act before it.
 fn span_end(begun: Nanos, span: Nanos) -> Nanos {
     begun.saturating_add(span - SAFETY_MARGIN)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
-//! Membership of the data nodes as service discovery reports it, without I/O or clock.
+//! Membership of the data nodes as reported by service discovery, without I/O or a clock.
 //!
-//! [`Subscription`] decides when a call to discovery is begun, kept open and abandoned, at the pace that [`Pacing`] sets.
-//! [`Confirmation`] decides whether the endpoint list from before the start of the process may be used, and [`Lease`] for
-//! how long any list may be used. [`MembershipTable`] decides which update of a data node is the newer one. The embedder
-//! carries the commands out and reports what has happened.
+//! [`Subscription`] decides when to begin, keep open and abandon calls to discovery; [`Pacing`] limits their rate.
+//! [`Confirmation`] decides whether the endpoint list of the previous process may be used, and [`Lease`] how long any
+//! list may be used. [`MembershipTable`] decides which update of a data node is newer. The embedder executes the
+//! commands and reports events.
 
 mod call;
 mod confirmation;
@@ -25,20 +25,20 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// An open watch sends a heartbeat this often while nothing changes.
+/// The interval between heartbeats on an open watch without changes.
 pub const HEARTBEAT_INTERVAL: Nanos = 2 * SECOND;
 
-/// Kept back of each span: the transit of the last update to here, and the time that a process may be stalled before it
+/// Subtracted from time limits to allow for the transit of the last update and for a stall of the process before it
 /// writes.
 const SAFETY_MARGIN: Nanos = 200 * MILLISECOND;
 
-/// A coordinator counts as notified of a change at the latest this long after discovery had it and could be reached.
+/// The time after which a coordinator counts as notified of a change, once discovery had the change and was reachable.
 pub const NOTIFIED_AFTER: Nanos = 6 * SECOND;
 
-/// The most between the beginnings of two calls while none is answered: the rest of [`NOTIFIED_AFTER`] is the later
-/// one's.
+/// The longest time between the starts of two calls while none is answered. The rest of [`NOTIFIED_AFTER`] is left for
+/// the answer to the later call.
 pub const CALL_GAP: Nanos = NOTIFIED_AFTER / 5 * 3;
 
-/// How long a call may go unanswered, and a watch silent, before it is abandoned. Two calls are open at most, one
-/// [`CALL_GAP`] after the other, so that a slow service is still heard.
+/// How long a call may stay unanswered, or a watch silent, before it is abandoned. At most two calls are open, one
+/// [`CALL_GAP`] after the other, so that the answer of a slow service is still received.
 pub const CALL_LIFETIME: Nanos = 2 * CALL_GAP;
--- a/crates/membership/src/pacing.rs
+++ b/crates/membership/src/pacing.rs
@@ -6,52 +6,53 @@
 use crate::call::CallEnd;
 use crate::{CALL_GAP, MILLISECOND};
 
-/// The service answers at least this many calls within the longest poll interval.
+/// The least number of calls that the service answers within the longest poll interval.
 const CALLS_PER_POLL_INTERVAL: Nanos = 200;
-/// First calls are spread only where that takes more than this fraction (1/n) of the longest poll interval.
+/// First calls are spread only if the spread is longer than this fraction (1/n) of the longest poll interval.
 const MIN_SPREAD_DIVISOR: Nanos = 20;
-/// The first backoff after a failed call is at most this fraction (1/n) of the longest poll interval.
+/// The longest first backoff after a failed call, as a fraction (1/n) of the longest poll interval.
 const FIRST_BACKOFF_DIVISOR: Nanos = 13;
-/// A backoff doubles with each failure in a row, up to this many times.
+/// How many times the backoff doubles at most; it doubles with each consecutive failure.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// The first backoff from a local agent: short, since changes that it has count at once.
+/// The first backoff with a local agent. It is short since a coordinator counts as notified of the agent's changes at
+/// once.
 const AGENT_FIRST_BACKOFF: Nanos = 40 * MILLISECOND;
-/// As [`MAX_BACKOFF_DOUBLINGS`], from a local agent.
+/// As [`MAX_BACKOFF_DOUBLINGS`], with a local agent.
 const AGENT_MAX_BACKOFF_DOUBLINGS: u32 = 2;
-/// The same where what the agent sends cannot be read: another call will seldom help.
+/// As [`AGENT_MAX_BACKOFF_DOUBLINGS`], if the agent's data cannot be parsed: another call rarely succeeds.
 const AGENT_MAX_UNREADABLE_DOUBLINGS: u32 = 5;
-/// The share (1/n) of a backoff from a local agent that is jitter.
+/// The fraction (1/n) of a backoff with a local agent that is jitter.
 const AGENT_JITTER_DIVISOR: Nanos = 4;
-/// A local agent answers at once: one that has not after this long is called again.
+/// The hedge delay with a local agent, which normally answers at once.
 const AGENT_HEDGE_DELAY: Nanos = 500 * MILLISECOND;
 
-/// The longest backoff of a small fleet, and after a move of the service: several calls may fail before one has to be
-/// answered.
+/// The longest backoff of a small fleet and after a move of the service. Several calls can fail before the deadline for
+/// an answer.
 const SHORT_BACKOFF: Nanos = 600 * MILLISECOND;
-/// The longest hedge delay of a small fleet: a service that is merely busy has answered by then.
+/// The longest hedge delay of a small fleet. A service that is only busy answers within it.
 const SMALL_FLEET_HEDGE_DELAY: Nanos = 2_200 * MILLISECOND;
-/// The longest hedge delay after a move of the service, whose changes count sooner.
+/// The longest hedge delay after a move of the service, when the time limit for changes is shorter.
 const MOVED_HEDGE_DELAY: Nanos = 1_800 * MILLISECOND;
-/// A stable watch that has ended is reopened within this, or within the spread of a large fleet: it may have ended instead
-/// of sending a change.
+/// The longest delay before a stable watch is reopened, unless the spread of a large fleet is longer. It is short since
+/// the watch may have ended instead of sending a change.
 const REOPEN_DELAY: Nanos = 150 * MILLISECOND;
-/// The longest backoff after a failure of this machine, which says nothing of the service.
+/// The longest backoff after a failure on this machine, which is no evidence of a fault of the service.
 const LOCAL_FAILURE_BACKOFF: Nanos = 200 * MILLISECOND;
-/// A jittered backoff is at least this fraction (1/n) of its maximum.
+/// The shortest jittered backoff, as a fraction (1/n) of its maximum.
 const MIN_JITTERED_DIVISOR: Nanos = 3;
 
-/// A watch that lasted this long was stable: the next call does not back off.
+/// The shortest duration of a stable watch, after which the next call does not back off.
 const STABLE_WATCH_DURATION: Nanos = 500 * MILLISECOND;
-/// This many shorter watches in a row are reopened without backoff all the same.
+/// How many consecutive shorter watches are reopened without backoff.
 const MAX_SHORT_WATCHES: u32 = 3;
 
-/// Spans of calls that the process's limits give.
+/// The delays before a hedging call, from the limits of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Spans {
-    /// A call that is not answered within this is hedged by a second one.
+    /// The base delay before an unanswered call is hedged, to which [`Pacing`] adds jitter and its own limits.
     pub hedge: Nanos,
-    /// A watch without a complete line for this long is hedged by a second call.
+    /// The time without a complete line after which a watch is hedged by a second call.
     pub silence: Nanos,
 }
 
@@ -62,99 +63,98 @@
     coordinators: u32,
     spans: Spans,
     rng: Rng,
-    /// Calls that failed in a row.
-    failures: u32,
-    /// A stable watch has just ended.
+    consecutive_failures: u32,
+    /// A watch that permits a reopening without backoff has just ended.
     stable_watch_ended: bool,
-    /// Watches in a row that were short.
-    short_watches: u32,
+    consecutive_short_watches: u32,
 }
 
 impl Pacing {
-    /// The pace under `discovery`, beside this many coordinators in all.
+    /// Creates the pacing of one of `coordinators` coordinators that all call the same service.
     pub fn new(discovery: DiscoveryMode, coordinators: u32, spans: Spans, seed: u64) -> Self {
         Self {
             discovery,
             coordinators,
             spans,
             rng: Rng::with_seed(seed),
-            failures: 0,
+            consecutive_failures: 0,
             stable_watch_ended: false,
-            short_watches: 0,
+            consecutive_short_watches: 0,
         }
     }
 
-    /// How the list comes.
+    /// Whether the list comes from a local agent (push) or from a service that all coordinators poll.
     pub fn discovery(&self) -> DiscoveryMode {
         self.discovery
     }
 
-    /// The spans that the process's limits give.
+    /// The hedging delays given at the creation.
     pub fn spans(&self) -> Spans {
         self.spans
     }
 
-    /// The time over which calls are spread. One service answers all coordinators in turn, and works on for those that
-    /// have stopped waiting: each coordinator leaves it time for a call of every other one.
+    /// The time over which calls are spread. One service answers all coordinators in turn and also completes calls
+    /// whose coordinators no longer wait. Each coordinator therefore leaves it time for one call of every other
+    /// coordinator.
     fn spread(&self, poll_interval_max: Nanos) -> Nanos {
         let others = Nanos::from(self.coordinators.saturating_sub(1));
         let call = poll_interval_max / CALLS_PER_POLL_INTERVAL;
         call.saturating_mul(others).min(poll_interval_max / 2)
     }
 
-    /// How long after the start the first call begins: all coordinators may have started at once.
+    /// The delay before the first call, randomized because all coordinators may start at the same time.
     pub fn first_pause(&mut self) -> Nanos {
         let DiscoveryMode::Poll { poll_interval_max } = self.discovery else { return 0 };
         let spread = self.spread(poll_interval_max);
         if spread <= poll_interval_max / MIN_SPREAD_DIVISOR {
             return 0;
         }
-        self.random_share(spread)
+        self.random_fraction_of(spread)
     }
 
-    /// A call was answered, and has been heard for `duration` since.
+    /// Records that messages have arrived on a call for `duration` since its first answer.
     pub fn watch_lasted(&mut self, duration: Nanos) {
         if duration >= STABLE_WATCH_DURATION {
-            self.short_watches = 0;
+            self.consecutive_short_watches = 0;
         }
     }
 
-    /// A watch has ended after `duration`. One that was short may have ended instead of sending a change; several in a row
-    /// come from a service that keeps none open.
+    /// Records the end of a watch after `duration`. A short watch may have ended instead of sending a change, but
+    /// several consecutive ones show that the service keeps no watch open.
     pub fn watch_ended(&mut self, duration: Nanos) {
         self.watch_lasted(duration);
-        self.stable_watch_ended = self.short_watches < MAX_SHORT_WATCHES;
-        self.short_watches = self.short_watches.saturating_add(1);
+        self.stable_watch_ended = self.consecutive_short_watches < MAX_SHORT_WATCHES;
+        self.consecutive_short_watches = self.consecutive_short_watches.saturating_add(1);
         if self.stable_watch_ended {
-            self.failures = 0;
+            self.consecutive_failures = 0;
         }
     }
 
-    /// How long after a call or a watch has ended in this way the next call begins. `since_contact` is the time since
-    /// discovery was last heard or called, and `urgent` tells that an answer is needed soon.
+    /// The delay before the next call after a call or a watch ended with `end`. `since_contact` is the time since the
+    /// last message from discovery or the last call to it; `urgent` is set if an answer is needed soon.
     ///
-    /// A service that was reached has worked for the call and may be overloaded by more of them: backoffs double. Where
-    /// nobody answered, a small fleet calls again soon.
+    /// A call that reached the service cost it work, and more calls may overload it, so backoffs double. After a call
+    /// that was not answered, a small fleet calls again soon.
     pub fn pause(&mut self, since_contact: Nanos, urgent: bool, end: CallEnd) -> Nanos {
         if end == CallEnd::LocalFailure {
             return self.jittered(LOCAL_FAILURE_BACKOFF);
         }
-        let failures = self.failures;
+        let failures = self.consecutive_failures;
         let stable_watch_ended = std::mem::take(&mut self.stable_watch_ended);
         if !stable_watch_ended {
-            self.failures = self.failures.saturating_add(1);
+            self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         }
         match self.discovery {
             DiscoveryMode::Push if stable_watch_ended => 0,
             DiscoveryMode::Push => self.agent_backoff(failures, end),
             DiscoveryMode::Poll { poll_interval_max } => {
                 let spread = self.spread(poll_interval_max);
-                let left = CALL_GAP.saturating_sub(since_contact);
+                let remaining = CALL_GAP.saturating_sub(since_contact);
                 if stable_watch_ended && end.may_have_been_watch() {
-                    return self.random_share(REOPEN_DELAY.max(spread).min(left));
+                    return self.random_fraction_of(REOPEN_DELAY.max(spread).min(remaining));
                 }
                 let first_backoff = (poll_interval_max / FIRST_BACKOFF_DIVISOR).max(spread);
-                let backoff = (first_backoff << failures.min(MAX_BACKOFF_DOUBLINGS)).min(left);
+                let backoff = (first_backoff << failures.min(MAX_BACKOFF_DOUBLINGS)).min(remaining);
                 let is_short = end.was_not_served() && (urgent || self.coordinators_are_few());
                 self.jittered(if is_short { backoff.min(SHORT_BACKOFF.max(spread)) } else { backoff })
             }
@@ -167,16 +167,16 @@
             _ => AGENT_MAX_BACKOFF_DOUBLINGS,
         };
         let backoff = AGENT_FIRST_BACKOFF << failures.min(max_doublings);
-        backoff - self.random_share(backoff / AGENT_JITTER_DIVISOR)
+        backoff - self.random_fraction_of(backoff / AGENT_JITTER_DIVISOR)
     }
 
-    /// How long a call may go unanswered before it is hedged. `moved` tells that the service has moved just now, and
-    /// `beside_unanswered` that another call is not answered either, so that a slow service is to be given time.
-    pub fn hedge_delay(&mut self, moved: bool, beside_unanswered: bool) -> Nanos {
-        let least = self.spans.hedge.min(CALL_GAP);
-        let delay = least + self.random_share(CALL_GAP - least);
+    /// The time without an answer after which a call is hedged. `moved` is set shortly after a move of the service, and
+    /// `other_call_unanswered` if another open call is unanswered too, so that a slow service gets the longer delay.
+    pub fn hedge_delay(&mut self, moved: bool, other_call_unanswered: bool) -> Nanos {
+        let min = self.spans.hedge.min(CALL_GAP);
+        let delay = min + self.random_fraction_of(CALL_GAP - min);
         match self.discovery {
-            _ if beside_unanswered => delay,
+            _ if other_call_unanswered => delay,
             DiscoveryMode::Push => AGENT_HEDGE_DELAY,
             DiscoveryMode::Poll { .. } if moved => delay.min(MOVED_HEDGE_DELAY),
             DiscoveryMode::Poll { .. } if self.coordinators_are_few() => delay.min(SMALL_FLEET_HEDGE_DELAY),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Whether the fleet is so small that the calls of all its coordinators at once are no load.
+    /// Whether the fleet is small enough that simultaneous calls of all its coordinators do not load the service.
     pub fn coordinators_are_few(&self) -> bool {
         match self.discovery {
             DiscoveryMode::Poll { poll_interval_max } => self.spread(poll_interval_max) <= SHORT_BACKOFF,
@@ -192,14 +192,13 @@
         }
     }
 
-    /// Between a third of a span and all of it.
-    fn jittered(&mut self, most: Nanos) -> Nanos {
-        let least = most / MIN_JITTERED_DIVISOR;
-        least + self.random_share(most - least)
+    /// A random span between `max / MIN_JITTERED_DIVISOR` and `max`.
+    fn jittered(&mut self, max: Nanos) -> Nanos {
+        let min = max / MIN_JITTERED_DIVISOR;
+        min + self.random_fraction_of(max - min)
     }
 
-    /// A random share of a span.
-    fn random_share(&mut self, span: Nanos) -> Nanos {
+    fn random_fraction_of(&mut self, span: Nanos) -> Nanos {
         (span as f64 * self.rng.f64()) as Nanos
     }
 }
--- a/crates/membership/src/subscription/calls.rs
+++ b/crates/membership/src/subscription/calls.rs
@@ -1,31 +1,31 @@
-//! The calls to discovery that are open.
+//! The open calls to discovery.
 
 use curlewdeck_core::api::Nanos;
 
 use crate::call::{CallId, Request};
 use crate::{CALL_LIFETIME, NOTIFIED_AFTER};
 
-/// Calls that are open at once.
+/// The most calls that are open at the same time.
 pub(super) const MAX_OPEN_CALLS: usize = 2;
-/// A watch by a version from an earlier connection that has sent no update for this long is verified by a snapshot: the
-/// service may have restarted with lower versions.
+/// How long a watch from an earlier connection's version may send no update before a snapshot verifies it. The service
+/// may have restarted with lower versions.
 const VERIFY_AFTER: Nanos = NOTIFIED_AFTER / 2;
-/// A snapshot that failed to verify a watch is requested again after this long.
+/// The delay before another snapshot after one that failed to verify a watch.
 const VERIFY_RETRY_DELAY: Nanos = 2 * NOTIFIED_AFTER;
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallState {
-    /// Nothing has come yet.
+    /// Nothing has been received.
     Unanswered {
-        /// When a second call is due beside it.
+        /// When a second call is due as a hedge.
         hedge_at: Nanos,
     },
-    /// Updates and heartbeats come.
+    /// At least one update or heartbeat has been received.
     Watching {
         answered_at: Nanos,
-        heard_at: Nanos,
-        /// When it is verified by a snapshot, where that is due.
+        last_received_at: Nanos,
+        /// When a snapshot is due to verify the watch; `None` if it needs no verification.
         verify_at: Option<Nanos>,
     },
 }
@@ -40,11 +40,11 @@
 }
 
 impl Call {
-    /// When it was last heard, or began.
-    pub(super) fn heard_at(&self) -> Nanos {
+    /// When the last message arrived, or the call began if there was none.
+    pub(super) fn last_active_at(&self) -> Nanos {
         match self.state {
             CallState::Unanswered { .. } => self.begun_at,
-            CallState::Watching { heard_at, .. } => heard_at,
+            CallState::Watching { last_received_at, .. } => last_received_at,
         }
     }
 
@@ -52,28 +52,33 @@
         matches!(self.state, CallState::Watching { .. })
     }
 
-    /// When it is abandoned, if it is not heard before.
+    /// When the call is abandoned unless a message arrives before.
     pub(super) fn lifetime_ends_at(&self) -> Nanos {
-        self.heard_at().saturating_add(CALL_LIFETIME)
+        self.last_active_at().saturating_add(CALL_LIFETIME)
     }
 
-    /// Records that an update or a heartbeat has come; returns when the call was answered. A watch by a version from an
-    /// earlier connection is verified later, unless an update comes before.
-    pub(super) fn record_heard(&mut self, now: Nanos, is_update: bool, version_is_earlier: bool) -> Nanos {
+    /// Records an update or a heartbeat; returns when the call was first answered. Schedules the verification of a
+    /// watch from an earlier connection's version, and cancels it when an update arrives.
+    pub(super) fn record_message(
+        &mut self,
+        now: Nanos,
+        is_update: bool,
+        version_is_from_earlier_connection: bool,
+    ) -> Nanos {
         let (answered_at, verify_at) = match self.state {
             CallState::Watching { answered_at, verify_at, .. } => (answered_at, verify_at),
             CallState::Unanswered { .. } => {
                 let by_version = matches!(self.request, Request::Watch { .. });
-                let is_unverified = by_version && version_is_earlier;
+                let is_unverified = by_version && version_is_from_earlier_connection;
                 (now, is_unverified.then_some(now.saturating_add(VERIFY_AFTER)))
             }
         };
         let verify_at = verify_at.filter(|_| !is_update);
-        self.state = CallState::Watching { answered_at, heard_at: now, verify_at };
+        self.state = CallState::Watching { answered_at, last_received_at: now, verify_at };
         answered_at
     }
 
-    /// A snapshot that was to verify the watch has failed: the watch goes on, and is verified later.
+    /// Postpones the verification of this watch, which stays open, after a failed snapshot.
     fn postpone_verification(&mut self, now: Nanos) {
         if let CallState::Watching { verify_at: Some(at), .. } = &mut self.state {
             *at = (*at).max(now.saturating_add(VERIFY_RETRY_DELAY));
@@ -81,7 +86,7 @@
     }
 }
 
-/// All open calls, the oldest first, with the numbers that they get.
+/// All open calls, oldest first, and the source of their identifiers.
 #[derive(Debug)]
 pub(super) struct OpenCalls {
     calls: Vec<Call>,
@@ -100,7 +105,7 @@
         self.next_id == Self::FIRST_ID
     }
 
-    /// Adds a call that begins now.
+    /// Adds a call that begins at `now`.
     pub(super) fn begin(&mut self, request: Request, now: Nanos, hedge_at: Nanos) -> CallId {
         let id = CallId(self.next_id);
         self.next_id += 1;
@@ -128,7 +133,7 @@
         self.calls.iter().any(|call| call.id == id)
     }
 
-    /// Whether a watch has sent something and is still open.
+    /// Whether an open call has received an update or a heartbeat.
     pub(super) fn any_watching(&self) -> bool {
         self.calls.iter().any(Call::is_watching)
     }
@@ -138,8 +143,8 @@
     }
 
     pub(super) fn remove(&mut self, id: CallId) -> Option<Call> {
-        let place = self.calls.iter().position(|call| call.id == id)?;
-        Some(self.calls.remove(place))
+        let index = self.calls.iter().position(|call| call.id == id)?;
+        Some(self.calls.remove(index))
     }
 
     /// Removes all calls; returns their ids.
@@ -147,27 +152,27 @@
         self.calls.drain(..).map(|call| call.id).collect()
     }
 
-    /// Removes the calls that began before this open one; returns their ids.
+    /// Removes the calls that are older than the open call `id`; returns their ids.
     pub(super) fn remove_before(&mut self, id: CallId) -> Vec<CallId> {
-        let place = self.calls.iter().position(|call| call.id == id).unwrap_or(0);
-        self.calls.drain(..place).map(|call| call.id).collect()
+        let index = self.calls.iter().position(|call| call.id == id).unwrap_or(0);
+        self.calls.drain(..index).map(|call| call.id).collect()
     }
 
-    /// The calls whose lifetime is over.
+    /// The calls whose lifetime has ended.
     pub(super) fn expired(&self, now: Nanos) -> Vec<CallId> {
         let expired = self.calls.iter().filter(|call| call.lifetime_ends_at() <= now);
         expired.map(|call| call.id).collect()
     }
 
-    /// The call that makes room for a third one: the oldest is kept, which may be answered late; a watch that has fallen
-    /// silent is not.
+    /// The call to abandon when a third one is due: the oldest if it is a silent watch, otherwise the second, since a
+    /// late answer to the oldest may still arrive.
     pub(super) fn replaceable(&self) -> Option<CallId> {
         let oldest = self.oldest()?;
         let replaceable = if oldest.is_watching() { Some(oldest) } else { self.calls.get(1) };
         replaceable.map(|call| call.id)
     }
 
-    /// A call has failed that may have been to verify a watch.
+    /// Postpones pending verifications after the end of a call, which may have been the verifying snapshot.
     pub(super) fn postpone_verifications(&mut self, now: Nanos) {
         self.calls.iter_mut().for_each(|call| call.postpone_verification(now));
     }
--- a/crates/membership/src/subscription/messages.rs
+++ b/crates/membership/src/subscription/messages.rs
@@ -1,50 +1,50 @@
-//! What a subscription is told, and what it wants done.
+//! The events that a subscription handles and the commands that it returns.
 
 use crate::call::{CallEnd, CallId, Request};
 
-/// What the subscription is told.
+/// An event reported by the embedder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed.
+    /// A deadline may have passed; the subscription compares its deadlines with the current time.
     TimePassed,
-    /// A query waits for the list to be confirmed.
+    /// A query is waiting for a confirmed list.
     QueryWaiting,
-    /// A configuration is being read again, which may name another service.
+    /// A reload of the configuration has begun, which may name another service.
     ReloadBegins,
-    /// It is in use, or rejected for good.
+    /// The reloaded configuration is in use, or was rejected without further retries.
     ReloadSettled,
-    /// The service is at another address.
+    /// The configuration names another address of the service.
     ServiceMoved,
-    /// A watch has reported that nothing has changed.
+    /// A call sent a heartbeat: nothing has changed.
     Heartbeat(CallId),
-    /// A call has sent an update, a snapshot or a delta, of this version.
+    /// A call sent a snapshot or a delta of this version.
     Told(CallId, u64),
-    /// A call has ended.
+    /// A call ended, for the given reason.
     Ended(CallId, CallEnd),
 }
 
-/// What is to be done.
+/// An action that the embedder carries out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
-    /// Begin a call: ends in [`Event::Ended`], or is never heard of.
+    /// Begin a call. The embedder reports its end with [`Event::Ended`]; if it never does, the call's lifetime ends it.
     Begin(CallId, Request),
-    /// Close a call's connection; it is not heard any more.
+    /// Close a call's connection. Later events of this call are ignored.
     Abandon(CallId, Abandoned),
-    /// The list from before the start may be used, though nothing has confirmed it.
+    /// The list of the previous process may be used without confirmation.
     UseUnconfirmedList,
-    /// The list may not be used any more, until there is an update, a heartbeat or [`Command::ListRestored`].
+    /// The list must not be used until the next update, heartbeat or [`Command::ListRestored`].
     ListExpired,
-    /// The list may be used again without an update: discovery was down when the list seemed to be expired.
+    /// The list may be used again without an update, since discovery was down when the list appeared to expire.
     ListRestored,
 }
 
-/// Why a call is abandoned by the coordinator itself.
+/// The reason why the coordinator abandons a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Abandoned {
-    /// A later call has been answered.
+    /// A later call was answered.
     Superseded,
-    /// The service is at another address.
+    /// The service moved to another address.
     ServiceMoved,
-    /// Nothing was heard of it for its lifetime, or for as long as another may wait beside it.
+    /// No message arrived within the call's lifetime, or before another call had to replace it.
     Unanswered,
 }
--- a/crates/membership/src/subscription/mod.rs
+++ b/crates/membership/src/subscription/mod.rs
@@ -1,9 +1,9 @@
-//! One coordinator's subscription to the endpoint list: when a call to discovery is begun, kept open and abandoned.
+//! One coordinator's subscription to the endpoint list: when calls to discovery are begun, kept open and abandoned.
 //!
-//! A call is a watch from a version, or a snapshot that goes on as a watch. At most two are open: the second begins where
-//! the first has not answered in time or a watch has fallen silent, and the first is heard until the second has answered.
-//! A call that is never heard again, for whatever reason, ends with its lifetime, so that discovery is always called
-//! again.
+//! A call is a watch from a version, or a snapshot followed by a watch. At most two calls are open. The second begins
+//! if the first is not answered in time, or if a watch is silent or needs verification. Messages of the first are
+//! accepted until the second is answered. A call on which no message arrives is abandoned at the end of its lifetime,
+//! so that the coordinator always calls discovery again.
 
 mod calls;
 mod messages;
@@ -25,25 +25,26 @@
     pacing: Pacing,
     confirmation: Confirmation,
     lease: Lease,
-    /// Whether the list could be used after the last step.
+    /// Whether the list was usable after the last step.
     list_was_usable: bool,
-    /// The last watch was broken: discovery may have gone down.
+    /// The last watch was broken, so discovery may be down.
     watch_broken: bool,
-    /// The version from which a watch goes on; none where only a snapshot will do.
+    /// The version from which the next watch begins; `None` if a snapshot is needed.
     version: Option<u64>,
-    /// Whether that version came on a connection that has ended, or fallen silent, since.
-    version_is_earlier: bool,
+    /// Whether that version was received on a connection that has since ended or become silent.
+    version_is_from_earlier_connection: bool,
     calls: OpenCalls,
-    /// When the next call begins where none is open.
+    /// The earliest time of the next call, unless that call replaces another one.
     next_call_at: Nanos,
-    /// When discovery was last heard or called.
+    /// When the last message from discovery arrived or the last call began.
     last_contact: Nanos,
-    /// Until when the changes that a new service has must be known.
-    moved_until: Nanos,
+    /// The deadline for an answer from a new service after a move; 0 if none is pending.
+    move_deadline: Nanos,
 }
 
 impl Subscription {
-    /// A subscription that starts now with a list of version `known`, if there is one.
+    /// Creates a subscription that starts at `now`. `known` is the version of the previous process's list, if there is
+    /// one.
     pub fn new(mut pacing: Pacing, known: Option<u64>, now: Nanos) -> Self {
         let next_call_at = now.saturating_add(pacing.first_pause());
         let lease = Lease::new(pacing.discovery());
@@ -54,20 +55,20 @@
             list_was_usable: false,
             watch_broken: false,
             version: known,
-            version_is_earlier: false,
+            version_is_from_earlier_connection: false,
             calls: OpenCalls::new(),
             next_call_at,
             last_contact: now,
-            moved_until: 0,
+            move_deadline: 0,
         }
     }
 
-    /// Whether the list that is held may be used.
+    /// Whether the current list may be used.
     pub fn usable(&self, now: Nanos) -> bool {
         now < self.usable_until()
     }
 
-    /// Until when the list that is held may be used, if discovery is not heard before.
+    /// When the current list expires unless a message from discovery arrives before; 0 if it must not be used.
     pub fn usable_until(&self) -> Nanos {
         if !self.confirmation.usable() {
             return 0;
@@ -75,7 +76,8 @@
         self.lease.ends_at().min(self.poll_deadline())
     }
 
-    /// A coordinator that neither watches nor polls counts as notified of every change.
+    /// When the list expires without an open watch: a coordinator that neither watches nor polls counts as notified of
+    /// every change.
     fn poll_deadline(&self) -> Nanos {
         match self.pacing.discovery() {
             DiscoveryMode::Poll { poll_interval_max } if !self.follows() => {
@@ -85,17 +87,17 @@
         }
     }
 
-    /// Whether a watch has sent something and is still open.
+    /// Whether an open call has received an update or a heartbeat.
     pub fn follows(&self) -> bool {
         self.calls.any_watching()
     }
 
-    /// Whether what a call sends still counts.
+    /// Whether a call is open, so that its messages are accepted.
     pub fn hears(&self, call: CallId) -> bool {
         self.calls.contains(call)
     }
 
-    /// Handles what has happened by `now`, and begins and abandons the calls that are due.
+    /// Handles an event at `now`, abandons expired calls and begins the call that is due.
     pub fn step(&mut self, now: Nanos, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         self.handle_event(now, event, &mut commands);
@@ -103,15 +105,15 @@
         self.begin_due_call(now, &mut commands);
         let used_unconfirmed = self.confirmation.expire(now);
         if used_unconfirmed {
-            self.lease.assume();
+            self.lease.assume_valid();
         }
         let usable = self.usable(now);
-        // Whoever hears discovery knows that the list may be used again.
-        let was_heard = matches!(event, Event::Heartbeat(_) | Event::Told(..));
+        // A message from discovery already shows the embedder that the list may be used again.
+        let is_message = matches!(event, Event::Heartbeat(_) | Event::Told(..));
         match (self.list_was_usable, usable) {
             (true, false) => commands.push(Command::ListExpired),
             (false, true) if used_unconfirmed => commands.push(Command::UseUnconfirmedList),
-            (false, true) if !was_heard => commands.push(Command::ListRestored),
+            (false, true) if !is_message => commands.push(Command::ListRestored),
             _ => {}
         }
         self.list_was_usable = usable;
@@ -125,41 +127,48 @@
             Event::ReloadBegins => self.lease.reload_begins(now),
             Event::ReloadSettled => self.lease.reload_settled(),
             Event::ServiceMoved => self.service_moved(now, commands),
-            Event::Heartbeat(call) => self.heard(now, call, None, commands),
-            Event::Told(call, version) => self.heard(now, call, Some(version), commands),
+            Event::Heartbeat(call) => self.message_received(now, call, None, commands),
+            Event::Told(call, version) => self.message_received(now, call, Some(version), commands),
             Event::Ended(call, end) => self.call_ended(now, call, end),
         }
     }
 
-    /// A query does not wait for the spread of a large fleet's first calls.
+    /// Skips the initial delay that spreads the first calls of a large fleet.
     fn query_waiting(&mut self, now: Nanos) {
         if self.calls.none_has_begun() && !self.usable(now) {
             self.next_call_at = now;
         }
     }
 
-    /// Versions of another service mean nothing here, and its list is requested at once.
+    /// Abandons all calls and requests a snapshot at once, since versions are not comparable between services.
     fn service_moved(&mut self, now: Nanos, commands: &mut Vec<Command>) {
         let abandoned = self.calls.remove_all().into_iter();
         commands.extend(abandoned.map(|id| Command::Abandon(id, Abandoned::ServiceMoved)));
         self.version = None;
-        self.version_is_earlier = false;
+        self.version_is_from_earlier_connection = false;
         self.pacing.watch_ended(Nanos::MAX);
         self.next_call_at = now;
         self.lease.service_moved(now);
-        self.moved_until = now.saturating_add(MOVE_NOTIFIED_AFTER);
+        self.move_deadline = now.saturating_add(MOVE_NOTIFIED_AFTER);
     }
 
-    /// A call has sent a heartbeat, or an update of a version: earlier calls are not needed any more.
-    fn heard(&mut self, now: Nanos, id: CallId, version: Option<u64>, commands: &mut Vec<Command>) {
+    /// Handles an update of a version, or a heartbeat if `version` is `None`, and abandons earlier calls.
+    fn message_received(
+        &mut self,
+        now: Nanos,
+        id: CallId,
+        version: Option<u64>,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(call) = self.calls.get_mut(id) else { return };
-        let answered_at = call.record_heard(now, version.is_some(), self.version_is_earlier);
+        let answered_at =
+            call.record_message(now, version.is_some(), self.version_is_from_earlier_connection);
         let superseded = self.calls.remove_before(id).into_iter();
         commands.extend(superseded.map(|id| Command::Abandon(id, Abandoned::Superseded)));
         self.version = version.or(self.version);
         self.pacing.watch_lasted(now.saturating_sub(answered_at));
         self.last_contact = now;
-        self.moved_until = 0;
+        self.move_deadline = 0;
         self.confirmation.confirm();
         self.lease.renew(now);
         self.watch_broken = false;
@@ -172,7 +181,7 @@
             self.version = None;
         }
         if let CallState::Watching { answered_at, .. } = call.state {
-            self.version_is_earlier = true;
+            self.version_is_from_earlier_connection = true;
             self.pacing.watch_ended(now.saturating_sub(answered_at));
         }
         self.calls.postpone_verifications(now);
@@ -181,7 +190,7 @@
         self.next_call_at = now.saturating_add(pause);
     }
 
-    /// What the end of a call means for the time that the list may be used.
+    /// Shortens or extends the lease according to the end of a call.
     fn update_lease(&mut self, now: Nanos, call: &Call, end: CallEnd) {
         match end {
             CallEnd::Unreachable => self.lease.discovery_unreachable(now, call.begun_at),
@@ -204,26 +213,27 @@
             | CallEnd::Rejected
             | CallEnd::WatchEnded
             | CallEnd::Broken
-            // What cannot be read as an object is no update that is lost: it costs the time of a silent watch.
+            // Data that cannot be parsed as an object is treated like a silent watch, not like a lost update.
             | CallEnd::Unreadable => self.lease.discovery_reached(call.begun_at),
             CallEnd::LocalFailure | CallEnd::Complete => {}
         }
     }
 
-    /// Whether a call that is rejected shows that discovery is down, and not that it is crowded: the watch was broken, and
-    /// the calls of all coordinators together are no load. A local agent that is down is silent.
+    /// Whether a busy response or a missing answer shows that discovery is down rather than overloaded: the watch was
+    /// broken, and the fleet is too small to load the service. With a local agent this is never so, since an agent that
+    /// is down does not respond.
     fn service_is_down(&self) -> bool {
         let polls = matches!(self.pacing.discovery(), DiscoveryMode::Poll { .. });
         polls && self.watch_broken && self.pacing.coordinators_are_few()
     }
 
-    /// Whether an answer is needed soon: the service has moved just now, or nobody can be served without one.
+    /// Whether an answer is needed soon: the service has just moved, or the list is not usable without one.
     fn is_urgent(&self, now: Nanos) -> bool {
-        now < self.moved_until || !self.usable(now)
+        now < self.move_deadline || !self.usable(now)
     }
 }
 
-/// Whether the end of a call means that the version it watched from is of no use any more.
+/// Whether the next call must request a snapshot instead of a watch from the current version.
 fn needs_snapshot(call: &Call, end: CallEnd) -> bool {
     match end {
         CallEnd::Unreadable | CallEnd::Rejected => true,
--- a/crates/membership/src/subscription/scheduling.rs
+++ b/crates/membership/src/subscription/scheduling.rs
@@ -1,4 +1,4 @@
-//! When the next call is due and what for, and when a call is abandoned.
+//! When the next call is due, for which reason, and when calls are abandoned.
 
 use curlewdeck_core::api::{DiscoveryMode, Nanos};
 
@@ -10,17 +10,16 @@
 /// Why a call is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallReason {
-    /// None is open.
     NoneOpen,
-    /// The open one has not answered, or its watch has fallen silent.
+    /// The open call is unanswered, or its watch is silent.
     Hedge,
-    /// A watch is to be verified.
+    /// A snapshot has to verify a watch.
     Verification,
-    /// Two are open, and the second has not answered either.
+    /// Two calls are open, and the newer one is unanswered as well.
     Replacement,
 }
 
-/// The next call that begins if nothing happens before.
+/// The next call, unless an event changes the schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct DueCall {
     at: Nanos,
@@ -28,7 +27,7 @@
 }
 
 impl Subscription {
-    /// When time has to be reported at the latest.
+    /// When the next [`Event::TimePassed`](super::Event::TimePassed) is due; `Nanos::MAX` if none is.
     pub fn next_deadline(&self) -> Nanos {
         let lifetimes = self.calls.iter().map(Call::lifetime_ends_at);
         let next_call = self.next_call().map(|due| due.at);
@@ -42,8 +41,8 @@
             return Some(DueCall { at: self.next_call_at, reason: CallReason::NoneOpen });
         };
         match newest.state {
-            CallState::Watching { heard_at, verify_at, .. } => {
-                let silent_at = self.silent_at(heard_at);
+            CallState::Watching { last_received_at, verify_at, .. } => {
+                let silent_at = self.silent_at(last_received_at);
                 let (at, reason) = match verify_at.filter(|&at| at < silent_at) {
                     Some(at) => (at, CallReason::Verification),
                     None => (silent_at, CallReason::Hedge),
@@ -55,19 +54,19 @@
             }
             CallState::Unanswered { hedge_at } => {
                 let oldest = self.calls.oldest()?;
-                let was_silent = self.silent_at(oldest.heard_at()) <= newest.begun_at;
+                let was_silent = self.silent_at(oldest.last_active_at()) <= newest.begun_at;
                 let is_needed = !oldest.is_watching() || was_silent;
                 is_needed.then_some(DueCall { at: hedge_at, reason: CallReason::Replacement })
             }
         }
     }
 
-    /// When a watch has been silent for too long that was last heard at this time.
-    fn silent_at(&self, heard_at: Nanos) -> Nanos {
-        heard_at.saturating_add(self.pacing.spans().silence)
+    /// When a watch is considered silent whose last message arrived at `last_received_at`.
+    fn silent_at(&self, last_received_at: Nanos) -> Nanos {
+        last_received_at.saturating_add(self.pacing.spans().silence)
     }
 
-    /// Abandons the calls whose lifetime is over.
+    /// Abandons the calls whose lifetime has ended.
     pub(super) fn abandon_expired(&mut self, now: Nanos, commands: &mut Vec<Command>) {
         for id in self.calls.expired(now) {
             commands.push(Command::Abandon(id, Abandoned::Unanswered));
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Begins the call that is due by now, if one is.
+    /// Begins a call if one is due.
     pub(super) fn begin_due_call(&mut self, now: Nanos, commands: &mut Vec<Command>) {
         let Some(due) = self.next_call().filter(|due| due.at <= now) else { return };
         if due.reason == CallReason::Replacement {
@@ -84,18 +83,18 @@
         }
         let newest_is_watching = self.calls.newest().map(Call::is_watching);
         if due.reason == CallReason::Hedge && newest_is_watching == Some(true) {
-            self.version_is_earlier = true;
+            self.version_is_from_earlier_connection = true;
         }
         if newest_is_watching == Some(false) && self.pacing.discovery() == DiscoveryMode::Push {
-            // A local agent answers at once, or it is down.
+            // A local agent answers at once unless it is down.
             self.lease.agent_down(now);
         }
         let request = match (due.reason, self.version) {
             (CallReason::Verification, _) | (_, None) => Request::Snapshot,
             (_, Some(since)) => Request::Watch { since },
         };
-        let beside_unanswered = self.calls.iter().any(|call| !call.is_watching());
-        let hedge_delay = self.pacing.hedge_delay(now < self.moved_until, beside_unanswered);
+        let other_call_unanswered = self.calls.iter().any(|call| !call.is_watching());
+        let hedge_delay = self.pacing.hedge_delay(now < self.move_deadline, other_call_unanswered);
         let id = self.calls.begin(request, now, now.saturating_add(hedge_delay));
         self.last_contact = now;
         commands.push(Command::Begin(id, request));
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,23 +1,24 @@
-//! Which update of a data node is the newer one.
+//! The state of each data node, as the newest update gives it.
 //!
-//! Versions are compared for each data node, never for the list as a whole: a replica of discovery may lag, a response may
-//! come late, and a service that has restarted may count from the beginning. An update that takes a data node out of
-//! service holds whatever its version. A data node that was taken out returns only by an update that is not older than
-//! that, or by a later start of its process.
+//! Versions are compared for each data node separately rather than for the list: a replica of discovery may lag, a
+//! response may be late, and a restarted service may count versions from the beginning. An update that takes a data
+//! node out of service is applied whatever its version, unless it is older and concerns an earlier process of the node.
+//! A data node that is out of service returns only with an update that is not older, or with a later start of its
+//! process.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Removed data nodes are remembered up to this number, the latest ones.
+/// The number of removed data nodes that the table keeps; the earliest removed ones are evicted.
 const MAX_REMOVED: usize = 4096;
 
-/// What discovery says of a data node.
+/// The state of a data node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// In service.
+    /// The node accepts new attempts.
     Up,
-    /// It completes what is in flight to it, and accepts nothing new.
+    /// The node completes attempts in flight and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// The node is no longer in the list.
     Removed,
 }
 
@@ -26,40 +27,40 @@
 pub struct Line<M> {
     /// The data node's name, the same at every coordinator.
     pub uid: String,
-    /// Its state.
+    /// The state that the update gives the data node.
     pub state: State,
-    /// When its process started; none where that could not be read.
+    /// When the node's process started; `None` if that could not be parsed.
     pub boot: Option<u64>,
-    /// What else the line says; none where that could not be read.
+    /// The other fields of the line; `None` if they could not be parsed.
     pub member: Option<M>,
 }
 
 /// A snapshot or a delta.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Update<M> {
-    /// Its version.
+    /// Discovery's version number of the list after this update.
     pub version: u64,
-    /// Whether it names all data nodes: those that are missing have left.
+    /// Whether this is a snapshot, which removes the data nodes that it does not name.
     pub complete: bool,
-    /// Its lines. Where a data node has several, they are applied in their order.
+    /// The lines about data nodes; several lines about one node are applied in order.
     pub lines: Vec<Line<M>>,
 }
 
-/// What is in force for a data node.
+/// The current state of a data node.
 #[derive(Debug, Clone)]
 struct Row<M> {
     state: State,
-    /// The version of the update that gave it this state.
+    /// The version of the update that set the state.
     version: u64,
-    /// When its process started.
+    /// When the node's process started.
     boot: u64,
     member: Option<M>,
-    /// The number of its removal, while it is removed.
-    removal: Option<u64>,
+    /// The key in [`MembershipTable::removed`] while the node is removed.
+    removal_id: Option<u64>,
 }
 
 impl<M> Row<M> {
-    /// Applies a line about a data node that is known, unless that is outdated.
+    /// Applies a line about this data node, unless the line is outdated.
     fn apply(&mut self, version: u64, state: State, boot: Option<u64>, member: Option<M>) {
         let boot = boot.unwrap_or(self.boot);
         let restarted = boot > self.boot;
@@ -69,7 +70,7 @@
         if is_of_earlier_process || (returns && is_older && !restarted) {
             return;
         }
-        self.version = self.version_with(version, state, restarted);
+        self.version = self.version_after(version, state, restarted);
         self.state = state;
         self.boot = boot.max(self.boot);
         if member.is_some() && (!is_older || restarted || self.member.is_none()) {
@@ -77,9 +78,9 @@
         }
     }
 
-    /// The version of the state that is in force once a line has been applied: that of the line where it puts the data node
-    /// into service, takes it out, or is of a later process; else the latest.
-    fn version_with(&self, version: u64, state: State, restarted: bool) -> u64 {
+    /// The version of the state after a line is applied: the line's version if it puts the data node into service,
+    /// takes it out of service, or concerns a later process; otherwise the higher of both versions.
+    fn version_after(&self, version: u64, state: State, restarted: bool) -> u64 {
         match (state, self.state) {
             (State::Up, State::Up) => self.version.max(version),
             (State::Up, _) | (_, State::Up) => version,
@@ -88,33 +89,34 @@
         }
     }
 
-    /// The data node is missing from a snapshot of this version; returns whether that removes it.
+    /// Removes a data node that a snapshot of this version does not name. Returns whether it was not removed before.
     fn remove(&mut self, version: u64) -> bool {
         self.version = if self.state == State::Up { version } else { self.version.max(version) };
-        let is_new = self.state != State::Removed;
+        let was_listed = self.state != State::Removed;
         self.state = State::Removed;
-        is_new
+        was_listed
     }
 }
 
-/// The data nodes as all updates so far have them.
+/// The data nodes with their states after all updates so far.
 #[derive(Debug, Clone)]
 pub struct MembershipTable<M> {
     rows: HashMap<String, Row<M>>,
-    /// Removed data nodes, by the numbers of their removals.
+    /// Removed data nodes in the order of their removals.
     removed: BTreeMap<u64, String>,
-    removals: u64,
+    /// The id of the latest removal.
+    last_removal_id: u64,
 }
 
 impl<M> Default for MembershipTable<M> {
     fn default() -> Self {
-        Self { rows: HashMap::new(), removed: BTreeMap::new(), removals: 0 }
+        Self { rows: HashMap::new(), removed: BTreeMap::new(), last_removal_id: 0 }
     }
 }
 
 impl<M: Clone> MembershipTable<M> {
-    /// Applies a snapshot or a delta; returns it as it holds beside all updates before it. A line that is older than what is
-    /// in force is replaced by that, and one that cannot be used is left out.
+    /// Applies a snapshot or a delta, and returns it with the resulting states. A line that is older than the current
+    /// state is replaced by that state, and a line that cannot be used is left out.
     pub fn apply(&mut self, update: Update<M>) -> Update<M> {
         let Update { version, complete, lines } = update;
         let named: Vec<String> = lines.iter().map(|line| line.uid.clone()).collect();
@@ -126,17 +128,17 @@
         Update { version, complete, lines }
     }
 
-    /// How many data nodes it remembers, removed ones included.
+    /// The number of data nodes in the table, including removed ones.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether it knows of none.
+    /// Whether the table has no data node, not even a removed one.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The line that is in force for a data node; none where all that could be read of it is its name.
+    /// The current line of a data node; `None` if its other fields have never been parsed and it is not removed.
     fn line(&self, uid: String) -> Option<Line<M>> {
         let row = self.rows.get(&uid)?;
         let usable = row.member.is_some() || row.state == State::Removed;
@@ -146,42 +148,42 @@
     fn apply_line(&mut self, version: u64, line: Line<M>) {
         let Line { uid, state, boot, member } = line;
         if member.is_none() && state == State::Up {
-            // Too little to put a data node into service.
+            // A line without the node's fields cannot put it into service.
             return;
         }
         match self.rows.get_mut(&uid) {
             Some(row) => row.apply(version, state, boot, member),
             None => {
-                let row = Row { state, version, boot: boot.unwrap_or(0), member, removal: None };
+                let row = Row { state, version, boot: boot.unwrap_or(0), member, removal_id: None };
                 self.rows.insert(uid.clone(), row);
             }
         }
         self.track_removal(&uid);
     }
 
-    /// Data nodes that a snapshot does not name are removed by its version, those that were removed before included.
+    /// Removes the data nodes that a snapshot does not name, and updates the versions of those already removed.
     fn remove_missing(&mut self, version: u64, named: &[String]) {
         let named: HashSet<&str> = named.iter().map(String::as_str).collect();
         let missing = self.rows.iter_mut().filter(|(uid, _)| !named.contains(uid.as_str()));
         let mut removed: Vec<String> =
             missing.filter_map(|(uid, row)| row.remove(version).then(|| uid.clone())).collect();
-        // In a fixed order, so that the same updates leave the same rows.
+        // The order is fixed so that the same updates always keep the same rows.
         removed.sort_unstable();
         removed.iter().for_each(|uid| self.track_removal(uid));
     }
 
-    /// Keeps the order of removals after a change of a row, and forgets the earliest of too many.
+    /// Updates the order of removals after a row has changed, and evicts the earliest removed nodes beyond the limit.
     fn track_removal(&mut self, uid: &str) {
         let Some(row) = self.rows.get_mut(uid) else { return };
-        match (row.state, row.removal) {
+        match (row.state, row.removal_id) {
             (State::Removed, None) => {
-                self.removals += 1;
-                row.removal = Some(self.removals);
-                self.removed.insert(self.removals, uid.to_string());
+                self.last_removal_id += 1;
+                row.removal_id = Some(self.last_removal_id);
+                self.removed.insert(self.last_removal_id, uid.to_string());
             }
-            (State::Up | State::Draining, Some(removal)) => {
-                row.removal = None;
-                self.removed.remove(&removal);
+            (State::Up | State::Draining, Some(removal_id)) => {
+                row.removal_id = None;
+                self.removed.remove(&removal_id);
             }
             _ => {}
         }
--- a/crates/membership/tests/subscription/calls.rs
+++ b/crates/membership/tests/subscription/calls.rs
@@ -1,4 +1,4 @@
-//! When calls to discovery are begun, kept open and abandoned, step by step.
+//! Single steps of a subscription: when calls to discovery are begun, kept open and abandoned.
 
 use curlewdeck_core::api::{DiscoveryMode, Nanos};
 use curlewdeck_membership::{
@@ -8,14 +8,13 @@
 use super::{subscription, ANSWER, MS, POLL, SPANS, START};
 
 const KNOWN: u64 = 41;
-/// The changes that a new service has must be known this long after the signal to move there.
+/// A coordinator counts as notified of a new service's changes this long after the signal to move to that service.
 const MOVE_NOTIFIED_AFTER: Nanos = 4000 * MS;
 
-/// A subscription whose events and time a test scripts.
+/// A subscription with events and times set by a test.
 struct ScriptedSubscription {
     subscription: Subscription,
     now: Nanos,
-    /// Calls that are open.
     open: Vec<(CallId, Request)>,
     usable_unconfirmed: bool,
 }
@@ -28,7 +27,7 @@
         scripted
     }
 
-    /// Returns the calls that begin.
+    /// Handles an event; returns the calls that it begins.
     fn step(&mut self, event: Event) -> Vec<(CallId, Request)> {
         if let Event::Ended(call, _) = event {
             self.open.retain(|c| c.0 != call);
@@ -47,15 +46,16 @@
         begun
     }
 
-    /// Lets time pass up to the next call; returns when it begins, after now, and what it is.
+    /// Advances the time to the start of the next call; returns the time until then, the call's identifier and its
+    /// request.
     fn next_call(&mut self) -> (Nanos, CallId, Request) {
-        let from = self.now;
+        let start = self.now;
         loop {
             let deadline = self.subscription.next_deadline();
-            assert!(deadline < from + 60_000 * MS, "no call begins any more");
+            assert!(deadline < start + 60_000 * MS, "no call begins within 60 s");
             self.now = deadline.max(self.now + 1);
             if let Some(&(call, request)) = self.step(Event::TimePassed).first() {
-                return (self.now - from, call, request);
+                return (self.now - start, call, request);
             }
         }
     }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Guards the start: discovery is called at once, from the version that is known, else for the whole list.
+/// The first call begins without delay. It watches from the known version, or requests a snapshot if there is none.
 #[test]
 fn discovery_is_called_at_the_start() {
     for (discovery, known) in [(POLL, Some(KNOWN)), (POLL, None), (DiscoveryMode::Push, Some(KNOWN))] {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Guards a large fleet's start, in which the first calls are spread: a query does not wait for that.
+/// The first calls of a large fleet are spread over time; a waiting query must not wait for that.
 #[test]
 fn a_waiting_query_begins_the_first_call_at_once() {
     let mut scripted = ScriptedSubscription::new(POLL, 300, Some(KNOWN), 1);
@@ -93,8 +93,8 @@
     assert!(scripted.step(Event::QueryWaiting).is_empty(), "one call is enough");
 }
 
-/// Guards the list from before the start: the process counts as notified of changes made while it was away. Neither a
-/// response that rejects the call nor one that breaks off confirms anything; a heartbeat of a watch does.
+/// The process counts as notified of changes made before its start. A rejected or broken call does not confirm the list
+/// of the previous process; a heartbeat of a watch does.
 #[test]
 fn a_failed_call_does_not_confirm_the_list_from_before_the_start() {
     for end in [CallEnd::Busy, CallEnd::Rejected, CallEnd::Broken, CallEnd::Unreadable] {
@@ -113,8 +113,8 @@
     }
 }
 
-/// Guards against never serving anybody where discovery cannot be heard, and against sending before: changes made while
-/// the process was away count, however its calls fail now.
+/// While discovery fails, the coordinator would never serve queries without this limit. Before the limit it must not
+/// use the list, since it counts as notified of changes made before its start, however its calls fail.
 #[test]
 fn the_list_from_before_the_start_is_used_unconfirmed_after_a_while() {
     for end in [CallEnd::Unreachable, CallEnd::Busy] {
@@ -131,8 +131,7 @@
     }
 }
 
-/// Guards the time in which nobody is served: the return of an unreachable service is seen soon where few coordinators
-/// call it.
+/// Without a usable list no query is served, so a small fleet must detect the return of the service soon.
 #[test]
 fn an_unreachable_service_is_called_often_while_the_list_is_unconfirmed() {
     for end in [CallEnd::Unreachable] {
@@ -145,10 +144,10 @@
     }
 }
 
-/// Guards a service that answers late: a call is heard for longer than any change may take to count, beside a second one
-/// that begins in time for that.
+/// A slow service may answer as late as the notification limit. The call must still be open then, and a second call
+/// must have begun in time.
 #[test]
-fn a_call_that_is_answered_late_is_heard() {
+fn a_late_answer_to_a_call_is_accepted() {
     for discovery in [POLL, DiscoveryMode::Push] {
         for coordinators in [1, 300] {
             let mut scripted = ScriptedSubscription::new(discovery, coordinators, Some(KNOWN), 1);
@@ -164,23 +163,23 @@
     }
 }
 
-/// Guards a call whose coroutine has died or whose connection has been forgotten: it ends with its lifetime.
+/// The end of a call may never be reported, for example if its coroutine died. Its lifetime must end it.
 #[test]
-fn a_call_that_is_never_heard_again_is_followed_by_others() {
+fn a_call_without_any_answer_is_followed_by_others() {
     let mut scripted = ScriptedSubscription::new(POLL, 1, Some(KNOWN), 1);
-    let mut last = 0;
+    let mut elapsed = 0;
     for _ in 0..20 {
         let (after, _, _) = scripted.next_call();
         assert!(after <= CALL_GAP, "{after}");
-        last += after;
+        elapsed += after;
     }
-    assert!(last > 20 * 1500 * MS, "calls follow each other too fast: 20 in {} ms", last / MS);
+    assert!(elapsed > 20 * 1500 * MS, "calls begin too often: 20 in {} ms", elapsed / MS);
 }
 
-/// Guards a watch that falls silent: another is opened beside it, from the latest version, and the first is heard until
-/// that is answered.
+/// A silent watch is hedged by a watch from the latest version. It may still deliver updates until the hedge is
+/// answered.
 #[test]
-fn a_silent_watch_is_heard_until_its_hedge_is_answered() {
+fn a_silent_watch_stays_open_until_its_hedge_is_answered() {
     let mut scripted = ScriptedSubscription::new(POLL, 1, Some(KNOWN), 1);
     let first = scripted.newest();
     scripted.step(Event::Told(first, 42));
@@ -191,9 +190,9 @@
     assert!(!scripted.subscription.hears(first));
 }
 
-/// Guards against requesting the same version for ever where a service does not accept it.
+/// Otherwise the coordinator would request a version forever that the service does not accept.
 #[test]
-fn a_watch_whose_version_is_refused_falls_back_to_a_snapshot() {
+fn a_watch_whose_version_is_rejected_falls_back_to_a_snapshot() {
     for end in [CallEnd::Rejected, CallEnd::Broken, CallEnd::Unreadable] {
         let mut scripted = ScriptedSubscription::new(POLL, 1, Some(KNOWN), 1);
         scripted.step(Event::Ended(scripted.newest(), end));
@@ -206,10 +205,10 @@
     }
 }
 
-/// Guards against a service that has restarted with lower versions: to a watch from a higher one it sends nothing but
-/// heartbeats, for good. A snapshot verifies such a watch, and only where no update came.
+/// A service restarted with lower versions sends only heartbeats, without end, on a watch from a higher version. A
+/// snapshot verifies such a watch unless an update arrives.
 #[test]
-fn a_watch_by_a_version_of_an_earlier_connection_is_verified() {
+fn a_watch_from_an_earlier_connections_version_is_verified() {
     for updated in [false, true] {
         let mut scripted = ScriptedSubscription::new(POLL, 1, Some(KNOWN), 1);
         scripted.step(Event::Told(scripted.newest(), KNOWN));
@@ -231,15 +230,15 @@
         }
         assert_eq!(verified.map(|c| c.1), (!updated).then_some(Request::Snapshot));
         if let Some((snapshot, _)) = verified {
-            assert!(scripted.subscription.hears(watch), "the watch goes on beside it");
+            assert!(scripted.subscription.hears(watch), "the watch was closed during its verification");
             scripted.step(Event::Told(snapshot, 5));
             assert!(!scripted.subscription.hears(watch));
         }
     }
 }
 
-/// Guards a move of the service: the old one is not heard any more, and whether the first call to the new one fails or
-/// hangs, another is answered in time.
+/// Messages of the old service are ignored after a move. If the first call to the new service fails or hangs, the next
+/// one must begin early enough to be answered in time.
 #[test]
 fn after_a_service_move_a_call_that_fails_or_hangs_is_followed_in_time() {
     for (seed, end) in (0..50)
@@ -257,13 +256,14 @@
             scripted.step(Event::Ended(begun[0].0, end));
         }
         scripted.next_call();
-        let left = (signal + MOVE_NOTIFIED_AFTER).saturating_sub(scripted.now);
-        assert!(left >= ANSWER, "{end:?}: {} ms left for the answer", left / MS);
+        let remaining = (signal + MOVE_NOTIFIED_AFTER).saturating_sub(scripted.now);
+        assert!(remaining >= ANSWER, "{end:?}: {} ms remain for the answer", remaining / MS);
     }
 }
 
-/// Guards push mode: changes that the local agent has count at once, so a watch that ends is reopened at once, and an
-/// agent that fails is called again well within the grace period of a drain, about ten times a second at most.
+/// In push mode a coordinator counts as notified of the agent's changes at once. An ended watch is therefore reopened
+/// at once, and a failed agent is called again well within the grace period of a drain, at most about ten times a
+/// second.
 #[test]
 fn a_failed_agent_is_called_again_at_once() {
     let mut scripted = ScriptedSubscription::new(DiscoveryMode::Push, 300, Some(KNOWN), 1);
@@ -278,7 +278,7 @@
     }
 }
 
-/// Guards a failure of the machine's own: it says nothing of the service, and does not slow its calls down.
+/// A failure on this machine does not show a fault of the service, so it must not increase the backoff.
 #[test]
 fn a_local_failure_is_retried_soon() {
     let mut scripted = ScriptedSubscription::new(POLL, 300, Some(KNOWN), 1);
@@ -290,11 +290,11 @@
     }
 }
 
-/// Guards against watches that always end right after their first update: calls back off all the same, by the number of
-/// coordinators that do the same.
+/// A service that ends each watch right after its first update must not be called rapidly. The backoff grows with the
+/// number of coordinators.
 #[test]
 fn watches_that_end_at_once_back_off() {
-    for (coordinators, least) in [(1, 8_000 * MS), (300, 20_000 * MS)] {
+    for (coordinators, min_duration) in [(1, 8_000 * MS), (300, 20_000 * MS)] {
         let mut scripted = ScriptedSubscription::new(POLL, coordinators, Some(KNOWN), 1);
         scripted.step(Event::QueryWaiting);
         let begun = scripted.now;
@@ -303,12 +303,12 @@
             scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken));
             scripted.next_call();
         }
-        assert!(scripted.now - begun > least, "20 calls in {} ms", (scripted.now - begun) / MS);
+        assert!(scripted.now - begun > min_duration, "20 calls in {} ms", (scripted.now - begun) / MS);
     }
 }
 
-/// Guards the time after a watch that may have ended instead of sending a change, at all coordinators at once: each calls
-/// again at once, whatever failed before that watch, and though it was never heard a second time.
+/// A stable watch may have ended, at all coordinators at once, instead of sending a change. Failures before the watch
+/// must not delay the next call, even if the watch received only one message.
 #[test]
 fn a_stable_watch_is_reopened_at_once() {
     for seed in 0..50 {
@@ -324,8 +324,8 @@
     }
 }
 
-/// Guards a busy service against the calls of a small fleet: each costs it work, and the more it has to reject, the
-/// fewer it answers. Its capacity is not known; a call of each in 2.4 s is what six coordinators may take of 2.6 a second.
+/// Each rejected call costs a busy service work and reduces the number of calls that it answers. Its capacity is
+/// unknown; one call in 2.4 s from each of six coordinators stays within 2.6 calls a second.
 #[test]
 fn calls_to_a_busy_service_back_off_in_small_fleets_too() {
     for seed in 0..50 {
@@ -342,7 +342,8 @@
     }
 }
 
-/// Guards small fleets, in which calls in a row may fail in different ways before a change counts.
+/// In a small fleet, consecutive calls may fail in different ways before the coordinator counts as notified of a
+/// change.
 #[test]
 fn three_calls_that_fail_in_a_row_leave_time_for_the_fourth() {
     for seed in 0..200 {
@@ -353,19 +354,19 @@
         scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken));
         scripted.next_call();
         scripted.step(Event::Ended(scripted.newest(), CallEnd::Busy));
-        // Never answered; the one beside it is reset.
+        // The first of these calls is never answered; the second is reset.
         scripted.next_call();
         scripted.next_call();
         scripted.step(Event::Ended(scripted.newest(), CallEnd::Unreachable));
         scripted.next_call();
-        let left = NOTIFIED_AFTER.saturating_sub(scripted.now - changed);
-        assert!(left >= ANSWER, "{} ms left for the answer", left / MS);
+        let remaining = NOTIFIED_AFTER.saturating_sub(scripted.now - changed);
+        assert!(remaining >= ANSWER, "{} ms remain for the answer", remaining / MS);
     }
 }
 
-/// Guards against a subscription that spins: after each deadline the next one lies ahead.
+/// A deadline that is still due after its step would cause a busy loop.
 #[test]
-fn no_deadline_stays_due() {
+fn each_deadline_is_later_than_the_current_time() {
     for discovery in [POLL, DiscoveryMode::Push] {
         let mut scripted = ScriptedSubscription::new(discovery, 1, Some(KNOWN), 3);
         for _ in 0..500 {
@@ -376,8 +377,8 @@
     }
 }
 
-/// Guards whoever uses the list: each change between usable and not is reported, by an update or by a command of its own.
-/// An agent that goes down ends its watch, and is found down a moment later.
+/// An agent that goes down first ends its watch, which expires the list, and is detected as down shortly after. The
+/// list is usable again then, which only a command reports, since no update arrives.
 #[test]
 fn a_list_that_is_usable_again_without_an_update_is_reported() {
     for refuses in [true, false] {
--- a/crates/membership/tests/subscription/fleet.rs
+++ b/crates/membership/tests/subscription/fleet.rs
@@ -1,4 +1,4 @@
-//! Many subscriptions at one service: what all of them together load it with, and when each learns of a change.
+//! Many subscriptions at one service: their total load, and the time until each receives an answer.
 
 use curlewdeck_core::api::Nanos;
 use curlewdeck_membership::{CallEnd, CallId, Command, Event, Subscription};
@@ -10,10 +10,10 @@
     super::subscription(POLL, coordinators, Some(1), seed)
 }
 
-/// A service that handles one call after the other, those whose coordinator has stopped waiting included.
+/// A service that handles one call at a time, including calls whose coordinators no longer wait.
 struct Service {
     call_duration: Nanos,
-    /// How long a call may wait.
+    /// The longest time that a caller waits.
     call_timeout: Nanos,
     free_at: Nanos,
 }
@@ -27,8 +27,9 @@
     }
 }
 
-/// Coordinators that all start at once with an old list: when each was first answered, and how many calls there were.
-fn start_at_once(coordinators: u32, span: Nanos) -> (Vec<Option<Nanos>>, usize) {
+/// Starts coordinators at the same time with an old list. Returns the time of the first answer to each and the number
+/// of calls.
+fn simulate_simultaneous_start(coordinators: u32, span: Nanos) -> (Vec<Option<Nanos>>, usize) {
     let mut service = Service { call_duration: POLL_INTERVAL_MAX / 150, call_timeout: 2000 * MS, free_at: 0 };
     let mut fleet: Vec<Subscription> =
         (0..coordinators).map(|n| subscription(coordinators, u64::from(n) + 1)).collect();
@@ -39,7 +40,7 @@
             let (ended, open) = calls[n].iter().partition(|c| c.1 <= now);
             calls[n] = open;
             let mut events = vec![Event::TimePassed];
-            // A watch that was opened goes on.
+            // An open watch sends heartbeats.
             events.extend(answered_after[n].and(Some(Event::Heartbeat(CallId(1)))));
             for (call, _, answered) in ended {
                 events.push(if answered { Event::Told(call, 2) } else { Event::Ended(call, CallEnd::Busy) });
@@ -59,31 +60,34 @@
     (answered_after, made)
 }
 
-/// Guards against a release after which most coordinators have no endpoint list: called by all at once, the service
-/// answers a few, is busy with calls that nobody waits for, and is called again by all others together.
+/// After a release all coordinators call discovery at once. It answers a few, then works on calls that have timed out
+/// while all others call again, so that most coordinators would get no endpoint list.
 #[test]
 fn a_hundred_coordinators_that_start_at_once_all_get_the_list() {
-    let (answered_after, made) = start_at_once(100, 12_000 * MS);
-    let late = answered_after.iter().filter(|t| t.is_none()).count();
-    assert!(late == 0 && made <= 150, "{late} coordinators know no list after 12 s and {made} calls");
+    let (answered_after, calls) = simulate_simultaneous_start(100, 12_000 * MS);
+    let unanswered = answered_after.iter().filter(|t| t.is_none()).count();
+    assert!(
+        unanswered == 0 && calls <= 150,
+        "{unanswered} coordinators have no list after 12 s and {calls} calls"
+    );
 }
 
-/// Guards against a pause that three coordinators have no need of.
+/// A fleet of three is too small to load the service, so its first calls need no delay.
 #[test]
 fn three_coordinators_that_start_at_once_call_without_a_pause() {
-    let (answered_after, made) = start_at_once(3, 1000 * MS);
+    let (answered_after, calls) = simulate_simultaneous_start(3, 1000 * MS);
     assert!(
-        answered_after.iter().all(|t| t.is_some_and(|t| t <= 320 * MS)) && made == 3,
-        "{answered_after:?}, {made} calls"
+        answered_after.iter().all(|t| t.is_some_and(|t| t <= 320 * MS)) && calls == 3,
+        "{answered_after:?}, {calls} calls"
     );
 }
 
-/// A coordinator whose calls all fail, or are answered and fall silent.
+/// A coordinator whose calls all fail, or are answered once and then silent.
 struct FailingCalls {
     subscription: Subscription,
     rng: Rng,
     last_begun_at: Option<Nanos>,
-    /// Calls that end, and when.
+    /// Calls with a scheduled end, and its time.
     ends: Vec<(CallId, Nanos)>,
     begun: usize,
 }
@@ -119,7 +123,7 @@
         assert!(now <= latest + STEP, "call {} begins late", self.begun);
         self.last_begun_at = Some(now);
         self.begun += 1;
-        // It fails within its time, is answered and falls silent, or is never heard of.
+        // The call is answered once and then silent, is never answered, or fails within 2.2 s.
         match self.rng.u64(0..4) {
             0 => drop(self.subscription.step(now, Event::Told(call, 2))),
             1 => {}
@@ -128,8 +132,8 @@
     }
 }
 
-/// Guards the 6 s after which a change counts: however calls fail, and for however many coordinators, the next one begins
-/// early enough to be answered by then; and after a watch that fell silent so long after it was last heard.
+/// For any kind of failure and any size of the fleet, the next call must begin early enough to be answered within the 6
+/// s of the notification rule. After a silent watch, the limit runs from its last message.
 #[test]
 fn a_failed_call_is_followed_by_another_in_time() {
     for (coordinators, seed) in (0..40).map(|n| ([1, 3, 30, 300][n % 4], n as u64)) {
--- a/crates/membership/tests/subscription/notification_rule.rs
+++ b/crates/membership/tests/subscription/notification_rule.rs
@@ -1,4 +1,4 @@
-//! Whole subscriptions against a model of all clauses of the notification rule, over random conditions of discovery.
+//! Subscriptions against a model of all clauses of the notification rule, under random conditions of discovery.
 
 use curlewdeck_core::api::Nanos;
 use curlewdeck_membership::{CallEnd, CallId, Command, Event, Request, Subscription, NOTIFIED_AFTER};
@@ -7,57 +7,58 @@
 
 use super::{subscription, MS, POLL, START, STEP};
 
-/// A change that a watch may have ended instead of sending counts this long after its end.
+/// A coordinator counts as notified of a change this long after a watch has ended instead of sending it.
 const WATCH_END_NOTIFIED_AFTER: Nanos = 2000 * MS;
 const HEARTBEAT: Nanos = 2000 * MS;
-/// What a silent watch misses counts this long after it fell silent.
+/// A coordinator counts as notified of changes missed by a silent watch this long after the watch became silent.
 const SILENCE_NOTIFIED_AFTER: Nanos = 6000 * MS;
-/// A watch without a line for this long is silent; before, nobody can tell it from one on which nothing changes.
+/// How long a watch must be without a line to be silent. Before that it cannot be distinguished from a watch without
+/// changes.
 const NOTICEABLE_SILENCE: Nanos = HEARTBEAT + 250 * MS;
-/// A busy service rejects a call after this long at most.
+/// The longest time until a busy service rejects a call.
 const REJECTED_WITHIN: Nanos = 2000 * MS;
 const NEVER: Nanos = Nanos::MAX;
 
-/// What discovery does from a moment on, for a while.
+/// The behavior of discovery for some time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Condition {
-    /// Calls are answered after this long.
+    /// Discovery answers calls after the given time.
     Healthy { answer: Nanos },
-    /// It rejects each call after a wait. With many callers it is crowded and reachable; the calls of a few are no load, so
-    /// it is down.
+    /// Discovery rejects each call after a delay. With a large fleet it is overloaded and reachable; a small fleet does
+    /// not load it, so then it is down.
     Busy,
-    /// It is reachable, and answers no call. Watches fall silent.
+    /// Discovery is reachable but answers no calls, and watches become silent.
     Hung,
-    /// It refuses connections, and has ended those that were open.
+    /// Discovery refuses connections and has closed the open ones.
     Down,
 }
 
-/// Discovery and one coordinator, with what that counts as notified of.
+/// Discovery and one coordinator, with the versions of which the coordinator counts as notified.
 struct Model {
-    /// Whether the calls of all coordinators are no load.
+    /// Whether the fleet is too small to load the service.
     fleet_is_small: bool,
     subscription: Subscription,
     rng: Rng,
     now: Nanos,
     condition: Condition,
     version: u64,
-    /// When discovery had each version: the first is 1.
+    /// When each version began, from version 1 on.
     changed_at: Vec<Nanos>,
-    /// The latest version that the coordinator was sent.
+    /// The latest version sent to the coordinator.
     received: u64,
-    /// A version that a watch ended instead of sending, and when it counts.
+    /// A version that a watch did not send because it ended, and when the coordinator counts as notified of it.
     unsent_by_watch: Option<(u64, Nanos)>,
-    /// When the open watch fell silent.
+    /// When the open watch became silent.
     silent_since: Option<Nanos>,
-    /// Versions that a silent watch did not send, and when each counts.
+    /// Versions that a silent watch did not send, and when the coordinator counts as notified of each.
     unsent_by_silence: Vec<(u64, Nanos)>,
-    /// When the coordinator last received something.
-    heard_at: Nanos,
-    /// The latest version that the coordinator counts as notified of, received or not.
+    /// When the coordinator last received a message.
+    last_received_at: Nanos,
+    /// The latest version of which the coordinator counts as notified, received or not.
     notified: u64,
-    /// Since when discovery is reachable.
+    /// When discovery became reachable; `None` while it is unreachable.
     reachable_since: Option<Nanos>,
-    /// Discovery was not heard for so long after the start that the list from before it is used: the one exception.
+    /// The list of the previous process is used without confirmation, which is the only exception to the rule.
     unconfirmed: bool,
     open: Vec<OpenCall>,
 }
@@ -66,7 +67,7 @@
 struct OpenCall {
     id: CallId,
     since: u64,
-    /// When it is answered, or ends.
+    /// When the call is answered, sends its next heartbeat, or ends.
     due: Nanos,
     answered: bool,
 }
@@ -85,7 +86,7 @@
             unsent_by_watch: None,
             silent_since: None,
             unsent_by_silence: Vec::new(),
-            heard_at: START,
+            last_received_at: START,
             notified: 1,
             reachable_since: Some(0),
             unconfirmed: false,
@@ -140,10 +141,10 @@
         };
         match condition {
             _ if is_down => {
-                if self.now - self.heard_at < NOTICEABLE_SILENCE {
+                if self.now - self.last_received_at < NOTICEABLE_SILENCE {
                     self.unsent_by_silence.clear();
                 }
-                // The watch ends with it: what is changed later is not missed by its silence.
+                // The outage also ends the watch, so later changes are not missed because of its silence.
                 self.silent_since = None;
                 for call in std::mem::take(&mut self.open) {
                     let end = if call.answered { CallEnd::Broken } else { CallEnd::Unanswered };
@@ -160,13 +161,13 @@
         }
     }
 
-    /// A change, which the open watch sends, or ends instead of sending.
+    /// Makes a change. The open watch sends it, or ends instead if `ends_watch` is set.
     fn change(&mut self, ends_watch: bool) {
         self.version += 1;
         self.changed_at.push(self.now);
         if let (Some(silent_since), true) = (self.silent_since, self.reachable_since.is_some()) {
-            let counts_at = self.now.max(silent_since + SILENCE_NOTIFIED_AFTER);
-            self.unsent_by_silence.push((self.version, counts_at));
+            let notified_at = self.now.max(silent_since + SILENCE_NOTIFIED_AFTER);
+            self.unsent_by_silence.push((self.version, notified_at));
         }
         let watch = self.open.iter().copied().find(|call| call.answered && call.due != NEVER);
         let Some(watch) = watch else { return };
@@ -183,12 +184,12 @@
         let changed = call.since != self.version;
         (call.since, call.answered, call.due) = (self.version, true, self.now + HEARTBEAT);
         (self.received, self.unconfirmed) = (self.version, false);
-        (self.heard_at, self.silent_since) = (self.now, None);
+        (self.last_received_at, self.silent_since) = (self.now, None);
         let event = if changed { Event::Told(id, self.version) } else { Event::Heartbeat(id) };
         self.step(event);
     }
 
-    /// Lets a step of time pass, with what is due on calls and watches.
+    /// Advances the time by one step and handles the calls and watches that are due.
     fn pass(&mut self) {
         self.now += STEP;
         self.step(Event::TimePassed);
@@ -204,18 +205,18 @@
         }
     }
 
-    /// Whether the coordinator counts as notified of a change that it did not receive. Once a change counts, it does for
-    /// good.
+    /// Whether the coordinator counts as notified of a change that it did not receive. It never stops counting as
+    /// notified of a change.
     fn misses_a_change(&mut self) -> bool {
         let now = self.now;
         let by_watch = self.unsent_by_watch.filter(|&(_, at)| at <= now).map(|(version, _)| version);
-        let counts_by_time =
+        let is_due_by_time =
             |&at: &Nanos| self.reachable_since.is_some_and(|since| since.max(at) + NOTIFIED_AFTER <= now);
-        let by_time = self.changed_at.iter().rposition(counts_by_time).map(|place| place as u64 + 1);
+        let by_time = self.changed_at.iter().rposition(is_due_by_time).map(|index| index as u64 + 1);
         let by_silence =
             self.unsent_by_silence.iter().filter(|unsent| unsent.1 <= now).map(|unsent| unsent.0);
-        let counts = by_watch.into_iter().chain(by_time).chain(by_silence).max();
-        self.notified = self.notified.max(counts.unwrap_or(0));
+        let latest = by_watch.into_iter().chain(by_time).chain(by_silence).max();
+        self.notified = self.notified.max(latest.unwrap_or(0));
         self.notified > self.received && !self.unconfirmed
     }
 }
@@ -232,9 +233,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Whatever discovery goes through, no list is used that lacks a change which counts.
+    /// Under any sequence of conditions of discovery, the list in use contains each change of which the coordinator
+    /// counts as notified.
     #[test]
-    fn no_list_is_used_that_lacks_a_change_which_counts(
+    fn a_list_is_not_used_if_it_lacks_a_notified_change(
         spans in proptest::collection::vec((any_condition(), 100_u64..12_000), 1..8),
         changes in proptest::collection::vec((0_u64..60_000, any::<bool>()), 1..10),
         coordinators in prop_oneof![Just(1_u32), Just(3), Just(30), Just(300)],
@@ -262,15 +264,15 @@
             let missed = model.misses_a_change();
             prop_assert!(
                 !(missed && model.subscription.usable(model.now)),
-                "a change counts, and the list without it is used, {} ms after the start",
+                "the list in use lacks a notified change {} ms after the start",
                 (model.now - START) / MS
             );
         }
     }
 
-    /// The other side: the list can be used while discovery is heard, and while it is unreachable.
+    /// The list must not expire while discovery sends messages or is unreachable.
     #[test]
-    fn a_list_is_used_while_discovery_is_heard_or_unreachable(
+    fn a_list_is_usable_while_discovery_is_healthy_or_unreachable(
         lasts in 100_u64..40_000,
         coordinators in prop_oneof![Just(1_u32), Just(3), Just(30), Just(300)],
         seed in any::<u64>(),
@@ -283,12 +285,12 @@
         let until = model.now + lasts * MS;
         while model.now < until {
             model.pass();
-            prop_assert!(model.subscription.usable(model.now), "out of reach for {} ms", (model.now + lasts * MS - until) / MS);
+            prop_assert!(model.subscription.usable(model.now), "unreachable for {} ms", (model.now + lasts * MS - until) / MS);
         }
         model.set_condition(Condition::Healthy { answer: 100 * MS });
         while model.now < until + NOTIFIED_AFTER {
             model.pass();
-            prop_assert!(model.subscription.usable(model.now), "back for {} ms", (model.now - until) / MS);
+            prop_assert!(model.subscription.usable(model.now), "reachable again for {} ms", (model.now - until) / MS);
         }
     }
 }
--- a/crates/membership/tests/subscription/outages.rs
+++ b/crates/membership/tests/subscription/outages.rs
@@ -1,4 +1,4 @@
-//! One coordinator and a discovery that fails in several ways: when each change is known.
+//! When one coordinator receives each change from a discovery that fails in several ways.
 
 use curlewdeck_core::api::Nanos;
 use curlewdeck_membership::{CallEnd, CallId, Command, Event, Request, Subscription, NOTIFIED_AFTER};
@@ -7,27 +7,27 @@
 
 use super::{subscription, MS, POLL, START, STEP};
 
-/// Changes are made at the earliest this long before the end of an outage.
+/// How long before the end of an outage a change is made at the earliest.
 const EARLIEST_CHANGE: Nanos = 3000 * MS;
 
-/// How discovery fails for a while.
+/// The kind of a temporary failure of discovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Outage {
-    /// Calls wait for a while, and end in 503, also after its return.
+    /// Calls wait for 2 s and then get status 503, even if the outage ends before.
     Busy,
-    /// Calls are refused.
+    /// Connections are refused.
     Refused,
-    /// Calls are reset.
+    /// Connections are reset.
     Reset,
-    /// Calls are never answered, and watches fall silent.
+    /// Calls are never answered, and watches become silent.
     Silent,
 }
 
-/// Discovery with its outages, as the notification rule sees it.
+/// Discovery with its outages and changes, to which the notification rule applies.
 struct Discovery {
-    /// Each with its beginning and its end.
+    /// The kind, the beginning and the end of each outage.
     outages: Vec<(Outage, Nanos, Nanos)>,
-    /// When the list changes: its version is the number of changes so far, and 1.
+    /// The times of changes of the list. Its version is one more than the number of changes so far.
     changes: Vec<Nanos>,
     /// How long an answer takes.
     answer: Nanos,
@@ -42,11 +42,12 @@
         1 + self.changes.iter().filter(|&&at| at <= now).count() as u64
     }
 
-    /// The version that has to be known by now: each change counts 6 s after discovery had it and could be reached.
+    /// The version that the coordinator must have by `now`. It counts as notified of each change 6 s after discovery
+    /// had the change and was reachable.
     fn version_due(&self, now: Nanos) -> u64 {
         let Some(since) = now.checked_sub(NOTIFIED_AFTER) else { return 0 };
-        let reached = self.outages.iter().all(|o| o.2 <= since || now < o.1);
-        if reached {
+        let was_reachable = self.outages.iter().all(|o| o.2 <= since || now < o.1);
+        if was_reachable {
             self.version(since)
         } else {
             0
@@ -58,7 +59,7 @@
 struct OpenCall {
     id: CallId,
     since: Option<u64>,
-    /// When it is answered, or ends.
+    /// When the call is answered or ends.
     due_at: Nanos,
     end: Option<CallEnd>,
     answered: bool,
@@ -66,7 +67,7 @@
 }
 
 impl OpenCall {
-    /// A call that begins now, under this condition of discovery.
+    /// Creates a call that begins at `now`, under the current outage of discovery if there is one.
     fn begin(now: Nanos, id: CallId, request: Request, discovery: &Discovery) -> Self {
         let since = match request {
             Request::Snapshot => None,
@@ -82,7 +83,7 @@
         Self { id, since, due_at: now + after, end, answered: false, heartbeat_at: 0 }
     }
 
-    /// What comes on it now, if anything.
+    /// The event that the call causes at `now`, if any.
     fn poll(&mut self, now: Nanos, discovery: &Discovery, rng: &mut Rng) -> Option<Event> {
         if self.due_at > now {
             return None;
@@ -112,7 +113,7 @@
     }
 }
 
-/// A coordinator that calls a discovery with outages.
+/// A coordinator that subscribes to a discovery with outages.
 struct Coordinator<'a> {
     discovery: &'a Discovery,
     subscription: Subscription,
@@ -140,7 +141,7 @@
         for event in events {
             self.step(now, event);
         }
-        assert!(self.subscription.next_deadline() > now, "a deadline stays due");
+        assert!(self.subscription.next_deadline() > now, "the next deadline is not in the future");
     }
 
     fn step(&mut self, now: Nanos, event: Event) {
@@ -161,7 +162,7 @@
     }
 }
 
-/// Runs a coordinator for a while; returns the first moment at which a change counted and was not known.
+/// Runs a coordinator for `span`. Returns the first time at which it lacked a change of which it counted as notified.
 fn first_missed_change(discovery: &Discovery, coordinators: u32, seed: u64, span: Nanos) -> Option<Nanos> {
     let mut coordinator = Coordinator::new(discovery, coordinators, seed);
     let missed = (START..START + span).step_by(STEP as usize).find(|&now| {
@@ -178,11 +179,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Whatever discovery goes through, each change is known 6 s after discovery had it and could be reached.
+    /// Over random outages, each change is received within 6 s after discovery had it and was reachable.
     #[test]
-    fn each_change_is_known_when_it_counts(
+    fn each_change_is_received_within_the_notification_time(
         spans in proptest::collection::vec((any_outage(), 0_u64..9000, 0_u64..25_000), 1..5),
-        // How long after the end of one of the outages, less some seconds.
+        // The outage to which each change relates, and its time from `EARLIEST_CHANGE` before the end of that outage.
         changes in proptest::collection::vec((any::<prop::sample::Index>(), 0_u64..9000), 1..12),
         answer in prop_oneof![1_u64..=2100, Just(2100)],
         coordinators in prop_oneof![Just(1_u32), Just(3), Just(30), Just(300)],
@@ -201,6 +202,6 @@
         let changes = changes.iter().map(changed).collect();
         let discovery = Discovery { outages, changes, answer: answer * MS };
         let missed = first_missed_change(&discovery, coordinators, seed, 100_000 * MS);
-        prop_assert!(missed.is_none(), "a change counted and was not known {} ms after the start", missed.unwrap_or(0) / MS);
+        prop_assert!(missed.is_none(), "a notified change had not been received {} ms after the start", missed.unwrap_or(0) / MS);
     }
 }
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which update of a data node is in force, whatever the order in which updates come.
+//! The state of a data node after updates that arrive in any order.
 
 use curlewdeck_membership::{Line, MembershipTable, State, Update};
 use proptest::prelude::*;
@@ -15,13 +15,12 @@
     Update { version, complete: true, lines }
 }
 
-/// The state that an update leaves one data node in, as the embedder sees it; none where it is not named.
+/// Applies an update and returns the resulting state of one data node; `None` if the result does not name it.
 fn state_after(table: &mut MembershipTable<u64>, update: Update<u64>, uid: &str) -> Option<State> {
     table.apply(update).lines.iter().find(|line| line.uid == uid).map(|line| line.state)
 }
 
-/// Guards a data node that drains against an older snapshot or delta that still has it up: a lagging replica, or a late
-/// response.
+/// A lagging replica of discovery or a late response sends an older snapshot or delta in which the draining node is up.
 #[test]
 fn an_older_update_does_not_return_a_draining_node_to_service() {
     for older in [snapshot(40, vec![line("a", State::Up, 7)]), delta(40, vec![line("a", State::Up, 7)])] {
@@ -34,15 +33,15 @@
     }
 }
 
-/// Guards a data node that was removed, by a line or by its absence, against the same; a later start of its process
-/// returns it to service.
+/// A node is removed by a line or by its absence from a snapshot, and then an older update that lists it as up arrives.
 #[test]
-fn a_removed_node_returns_by_a_later_start_but_not_by_an_older_update() {
-    for leaves in [delta(41, vec![line("a", State::Removed, 7)]), snapshot(41, vec![line("b", State::Up, 7)])]
+fn a_removed_node_returns_with_a_later_start_but_not_with_an_older_update() {
+    for removal in
+        [delta(41, vec![line("a", State::Removed, 7)]), snapshot(41, vec![line("b", State::Up, 7)])]
     {
         let mut table = MembershipTable::default();
         table.apply(snapshot(39, vec![line("a", State::Up, 7)]));
-        table.apply(leaves);
+        table.apply(removal);
         let older = snapshot(40, vec![line("a", State::Up, 7), line("b", State::Up, 7)]);
         assert_ne!(state_after(&mut table, older, "a"), Some(State::Up));
         let restarted = delta(40, vec![line("a", State::Up, 8)]);
@@ -50,7 +49,7 @@
     }
 }
 
-/// Guards drains and removals by a service that has restarted and counts from the beginning.
+/// A restarted discovery counts versions from the beginning. Its drains and removals must not be dropped as outdated.
 #[test]
 fn a_service_with_lower_versions_takes_nodes_out_of_service() {
     let mut table = MembershipTable::default();
@@ -64,7 +63,7 @@
     assert_eq!(state_after(&mut table, delta(5, vec![line("b", State::Up, 7)]), "b"), Some(State::Up));
 }
 
-/// Guards a data node that has restarted against late updates of its earlier process.
+/// A late update of a node's earlier process must not be applied to its restarted process.
 #[test]
 fn an_older_update_of_an_earlier_process_is_ignored() {
     let mut table = MembershipTable::default();
@@ -72,25 +71,25 @@
     assert_eq!(state_after(&mut table, delta(39, vec![line("a", State::Draining, 7)]), "a"), Some(State::Up));
 }
 
-/// Guards a line of which only name and state could be read: it takes its data node out of service as it was known, and
-/// says nothing of one that was not.
+/// A line with only a readable name and state takes a known node out of service and keeps its other fields. It must not
+/// add an unknown node.
 #[test]
-fn a_partial_line_keeps_what_was_known() {
+fn a_partial_line_keeps_the_known_fields() {
     let partial = |uid: &str, state| Line { uid: uid.to_string(), state, boot: None, member: None };
     let mut table = MembershipTable::default();
     table.apply(snapshot(1, vec![line("a", State::Up, 7)]));
-    let in_force = table.apply(delta(2, vec![partial("a", State::Draining), partial("b", State::Up)]));
-    assert_eq!(in_force.lines, vec![line("a", State::Draining, 7)]);
-    // Neither does it put one into service, nor does a name alone make one leave.
+    let applied = table.apply(delta(2, vec![partial("a", State::Draining), partial("b", State::Up)]));
+    assert_eq!(applied.lines, vec![line("a", State::Draining, 7)]);
+    // In a snapshot, a partial line neither puts its node into service nor removes it.
     for state in [State::Draining, State::Up] {
-        let in_force = table.apply(snapshot(3, vec![partial("a", state)]));
-        assert_eq!(in_force.lines, vec![line("a", State::Draining, 7)]);
+        let applied = table.apply(snapshot(3, vec![partial("a", state)]));
+        assert_eq!(applied.lines, vec![line("a", State::Draining, 7)]);
     }
 }
 
-/// Guards the memory that removed data nodes take.
+/// Without eviction of removed nodes the table would grow without limit.
 #[test]
-fn the_earliest_removed_nodes_are_forgotten() {
+fn the_earliest_removed_nodes_are_evicted() {
     let mut table = MembershipTable::default();
     for version in 0..20_000 {
         let uid = format!("node-{version}");
@@ -104,33 +103,33 @@
 }
 
 proptest! {
-    /// Once a data node was taken out of service, only an update that is not older, or a later start, returns it; and an
-    /// update that takes it out holds at once, unless it is older and of an earlier process.
+    /// A data node that is out of service returns only with an update that is not older or with a later start. An
+    /// update that takes it out of service applies at once, unless it is older and concerns an earlier process.
     #[test]
-    fn a_node_out_of_service_returns_by_a_newer_update_only(
+    fn a_node_out_of_service_returns_only_with_a_newer_update_or_start(
         steps in proptest::collection::vec((0_u64..12, any::<bool>(), any_state(), 0_u64..3, any::<bool>()), 1..60)
     ) {
         let mut table = MembershipTable::default();
-        // The version and start by which it was last taken out of service, while it is.
+        // The version and the start of the last update that took the node out of service, while it is out of service.
         let mut out: Option<(u64, u64)> = None;
         let (mut state, mut version_of_state, mut latest_boot) = (None, 0, 0);
-        for (version, complete, said, boot, named) in steps {
-            let lines = if named { vec![line("a", said, boot)] } else { Vec::new() };
+        for (version, complete, new_state, boot, named) in steps {
+            let lines = if named { vec![line("a", new_state, boot)] } else { Vec::new() };
             let before = state;
             let now = state_after(&mut table, Update { version, complete, lines }, "a");
-            let in_force = if named || complete { now.or(Some(State::Removed)).filter(|_| before.is_some() || named) } else { before };
-            let takes_out = named && said != State::Up || !named && complete && before.is_some();
+            let current = if named || complete { now.or(Some(State::Removed)).filter(|_| before.is_some() || named) } else { before };
+            let takes_out = named && new_state != State::Up || !named && complete && before.is_some();
             let of_earlier_process = named && before.is_some() && version < version_of_state && boot < latest_boot;
             if takes_out && !of_earlier_process {
-                prop_assert_ne!(in_force, Some(State::Up));
+                prop_assert_ne!(current, Some(State::Up));
             }
-            if let (Some((out_version, out_boot)), Some(State::Up)) = (out, in_force) {
-                prop_assert!(named && said == State::Up && (version >= out_version || boot > out_boot));
+            if let (Some((out_version, out_boot)), Some(State::Up)) = (out, current) {
+                prop_assert!(named && new_state == State::Up && (version >= out_version || boot > out_boot));
             }
             if named && !of_earlier_process {
                 latest_boot = latest_boot.max(boot);
             }
-            match in_force {
+            match current {
                 Some(State::Up) => {
                     version_of_state = if before == Some(State::Up) { version_of_state.max(if named { version } else { 0 }) } else { version };
                     out = None;
@@ -144,7 +143,7 @@
                 }
                 None => {}
             }
-            state = in_force;
+            state = current;
         }
     }
 }
