--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -1,30 +1,30 @@
-//! One client connection: what of a request has been read on it, and when it may be closed.
+//! The state of one client connection: how much of a request has been read, and whether the connection may be closed.
 //!
-//! Its reader, its writer and those who close it go by this state alone: whoever reads records what came in the same step,
-//! and whoever closes looks at that first. So no request is served whose response could not be written, and none that has
-//! begun is cut off.
+//! The reader, the writer and the code that closes connections all rely on this state alone. The reader records the
+//! data in the same step in which it reads, and a close checks the record first. So no request is served if its
+//! response could not be written, and no request that has begun is cut off.
 
 use crate::Time;
 
 /// The state of one client connection.
 #[derive(Debug, Clone)]
 pub struct Connection {
-    /// Since when no response is owed on it: its last response, or its beginning.
+    /// When the last response was completed, or the connection was accepted.
     idle_since: Time,
-    /// A complete request has come on it.
+    /// A complete request has been received.
     has_served: bool,
-    /// The beginning of a request has been read.
+    /// An incomplete request has been read.
     has_partial_request: bool,
-    /// A request is read and not answered.
+    /// A complete request has been read and not answered.
     has_pending_request: bool,
-    /// Since when nothing more is served on it.
+    /// When the connection ended; no request is served after that.
     ended_at: Option<Time>,
-    /// It was closed to make room for another one.
+    /// The connection was closed in favor of a new one.
     evicted: bool,
 }
 
 impl Connection {
-    /// A connection that was accepted now.
+    /// Creates the state of a connection accepted at `now`.
     pub fn new(now: Time) -> Self {
         Self {
             idle_since: now,
@@ -36,36 +36,36 @@
         }
     }
 
-    /// Bytes were read, or requests taken out of them: whether the beginning of a request is left.
+    /// Records whether an incomplete request remains after bytes were read or requests were parsed.
     pub fn set_partial_request(&mut self, is_partial: bool) {
         self.has_partial_request = is_partial;
     }
 
-    /// A request has been read; returns whether it is to be answered.
+    /// Records a complete request. Returns whether it must be answered; `false` if the connection has ended.
     pub fn begin_request(&mut self) -> bool {
         self.has_pending_request = self.ended_at.is_none();
         self.has_served |= self.has_pending_request;
         self.has_pending_request
     }
 
-    /// The request is answered, or nobody waits for its response.
+    /// Records that the pending request was answered or that its client no longer waits for the response.
     pub fn finish_request(&mut self, now: Time) {
         self.has_pending_request = false;
         self.idle_since = now;
     }
 
-    /// Ends it, unless a request is pending, the beginning of one has been read (where `halves` are not ended, too) or
-    /// `unread` bytes wait. Returns whether it has ended.
-    pub fn end(&mut self, now: Time, unread: bool, halves: bool) -> bool {
-        let partial_request_counts = self.has_partial_request && !halves;
-        if self.ended_at.is_none() && !self.has_pending_request && !partial_request_counts && !unread {
+    /// Ends the connection unless a request is pending, `unread` bytes are waiting, or a request is incomplete and
+    /// `drop_partial_request` is not set. Returns whether the connection has ended, now or before.
+    pub fn end(&mut self, now: Time, unread: bool, drop_partial_request: bool) -> bool {
+        let partial_request_blocks = self.has_partial_request && !drop_partial_request;
+        if self.ended_at.is_none() && !self.has_pending_request && !partial_request_blocks && !unread {
             self.ended_at = Some(now);
         }
         self.ended_at.is_some()
     }
 
-    /// Ends it to make room for another one: the beginning of a request does not keep it open. Returns whether it has
-    /// ended.
+    /// Evicts the connection in favor of a new one unless a request is pending or, on an open connection, `unread`
+    /// bytes are waiting. An incomplete request does not prevent this. Returns whether the connection was evicted.
     pub fn evict(&mut self, now: Time, unread: bool) -> bool {
         if self.has_pending_request || unread && self.ended_at.is_none() {
             return false;
@@ -75,27 +75,27 @@
         true
     }
 
-    /// Since when nothing more is served on it.
+    /// When the connection ended; `None` while it is open.
     pub fn ended(&self) -> Option<Time> {
         self.ended_at
     }
 
-    /// Whether it has been evicted.
+    /// Whether the connection was closed in favor of a new one.
     pub fn evicted(&self) -> bool {
         self.evicted
     }
 
-    /// Whether a request is read and not answered.
+    /// Whether a complete request has been read and not answered.
     pub fn has_pending_request(&self) -> bool {
         self.has_pending_request
     }
 
-    /// Whether a complete request has come on it.
+    /// Whether a complete request was received before the connection ended.
     pub fn has_served(&self) -> bool {
         self.has_served
     }
 
-    /// For how long no response has been owed on it.
+    /// The time since the last response was completed, or since the connection was accepted.
     pub fn idle_for(&self, now: Time) -> Time {
         now.saturating_sub(self.idle_since)
     }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,60 +1,61 @@
-//! The lifecycle of one process: starting, serving, drained by an operator, finishing after SIGTERM.
+//! The lifecycle of a process: starting, serving, drained by an operator, and finishing after SIGTERM.
 //!
-//! From its state and the time follow what health and readiness checks are answered, whether new connections are accepted,
-//! and which client connections are closed. Times are the embedder's, in any unit, and never run backwards. A process that
-//! finishes never serves again.
+//! The state and the time determine the answers to health and readiness checks, whether new connections are accepted,
+//! and which client connections are closed. The embedder chooses the unit of time; its times are monotonic. A process
+//! that is finishing never serves again.
 
 pub mod connection;
 pub mod reload;
 
-/// A point in time or a span, in the embedder's unit.
+/// A point in time or a duration, in the embedder's unit.
 pub type Time = u64;
 
-/// When the connections of a drained process are closed.
+/// The rules for closing connections during a drain and at the end of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Spans {
-    /// For this long after the start of a drain the load balancer still sends new clients, so connections are kept open.
+    /// How long connections are kept open after the start of a drain, since the load balancer still sends new clients.
     pub drain_notice: Time,
-    /// This long after the start of a drain idle connections are closed, too. Before that only responses close theirs:
-    /// a client that gets a response is not writing, while an idle one may be.
+    /// When idle connections are closed too, as a duration from the start of a drain. Before that, a connection is
+    /// closed only after a response: a client that receives a response is not writing, while an idle client may be.
     pub drain_rest: Time,
-    /// The listener outlives the process, and others accept from it: a process that finishes leaves it to them at once.
+    /// Whether other processes accept from the same listener, which outlives the process. A process that is finishing
+    /// then leaves new clients to them at once.
     pub shared_listener: bool,
 }
 
-/// How a process finishes, in spans from SIGTERM on.
+/// Time limits of a process that is finishing, as durations from SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finish {
-    /// For this long all goes on as before, since new clients still come.
+    /// How long connections are accepted and kept open as before, since new clients still connect.
     pub accept: Time,
-    /// All requests are answered within this.
+    /// The duration within which all requests are answered.
     pub answered: Time,
 }
 
-/// Which client connections are to be closed.
+/// The client connections to close.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Closing {
-    /// None.
+    /// All connections stay open.
     None,
-    /// Those that get a response, after it.
+    /// Each connection is closed after its next response.
     AfterResponse,
-    /// Idle ones too, now.
+    /// Idle connections are closed at once, and the others after their next response.
     IdleToo,
 }
 
-/// What an operator's command or SIGTERM has changed.
+/// The result of an operator's command or SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransitionResult {
     /// The state changed.
     Changed,
-    /// The process was in that state already.
+    /// The process was already in the requested state.
     Already,
-    /// Nothing can be changed any more: the process finishes.
+    /// The command was rejected because the process is finishing.
     Finishing,
 }
 
 impl TransitionResult {
-    /// Whether the state is now the one that the caller wanted.
+    /// Whether the process is in the requested state.
     pub fn is_in_effect(self) -> bool {
         self != Self::Finishing
     }
@@ -62,7 +63,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// The process does not listen for clients yet.
+    /// The process does not yet listen for clients.
     Starting,
     Serving,
     Drained {
@@ -74,68 +75,70 @@
     },
 }
 
-/// The state machine of one process.
+/// The lifecycle state machine of a process.
 #[derive(Debug, Clone)]
 pub struct Lifecycle {
     spans: Spans,
     state: State,
-    /// How often the state has changed.
+    /// The number of state changes.
     changes: u64,
 }
 
 impl Lifecycle {
-    /// A process that is starting.
+    /// Creates the state of a process that is starting.
     pub fn new(spans: Spans) -> Self {
         Self { spans, state: State::Starting, changes: 0 }
     }
 
-    fn change_to(&mut self, state: State) -> TransitionResult {
+    fn transition_to(&mut self, state: State) -> TransitionResult {
         self.state = state;
         self.changes += 1;
         TransitionResult::Changed
     }
 
-    /// The process listens for clients from now on. One that was drained before stays drained.
+    /// Records that the process listens for clients. A process that was drained before stays drained.
     pub fn listening(&mut self) {
         if self.state == State::Starting {
-            self.change_to(State::Serving);
+            self.transition_to(State::Serving);
         }
     }
 
-    /// An operator starts a drain. A process that finishes is being drained already.
+    /// Starts a drain at an operator's command. A process that is finishing counts as already drained.
     pub fn drain_start(&mut self, now: Time) -> TransitionResult {
         match self.state {
-            State::Starting | State::Serving => self.change_to(State::Drained { since: now }),
+            State::Starting | State::Serving => self.transition_to(State::Drained { since: now }),
             State::Drained { .. } | State::Finishing { .. } => TransitionResult::Already,
         }
     }
 
-    /// An operator ends a drain: the process accepts clients again.
+    /// Ends a drain at an operator's command: the process serves clients again.
     pub fn drain_stop(&mut self) -> TransitionResult {
         match self.state {
-            State::Drained { .. } => self.change_to(State::Serving),
+            State::Drained { .. } => self.transition_to(State::Serving),
             State::Starting | State::Serving => TransitionResult::Already,
             State::Finishing { .. } => TransitionResult::Finishing,
         }
     }
 
-    /// SIGTERM has come. Only the first one counts.
+    /// Begins finishing after SIGTERM. Only the first SIGTERM has an effect.
     pub fn terminate(&mut self, now: Time, finish: Finish) -> TransitionResult {
         match self.state {
             State::Finishing { .. } => TransitionResult::Already,
-            State::Starting | State::Serving | State::Drained { .. } => self.change_to(State::Finishing {
-                accept_until: now.saturating_add(finish.accept),
-                answered_by: now.saturating_add(finish.answered),
-            }),
+            State::Starting | State::Serving | State::Drained { .. } => {
+                self.transition_to(State::Finishing {
+                    accept_until: now.saturating_add(finish.accept),
+                    answered_by: now.saturating_add(finish.answered),
+                })
+            }
         }
     }
 
-    /// Whether new clients are accepted: what health checks are answered, as far as it depends on this.
-    pub fn wants_clients(&self) -> bool {
+    /// Whether the process serves new clients, one of the conditions of a successful health check.
+    pub fn is_serving(&self) -> bool {
         self.state == State::Serving
     }
 
-    /// Why new clients are not accepted, in a word that health checks are answered.
+    /// The reason, as a word in the health check's answer, why no new clients are wanted; `None` while serving.
     pub fn not_serving_reason(&self) -> Option<&'static str> {
         match self.state {
             State::Starting => Some("starting"),
@@ -145,13 +148,14 @@
         }
     }
 
-    /// Whether SIGTERM has come. Before that connections are accepted, also by a drained process: they come from a load
-    /// balancer that has not noticed yet, and refusing them would lose their requests.
+    /// Whether SIGTERM was received. Until then even a drained process accepts connections: the load balancer may not
+    /// have noticed the drain, and refusing its connections would lose their requests.
     pub fn finishing(&self) -> bool {
         matches!(self.state, State::Finishing { .. })
     }
 
-    /// By when all requests must be answered, whatever their deadlines; `Time::MAX` unless the process finishes.
+    /// When all requests must be answered, regardless of their own deadlines; `Time::MAX` unless the process is
+    /// finishing.
     pub fn answered_by(&self) -> Time {
         match self.state {
             State::Finishing { answered_by, .. } => answered_by,
@@ -159,21 +163,21 @@
         }
     }
 
-    /// Which connections are to be closed now.
+    /// The connections to close at `now`.
     pub fn closing(&self, now: Time) -> Closing {
         let Spans { drain_notice, drain_rest, shared_listener } = self.spans;
-        let is_after = |since: Time, span: Time| now >= since.saturating_add(span);
+        let has_passed = |since: Time, span: Time| now >= since.saturating_add(span);
         match self.state {
-            State::Drained { since } if is_after(since, drain_rest) => Closing::IdleToo,
-            State::Drained { since } if is_after(since, drain_notice) => Closing::AfterResponse,
+            State::Drained { since } if has_passed(since, drain_rest) => Closing::IdleToo,
+            State::Drained { since } if has_passed(since, drain_notice) => Closing::AfterResponse,
             State::Finishing { accept_until, .. } if now >= accept_until => Closing::IdleToo,
-            // A client that gets its response now finds another process at the same address.
+            // Other processes accept from the same listener, so these clients can reconnect at the same address.
             State::Finishing { .. } if shared_listener => Closing::AfterResponse,
             _ => Closing::None,
         }
     }
 
-    /// How often the state has changed: whoever acts on a state stops once this has changed.
+    /// The number of state changes. An action that depends on a state stops when this number changes.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/lifecycle/src/reload.rs
+++ b/crates/lifecycle/src/reload.rs
@@ -1,82 +1,82 @@
-//! When a configuration file is read after SIGHUP: at once, and again with backoff after a transient failure.
+//! Schedules reads of the configuration file after SIGHUP: at once, and with backoff after transient failures.
 //!
-//! A signal begins a sequence of reads, of which the first answers the signal: its result is what is counted. After a
-//! transient failure (a system call that failed, a file that is half written) the read is retried with growing pauses until
-//! one ends otherwise or the window after the signal is over. A newer signal ends the sequence and begins its own at once,
-//! or as soon as the read in progress has ended. A read that does not end (a pipe without a writer, a file system that
-//! hangs) is abandoned for a newer signal, and its result is not used any more.
+//! A signal begins a sequence of reads. The result of the first read answers the signal and is counted. After a
+//! transient failure (a failed system call, an incompletely written file) the read is retried with increasing pauses
+//! until a read has another result or the retry window after the signal ends. A newer signal ends the sequence and
+//! begins its own, at once or as soon as the read in progress ends. A read that does not end (a pipe without a writer,
+//! a hung file system) is abandoned for a newer signal, and its result is discarded.
 //!
-//! This state machine does no I/O and reads no clock: the embedder carries its steps out and reports how they ended.
+//! This state machine performs no I/O and reads no clock: the embedder executes its steps and reports their results.
 
 use crate::Time;
 
-/// When reads are retried and abandoned.
+/// The timing and the limits of retried and abandoned reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Reads are retried for this long after the signal.
+    /// How long after the signal reads are retried.
     pub window: Time,
-    /// The pause before the first retry. Each further pause is twice the one before...
+    /// The pause before the first retry. Each further pause is twice as long as the previous one.
     pub first_pause: Time,
-    /// ...up to this.
+    /// The upper limit of the pause between retries.
     pub longest_pause: Time,
-    /// A newer signal waits this long for the read in progress before that is abandoned.
+    /// How long a newer signal waits for the read in progress before that read is abandoned.
     pub abandon_after: Time,
-    /// The most abandoned reads that have not ended yet. Beyond that, a signal waits for one of them to end.
+    /// The most abandoned reads that have not ended. At this limit a signal waits until a read ends.
     pub max_abandoned_reads: usize,
 }
 
 impl RetryPolicy {
-    /// The pause after this many retries.
+    /// The pause after `retries` retries.
     fn pause(&self, retries: u32) -> Time {
         let factor = 1_u64.checked_shl(retries).unwrap_or(Time::MAX);
         self.first_pause.saturating_mul(factor).min(self.longest_pause)
     }
 }
 
-/// One read, numbered for the life of its [`Reloads`].
+/// The identifier of a read, unique within its [`Reloads`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ReadId(u64);
 
-/// A read that has ended and whose result is used.
+/// A read that ended and was not abandoned, so that its result is used.
 #[derive(Debug)]
 pub struct Returned(Sequence);
 
-/// How a read ended.
+/// The result of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The file was accepted, and differs from the one in use before.
     Changed,
-    /// The file was accepted, and says the same as the one in use before.
+    /// The file was accepted, and is equal to the one in use before.
     Unchanged,
-    /// The file could not be read, or is incomplete: another read may end otherwise.
+    /// The file could not be read or is incomplete. A retry may succeed.
     Transient,
-    /// The file is complete and was rejected: that holds until the next signal.
+    /// The file is complete and was rejected. It is not read again until the next signal.
     Permanent,
 }
 
-/// What an outcome means to operators.
+/// The meaning of an outcome for counters and logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// A file was accepted: counted as such.
+    /// A file was accepted, which is counted.
     Accepted,
-    /// A file was accepted that a retry had already accepted, and counted, before its signal came.
+    /// A file was accepted that a retry had already accepted and counted before its signal arrived.
     AcceptedBefore,
-    /// The file that the signal announced was rejected: counted as such.
+    /// The first read after a signal failed, which is counted as a rejected file.
     Rejected,
-    /// A retry has failed, and there will be another one. The signal's file was counted by its first read.
+    /// A retry failed, and another one follows. The file was already counted at the first read.
     WillRetry,
-    /// A retry has failed, and there will be none until the next signal.
+    /// A retry failed, and no other one follows until the next signal.
     RetriesEnded,
 }
 
-/// What the embedder does next.
+/// The next action of the embedder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Begin this read.
     Read(ReadId),
-    /// The read in progress was abandoned: this is its verdict. Its result is not used.
+    /// The read in progress was abandoned with this verdict. Its result will be discarded.
     Abandon(Verdict),
-    /// Nothing, until the given time, if any, or until a read ends or a signal comes.
+    /// Wait until a read ends or a signal arrives, or until the given time if there is one.
     Wait(Option<Time>),
 }
 
@@ -84,18 +84,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Sequence {
     signalled_at: Time,
-    /// Reads that have ended. The first answers the signal, all others are retries.
-    ended_reads: u32,
+    /// The number of completed reads. The first one answers the signal; all others are retries.
+    completed_reads: u32,
 }
 
 impl Sequence {
     /// Whether no read has answered the signal yet.
     fn is_unanswered(&self) -> bool {
-        self.ended_reads == 0
+        self.completed_reads == 0
     }
 
-    /// What it means that the read in progress fails for good: the first read is counted, retries are not.
-    fn final_failure(&self) -> Verdict {
+    /// The verdict if the read in progress fails without a further retry. Only a failed first read is counted.
+    fn failure_verdict(&self) -> Verdict {
         if self.is_unanswered() {
             Verdict::Rejected
         } else {
@@ -111,14 +111,14 @@
         sequence: Sequence,
         id: ReadId,
     },
-    /// Waiting for the next retry.
+    /// A retry is scheduled.
     Pausing {
         sequence: Sequence,
         retry_at: Time,
     },
 }
 
-/// Signals that no read has answered yet. One read answers all of them: it finds the file as it is by then.
+/// Signals that no read has answered. One read answers all of them, since it reads the file in its latest state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PendingSignals {
     first_at: Time,
@@ -131,39 +131,39 @@
     policy: RetryPolicy,
     state: State,
     pending: Option<PendingSignals>,
-    /// A retry accepted a file that may be the next signal's, if that comes by this time.
-    accepted_ahead_until: Option<Time>,
-    /// Reads that were abandoned and have not ended.
+    /// The end of the time in which the next signal may be for a file that a retry has already accepted.
+    early_acceptance_expires_at: Option<Time>,
+    /// The number of abandoned reads that have not ended.
     abandoned_reads: usize,
     next_id: u64,
 }
 
 impl Reloads {
-    /// The state before any signal.
+    /// Creates an idle state machine without pending signals.
     pub fn new(policy: RetryPolicy) -> Self {
         Self {
             policy,
             state: State::Idle,
             pending: None,
-            accepted_ahead_until: None,
+            early_acceptance_expires_at: None,
             abandoned_reads: 0,
             next_id: 0,
         }
     }
 
-    /// SIGHUP has come.
+    /// Records a SIGHUP, for which the next step begins or awaits a read.
     pub fn signal(&mut self, now: Time) {
         let first_at = self.pending.map_or(now, |pending| pending.first_at);
         self.pending = Some(PendingSignals { first_at, last_at: now });
     }
 
-    /// What is to be done now. To be called again after each step that is no [`Step::Wait`].
+    /// Returns the next step. The embedder calls this again after each step other than [`Step::Wait`].
     pub fn next_step(&mut self, now: Time) -> Step {
         match (self.state, self.pending) {
             (State::Reading { sequence, .. }, Some(pending)) => self.wait_for_read(sequence, pending, now),
             (State::Idle | State::Pausing { .. }, Some(pending)) => {
                 self.pending = None;
-                self.begin_read(Sequence { signalled_at: pending.last_at, ended_reads: 0 })
+                self.begin_read(Sequence { signalled_at: pending.last_at, completed_reads: 0 })
             }
             (State::Pausing { sequence, retry_at }, None) if now >= retry_at => self.begin_read(sequence),
             (State::Pausing { retry_at, .. }, None) => Step::Wait(Some(retry_at)),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A signal waits for the read in progress, and abandons it after a while.
+    /// Waits for the read in progress on behalf of a newer signal, and abandons the read after the time limit.
     fn wait_for_read(&mut self, sequence: Sequence, pending: PendingSignals, now: Time) -> Step {
         if self.abandoned_reads >= self.policy.max_abandoned_reads {
             return Step::Wait(None);
@@ -182,7 +182,7 @@
         }
         self.abandoned_reads += 1;
         self.state = State::Idle;
-        Step::Abandon(sequence.final_failure())
+        Step::Abandon(sequence.failure_verdict())
     }
 
     fn begin_read(&mut self, sequence: Sequence) -> Step {
@@ -192,7 +192,8 @@
         Step::Read(id)
     }
 
-    /// A read has ended. Its result is used, and passed to [`Self::ended`], unless the read was abandoned before.
+    /// Records the end of a read. Returns `None` if the read was abandoned; otherwise its result is to be passed to
+    /// [`Self::ended`].
     pub fn returned(&mut self, read: ReadId) -> Option<Returned> {
         match self.state {
             State::Reading { sequence, id } if id == read => {
@@ -206,19 +207,19 @@
         }
     }
 
-    /// What it means that a read has ended in this way.
+    /// Evaluates the result of a read and schedules a retry if one is due.
     pub fn ended(&mut self, Returned(mut sequence): Returned, outcome: Outcome, now: Time) -> Verdict {
         let answers_signal = sequence.is_unanswered();
-        let failure = sequence.final_failure();
-        sequence.ended_reads += 1;
-        // Only the next signal may be that of the file.
-        let ahead_until = if answers_signal { self.accepted_ahead_until.take() } else { None };
-        let was_accepted_ahead = ahead_until.is_some_and(|until| sequence.signalled_at <= until);
+        let failure = sequence.failure_verdict();
+        sequence.completed_reads += 1;
+        // Only the next signal can be the one for a file that was accepted early.
+        let expires_at = if answers_signal { self.early_acceptance_expires_at.take() } else { None };
+        let was_accepted_early = expires_at.is_some_and(|expires_at| sequence.signalled_at <= expires_at);
         match outcome {
-            Outcome::Unchanged if was_accepted_ahead => Verdict::AcceptedBefore,
+            Outcome::Unchanged if was_accepted_early => Verdict::AcceptedBefore,
             Outcome::Changed | Outcome::Unchanged => {
                 if !answers_signal {
-                    self.accepted_ahead_until = Some(now.saturating_add(self.policy.window));
+                    self.early_acceptance_expires_at = Some(now.saturating_add(self.policy.window));
                 }
                 Verdict::Accepted
             }
@@ -234,9 +235,9 @@
         }
     }
 
-    /// Schedules the next retry, unless the window is over by then; returns whether there will be one.
+    /// Schedules the next retry unless it would be after the retry window. Returns whether a retry is scheduled.
     fn schedule_retry(&mut self, sequence: Sequence, now: Time) -> bool {
-        let retries = sequence.ended_reads - 1;
+        let retries = sequence.completed_reads - 1;
         let retry_at = now.saturating_add(self.policy.pause(retries));
         let window_ends_at = sequence.signalled_at.saturating_add(self.policy.window);
         let will_retry = retry_at < window_ends_at;
--- a/crates/lifecycle/src/reload/tests.rs
+++ b/crates/lifecycle/src/reload/tests.rs
@@ -9,21 +9,21 @@
     max_abandoned_reads: 2,
 };
 
-/// The next read and when it begins, from `now` on.
-fn read(reloads: &mut Reloads, now: Time) -> (ReadId, Time) {
+/// Begins the next read from `now` on; returns its id and its time.
+fn begin_read(reloads: &mut Reloads, now: Time) -> (ReadId, Time) {
     match reloads.next_step(now) {
         Step::Read(id) => (id, now),
-        Step::Wait(Some(due)) => read(reloads, due),
+        Step::Wait(Some(due)) => begin_read(reloads, due),
         other => panic!("{other:?} at {now}"),
     }
 }
 
-fn ended(reloads: &mut Reloads, id: ReadId, outcome: Outcome, now: Time) -> Verdict {
-    let returned = reloads.returned(id).expect("a read under way");
+fn end_read(reloads: &mut Reloads, id: ReadId, outcome: Outcome, now: Time) -> Verdict {
+    let returned = reloads.returned(id).expect("the read is in progress");
     reloads.ended(returned, outcome, now)
 }
 
-/// Guards the times of the retries: soon, further and further apart, and none after the window.
+/// The first retry is soon, the pauses grow up to the limit, and no retry follows the window.
 #[test]
 fn a_transient_failure_is_retried_within_the_window() {
     let mut reloads = Reloads::new(POLICY);
@@ -33,11 +33,11 @@
         match reloads.next_step(now) {
             Step::Read(id) => {
                 times.push(now - 1000);
-                verdicts.push(ended(&mut reloads, id, Outcome::Transient, now));
+                verdicts.push(end_read(&mut reloads, id, Outcome::Transient, now));
             }
             Step::Wait(Some(due)) => now = due,
             Step::Wait(None) => break,
-            Step::Abandon(_) => unreachable!("no second signal has come"),
+            Step::Abandon(_) => unreachable!("a read was abandoned without a second signal"),
         }
     }
     assert_eq!(times, [0, 50, 150, 350, 750, 1550, 2350, 3150, 3950]);
@@ -46,81 +46,81 @@
     assert_eq!(verdicts[8], Verdict::RetriesEnded);
 }
 
-/// Guards the count of files: one that a retry accepts just before its own signal comes is counted once, and each signal
-/// after that counts again.
+/// A retry may accept a new file just before the file's own signal arrives. That signal must not count the file again;
+/// later signals must.
 #[test]
-fn a_file_accepted_ahead_of_its_signal_is_counted_once() {
+fn a_file_accepted_before_its_signal_is_counted_once() {
     let mut reloads = Reloads::new(POLICY);
     let mut reload = |now: Time, outcomes: &[Outcome]| -> Vec<Verdict> {
         reloads.signal(now);
-        let mut take = |outcome: &Outcome| {
-            let (id, at) = read(&mut reloads, now);
-            ended(&mut reloads, id, *outcome, at)
+        let mut run_read = |outcome: &Outcome| {
+            let (id, at) = begin_read(&mut reloads, now);
+            end_read(&mut reloads, id, *outcome, at)
         };
-        outcomes.iter().map(&mut take).collect()
+        outcomes.iter().map(&mut run_read).collect()
     };
-    let ahead = [Outcome::Transient, Outcome::Changed];
-    assert_eq!(reload(0, &ahead), [Verdict::Rejected, Verdict::Accepted]);
+    let accepted_by_retry = [Outcome::Transient, Outcome::Changed];
+    assert_eq!(reload(0, &accepted_by_retry), [Verdict::Rejected, Verdict::Accepted]);
     assert_eq!(reload(100, &[Outcome::Unchanged]), [Verdict::AcceptedBefore]);
     assert_eq!(reload(200, &[Outcome::Unchanged]), [Verdict::Accepted]);
-    // Another file than the one taken ahead, and a signal long after it.
-    assert_eq!(reload(300, &ahead), [Verdict::Rejected, Verdict::Accepted]);
+    // The next signal is for another file, or arrives long after the retry.
+    assert_eq!(reload(300, &accepted_by_retry), [Verdict::Rejected, Verdict::Accepted]);
     assert_eq!(reload(400, &[Outcome::Changed]), [Verdict::Accepted]);
-    assert_eq!(reload(500, &ahead), [Verdict::Rejected, Verdict::Accepted]);
+    assert_eq!(reload(500, &accepted_by_retry), [Verdict::Rejected, Verdict::Accepted]);
     assert_eq!(reload(9000, &[Outcome::Unchanged]), [Verdict::Accepted]);
 }
 
-/// Guards a newer signal: it ends the pause of an older one's retries at once, and after a while a read that does not end,
-/// whose result is then not used.
+/// A newer signal must not wait for the pause between an earlier signal's retries, nor without limit for a hung read.
+/// The result of the hung read is discarded.
 #[test]
-fn a_newer_signal_ends_a_pause_at_once_and_a_hung_read_after_a_while() {
+fn a_newer_signal_ends_a_pause_at_once_and_a_hung_read_after_the_time_limit() {
     let mut reloads = Reloads::new(POLICY);
     reloads.signal(0);
-    let (first, _) = read(&mut reloads, 0);
-    ended(&mut reloads, first, Outcome::Transient, 0);
+    let (first, _) = begin_read(&mut reloads, 0);
+    end_read(&mut reloads, first, Outcome::Transient, 0);
     assert_eq!(reloads.next_step(10), Step::Wait(Some(50)));
     reloads.signal(10);
-    let hangs = read(&mut reloads, 10);
-    assert_eq!(hangs.1, 10);
+    let hung = begin_read(&mut reloads, 10);
+    assert_eq!(hung.1, 10);
     reloads.signal(300);
     reloads.signal(900);
     assert_eq!(reloads.next_step(1000), Step::Wait(Some(1800)));
     assert_eq!(reloads.next_step(1800), Step::Abandon(Verdict::Rejected));
-    let (second, at) = read(&mut reloads, 1800);
+    let (second, at) = begin_read(&mut reloads, 1800);
     assert_eq!(at, 1800);
-    assert!(reloads.returned(hangs.0).is_none());
-    assert_eq!(ended(&mut reloads, second, Outcome::Changed, 1801), Verdict::Accepted);
+    assert!(reloads.returned(hung.0).is_none());
+    assert_eq!(end_read(&mut reloads, second, Outcome::Changed, 1801), Verdict::Accepted);
     assert_eq!(reloads.next_step(1801), Step::Wait(None));
 }
 
-/// Guards the bound of reads that do not end: beyond it, a signal waits until one of them has ended.
+/// Each hung read holds a thread, so their number is limited. At the limit, a signal waits until one of them ends.
 #[test]
-fn hung_reads_are_abandoned_up_to_a_bound() {
+fn hung_reads_are_abandoned_up_to_a_limit() {
     let mut reloads = Reloads::new(POLICY);
-    let mut hang = Vec::new();
-    for turn in 0..3 {
-        reloads.signal(turn * 2000);
-        if turn > 0 {
-            assert_eq!(reloads.next_step(turn * 2000 + 1500), Step::Abandon(Verdict::Rejected));
+    let mut hung = Vec::new();
+    for round in 0..3 {
+        reloads.signal(round * 2000);
+        if round > 0 {
+            assert_eq!(reloads.next_step(round * 2000 + 1500), Step::Abandon(Verdict::Rejected));
         }
-        hang.push(read(&mut reloads, turn * 2000 + 1500).0);
+        hung.push(begin_read(&mut reloads, round * 2000 + 1500).0);
     }
     reloads.signal(9000);
     assert_eq!(reloads.next_step(20_000), Step::Wait(None));
-    assert!(reloads.returned(hang[0]).is_none());
+    assert!(reloads.returned(hung[0]).is_none());
     assert_eq!(reloads.next_step(20_000), Step::Abandon(Verdict::Rejected));
 }
 
-/// More steps than the reloads can take to settle.
-const MOST_STEPS: u32 = 100;
+/// A limit on the steps until the reloads are idle, above the number that they can need.
+const MAX_STEPS: u32 = 100;
 
-/// What the random steps do.
+/// A random event of the property test.
 #[derive(Debug, Clone, Copy)]
-enum Act {
+enum Action {
     Signal,
-    /// One of the reads that were begun ends: the one in progress, or one that was abandoned.
+    /// A read ends, either the one in progress or an abandoned one; 0 is the read that began last.
     End(usize, Outcome),
-    Pass(Time),
+    PassTime(Time),
 }
 
 fn outcomes() -> impl Strategy<Value = Outcome> {
@@ -133,62 +133,72 @@
     ]
 }
 
-fn acts() -> impl Strategy<Value = Act> {
+fn actions() -> impl Strategy<Value = Action> {
     prop_oneof![
-        2 => Just(Act::Signal),
-        4 => (0..4_usize, outcomes()).prop_map(|(read, outcome)| Act::End(read, outcome)),
-        3 => (0..900_u64).prop_map(Act::Pass),
+        2 => Just(Action::Signal),
+        4 => (0..4_usize, outcomes()).prop_map(|(read, outcome)| Action::End(read, outcome)),
+        3 => (0..900_u64).prop_map(Action::PassTime),
     ]
 }
 
-/// What was seen of the reloads: a small model of what their users rely on.
+/// A small model of the reloads, updated from their steps and results.
 #[derive(Default)]
 struct Model {
-    /// Reads that have not ended, abandoned ones included.
+    /// Reads that have not ended, including abandoned ones.
     running: Vec<ReadId>,
-    /// The one whose result will be used, and whether it is the first of its signal.
+    /// The read whose result will be used, and whether it is the first read of its signal.
     current: Option<(ReadId, bool)>,
-    /// The first signal that no read has been begun for, and the last signal of all.
+    /// The first signal for which no read has begun.
     unread: Option<Time>,
     last_signal: Time,
     signals: u32,
     rejected: u32,
     accepted: u32,
-    /// The last result of the current sequence, none before its first one.
+    /// The last result of the current sequence; `None` before the first one.
     result: Option<Outcome>,
 }
 
 impl Model {
-    /// Carries out every step that is due.
-    fn carry_out(&mut self, reloads: &mut Reloads, now: Time) -> Result<(), TestCaseError> {
+    /// Executes all steps that are due.
+    fn execute_steps(&mut self, reloads: &mut Reloads, now: Time) -> Result<(), TestCaseError> {
         loop {
             match reloads.next_step(now) {
                 Step::Read(id) => {
-                    prop_assert!(self.current.is_none(), "two reads whose results count");
+                    prop_assert!(self.current.is_none(), "two reads are in progress");
                     let first = self.unread.take().is_some();
                     if !first {
-                        prop_assert_eq!(self.result, Some(Outcome::Transient), "retried without a cause");
+                        prop_assert_eq!(
+                            self.result,
+                            Some(Outcome::Transient),
+                            "retried without a transient failure"
+                        );
                     }
                     self.result = self.result.filter(|_| !first);
                     self.current = Some((id, first));
                     self.running.push(id);
-                    prop_assert!(self.running.len() <= POLICY.max_abandoned_reads + 1, "reads pile up");
+                    prop_assert!(
+                        self.running.len() <= POLICY.max_abandoned_reads + 1,
+                        "too many reads have not ended"
+                    );
                 }
                 Step::Abandon(verdict) => {
                     prop_assert!(self.unread.is_some_and(|at| now >= at + POLICY.abandon_after));
-                    let (_, first) = self.current.take().expect("a read under way");
+                    let (_, first) = self.current.take().expect("a read is in progress");
                     let expected = if first { Verdict::Rejected } else { Verdict::RetriesEnded };
                     prop_assert_eq!(verdict, expected);
                     self.rejected += u32::from(first);
-                    // Whatever it failed for, a signal waits.
+                    // The pending signal begins a new sequence.
                     self.result = None;
                 }
                 Step::Wait(until) => {
-                    prop_assert!(until.is_none_or(|at| at > now), "a wait for what is over: a busy loop");
+                    prop_assert!(
+                        until.is_none_or(|at| at > now),
+                        "busy loop: the wait ends at or before the current time"
+                    );
                     if self.unread.is_some() {
-                        let waits = self.current.is_some()
+                        let waits_for_read = self.current.is_some()
                             && (until.is_some() || self.running.len() > POLICY.max_abandoned_reads);
-                        prop_assert!(waits, "a signal is not read for");
+                        prop_assert!(waits_for_read, "no read begins for a signal");
                     }
                     return Ok(());
                 }
@@ -205,14 +215,14 @@
     ) -> Result<(), TestCaseError> {
         self.running.retain(|r| *r != id);
         let Some(returned) = reloads.returned(id) else {
-            prop_assert!(self.current.is_none_or(|(current, _)| current != id), "a result was lost");
+            prop_assert!(self.current.is_none_or(|(current, _)| current != id), "a result was discarded");
             return Ok(());
         };
-        let (current, first) = self.current.take().expect("a read under way");
-        prop_assert_eq!(current, id, "an old result was used");
+        let (current, first) = self.current.take().expect("a read is in progress");
+        prop_assert_eq!(current, id, "the result of an abandoned read was used");
         self.result = Some(outcome);
         let verdict = reloads.ended(returned, outcome, now);
-        let good = matches!(outcome, Outcome::Changed | Outcome::Unchanged);
+        let is_accepted = matches!(outcome, Outcome::Changed | Outcome::Unchanged);
         match verdict {
             Verdict::Accepted => self.accepted += 1,
             Verdict::AcceptedBefore => prop_assert!(first && outcome == Outcome::Unchanged),
@@ -220,8 +230,8 @@
             Verdict::WillRetry => prop_assert!(!first && outcome == Outcome::Transient),
             Verdict::RetriesEnded => prop_assert!(!first),
         }
-        prop_assert_eq!(good, matches!(verdict, Verdict::Accepted | Verdict::AcceptedBefore));
-        prop_assert_eq!(first && !good, verdict == Verdict::Rejected);
+        prop_assert_eq!(is_accepted, matches!(verdict, Verdict::Accepted | Verdict::AcceptedBefore));
+        prop_assert_eq!(first && !is_accepted, verdict == Verdict::Rejected);
         prop_assert!(self.rejected <= self.signals);
         Ok(())
     }
@@ -230,42 +240,42 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards what reloads rely on, whatever comes in whatever order: each signal is read for, at once or within the
-    /// policy's wait; only transient failures are retried, and not after the window; one rejected file is one count; and
-    /// in the end the file that the last signal found holds.
+    /// For any order of events: each signal causes a read, at once or within the policy's wait; only transient failures
+    /// are retried, and not after the window; a rejected file is counted once; and the file read for the last signal is
+    /// the one in use at the end.
     #[test]
-    fn each_signal_causes_a_read_and_the_last_file_holds(acts in proptest::collection::vec(acts(), 0..60)) {
+    fn each_signal_causes_a_read_and_the_last_file_is_used(actions in proptest::collection::vec(actions(), 0..60)) {
         let (mut reloads, mut model, mut now) = (Reloads::new(POLICY), Model::default(), 0);
-        for act in acts {
-            match act {
-                Act::Signal => {
+        for action in actions {
+            match action {
+                Action::Signal => {
                     reloads.signal(now);
                     model.signals += 1;
                     model.last_signal = now;
                     model.unread = model.unread.or(Some(now));
                 }
-                Act::End(which, outcome) => {
-                    if let Some(&id) = model.running.iter().rev().nth(which) {
+                Action::End(index, outcome) => {
+                    if let Some(&id) = model.running.iter().rev().nth(index) {
                         model.end(&mut reloads, id, outcome, now)?;
                     }
                 }
-                Act::Pass(span) => {
-                    // Not past what the reloads wait for: the next step is taken on time.
+                Action::PassTime(span) => {
+                    // The time stops at the next due step, so that no step is late.
                     now = match reloads.next_step(now) {
                         Step::Wait(Some(until)) => until.min(now + span),
                         _ => now + span,
                     };
                 }
             }
-            model.carry_out(&mut reloads, now)?;
+            model.execute_steps(&mut reloads, now)?;
         }
-        // From here on every read ends in a transient failure: the reloads settle in time.
+        // From here on each read fails transiently, and the reloads must become idle before the window ends.
         let begun = now;
         for step in 0.. {
-            prop_assert!(step < MOST_STEPS, "it does not settle");
+            prop_assert!(step < MAX_STEPS, "the reloads do not become idle");
             if let Some(&id) = model.running.first() {
                 model.end(&mut reloads, id, Outcome::Transient, now)?;
-                model.carry_out(&mut reloads, now)?;
+                model.execute_steps(&mut reloads, now)?;
                 continue;
             }
             match reloads.next_step(now) {
@@ -275,7 +285,7 @@
                     break;
                 }
             }
-            model.carry_out(&mut reloads, now)?;
+            model.execute_steps(&mut reloads, now)?;
         }
         prop_assert!(model.unread.is_none() && model.current.is_none());
         prop_assert!(now <= begun.max(model.last_signal + POLICY.window));
--- a/crates/lifecycle/src/tests.rs
+++ b/crates/lifecycle/src/tests.rs
@@ -7,18 +7,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards what operators rely on, whatever commands they give in whatever order and whenever SIGTERM comes.
+    /// The state follows the operator's last command, for any order of commands and any time of SIGTERM.
     #[test]
-    fn the_last_command_holds_until_the_process_finishes(
+    fn the_last_command_determines_the_state_until_the_process_finishes(
         shared in any::<bool>(),
-        calls in proptest::collection::vec((any::<u8>(), 0..40_u64), 0..30),
+        commands in proptest::collection::vec((any::<u8>(), 0..40_u64), 0..30),
     ) {
         let mut lifecycle = Lifecycle::new(Spans { shared_listener: shared, ..SPANS });
-        // The model: whether it listens, and since when it is drained or finishes.
+        // The model: whether the process listens, and when its drain and its finishing began.
         let (mut now, mut listens, mut drained, mut finishing) = (0, false, None::<Time>, None::<Time>);
-        for (call, wait) in calls {
+        for (command, wait) in commands {
             now += wait;
-            let (called, changed) = match call % 4 {
+            let (result, changed) = match command % 4 {
                 0 => {
                     lifecycle.listening();
                     listens = true;
@@ -40,10 +40,10 @@
                     (lifecycle.terminate(now, FINISH), first)
                 }
             };
-            prop_assert_eq!(called == TransitionResult::Changed, changed);
-            prop_assert_eq!(called.is_in_effect(), call % 4 != 2 || finishing.is_none());
+            prop_assert_eq!(result == TransitionResult::Changed, changed);
+            prop_assert_eq!(result.is_in_effect(), command % 4 != 2 || finishing.is_none());
             let serves = listens && drained.is_none() && finishing.is_none();
-            prop_assert_eq!((lifecycle.wants_clients(), lifecycle.not_serving_reason().is_none()), (serves, serves));
+            prop_assert_eq!((lifecycle.is_serving(), lifecycle.not_serving_reason().is_none()), (serves, serves));
             prop_assert_eq!(lifecycle.finishing(), finishing.is_some());
             prop_assert_eq!(lifecycle.answered_by(), finishing.map_or(Time::MAX, |t| t + 80));
             for later in [now, now + 10, now + 30, now + 50] {
