--- a/src/net/dial_error.rs
+++ b/src/net/dial_error.rs
@@ -1,20 +1,20 @@
-//! Classifies errors of opening a connection: what this process lacks says nothing of the data node.
+//! Classifies errors of opening a connection: local resource exhaustion does not count against the data node.
 
 use std::io::Error;
 
-/// Linux's numbers of what this machine or process lacks for one more connection. A missing route is not among them: it
-/// may concern that data node alone, and for good.
-const LOCAL_SHORTAGES: [i32; 5] = [
+/// Linux error numbers for a lack of local resources. A missing route is not included: it may affect only that data
+/// node, and permanently.
+const LOCAL_RESOURCE_ERRORS: [i32; 5] = [
     12,  // ENOMEM
-    23,  // ENFILE: the system's table of files is full
-    24,  // EMFILE: the process holds as many descriptors as it may
-    99,  // EADDRNOTAVAIL: no local port is left
+    23,  // ENFILE: the system's file table is full
+    24,  // EMFILE: the process has reached its limit of file descriptors
+    99,  // EADDRNOTAVAIL: no local port is available
     105, // ENOBUFS
 ];
 
-/// Whether this process could not have opened a connection to anybody.
+/// Whether the error is a lack of local resources, which prevents connections to any peer.
 pub fn is_local_shortage(error: &Error) -> bool {
-    error.raw_os_error().is_some_and(|number| LOCAL_SHORTAGES.contains(&number))
+    error.raw_os_error().is_some_and(|number| LOCAL_RESOURCE_ERRORS.contains(&number))
 }
 
 #[cfg(test)]
--- a/src/net/dial_error/tests.rs
+++ b/src/net/dial_error/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use std::io::ErrorKind;
 
-/// Guards data nodes against blame for what this process lacks, and against none for what they do.
+/// A lack of local resources counted as the peer's failure would eject healthy data nodes; the reverse would keep
+/// failed ones in use.
 #[test]
-fn a_local_shortage_is_told_from_a_fault_of_the_peer() {
+fn local_resource_exhaustion_is_distinguished_from_failures_of_the_peer() {
     for number in [12, 23, 24, 99, 105] {
         assert!(is_local_shortage(&Error::from_raw_os_error(number)), "{number}");
     }
--- a/src/net/log_limit/tests.rs
+++ b/src/net/log_limit/tests.rs
@@ -3,10 +3,10 @@
 
 const INTERVAL: Nanos = 100;
 
-/// Guards the first line, which must not wait, and what occurs after the last one, which must be reported without another
+/// The first occurrence is logged immediately. Occurrences after the last line are reported without waiting for another
 /// occurrence.
 #[test]
-fn the_first_is_reported_at_once_and_the_rest_together() {
+fn the_first_occurrence_is_reported_immediately_and_the_rest_together() {
     let mut limit = LogRateLimit::new(INTERVAL);
     assert_eq!(limit.due(5), None);
     assert_eq!(limit.occurred(5), Some(1));
@@ -20,17 +20,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards the bound and the count: no two lines within an interval, and every occurrence is reported once.
+    /// No two lines are within one interval, and every occurrence is reported exactly once.
     #[test]
     fn lines_are_an_interval_apart_and_report_every_occurrence(
         steps in proptest::collection::vec((any::<bool>(), 0..INTERVAL), 0..200),
     ) {
         let (mut limit, mut now) = (LogRateLimit::new(INTERVAL), 0);
         let (mut lines, mut occurred, mut reported) = (Vec::new(), 0, 0);
-        for (again, wait) in steps {
+        for (occurs, wait) in steps {
             now += wait;
-            occurred += u64::from(again);
-            let line = if again { limit.occurred(now) } else { limit.due(now) };
+            occurred += u64::from(occurs);
+            let line = if occurs { limit.occurred(now) } else { limit.due(now) };
             if let Some(count) = line {
                 reported += count;
                 lines.push(now);
