--- a/src/net/http/chunked.rs
+++ b/src/net/http/chunked.rs
@@ -1,50 +1,50 @@
-//! The chunked transfer coding of bodies that are received (RFC 9112, section 7.1).
+//! Decoding of the chunked transfer coding (RFC 9112, section 7.1).
 
 use super::{BadMessage, BODY_TOO_LARGE, MALFORMED};
 
-/// The longest line between chunks.
+/// Maximum length of a line between chunks.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// Decodes the chunks of a body as they arrive.
+/// An incremental decoder of a chunked body.
 #[derive(Debug, Default)]
 pub struct Chunks {
     state: State,
-    /// The beginning of a line between chunks.
+    /// The incomplete line between chunks.
     line: Vec<u8>,
 }
 
-/// What the next bytes are.
+/// What the decoder expects next.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// The line with the size of a chunk.
+    /// The line with a chunk's size.
     #[default]
     Size,
-    /// So many bytes of data.
+    /// The rest of a chunk's data, with its length in bytes.
     Data(usize),
-    /// The empty line behind the data.
+    /// The empty line after a chunk's data.
     DataEnd,
     /// A line of the trailer.
     Trailer,
-    /// Not part of the body.
+    /// Nothing: the body is complete.
     Done,
 }
 
 impl Chunks {
-    /// Whether the last chunk has been read.
+    /// Whether the body is complete, trailer included.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether a chunk, or the line before it, has arrived in part.
+    /// Whether a chunk's data, or the line before it, is incomplete.
     pub fn within_chunk(&self) -> bool {
         matches!(self.state, State::Data(_)) || self.state == State::Size && !self.line.is_empty()
     }
 
-    /// Reads bytes until they or the chunks end. The data is put behind `data`, which may have `max_bytes`. Returns how
-    /// many bytes were used.
+    /// Decodes bytes up to the end of the body. Appends the data to `data`, which may grow to `max_bytes`. Returns the
+    /// number of bytes used.
     ///
     /// # Errors
-    /// They are malformed, or the data too large.
+    /// The chunks are malformed, or the data exceeds `max_bytes`.
     pub fn decode(
         &mut self,
         bytes: &[u8],
@@ -63,7 +63,7 @@
         Ok(used)
     }
 
-    /// Reads data of a chunk of which so many bytes are left; returns how many were used.
+    /// Reads data of a chunk of which `left` bytes remain; returns the number of bytes used.
     fn read_data(
         &mut self,
         left: usize,
@@ -97,7 +97,7 @@
 }
 
 impl State {
-    /// The state after a line between chunks.
+    /// Returns the state after a complete line between chunks.
     fn after_line(self, line: &[u8], max_bytes: usize) -> Result<Self, BadMessage> {
         match self {
             Self::Size => match chunk_size(line)? {
@@ -113,7 +113,7 @@
     }
 }
 
-/// The size in the line before a chunk.
+/// Parses the line before a chunk; ignores chunk extensions.
 fn chunk_size(line: &[u8]) -> Result<usize, BadMessage> {
     let text = std::str::from_utf8(line).map_err(|_| MALFORMED)?;
     let digits = text.split(';').next().unwrap_or("").trim();
--- a/src/net/http/headers.rs
+++ b/src/net/http/headers.rs
@@ -1,18 +1,18 @@
-//! Header lines, and the framing of the body that they define.
+//! Header fields and the body framing that they define.
 
 use super::{BadMessage, MALFORMED, UNKNOWN_TRANSFER_CODING};
 
-/// The header lines of a message, names in lower case.
+/// The header fields of a message, with names in lower case.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The value of the first line of this name (in lower case).
+    /// Returns the value of the first field of this name, which must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.all(name).next()
     }
 
-    /// The values of all lines of this name.
+    /// Returns the values of all fields of this name.
     fn all<'n, 'a: 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a str> + 'n {
         self.0.iter().filter(move |line| line.0 == name).map(|line| line.1.as_str())
     }
@@ -25,14 +25,14 @@
         lines.iter().map(read_line).collect::<Result<_, _>>().map(Self)
     }
 
-    /// Whether the comma-separated list in the lines of this name has the token.
+    /// Whether the comma-separated lists in the fields of this name contain the token, in any case.
     pub(super) fn has_token(&self, name: &str, token: &str) -> bool {
         let mut tokens = self.all(name).flat_map(|value| value.split(','));
         tokens.any(|candidate| candidate.trim().eq_ignore_ascii_case(token))
     }
 
-    /// How the body is framed. A length beside a transfer coding, or several codings, are an error: where the body ends
-    /// is ambiguous then, and what one reader takes for the body another may take for the next request.
+    /// Returns the framing of the body. A length together with a transfer coding, or several codings, are an error: the
+    /// end of the body is then ambiguous, and another recipient may read part of the body as the next request.
     pub(super) fn framing(&self) -> Result<Framing, BadMessage> {
         let lengths: Vec<&str> = self.all("content-length").collect();
         let codings: Vec<&str> = self.all("transfer-encoding").collect();
@@ -54,10 +54,10 @@
     text.parse().map(Framing::Length).map_err(|_| MALFORMED)
 }
 
-/// How the end of a body is marked.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// There is no body.
+    /// The message has no body.
     None,
     /// By the end of the connection.
     UntilEnd,
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -14,18 +14,18 @@
 pub use response::{chunk, chunked_head, reason, response, LAST_CHUNK};
 pub use response_head::{parse_head, Head};
 
-/// Why a message is not accepted, with the status that says so.
+/// Why a message is rejected, with the status of the response to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BadMessage {
-    /// The status of the response.
+    /// The HTTP status code of the response.
     pub status: u16,
-    /// The reason, in a few words.
+    /// A short reason, used as the response's text.
     pub reason: &'static str,
 }
 
 impl BadMessage {
-    const fn new(status: u16, why: &'static str) -> Self {
-        Self { status, reason: why }
+    const fn new(status: u16, reason: &'static str) -> Self {
+        Self { status, reason }
     }
 }
 
@@ -33,7 +33,7 @@
 const BODY_TOO_LARGE: BadMessage = BadMessage::new(413, "body too large");
 const HEADERS_TOO_LARGE: BadMessage = BadMessage::new(431, "header too large");
 const UNKNOWN_TRANSFER_CODING: BadMessage = BadMessage::new(501, "transfer coding not known");
-/// A request that is not complete in time.
+/// The request was not received completely before its timeout.
 pub const TOO_SLOW: BadMessage = BadMessage::new(408, "the request did not come whole in time");
 
 #[cfg(test)]
--- a/src/net/http/percent.rs
+++ b/src/net/http/percent.rs
@@ -1,7 +1,8 @@
-//! Percent coding of paths and query strings.
+//! Percent-encoding of paths and query strings.
 
-/// Undoes percent coding; with `plus`, `+` is a space, as in query strings. `None` if it is malformed or not text.
-pub fn decode(text: &str, plus: bool) -> Option<String> {
+/// Percent-decodes text; with `plus_is_space`, as in query strings, `+` is a space. `None` if it is malformed or the
+/// result is not UTF-8.
+pub fn decode(text: &str, plus_is_space: bool) -> Option<String> {
     let mut out = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
     while let Some(byte) = bytes.next() {
@@ -11,14 +12,14 @@
                 let (high, low) = (digit(bytes.next())?, digit(bytes.next())?);
                 (high * 16 + low) as u8
             }
-            b'+' if plus => b' ',
+            b'+' if plus_is_space => b' ',
             byte => byte,
         });
     }
     String::from_utf8(out).ok()
 }
 
-/// Percent-encodes all but letters, digits and `-._~,`.
+/// Percent-encodes every byte except ASCII letters, digits and `-._~,`.
 pub fn encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for b in text.bytes() {
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -1,4 +1,4 @@
-//! Requests, read from the bytes of a connection as they arrive.
+//! Incremental parsing of requests.
 
 use super::chunked::Chunks;
 use super::headers::Framing;
@@ -8,68 +8,68 @@
 /// A complete request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its method.
+    /// The method, in the case in which it was sent.
     pub method: String,
-    /// Its path, without the query string.
+    /// The percent-encoded path, without the query string.
     pub path: String,
-    /// Its query string.
+    /// The percent-encoded query string without `?`; empty if there is none.
     pub query_string: String,
-    /// Its headers.
+    /// The header fields, without the trailer of a chunked body.
     pub headers: Headers,
-    /// Its body.
+    /// The body, decoded from its transfer coding.
     pub body: Vec<u8>,
     /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// Whether the client accepts a response in chunks (RFC 9112, section 7.1): since HTTP/1.1.
+    /// Whether the client accepts a chunked response (RFC 9112, section 7.1): its version is HTTP/1.1.
     pub accepts_chunks: bool,
 }
 
-/// Takes requests from the bytes of a connection as they arrive. Each byte is searched for the end of the head once,
-/// and copied into a body once, however the bytes are cut.
+/// An incremental parser of the requests on a connection. It searches each byte for the end of the head once, and
+/// copies each byte into a body once, however the input is split.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     buffer: Vec<u8>,
-    /// The first bytes of the buffer in which no head ends.
+    /// Number of bytes at the start of the buffer that contain no end of a head.
     scanned: usize,
     /// The request whose body is being read.
     open: Option<(Request, Body)>,
 }
 
-/// The rest of a body.
+/// The framing and decoding state of the body being read.
 #[derive(Debug)]
 enum Body {
     Length(usize),
     Chunked(Chunks),
 }
 
-/// The head of a request in a buffer.
+/// A parsed head, with an empty body in its request.
 struct ParsedHead {
     request: Request,
     framing: Framing,
-    /// Its size in bytes.
+    /// The size of the head in bytes.
     size: usize,
 }
 
 impl RequestReader {
-    /// Adds bytes that have arrived.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The number of bytes that are buffered and belong to no request yet.
+    /// Returns the number of buffered bytes that are not part of a request yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether part of a request has arrived.
+    /// Whether part of a request was received.
     pub fn has_partial_request(&self) -> bool {
         !self.buffer.is_empty() || self.open.is_some()
     }
 
-    /// The next request, once it is complete.
+    /// Returns the next request once it is complete, `None` before.
     ///
     /// # Errors
-    /// It is malformed or over a limit; the connection cannot be used any longer.
+    /// The request is malformed or exceeds a limit; the connection cannot be used any longer.
     pub fn next_request(&mut self, limits: &Limits) -> Result<Option<Request>, BadMessage> {
         if self.open.is_none() {
             self.read_head(limits)?;
@@ -81,26 +81,26 @@
             return Ok(None);
         }
         if self.buffer.is_empty() {
-            // An idle connection keeps no memory for its largest request.
+            // Frees the memory, so that an idle connection does not hold the buffer of its largest request.
             self.buffer = Vec::new();
         }
         Ok(self.open.take().map(|(request, _)| request))
     }
 
-    /// Reads the head once its end has arrived. The first bytes are parsed at once, so that input that is no request is
+    /// Reads the head once its end was received. Parses the first bytes immediately, so that input other than HTTP is
     /// rejected early.
     fn read_head(&mut self, limits: &Limits) -> Result<(), BadMessage> {
         loop {
-            let is_first_look = self.scanned == 0 && !self.buffer.is_empty();
+            let is_first_parse = self.scanned == 0 && !self.buffer.is_empty();
             let end = head_end(&self.buffer, self.scanned);
             self.scanned = end.unwrap_or(self.buffer.len());
-            if end.is_none() && !is_first_look {
+            if end.is_none() && !is_first_parse {
                 break;
             }
             if let Some(head) = parse_request_head(&self.buffer, limits)? {
                 return self.open_request(head, limits);
             }
-            // With an end, the empty line was one ahead of the request.
+            // Continues if an end was found: the empty line preceded the request.
             if end.is_none() {
                 break;
             }
@@ -126,7 +126,7 @@
 }
 
 impl Body {
-    /// Moves what has arrived behind `body`. Returns how many bytes were used, and whether the body is complete.
+    /// Appends received data to `body`. Returns the number of bytes used, and whether the body is complete.
     fn read(
         &mut self,
         bytes: &[u8],
@@ -147,7 +147,7 @@
     }
 }
 
-/// Where the first empty line behind `from` ends.
+/// Returns the position after the first empty line that ends at or after `from`.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let ends_empty_line = |&at: &usize| {
         let before = &bytes[..at];
@@ -156,7 +156,7 @@
     (from..bytes.len()).find(ends_empty_line).map(|at| at + 1)
 }
 
-/// The head of the first request in `bytes`; nothing while it is not complete.
+/// Parses the head of the first request in `bytes`; returns `None` while it is incomplete.
 fn parse_request_head(bytes: &[u8], limits: &Limits) -> Result<Option<ParsedHead>, BadMessage> {
     let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Request::new(&mut lines);
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -1,6 +1,6 @@
-//! Responses as they are written.
+//! Encoding of responses.
 
-/// The reason phrase of a status.
+/// Returns the reason phrase of a status; `Error` if the status is unknown.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -21,17 +21,18 @@
     }
 }
 
-/// The head of a response whose body follows in chunks.
-pub fn chunked_head(status: u16, kind: &str, more: &str, keep_alive: bool) -> Vec<u8> {
+/// Encodes the head of a response with a chunked body; `extra_headers` as in [`response`].
+pub fn chunked_head(status: u16, content_type: &str, extra_headers: &str, keep_alive: bool) -> Vec<u8> {
     let connection = if keep_alive { "keep-alive" } else { "close" };
     format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: {kind}\r\nTransfer-Encoding: chunked\r\nConnection: {connection}\r\n{more}\r\n",
+        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nTransfer-Encoding: chunked\r\n\
+         Connection: {connection}\r\n{extra_headers}\r\n",
         reason(status)
     )
     .into_bytes()
 }
 
-/// One chunk; nothing for empty bytes, which would end the body.
+/// Encodes one chunk. Returns nothing for empty bytes, since an empty chunk would end the body.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     if bytes.is_empty() {
         return Vec::new();
@@ -42,19 +43,27 @@
     out
 }
 
-/// The end of a chunked body.
+/// The last chunk and the empty trailer, which end a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A response, without its body if `head` is set; `more` are further header lines, each ended by CR LF.
-pub fn response(status: u16, kind: &str, more: &str, body: &[u8], keep_alive: bool, head: bool) -> Vec<u8> {
+/// Encodes a response, without its body if `head_only` is set. Each line in `extra_headers` ends with CR LF.
+pub fn response(
+    status: u16,
+    content_type: &str,
+    extra_headers: &str,
+    body: &[u8],
+    keep_alive: bool,
+    head_only: bool,
+) -> Vec<u8> {
     let connection = if keep_alive { "keep-alive" } else { "close" };
     let line = format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\nConnection: {connection}\r\n{more}\r\n",
+        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n\
+         Connection: {connection}\r\n{extra_headers}\r\n",
         reason(status),
         body.len()
     );
     let mut bytes = line.into_bytes();
-    if !head {
+    if !head_only {
         bytes.extend_from_slice(body);
     }
     bytes
--- a/src/net/http/response_head.rs
+++ b/src/net/http/response_head.rs
@@ -1,28 +1,28 @@
-//! Heads of responses, and the bodies that follow them.
+//! Parsing of response heads and bodies.
 
 use super::chunked::Chunks;
 use super::headers::Framing;
 use super::{BadMessage, Headers, BODY_TOO_LARGE, MALFORMED};
 use crate::limits::Limits;
 
-/// Statuses whose responses have no body (RFC 9112, section 6.3).
+/// Status codes of responses without a body (RFC 9112, section 6.3).
 const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
 
-/// The head of a response.
+/// The parsed head of a response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Head {
-    /// Its status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Its headers.
+    /// The header fields, without the trailer of a chunked body.
     pub headers: Headers,
     framing: Framing,
 }
 
-/// The head of the response in `bytes` and its size; nothing while it is not complete.
+/// Parses the head of the response in `bytes`; returns it with its size in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
-/// It is malformed or too large.
+/// The head is malformed or too large.
 pub fn parse_head(bytes: &[u8], limits: &Limits) -> Result<Option<(Head, usize)>, BadMessage> {
     let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Response::new(&mut lines);
@@ -41,10 +41,11 @@
 }
 
 impl Head {
-    /// The body that follows the head and how many bytes it takes; nothing while it is not complete.
+    /// Decodes the body in `bytes`, which follow the head. Returns it with the number of bytes used, or `None` while it
+    /// is incomplete. A body that ends with the connection is never complete here.
     ///
     /// # Errors
-    /// It is malformed or larger than `max_bytes`.
+    /// The body is malformed or larger than `max_bytes`.
     pub fn body(&self, bytes: &[u8], max_bytes: usize) -> Result<Option<(Vec<u8>, usize)>, BadMessage> {
         match self.framing {
             Framing::None => Ok(Some((Vec::new(), 0))),
@@ -60,17 +61,17 @@
         }
     }
 
-    /// Whether the body ends with the connection.
+    /// Whether the end of the connection marks the end of the body.
     pub fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilEnd
     }
 
-    /// Whether the body is in chunks.
+    /// Whether the body uses the chunked transfer coding.
     pub fn is_chunked(&self) -> bool {
         self.framing == Framing::Chunked
     }
 
-    /// Whether the connection may be used again.
+    /// Whether the connection may be used for another request.
     pub fn keep_alive(&self) -> bool {
         !self.headers.has_token("connection", "close")
     }
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -7,30 +7,30 @@
 const CHUNKED: &[u8] =
     b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nT: v\r\n\r\n";
 
-/// The first request, and how many bytes were left over.
+/// The first request, and the number of bytes after it.
 fn parsed(bytes: &[u8]) -> Result<Option<(Request, usize)>, BadMessage> {
     let mut reader = RequestReader::default();
     reader.push(bytes);
     Ok(reader.next_request(&Limits::default())?.map(|r| (r, reader.buffered_bytes())))
 }
 
-/// Requests come in pieces: no prefix is an error or a request.
+/// A request may arrive in several reads: no proper prefix is an error or a request.
 #[test]
-fn split_requests_are_waited_for() {
-    for (bytes, whole) in [(POST, POST.len() - 3), (CHUNKED, CHUNKED.len())] {
-        for cut in 0..whole {
+fn an_incomplete_request_is_neither_a_request_nor_an_error() {
+    for (bytes, request_bytes) in [(POST, POST.len() - 3), (CHUNKED, CHUNKED.len())] {
+        for cut in 0..request_bytes {
             assert_eq!(parsed(&bytes[..cut]), Ok(None), "{cut}");
         }
         let (request, left) = parsed(bytes).unwrap().unwrap();
-        assert_eq!((request.body.as_slice(), left), (b"abcd".as_slice(), bytes.len() - whole));
+        assert_eq!((request.body.as_slice(), left), (b"abcd".as_slice(), bytes.len() - request_bytes));
         assert!(request.keep_alive);
     }
     assert_eq!(parsed(POST).unwrap().unwrap().0.path, "/tag-lookup");
 }
 
-/// Each kind of bad input has its own answer.
+/// Malformed requests, exceeded limits and unknown transfer codings get different statuses.
 #[test]
-fn bad_requests_have_their_status() {
+fn each_kind_of_bad_request_has_its_status() {
     let large = format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n", 64 * 1024 + 1);
     let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(17 * 1024));
     let chunk = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nFFFFFFFFF\r\n";
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn connections_stay_open_unless_told() {
+fn connections_stay_open_unless_the_version_or_a_header_closes_them() {
     let of = |text: &str| parsed(text.as_bytes()).unwrap().unwrap().0.keep_alive;
     assert!(!of("GET / HTTP/1.1\r\nConnection: close\r\n\r\n"));
     assert!(!of("GET / HTTP/1.0\r\n\r\n"));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn percent_coding_goes_both_ways() {
+fn percent_encoding_is_reversible() {
     assert_eq!(decode("a%20b%2Cc+d", true).as_deref(), Some("a b,c d"));
     assert_eq!(decode("%zz", true), None);
     assert_eq!(decode("%ff", true), None);
@@ -76,22 +76,22 @@
 }
 
 proptest! {
-    /// Nothing that a peer sends may panic.
+    /// No bytes from a peer cause a panic.
     #[test]
-    fn any_bytes_are_parsed_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn parsing_any_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = parsed(&bytes);
         let _ = parse_head(&bytes, &Limits::default());
         let _ = Chunks::default().decode(&bytes, &mut Vec::new(), 64);
     }
 
-    /// However requests are cut, and whatever empty lines stand ahead, they come out the same, one by one.
+    /// The parsed requests are the same however the input is split, and with empty lines before each request.
     #[test]
-    fn requests_do_not_depend_on_how_they_are_cut(
+    fn requests_do_not_depend_on_how_the_input_is_split(
         cuts in proptest::collection::vec(1..40usize, 0..40),
         order in proptest::collection::vec(any::<bool>(), 1..6),
     ) {
-        let whole = |chunked: &bool| if *chunked { CHUNKED } else { &POST[..POST.len() - 3] };
-        let text: Vec<u8> = order.iter().flat_map(|c| [b"\r\n\r\n", whole(c)].concat()).collect();
+        let request = |chunked: &bool| if *chunked { CHUNKED } else { &POST[..POST.len() - 3] };
+        let text: Vec<u8> = order.iter().flat_map(|c| [b"\r\n\r\n", request(c)].concat()).collect();
         let (mut reader, mut rest, mut got) = (RequestReader::default(), &text[..], Vec::new());
         for cut in cuts.into_iter().chain([text.len()]) {
             let (piece, later) = rest.split_at(cut.min(rest.len()));
@@ -106,9 +106,9 @@
         prop_assert!(!reader.has_partial_request());
     }
 
-    /// However a chunked body is cut, it comes out the same.
+    /// The decoded body is the same however the chunked input is split.
     #[test]
-    fn chunks_do_not_depend_on_how_they_are_cut(cuts in proptest::collection::vec(1..9usize, 0..40)) {
+    fn chunks_do_not_depend_on_how_the_input_is_split(cuts in proptest::collection::vec(1..9usize, 0..40)) {
         let mut rest = &b"3\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\n\r\n"[..];
         let (mut chunks, mut out) = (Chunks::default(), Vec::new());
         for cut in cuts.into_iter().chain([64]) {
