--- a/src/net/feature_node/fetch.rs
+++ b/src/net/feature_node/fetch.rs
@@ -1,4 +1,4 @@
-//! One attempt at a feature server: its pages, one after the other.
+//! One attempt at a feature server: requests its pages in sequence.
 
 use std::cell::Cell;
 use std::sync::atomic::Ordering;
@@ -15,32 +15,32 @@
 use crate::net::node::NodeContext;
 use crate::runtime::{Stream, WriteError};
 
-/// The path of the page that shows that a server is up.
+/// The path that health checks request.
 const LANDING_PAGE: &str = "/";
 
-/// The formats of a page that can be read.
+/// The media types that pages are accepted in.
 const ACCEPT: &str = "application/geo+json, application/json";
 
-/// One attempt.
+/// A running attempt or health check.
 pub(super) struct Fetch {
     pub(super) context: NodeContext,
     pub(super) names: Arc<Names>,
     pub(super) gate: DrainGate,
     pub(super) control: Arc<FetchControl>,
-    /// Until when its end is waited for.
+    /// When the attempt times out.
     pub(super) deadline: Nanos,
-    /// Its first request is not sent from then on.
+    /// The first request is only sent before this time.
     pub(super) start_deadline: Nanos,
     pub(super) cancellation: CancellationToken,
-    /// A request was written completely: the attempt may have run.
+    /// Whether a request was written completely, so that the attempt may have run.
     pub(super) request_sent: bool,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub(super) struct FetchEnd {
     pub(super) outcome: Outcome,
     pub(super) value: Option<Value>,
-    /// Its connection, if that can be used again.
+    /// The attempt's connection, if it can be used for another fetch.
     pub(super) reusable: Option<Arc<Stream>>,
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-/// The features of a range.
 struct RangeValue {
+    /// A JSON array of the range's features.
     data: String,
-    /// Whether the connection can be used again.
+    /// Whether the connection can be used for another request.
     keep_alive: bool,
 }
 
 impl Fetch {
-    /// Fetches the range of a part, over this connection if there is one.
+    /// Fetches the range of a part, over the idle connection if there is one, else over a new one.
     pub(super) fn run(mut self, dispatch: &Dispatch, idle: Option<Arc<Stream>>) -> FetchEnd {
         let part = &dispatch.part;
         let Some(query) = RangeQuery::new(&part.text, part.shard, &self.names) else {
@@ -71,13 +71,13 @@
                 reusable: range.keep_alive.then_some(stream),
             },
             Err(outcome) => {
-                self.control.shut_stream();
+                self.control.shut_down_stream();
                 FetchEnd::failed(outcome)
             }
         }
     }
 
-    /// Fetches the landing page.
+    /// Requests the landing page; succeeds with status 200.
     pub(super) fn check_health(mut self) -> Outcome {
         let response = self.connect(None).and_then(|stream| self.fetch_page(&stream, LANDING_PAGE));
         match response {
@@ -97,7 +97,7 @@
         Ok((range, stream))
     }
 
-    /// The time that is left until the deadline.
+    /// Returns the time until the deadline.
     pub(super) fn remaining(&self) -> Duration {
         Duration::from_nanos(self.deadline.saturating_sub(self.context.clock.now()))
     }
@@ -128,12 +128,13 @@
         })
     }
 
-    /// Whether the next page may be requested. If that is the first, the attempt never ran.
+    /// Checks whether the next page may be requested. If not, the outcome is `NotSent` before the first request was
+    /// sent, since the attempt never ran.
     fn check_may_request(&self) -> Result<(), Outcome> {
         let cancelled = self.control.cancelled.load(Ordering::Acquire) || !self.cancellation.is_active();
         let now = self.context.clock.now();
-        let starts_late = !self.request_sent && now >= self.start_deadline;
-        let is_over = cancelled || starts_late || self.remaining().is_zero();
+        let is_past_start = !self.request_sent && now >= self.start_deadline;
+        let is_over = cancelled || is_past_start || self.remaining().is_zero();
         if !is_over && self.gate.is_open_for(self.control.address, now) {
             return Ok(());
         }
@@ -153,12 +154,12 @@
                 429 | 503 if features.is_empty() => return Err(Outcome::Rejected),
                 _ => return Err(Outcome::ServerError),
             }
-            let page = features::parse_page(&body).map_err(|why| self.malformed(why))?;
+            let page = features::parse_page(&body).map_err(|reason| self.malformed(reason))?;
             features.extend(page.features);
             let limit = query.limit.unwrap_or(1);
             match page.next.filter(|_| features.len() < limit) {
                 Some(next) if keep_alive => target = next,
-                // The server ends the connection between pages: the range was not read completely.
+                // The server closes the connection between pages, so the range cannot be read completely.
                 Some(_) => return Err(Outcome::ServerError),
                 None => {
                     features.truncate(limit);
@@ -166,12 +167,12 @@
                 }
             }
         }
-        Err(self.malformed("more pages than are read"))
+        Err(self.malformed("range exceeds the page limit"))
     }
 
-    /// Notes a response that cannot be used.
-    pub(super) fn malformed(&self, why: &'static str) -> Outcome {
-        log::warn!(reason = why; "malformed response from a feature server");
+    /// Logs and counts a malformed response; returns the attempt's outcome.
+    pub(super) fn malformed(&self, reason: &'static str) -> Outcome {
+        log::warn!(reason = reason; "malformed response from a feature server");
         Counters::add(&self.context.counters.bad_frames);
         Outcome::ServerError
     }
@@ -183,7 +184,7 @@
         self.read_response(stream)
     }
 
-    /// Requests one page; whether that may be done is checked at the moment of the first byte.
+    /// Sends the request for one page. Checks whether it may be sent when the first byte is written.
     fn send_request(&self, stream: &Stream, target: &str) -> Result<(), Outcome> {
         let host = self.control.address;
         let request = format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: {ACCEPT}\r\n\r\n");
--- a/src/net/feature_node/mod.rs
+++ b/src/net/feature_node/mod.rs
@@ -1,7 +1,7 @@
-//! The actor of one feature server: a data node that speaks OGC API - Features over HTTP.
+//! The actor of one feature server: a data node that serves OGC API - Features over HTTP.
 //!
-//! A part is a range's features, read page by page on one connection. Each page is new work: before it is requested, the
-//! server's state and address and the attempt's deadlines are checked again.
+//! A part requests a range's features, page by page on one connection. Each page is new work: before each request, the
+//! actor checks the server's state and address and the attempt's deadlines again.
 
 mod fetch;
 mod response;
@@ -24,10 +24,10 @@
 use crate::net::node::NodeContext;
 use crate::runtime::{nanos, spawn, spawn_vital, Stream};
 
-/// How often idle connections are checked.
+/// Interval between checks of the idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts the actor; returns its mailbox. The server gets the range in a parameter of `names`.
+/// Starts the actor; returns its mailbox. `names` contains the query parameters of the requested range.
 pub fn start(id: ServerId, gate: DrainGate, context: NodeContext, names: Arc<Names>) -> Sender<NodeMessage> {
     let (mailbox, inbox) = channel();
     let own_mailbox = mailbox.clone();
@@ -48,12 +48,13 @@
     mailbox
 }
 
-/// What the actor can do to a fetch that runs.
+/// The actor's control over a running fetch.
 struct FetchControl {
-    /// Where it goes.
+    /// The address that requests are sent to.
     address: SocketAddr,
     cancelled: AtomicBool,
-    /// It waits for its connection. Whoever clears this says how the attempt goes on.
+    /// Whether the fetch waits for its connection. The side that clears this flag, the actor or the fetch, decides
+    /// whether the attempt ends unsent or continues.
     awaits_connection: AtomicBool,
     stream: may::sync::Mutex<Option<Arc<Stream>>>,
 }
@@ -70,22 +71,22 @@
 
     fn cancel(&self) {
         self.cancelled.store(true, Ordering::Release);
-        self.shut_stream();
+        self.shut_down_stream();
     }
 
-    fn shut_stream(&self) {
+    fn shut_down_stream(&self) {
         if let Ok(Some(stream)) = self.stream.lock().as_deref() {
             stream.shutdown();
         }
     }
 
-    /// Whether the caller is the first to say how the attempt goes on after waiting for its connection.
+    /// Ends the wait for a connection; returns whether the caller did so first and decides how the attempt continues.
     fn claim_unconnected(&self) -> bool {
         self.awaits_connection.swap(false, Ordering::AcqRel)
     }
 }
 
-/// A connection without work.
+/// A connection without a fetch.
 struct IdleConnection {
     stream: Arc<Stream>,
     since: Instant,
@@ -95,7 +96,7 @@
     id: ServerId,
     context: NodeContext,
     names: Arc<Names>,
-    /// The actor's own mailbox, for its fetches.
+    /// The actor's own mailbox, to which its fetches report.
     mailbox: Sender<NodeMessage>,
     address: Option<SocketAddr>,
     gate: DrainGate,
@@ -128,7 +129,7 @@
             NodeMessage::CheckHealth => self.check_health(),
             NodeMessage::CloseIdleConnections => self.idle.clear(),
             NodeMessage::FetchEnded { attempt, reusable } => self.fetch_ended(attempt, reusable),
-            // Only actors that speak frames get these.
+            // Only actors of the frame protocol receive these; `run` handles `Remove`.
             NodeMessage::Connection(_)
             | NodeMessage::FramesReceived { .. }
             | NodeMessage::Connected { .. }
@@ -143,7 +144,8 @@
         }
     }
 
-    /// Ends the attempts that wait for a connection: it may not come up for long, and others are to have them at once.
+    /// Ends the attempts that wait for a connection. The connection may take long, and other data nodes should get the
+    /// attempts immediately.
     fn end_unconnected(&self) {
         for (&attempt, control) in &self.fetches {
             if control.claim_unconnected() {
@@ -157,7 +159,7 @@
         self.context.core.send(CoreMessage::AttemptEnded { attempt, outcome, value: None });
     }
 
-    /// Keeps the connection of a fetch that has ended, if it goes to the current address.
+    /// Keeps the connection of an ended fetch for reuse if it goes to the current address.
     fn fetch_ended(&mut self, attempt: AttemptId, reusable: Option<Arc<Stream>>) {
         let control = self.fetches.remove(&attempt);
         let is_current = control.is_some_and(|control| Some(control.address) == self.address);
@@ -165,14 +167,14 @@
         self.idle.extend(idle.map(|stream| IdleConnection { stream, since: Instant::now() }));
     }
 
-    /// Closes connections that the server has closed, or soon will.
+    /// Closes idle connections that the server has closed or will close soon.
     fn close_unusable(&mut self) {
         let idle_timeout = Duration::from_nanos(self.context.connections.idle);
         let usable_for = self.context.limits.usable_idle(idle_timeout);
         self.idle.retain(|idle| idle.since.elapsed() < usable_for && !idle.stream.is_readable());
     }
 
-    /// A connection that the server will not close under the next request.
+    /// Takes an idle connection that the server is not expected to close during the next request.
     fn take_idle(&mut self) -> Option<Arc<Stream>> {
         self.close_unusable();
         self.idle.pop().map(|idle| idle.stream)
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Checks the server's health: its landing page has to be served.
+    /// Checks the server's health by requesting its landing page.
     fn check_health(&mut self) {
         let now = self.context.clock.now();
         if !self.gate.is_open(now) {
@@ -235,13 +237,13 @@
     }
 }
 
-/// Runs a fetch, and reports its end.
+/// Runs a fetch and reports its result to the coordinator and the actor.
 fn run_fetch(fetch: Fetch, dispatch: &Dispatch, idle: Option<Arc<Stream>>, mailbox: &Sender<NodeMessage>) {
     let core = fetch.context.core.clone();
     let attempt = dispatch.attempt;
     let ended = fetch.run(dispatch, idle);
     core.send(CoreMessage::AttemptEnded { attempt, outcome: ended.outcome, value: ended.value });
-    // Nobody is left to be told once the actor has ended.
+    // The send fails only after the actor has ended; the connection is then closed.
     let _ = mailbox.send(NodeMessage::FetchEnded { attempt, reusable: ended.reusable });
 }
 
--- a/src/net/feature_node/response.rs
+++ b/src/net/feature_node/response.rs
@@ -1,4 +1,4 @@
-//! Reads the response to the request of a page.
+//! Reads the response to a page request.
 
 use std::io;
 
@@ -7,14 +7,14 @@
 use crate::net::http;
 use crate::runtime::Stream;
 
-/// Bytes that are read at once.
+/// Size of the buffer for one read.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// The response to the request of a page.
+/// The response to a page request.
 pub(super) struct PageResponse {
     pub(super) status: u16,
     pub(super) body: String,
-    /// Whether the connection can be used for another request.
+    /// Whether the connection can be used for another request; false if bytes follow the response.
     pub(super) keep_alive: bool,
 }
 
@@ -29,14 +29,16 @@
             }
             match stream.read(&mut buffer, self.remaining()) {
                 Ok(0) => return self.parse_ended_response(&received),
-                Ok(count) if received.len() + count > limit => return Err(self.malformed("it is too large")),
+                Ok(count) if received.len() + count > limit => {
+                    return Err(self.malformed("response exceeds the size limit"))
+                }
                 Ok(count) => received.extend_from_slice(&buffer[..count]),
                 Err(error) => return Err(read_failure(&error)),
             }
         }
     }
 
-    /// The response, once it was received completely.
+    /// Parses the response; returns `None` while it is incomplete.
     fn parse_response(&self, received: &[u8]) -> Result<Option<PageResponse>, Outcome> {
         let parsed = http::parse_head(received, &self.context.limits);
         let Some((head, head_length)) = parsed.map_err(|e| self.malformed(e.reason))? else {
@@ -45,13 +47,13 @@
         let body = head.body(&received[head_length..], self.context.limits.max_frame_bytes);
         let Some((body, body_length)) = body.map_err(|e| self.malformed(e.reason))? else { return Ok(None) };
         let body = self.decode_text(body)?;
-        // What follows belongs to no request: the response is used, the connection is not used again.
+        // Bytes after the response belong to no request: the response is valid, but the connection is not reused.
         let nothing_follows = received.len() == head_length + body_length;
         let keep_alive = head.keep_alive() && nothing_follows;
         Ok(Some(PageResponse { status: head.status, body, keep_alive }))
     }
 
-    /// The response when the connection has ended: that may be the end of the body, too.
+    /// Parses the response after the connection has ended, which may mark the end of the body.
     fn parse_ended_response(&self, received: &[u8]) -> Result<PageResponse, Outcome> {
         match http::parse_head(received, &self.context.limits) {
             Ok(Some((head, head_length))) if head.ends_with_connection() => {
@@ -63,7 +65,7 @@
     }
 
     fn decode_text(&self, bytes: Vec<u8>) -> Result<String, Outcome> {
-        String::from_utf8(bytes).map_err(|_| self.malformed("it is not text"))
+        String::from_utf8(bytes).map_err(|_| self.malformed("response body is not valid UTF-8"))
     }
 }
 
--- a/src/net/features/mod.rs
+++ b/src/net/features/mod.rs
@@ -1,8 +1,8 @@
 //! Requests to feature servers and their responses (OGC API - Features, GeoJSON): pure functions.
 //!
-//! The text of a feature query is the target of a request, path and query string, with two parameters of its own:
-//! `limit`, the number of features of each tag range, and where the page begins: `cursor=RANGE.OFFSET`, or `after=ID`
-//! where a listing continues after an id.
+//! The text of a feature query is a request target, path and query string, with parameters that this module interprets:
+//! `limit`, the number of features of each tag range, and the start of the page, `cursor=RANGE.OFFSET` or, in a listing
+//! that continues after an id, `after=ID`.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -10,31 +10,31 @@
 use crate::api::ShardId;
 use crate::net::http;
 
-/// Where a page of the merged result begins: tag ranges follow each other in order.
+/// The start of a page of the merged result, which contains the tag ranges in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cursor {
-    /// The first range that is read.
+    /// The first range of the page.
     pub range: ShardId,
-    /// Features of it that are skipped.
+    /// Number of features to skip in this range.
     pub offset: usize,
 }
 
 impl Cursor {
-    /// The first page.
+    /// The start of the first page.
     pub const START: Self = Self { range: ShardId(0), offset: 0 };
 
-    /// Parses `RANGE.OFFSET`.
+    /// Parses `RANGE.OFFSET`; `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let (range, offset) = text.split_once('.')?;
         Some(Self { range: ShardId(range.parse().ok()?), offset: offset.parse().ok()? })
     }
 
-    /// The text that [`Self::parse`] takes.
+    /// Formats the cursor as [`Self::parse`] expects it.
     pub fn text(self) -> String {
         format!("{}.{}", self.range.0, self.offset)
     }
 
-    /// Features to skip in a range.
+    /// Returns the number of features to skip in a range.
     pub fn offset_in(self, range: ShardId) -> usize {
         if range == self.range {
             self.offset
@@ -44,12 +44,12 @@
     }
 }
 
-/// The names of the parameters that feature servers have beyond the standard.
+/// The names of the query parameters of feature servers that the standard does not define.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
-    /// The tag range.
+    /// The parameter for the tag range.
     pub range: String,
-    /// The id after which a listing continues.
+    /// The parameter for the id after which a listing continues; `None` if the servers have none.
     pub after: Option<String>,
 }
 
@@ -58,12 +58,12 @@
 pub struct RangeQuery {
     /// The target of the first request.
     pub target: String,
-    /// The number of features in all; `None` for a single feature.
+    /// Maximum number of features over all pages; `None` for a single feature.
     pub limit: Option<usize>,
 }
 
 impl RangeQuery {
-    /// The request for one range of a feature query; `None` if the query's text is malformed.
+    /// Creates the request for one range of a feature query; `None` if the query's text is malformed.
     pub fn new(text: &str, range: ShardId, names: &Names) -> Option<Self> {
         let Some((path, query)) = text.split_once('?') else {
             return Some(Self { target: text.to_string(), limit: None });
@@ -82,7 +82,7 @@
 
 /// The parameters in the text of a feature query.
 struct QueryParameters {
-    /// As the server gets them.
+    /// Encoded parameters to send to the server.
     forwarded: Vec<String>,
     limit: Option<usize>,
     cursor: Cursor,
@@ -109,13 +109,13 @@
 /// One page of a feature server.
 #[derive(Debug)]
 pub struct Page {
-    /// Its features, unchanged.
+    /// The page's features, each as its server wrote it.
     pub features: Vec<Box<RawValue>>,
-    /// The target of the next page.
+    /// The request target of the next page; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// A GeoJSON document.
+/// A GeoJSON document with the members that are read.
 #[derive(Deserialize)]
 struct WirePage<'a> {
     #[serde(rename = "type")]
@@ -133,12 +133,12 @@
     rel: String,
 }
 
-/// Parses a page or a single feature.
+/// Parses a page of features or a single feature.
 ///
 /// # Errors
-/// It is neither.
+/// The body is neither, or its next link is invalid.
 pub fn parse_page(body: &str) -> Result<Page, &'static str> {
-    let page: WirePage = serde_json::from_str(body).map_err(|_| "a page is no GeoJSON")?;
+    let page: WirePage = serde_json::from_str(body).map_err(|_| "page is not valid GeoJSON")?;
     match (page.kind.as_str(), page.features) {
         ("FeatureCollection", Some(features)) => {
             let next_link = page.links.iter().find(|link| link.rel == "next");
@@ -147,14 +147,14 @@
         }
         ("Feature", None) => {
             let feature =
-                RawValue::from_string(body.trim().to_string()).map_err(|_| "a feature is no JSON")?;
+                RawValue::from_string(body.trim().to_string()).map_err(|_| "feature is not valid JSON")?;
             Ok(Page { features: vec![feature], next: None })
         }
-        _ => Err("a page is neither a feature nor a collection"),
+        _ => Err("page is neither a feature nor a feature collection"),
     }
 }
 
-/// The path and query of a link. Whatever host it names, the next page is requested from the same server.
+/// Returns the path and query of a link. Ignores its host: the next page is requested from the same server.
 fn target_of(href: &str) -> Result<String, &'static str> {
     let rest = match href.split_once("://") {
         Some((_, rest)) => rest.find('/').map(|at| &rest[at..]),
@@ -162,22 +162,22 @@
     };
     let target =
         rest.filter(|target| target.starts_with('/') && target.bytes().all(|byte| byte.is_ascii_graphic()));
-    target.map(str::to_string).ok_or("a next link cannot be followed")
+    target.map(str::to_string).ok_or("next link is invalid")
 }
 
-/// The value of a range: a JSON array of its features, each as its server wrote it.
+/// Returns the value of a range: a JSON array of its features, each as its server wrote it.
 pub fn value(features: &[Box<RawValue>]) -> String {
     let texts: Vec<&str> = features.iter().map(|feature| feature.get()).collect();
     format!("[{}]", texts.join(","))
 }
 
-/// The features in the value of a range: an array of features, a collection, or a single feature.
+/// Returns the features in the value of a range: an array of features, a collection, or a single feature.
 ///
 /// # Errors
-/// It is none of these.
+/// The value is none of these.
 pub fn features_of(value: &str) -> Result<Vec<Box<RawValue>>, &'static str> {
     match value.trim_start().as_bytes().first() {
-        Some(b'[') => serde_json::from_str(value).map_err(|_| "a value is no array of features"),
+        Some(b'[') => serde_json::from_str(value).map_err(|_| "value is not an array of features"),
         _ => parse_page(value).map(|page| page.features),
     }
 }
--- a/src/net/features/tests.rs
+++ b/src/net/features/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_ranges_query_names_the_range_and_its_offset() {
+fn the_request_of_a_range_contains_the_range_and_its_offset() {
     let text = "/collections/plazas/items?bbox=1,2,3,4&limit=10&cursor=5.20";
     let names = Names { range: "tag range".into(), after: Some("behind".into()) };
     let query = |range| RangeQuery::new(text, ShardId(range), &names).unwrap();
@@ -18,9 +18,9 @@
     assert_eq!(RangeQuery::new("/x?limit=2&after=a", ShardId(1), &Names::default()), None);
 }
 
-/// Guards against being led to another host, or into another request, by a server's next link.
+/// A server's next link must not redirect the fetch to another host, or insert another request.
 #[test]
-fn next_links_stay_at_their_server() {
+fn next_links_are_requested_from_the_same_server() {
     let page = |href: &str| {
         let body = format!(
             r#"{{"type":"FeatureCollection","features":[],"links":[{{"rel":"next","href":{href:?}}}]}}"#
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn features_are_kept_byte_for_byte() {
+fn features_are_preserved_byte_for_byte() {
     let body = r#"{"type":"FeatureCollection","features":[{"type": "Feature","id":1.0}]}"#;
     let page = parse_page(body).unwrap();
     assert_eq!(value(&page.features), r#"[{"type": "Feature","id":1.0}]"#);
@@ -46,9 +46,9 @@
 }
 
 proptest! {
-    /// Nothing that a feature server sends may panic.
+    /// No text from a feature server causes a panic.
     #[test]
-    fn any_text_is_read_without_panic(text in ".{0,80}") {
+    fn parsing_any_text_does_not_panic(text in ".{0,80}") {
         let _ = (parse_page(&text), features_of(&text), Cursor::parse(&text));
         let _ = RangeQuery::new(&text, ShardId(0), &Names::default());
     }
