--- a/src/net/connection_pool/closed_attempts.rs
+++ b/src/net/connection_pool/closed_attempts.rs
@@ -1,8 +1,8 @@
-//! Names of parts whose attempts on a connection are over: their answers may come late or twice.
+//! The parts whose attempts on a connection have ended; their answers may arrive late or twice.
 
 use std::collections::VecDeque;
 
-/// Why an attempt is over.
+/// Why an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseReason {
     Cancelled,
@@ -15,12 +15,12 @@
     reason: CloseReason,
 }
 
-/// The attempts of one connection that are over, the latest last.
+/// The attempts that have ended on one connection, most recent last.
 #[derive(Debug, Default)]
 pub(super) struct ClosedAttempts(VecDeque<ClosedAttempt>);
 
 impl ClosedAttempts {
-    /// Adds one; forgets the earliest if there are `limit` already.
+    /// Adds an attempt; removes the oldest one if there are already `limit`.
     pub(super) fn add(&mut self, part_name: String, reason: CloseReason, limit: usize) {
         if self.0.len() >= limit {
             self.0.pop_front();
@@ -28,12 +28,12 @@
         self.0.push_back(ClosedAttempt { part_name, reason });
     }
 
-    /// Why this part's attempt is over, if it is remembered.
+    /// Why this part's attempt has ended; `None` if it is not recorded.
     pub(super) fn reason(&self, part_name: &str) -> Option<CloseReason> {
         self.0.iter().find(|closed| closed.part_name == part_name).map(|closed| closed.reason)
     }
 
-    /// Notes that a cancelled attempt was answered all the same.
+    /// Records that a cancelled attempt was answered nevertheless.
     pub(super) fn mark_answered(&mut self, part_name: &str) {
         if let Some(closed) = self.0.iter_mut().find(|closed| closed.part_name == part_name) {
             closed.reason = CloseReason::Answered;
--- a/src/net/connection_pool/connection.rs
+++ b/src/net/connection_pool/connection.rs
@@ -6,31 +6,28 @@
 use crate::engine::{AttemptId, Dispatch};
 use crate::net::connection_pool::closed_attempts::ClosedAttempts;
 
-/// A connection, numbered for the life of its data node's actor.
+/// Identifies a connection; unique within the lifetime of its data node's actor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What is queued for a connection, or being written on it.
+/// Work that is queued for a connection or being written to it.
 #[derive(Debug, Clone)]
-pub(super) enum QueuedCall {
+pub(super) enum QueuedWork {
     /// Attempts of one call.
     Attempts {
-        /// The attempts.
         dispatches: Vec<Dispatch>,
-        /// The call has been moved from one connection to another already.
+        /// The call has already been moved to another connection once.
         moved: bool,
     },
-    /// The notice that an attempt is cancelled.
+    /// The notification that the attempt for a part is cancelled.
     Cancel {
-        /// The name of its part.
         part_name: String,
     },
-    /// A health check.
     HealthCheck,
 }
 
-impl QueuedCall {
-    /// Parts that it carries.
+impl QueuedWork {
+    /// Number of parts in it.
     pub(super) fn part_count(&self) -> usize {
         match self {
             Self::Attempts { dispatches, .. } => dispatches.len(),
@@ -46,7 +43,7 @@
     Closing,
 }
 
-/// An attempt whose frame was written completely and that was not answered yet.
+/// An attempt whose frame was written completely and that has no answer yet.
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
     pub(super) part_name: String,
@@ -54,10 +51,10 @@
     pub(super) written_at: Nanos,
 }
 
-/// An attempt that a response belongs to.
+/// The attempt that a response answers.
 pub(super) struct AnsweredAttempt {
     pub(super) attempt: AttemptId,
-    /// When its frame was written completely; 0 if that was not reported yet.
+    /// When its frame was written completely; 0 if the write has not been reported yet.
     pub(super) written_at: Nanos,
 }
 
@@ -65,29 +62,29 @@
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) state: ConnectionState,
-    /// Which of the data node's addresses it goes to, in the order in which they were announced.
+    /// The number of address changes before the connection was opened.
     pub(super) address_generation: u64,
-    pub(super) queued: VecDeque<QueuedCall>,
-    /// What is being written.
-    pub(super) writing: Option<QueuedCall>,
+    pub(super) queued: VecDeque<QueuedWork>,
+    /// Work that is being written; queued work waits for it.
+    pub(super) writing: Option<QueuedWork>,
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// When something was last received, or the first of the attempts in flight was written.
+    /// The later of the last received frame and the write of the first attempt in flight.
     pub(super) silent_since: Nanos,
-    /// An attempt was cancelled on it after a silence that lasts.
+    /// An attempt was cancelled after the silence timeout, and no frame has been received since.
     pub(super) cancelled_in_silence: bool,
-    /// Something was received on it: its data node has accepted it.
+    /// A frame was received, so the data node has accepted the connection.
     pub(super) has_received: bool,
     pub(super) closed_attempts: ClosedAttempts,
-    /// When the health checks were sent that were not answered yet.
+    /// When the unanswered health checks were sent.
     pub(super) health_checks: VecDeque<Nanos>,
     pub(super) last_used_at: Nanos,
     pub(super) read_ended: bool,
-    /// What was received is malformed, or the connection has died unseen.
+    /// The input was malformed, or the connection failed without a close.
     pub(super) malformed: bool,
 }
 
 impl Connection {
-    /// One that is being opened.
+    /// Creates the state of a connection that is being opened.
     pub(super) fn connecting(address_generation: u64, now: Nanos) -> Self {
         Self {
             state: ConnectionState::Connecting,
@@ -106,23 +103,23 @@
         }
     }
 
-    /// Parts in flight, being written or queued.
+    /// Number of parts in flight, being written or queued.
     pub(super) fn part_count(&self) -> usize {
         self.in_flight.len() + self.unwritten_part_count()
     }
 
-    /// Parts being written or queued.
+    /// Number of parts being written or queued.
     pub(super) fn unwritten_part_count(&self) -> usize {
-        self.queued.iter().chain(&self.writing).map(QueuedCall::part_count).sum()
+        self.queued.iter().chain(&self.writing).map(QueuedWork::part_count).sum()
     }
 
-    /// Whether nothing was received for so long with attempts in flight, or was when they were cancelled.
+    /// Whether no frame was received for `silence_timeout` with attempts in flight, or before one was cancelled.
     pub(super) fn is_silent(&self, now: Nanos, silence_timeout: Nanos) -> bool {
         let overdue = now.saturating_sub(self.silent_since) >= silence_timeout;
         self.cancelled_in_silence || !self.in_flight.is_empty() && overdue
     }
 
-    /// The outcome of what is in flight on it when it is lost.
+    /// The outcome of attempts in flight when the connection is closed.
     pub(super) fn loss_outcome(&self) -> Outcome {
         if self.malformed {
             Outcome::MalformedResponse
@@ -131,18 +128,18 @@
         }
     }
 
-    /// Whether there is no work on it.
+    /// Whether nothing is queued, being written or awaiting an answer.
     pub(super) fn is_idle(&self) -> bool {
         let nothing_to_write = self.queued.is_empty() && self.writing.is_none();
         nothing_to_write && self.in_flight.is_empty() && self.health_checks.is_empty()
     }
 
-    /// Whether something may be received on it: nothing is owed on an idle connection but answers to cancelled attempts.
+    /// Whether input is expected. On an idle connection, only answers to cancelled attempts are.
     pub(super) fn expects_input(&self) -> bool {
         !self.is_idle() || self.closed_attempts.expects_answer()
     }
 
-    /// Notes that a frame was received.
+    /// Records the receipt of a frame.
     pub(super) fn record_received(&mut self, now: Nanos) {
         self.last_used_at = now;
         self.silent_since = now;
@@ -150,7 +147,7 @@
         self.has_received = true;
     }
 
-    /// Notes that these were written completely.
+    /// Records attempts whose frame was written completely.
     pub(super) fn record_in_flight(&mut self, dispatches: Vec<Dispatch>, now: Nanos) {
         for dispatch in dispatches {
             if self.in_flight.is_empty() {
@@ -164,30 +161,30 @@
         }
     }
 
-    /// Takes the attempt that a response to this part belongs to.
+    /// Removes and returns the attempt that a response to this part answers.
     pub(super) fn take_answered(&mut self, part_name: &str) -> Option<AnsweredAttempt> {
         if let Some(at) = self.in_flight.iter().position(|in_flight| in_flight.part_name == part_name) {
             let InFlightAttempt { attempt, written_at, .. } = self.in_flight.remove(at);
             return Some(AnsweredAttempt { attempt, written_at });
         }
-        // The response may overtake the report that its frame was written.
-        let Some(QueuedCall::Attempts { dispatches, .. }) = &mut self.writing else { return None };
+        // The response may arrive before the report that the attempt's frame was written.
+        let Some(QueuedWork::Attempts { dispatches, .. }) = &mut self.writing else { return None };
         let at = dispatches.iter().position(|dispatch| dispatch.part.name == part_name)?;
         Some(AnsweredAttempt { attempt: dispatches.remove(at).attempt, written_at: 0 })
     }
 
-    /// Drops an attempt that is queued.
+    /// Removes an attempt from the queue.
     pub(super) fn drop_queued(&mut self, attempt: AttemptId) {
-        for call in &mut self.queued {
-            if let QueuedCall::Attempts { dispatches, .. } = call {
+        for work in &mut self.queued {
+            if let QueuedWork::Attempts { dispatches, .. } = work {
                 dispatches.retain(|dispatch| dispatch.attempt != attempt);
             }
         }
         self.queued
-            .retain(|call| !matches!(call, QueuedCall::Attempts { dispatches, .. } if dispatches.is_empty()));
+            .retain(|work| !matches!(work, QueuedWork::Attempts { dispatches, .. } if dispatches.is_empty()));
     }
 
-    /// Takes an attempt that is in flight or being written, as it is cancelled; returns its part's name.
+    /// Removes a cancelled attempt that is in flight or being written; returns its part's name.
     pub(super) fn take_cancelled(
         &mut self,
         attempt: AttemptId,
@@ -200,17 +197,17 @@
             self.cancelled_in_silence |= now.saturating_sub(silent_since) >= silence_timeout;
             return Some(cancelled.part_name);
         }
-        // Its frame is being written: the notice that it is cancelled follows.
-        let Some(QueuedCall::Attempts { dispatches, .. }) = &mut self.writing else { return None };
+        // The attempt's frame is being written; the cancellation is sent after it.
+        let Some(QueuedWork::Attempts { dispatches, .. }) = &mut self.writing else { return None };
         let at = dispatches.iter().position(|dispatch| dispatch.attempt == attempt)?;
         Some(dispatches.remove(at).part.name.clone())
     }
 
-    /// Takes the calls and health checks that are queued; notices of cancelled attempts stay.
-    pub(super) fn take_queued_work(&mut self) -> VecDeque<QueuedCall> {
-        let is_notice = |call: &QueuedCall| matches!(call, QueuedCall::Cancel { .. });
-        let (notices, work) = std::mem::take(&mut self.queued).into_iter().partition(is_notice);
-        self.queued = notices;
+    /// Removes and returns the queued calls and health checks; cancellations stay queued.
+    pub(super) fn take_queued_work(&mut self) -> VecDeque<QueuedWork> {
+        let is_cancellation = |work: &QueuedWork| matches!(work, QueuedWork::Cancel { .. });
+        let (cancellations, work) = std::mem::take(&mut self.queued).into_iter().partition(is_cancellation);
+        self.queued = cancellations;
         work
     }
 }
--- a/src/net/connection_pool/event.rs
+++ b/src/net/connection_pool/event.rs
@@ -1,89 +1,89 @@
-//! What the connection pool is told, and what it tells its actor to do.
+//! Inputs and outputs of the connection pool.
 
 use crate::api::Outcome;
 use crate::engine::{AttemptId, Dispatch, Value};
 use crate::net::connection_pool::ConnectionId;
 use crate::net::frame::{InboundFrame, OutboundFrame};
 
-/// What happens to the connections.
+/// An event that the connection pool handles.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// Send a call.
+    /// Sends attempts together, as one call.
     SendCall(Vec<Dispatch>),
-    /// Cancel an attempt; its end has been reported.
+    /// Cancels an attempt; the pool reports no end for it.
     CancelAttempt(AttemptId),
-    /// Whether the data node may be sent anything new. What is queued ends at once if it may not.
+    /// Whether the data node accepts new attempts and health checks. If not, queued work immediately ends as not sent.
     AcceptsNewAttempts(bool),
-    /// The data node is at another address: nothing new goes over the present connections.
+    /// The data node's address has changed: existing connections get no new work.
     AddressChanged,
-    /// Close the connections that are idle.
+    /// Closes every open connection without work, regardless of the idle timeout.
     CloseIdleConnections,
-    /// Send a health check.
+    /// Sends a health check; ends in [`Output::HealthChecked`].
     CheckHealth,
-    /// A connection is up.
+    /// A connection was established.
     Connected(ConnectionId),
     /// A connection could not be opened.
     ConnectFailed(ConnectionId),
-    /// A connection was not even tried: this process holds as many sockets as it may.
+    /// No connection was attempted, because this process has no socket left.
     NoSocketAvailable(ConnectionId),
-    /// The frame last handed out was written completely.
+    /// The frame of the last [`Output::Write`] was written completely.
     FrameWritten(ConnectionId),
-    /// These attempts were omitted from the frame last handed out: they never run.
+    /// Attempts were omitted from the frame of the last [`Output::Write`]; they never ran.
     AttemptsOmitted {
-        /// The frame's connection.
+        /// The connection that the frame was for.
         connection: ConnectionId,
-        /// The attempts.
+        /// The omitted attempts.
         attempts: Vec<AttemptId>,
     },
-    /// The frame last handed out was a health check, and it was not written.
+    /// The frame of the last [`Output::Write`] was a health check and was not written.
     HealthCheckOmitted(ConnectionId),
-    /// The frame last handed out could not be written completely.
+    /// The frame of the last [`Output::Write`] was not written completely.
     WriteFailed {
-        /// The frame's connection.
+        /// The connection that the frame was for.
         connection: ConnectionId,
-        /// Some of it was written, and may have been read.
+        /// Part of the frame was written, and the data node may have read it.
         partially_written: bool,
     },
-    /// A frame was received.
+    /// A complete frame was received.
     FrameReceived {
-        /// On which connection.
+        /// The connection that received it.
         connection: ConnectionId,
-        /// The frame.
+        /// The decoded frame.
         frame: InboundFrame,
     },
-    /// Part of a frame was received.
-    FrameBegun(ConnectionId),
-    /// What was received is malformed: the connection is of no more use, its data node may be.
+    /// The beginning of a frame was received.
+    PartialFrameReceived(ConnectionId),
+    /// Malformed bytes were received: the connection is unusable, but the data node may still be usable.
     MalformedInput(ConnectionId),
-    /// Nothing more will be received.
+    /// The connection's reader has ended: no more input will be received.
     ReadEnded(ConnectionId),
-    /// Time has passed.
+    /// Checks timeouts; sent periodically.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the data node's actor.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Open a connection: ends in `Connected`, `ConnectFailed` or `NoSocketAvailable`.
+    /// Opens a connection; ends in `Connected`, `ConnectFailed` or `NoSocketAvailable`.
     Connect(ConnectionId),
-    /// Write a frame: ends in `FrameWritten` or `WriteFailed`.
+    /// Writes a frame; ends in `FrameWritten` or `WriteFailed`.
     Write {
-        /// On which connection.
+        /// The connection to write to.
         connection: ConnectionId,
-        /// The frame.
+        /// The frame, encoded when its first byte is written.
         frame: OutboundFrame,
     },
-    /// Close a connection: ends in `ReadEnded`.
+    /// Closes a connection; ends in `ReadEnded`.
     Close(ConnectionId),
-    /// An attempt has ended.
+    /// Reports the end of an attempt, at most once for each attempt.
     AttemptEnded {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
         /// How it ended.
         outcome: Outcome,
-        /// Its value, if it succeeded.
+        /// The returned value; `None` unless the attempt succeeded.
         value: Option<Value>,
     },
-    /// A health check has ended.
+    /// Reports the outcome of a health check.
     HealthChecked(Outcome),
 }
--- a/src/net/connection_pool/mod.rs
+++ b/src/net/connection_pool/mod.rs
@@ -1,9 +1,9 @@
-//! The states of the connections to one data node: a pure state machine, so that random steps can be checked against a
-//! model. Each attempt handed in ends exactly once, by [`Output::AttemptEnded`] or by [`Input::CancelAttempt`].
+//! The connection pool of one data node: a pure state machine, so that a property test can compare random steps with a
+//! model. Each attempt passed to the pool ends exactly once, by [`Output::AttemptEnded`] or [`Input::CancelAttempt`].
 //!
-//! A call is handed to its connection only when that can take its first byte; right then the data node's state and the
-//! attempts' deadlines are checked again. What fails before a frame's last byte was written never ran
-//! (`ConnectFailed`), what fails after it may have (`ConnectionReset`).
+//! The pool passes a call to a connection only when the connection can take the call's first byte. It then checks the
+//! data node's state and the attempts' deadlines again. An attempt that fails before the last byte of its frame is
+//! written never ran (`ConnectFailed`). An attempt that fails later may have run (`ConnectionReset`).
 
 mod closed_attempts;
 mod connection;
--- a/src/net/connection_pool/placement.rs
+++ b/src/net/connection_pool/placement.rs
@@ -1,43 +1,43 @@
-//! Chooses the connection on which something is sent.
+//! Chooses the connection for a call, a health check or a cancellation.
 
 use std::collections::VecDeque;
 
 use crate::api::Outcome;
 use crate::engine::Dispatch;
-use crate::net::connection_pool::connection::{Connection, ConnectionState, QueuedCall};
+use crate::net::connection_pool::connection::{Connection, ConnectionState, QueuedWork};
 use crate::net::connection_pool::{ConnectionId, ConnectionPool, Output};
 
 impl ConnectionPool {
-    /// Queues a call, unless too much is queued already.
+    /// Queues a call; ends its attempts as not sent if the queue limit is exceeded.
     pub(super) fn send_call(&mut self, dispatches: Vec<Dispatch>) {
         let queued: usize = self.connections.values().map(Connection::unwritten_part_count).sum();
-        let call = QueuedCall::Attempts { dispatches, moved: false };
-        if queued + call.part_count() > self.limits.queued_parts {
-            return self.refuse(call);
+        let work = QueuedWork::Attempts { dispatches, moved: false };
+        if queued + work.part_count() > self.limits.queued_parts {
+            return self.end_not_sent(work);
         }
-        self.place(call);
+        self.place(work);
     }
 
-    /// Queues something on a connection.
-    pub(super) fn place(&mut self, call: QueuedCall) {
-        if !self.accepts_new_attempts && !matches!(call, QueuedCall::Cancel { .. }) {
-            return self.refuse(call);
+    /// Queues work on a connection, and opens a new connection if necessary.
+    pub(super) fn place(&mut self, work: QueuedWork) {
+        if !self.accepts_new_attempts && !matches!(work, QueuedWork::Cancel { .. }) {
+            return self.end_not_sent(work);
         }
-        match self.choose_connection(call.part_count()) {
-            Some(id) => self.enqueue(id, call),
-            None => self.place_without_socket(call),
+        match self.choose_connection(work.part_count()) {
+            Some(id) => self.enqueue(id, work),
+            None => self.place_without_socket(work),
         }
     }
 
-    fn enqueue(&mut self, id: ConnectionId, call: QueuedCall) {
+    fn enqueue(&mut self, id: ConnectionId, work: QueuedWork) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.queued.push_back(call);
+            connection.queued.push_back(work);
         }
         self.write_next(id);
     }
 
-    /// A connection with capacity for so many parts: an open one, one that is being opened, or a new one. None if that
-    /// would have to be a new one, and there was no socket for one a moment ago.
+    /// Chooses a connection with capacity for `parts`: an open one, else one that is being opened, else a new one.
+    /// Returns `None` if it needs a new one during the delay after a lack of sockets.
     fn choose_connection(&mut self, parts: usize) -> Option<ConnectionId> {
         let existing = self
             .find_usable(ConnectionState::Connected, parts)
@@ -51,8 +51,8 @@
         Some(self.open_connection())
     }
 
-    /// The first connection in this state that goes to the current address, is neither silent nor idle for too long, and
-    /// has capacity for so many parts. One without any part takes a call of any size.
+    /// Finds the first connection in this state that goes to the current address, is neither silent nor past its idle
+    /// timeout, and has capacity for `parts`. A connection without parts takes a call of any size.
     fn find_usable(&self, state: ConnectionState, parts: usize) -> Option<ConnectionId> {
         let limit = self.limits.parts_per_connection.max(parts);
         let usable = |connection: &Connection| {
@@ -64,7 +64,7 @@
         self.connections.iter().find(|(_, connection)| usable(connection)).map(|(&id, _)| id)
     }
 
-    /// Whether the data node can be expected to read what is sent on this connection.
+    /// Whether the data node is expected to read from this connection: it is neither silent nor past its idle timeout.
     fn is_fresh(&self, connection: &Connection) -> bool {
         let idle_for = self.now.saturating_sub(connection.last_used_at);
         let idle_too_long = connection.is_idle() && idle_for >= self.limits.idle_timeout;
@@ -79,65 +79,65 @@
         id
     }
 
-    /// Ends what may not be sent: it never ran, which says nothing of the data node.
-    pub(super) fn refuse(&mut self, call: QueuedCall) {
-        self.end_unsent(call, Outcome::NotSent);
+    /// Ends work that may not be sent. It never ran, and the outcome does not count against the data node.
+    pub(super) fn end_not_sent(&mut self, work: QueuedWork) {
+        self.end_unsent(work, Outcome::NotSent);
     }
 
-    /// Ends what could not be sent because the data node was not reached.
-    fn fail(&mut self, call: QueuedCall) {
-        self.end_unsent(call, Outcome::ConnectFailed);
+    /// Ends work that could not be sent because the data node was unreachable.
+    fn end_connect_failed(&mut self, work: QueuedWork) {
+        self.end_unsent(work, Outcome::ConnectFailed);
     }
 
-    fn end_unsent(&mut self, call: QueuedCall, outcome: Outcome) {
-        match call {
-            QueuedCall::Attempts { dispatches, .. } => {
+    fn end_unsent(&mut self, work: QueuedWork, outcome: Outcome) {
+        match work {
+            QueuedWork::Attempts { dispatches, .. } => {
                 dispatches.iter().for_each(|dispatch| self.end_attempt(dispatch.attempt, outcome, None));
             }
-            QueuedCall::HealthCheck => self.outputs.push(Output::HealthChecked(outcome)),
-            QueuedCall::Cancel { .. } => {}
+            QueuedWork::HealthCheck => self.outputs.push(Output::HealthChecked(outcome)),
+            QueuedWork::Cancel { .. } => {}
         }
     }
 
     pub(super) fn connect_failed(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(&id) else { return };
-        connection.queued.into_iter().for_each(|call| self.fail(call));
+        connection.queued.into_iter().for_each(|work| self.end_connect_failed(work));
     }
 
-    /// This process has no socket for a connection: for a moment, no other one is tried.
+    /// Delays further connections after this process had no socket for one, and moves its queued work.
     pub(super) fn no_socket_available(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(&id) else { return };
-        self.no_socket_until = self.now.saturating_add(self.limits.no_socket_pause);
-        connection.queued.into_iter().for_each(|call| self.place_without_socket(call));
+        self.no_socket_until = self.now.saturating_add(self.limits.no_socket_backoff);
+        connection.queued.into_iter().for_each(|work| self.place_without_socket(work));
     }
 
-    /// What this process has no socket for goes over an open connection with capacity, silent or not. If there is none,
-    /// attempts were not sent, which says nothing of the data node.
-    fn place_without_socket(&mut self, call: QueuedCall) {
-        let parts = call.part_count();
+    /// Queues work on an open connection with capacity, even a silent one, when no socket is available. Without such a
+    /// connection, attempts end as not sent, which does not count against the data node.
+    fn place_without_socket(&mut self, work: QueuedWork) {
+        let parts = work.part_count();
         let usable = |connection: &Connection| {
             connection.state == ConnectionState::Connected
                 && connection.address_generation == self.address_generation
                 && connection.part_count() + parts <= self.limits.parts_per_connection
         };
         let open = self.connections.iter().find(|(_, connection)| usable(connection)).map(|(&id, _)| id);
-        match (open, call) {
-            (Some(id), call) => self.enqueue(id, call),
-            (None, call @ QueuedCall::Attempts { .. }) => self.refuse(call),
-            (None, call) => self.fail(call),
+        match (open, work) {
+            (Some(id), work) => self.enqueue(id, work),
+            (None, work @ QueuedWork::Attempts { .. }) => self.end_not_sent(work),
+            (None, work) => self.end_connect_failed(work),
         }
     }
 
-    /// What was not written completely goes over another connection, once: data nodes close connections whenever they
-    /// like. One that is down shows it when the next connection cannot be opened.
-    pub(super) fn move_to_another(&mut self, calls: VecDeque<QueuedCall>) {
-        for call in calls {
-            match call {
-                QueuedCall::Attempts { dispatches, moved: false } => {
-                    self.place(QueuedCall::Attempts { dispatches, moved: true });
+    /// Moves work that was not completely written to another connection. Calls move once: data nodes may close
+    /// connections at any time, and if the data node is down, opening the next connection fails.
+    pub(super) fn move_to_another(&mut self, queued: VecDeque<QueuedWork>) {
+        for work in queued {
+            match work {
+                QueuedWork::Attempts { dispatches, moved: false } => {
+                    self.place(QueuedWork::Attempts { dispatches, moved: true });
                 }
-                QueuedCall::HealthCheck => self.place(QueuedCall::HealthCheck),
-                call => self.fail(call),
+                QueuedWork::HealthCheck => self.place(QueuedWork::HealthCheck),
+                work => self.end_connect_failed(work),
             }
         }
     }
--- a/src/net/connection_pool/pool.rs
+++ b/src/net/connection_pool/pool.rs
@@ -1,30 +1,30 @@
-//! The pool: takes what happens to its connections, and closes those that are of no more use.
+//! The pool: handles events of its connections and closes unusable connections.
 
 use std::collections::BTreeMap;
 
 use crate::api::{Nanos, Outcome};
 use crate::engine::{AttemptId, Value};
 use crate::net::connection_pool::closed_attempts::CloseReason;
-use crate::net::connection_pool::connection::{Connection, ConnectionState, QueuedCall};
+use crate::net::connection_pool::connection::{Connection, ConnectionState, QueuedWork};
 use crate::net::connection_pool::{ConnectionId, Input, Output};
 
-/// Bounds and timeouts of the connections.
+/// Limits and timeouts of the connections.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLimits {
-    /// Parts that one connection carries.
+    /// Maximum number of parts in progress on one connection.
     pub parts_per_connection: usize,
-    /// A connection that was idle for this long is not used any more, in nanoseconds.
+    /// Idle time after which a connection is not used again, in nanoseconds.
     pub idle_timeout: Nanos,
-    /// A health check that was not answered for this long has failed, in nanoseconds.
+    /// Time after which an unanswered health check fails, in nanoseconds.
     pub health_check_timeout: Nanos,
-    /// Parts that may be queued for a connection or a write.
+    /// Maximum number of parts that wait for a connection or a write.
     pub queued_parts: usize,
-    /// Closed attempts that a connection remembers.
+    /// Maximum number of ended attempts that a connection records.
     pub closed_attempts: usize,
-    /// A connection that is silent for this long with attempts in flight gets nothing new, in nanoseconds.
+    /// Time without input, with attempts in flight, after which a connection gets no new work, in nanoseconds.
     pub silence_timeout: Nanos,
-    /// After a connection for which there was no socket, none is opened for this long, in nanoseconds.
-    pub no_socket_pause: Nanos,
+    /// Delay before another connection is opened when no socket was available, in nanoseconds.
+    pub no_socket_backoff: Nanos,
 }
 
 /// The connections to one data node.
@@ -33,9 +33,9 @@
     pub(super) limits: PoolLimits,
     pub(super) connections: BTreeMap<ConnectionId, Connection>,
     pub(super) accepts_new_attempts: bool,
-    /// The address that new connections go to: the number of changes before it.
+    /// The generation of the current address: the number of address changes so far.
     pub(super) address_generation: u64,
-    /// No connection is opened before this: there was no socket for the last.
+    /// No connection is opened before this time, because no socket was available for the last one.
     pub(super) no_socket_until: Nanos,
     pub(super) next_id: u64,
     pub(super) now: Nanos,
@@ -43,7 +43,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without a connection; nothing is sent before [`Input::AcceptsNewAttempts`].
+    /// Creates a pool without connections; it sends nothing before [`Input::AcceptsNewAttempts`].
     pub fn new(limits: PoolLimits) -> Self {
         Self {
             limits,
@@ -57,17 +57,17 @@
         }
     }
 
-    /// Connections that are open, being opened or being closed.
+    /// Number of connections that are open, being opened or being closed.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether a health check was sent and not answered yet, so that [`Input::Tick`] is needed often.
+    /// Whether a health check is unanswered, so that [`Input::Tick`] is needed more often.
     pub fn awaits_health_check(&self) -> bool {
         self.connections.values().any(|connection| !connection.health_checks.is_empty())
     }
 
-    /// Takes what happened at `now`; returns what is to be done, in this order.
+    /// Handles an input at `now`; returns the outputs in the order in which to carry them out.
     pub fn step(&mut self, now: Nanos, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         self.handle(input);
@@ -82,7 +82,7 @@
             Input::AcceptsNewAttempts(accepts) => self.set_accepts_new_attempts(accepts),
             Input::AddressChanged => self.address_changed(),
             Input::CloseIdleConnections => self.close_idle(0),
-            Input::CheckHealth => self.place(QueuedCall::HealthCheck),
+            Input::CheckHealth => self.place(QueuedWork::HealthCheck),
             Input::Connected(id) => self.connected(id),
             Input::ConnectFailed(id) => self.connect_failed(id),
             Input::NoSocketAvailable(id) => self.no_socket_available(id),
@@ -93,7 +93,7 @@
                 self.write_failed(connection, partially_written);
             }
             Input::FrameReceived { connection, frame } => self.frame_received(connection, frame),
-            Input::FrameBegun(id) => self.frame_begun(id),
+            Input::PartialFrameReceived(id) => self.partial_frame_received(id),
             Input::MalformedInput(id) => self.close_malformed(id),
             Input::ReadEnded(id) => self.read_ended(id),
             Input::Tick => self.tick(),
@@ -104,24 +104,25 @@
         self.outputs.push(Output::AttemptEnded { attempt, outcome, value });
     }
 
-    /// What is queued for a connection or a write goes elsewhere at once: it might wait for long.
+    /// Ends queued work as not sent when the data node stops accepting it, since its connection or write might take
+    /// long.
     fn set_accepts_new_attempts(&mut self, accepts: bool) {
         if std::mem::replace(&mut self.accepts_new_attempts, accepts) && !accepts {
-            self.take_queued_work(|_| true).into_iter().for_each(|call| self.refuse(call));
+            self.take_queued_work(|_| true).into_iter().for_each(|work| self.end_not_sent(work));
         }
     }
 
-    /// What is in flight may end where it is. What is queued goes over connections to the new address.
+    /// Moves queued work to connections to the new address. Attempts in flight may end at the previous address.
     fn address_changed(&mut self) {
         self.address_generation += 1;
         let current = self.address_generation;
         let queued = self.take_queued_work(|connection| connection.address_generation != current);
-        queued.into_iter().for_each(|call| self.place(call));
+        queued.into_iter().for_each(|work| self.place(work));
     }
 
-    /// Takes the calls and health checks that are queued on such connections.
-    fn take_queued_work(&mut self, on: impl Fn(&Connection) -> bool) -> Vec<QueuedCall> {
-        let connections = self.connections.values_mut().filter(|connection| on(connection));
+    /// Takes the queued calls and health checks of the selected connections.
+    fn take_queued_work(&mut self, is_selected: impl Fn(&Connection) -> bool) -> Vec<QueuedWork> {
+        let connections = self.connections.values_mut().filter(|connection| is_selected(connection));
         connections.flat_map(Connection::take_queued_work).collect()
     }
 
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Tells the data node that an attempt is cancelled: by a frame, or by closing its connection.
+    /// Cancels an attempt at the data node, by a frame or by closing the connection.
     fn notify_cancelled(&mut self, id: ConnectionId, part_name: String) {
         let limit = self.limits.closed_attempts;
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -155,12 +156,12 @@
         if connection.state != ConnectionState::Connected {
             return;
         }
-        let dead = connection.cancelled_in_silence && connection.is_idle();
-        // A busy data node accepts a new connection late. What it would then read first is over.
-        let unaccepted = !connection.has_received && connection.part_count() == 0;
-        connection.queued.push_back(QueuedCall::Cancel { part_name });
+        let is_unresponsive = connection.cancelled_in_silence && connection.is_idle();
+        // A busy data node accepts a new connection late. Without the close it would first read the cancelled attempt.
+        let is_unaccepted = !connection.has_received && connection.part_count() == 0;
+        connection.queued.push_back(QueuedWork::Cancel { part_name });
         self.write_next(id);
-        if dead || unaccepted {
+        if is_unresponsive || is_unaccepted {
             self.close(id);
         }
     }
@@ -172,7 +173,7 @@
         self.close(id);
     }
 
-    /// Closes a connection that is of no more use: all that was written may have run, what is queued has not.
+    /// Closes an unusable connection. Written attempts may have run; queued attempts have not.
     pub(super) fn close(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.state != ConnectionState::Closing {
@@ -189,7 +190,7 @@
         self.remove_if_closed(id);
     }
 
-    /// Closes a connection on which nothing that is received can be relied on.
+    /// Closes a connection whose input is malformed or cannot be matched to its attempts.
     pub(super) fn close_malformed(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.malformed |= connection.state == ConnectionState::Connected;
@@ -197,7 +198,7 @@
         self.close(id);
     }
 
-    /// Removes a connection once nothing more can happen to it.
+    /// Removes a connection once it is closing, its reader has ended and no write is in progress.
     pub(super) fn remove_if_closed(&mut self, id: ConnectionId) {
         let is_closed = |connection: &Connection| {
             connection.state == ConnectionState::Closing
@@ -221,7 +222,7 @@
         self.close_idle(self.limits.idle_timeout);
     }
 
-    /// Closes connections that have been idle for so long.
+    /// Closes open connections that have been idle for at least `idle_for`.
     fn close_idle(&mut self, idle_for: Nanos) {
         let now = self.now;
         self.close_where(|connection| {
@@ -229,13 +230,13 @@
         });
     }
 
-    /// Closes connections to an earlier address once they are idle.
+    /// Closes idle connections to previous addresses.
     fn close_outdated(&mut self) {
         let current = self.address_generation;
         self.close_where(|connection| connection.address_generation != current && connection.is_idle());
     }
 
-    /// Closes those of the open connections.
+    /// Closes the open connections that satisfy the predicate.
     fn close_where(&mut self, is_unneeded: impl Fn(&Connection) -> bool) {
         let open = |connection: &&Connection| connection.state == ConnectionState::Connected;
         let unneeded: Vec<ConnectionId> = self
--- a/src/net/connection_pool/responses.rs
+++ b/src/net/connection_pool/responses.rs
@@ -1,4 +1,4 @@
-//! Takes what data nodes send: matches responses to attempts, and closes connections that cannot be relied on.
+//! Handles frames from data nodes: matches responses to attempts and closes connections with unexpected input.
 
 use crate::api::{Nanos, Outcome};
 use crate::engine::Value;
@@ -8,7 +8,7 @@
 use crate::net::frame::InboundFrame;
 
 impl ConnectionPool {
-    pub(super) fn frame_begun(&mut self, id: ConnectionId) {
+    pub(super) fn partial_frame_received(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(|connection| !connection.expects_input()) {
             self.close_malformed(id);
         }
@@ -43,16 +43,16 @@
         };
         connection.closed_attempts.add(part_name, CloseReason::Answered, limit);
         self.end_attempt(answered.attempt, outcome, value);
-        self.close_overtaken(id, answered.written_at);
+        self.close_stalled(id, answered.written_at);
     }
 
-    /// Takes an answer that belongs to no attempt.
+    /// Handles an answer that matches no attempt in progress.
     fn unmatched_answer_received(&mut self, id: ConnectionId, part_name: &str) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         match connection.closed_attempts.reason(part_name) {
-            // It crossed the notice that the attempt is cancelled.
+            // The data node sent the answer before it received the cancellation.
             Some(CloseReason::Cancelled) => connection.closed_attempts.mark_answered(part_name),
-            // A duplicate costs the connection, but no attempt that is in flight on it.
+            // A duplicate answer closes an idle connection, but does not fail attempts in flight.
             Some(CloseReason::Answered) if !connection.is_idle() => {}
             Some(CloseReason::Answered) | None => self.close_malformed(id),
         }
@@ -62,29 +62,30 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         match connection.health_checks.pop_front() {
             Some(_) => self.outputs.push(Output::HealthChecked(outcome)),
-            // It comes late, or was never asked for.
+            // The answer is late, or no health check was sent.
             None if !connection.is_idle() => {}
             None => self.close_malformed(id),
         }
     }
 
-    /// A part written at `written_at` was answered on connection `by`: the data node is alive, so what is in flight on
-    /// connections that have been silent since before then is lost. That says nothing of its other addresses.
-    fn close_overtaken(&mut self, by: ConnectionId, written_at: Nanos) {
+    /// Closes connections that stalled, after a part written at `written_at` was answered on connection `answered_on`.
+    /// The data node is alive, so attempts written earlier on silent connections are lost. The answer proves nothing
+    /// about connections to the data node's other addresses.
+    fn close_stalled(&mut self, answered_on: ConnectionId, written_at: Nanos) {
         let (now, silence_timeout) = (self.now, self.limits.silence_timeout);
-        let address = self.connections.get(&by).map(|connection| connection.address_generation);
-        let is_overtaken = |connection: &Connection| {
+        let address = self.connections.get(&answered_on).map(|connection| connection.address_generation);
+        let is_stalled = |connection: &Connection| {
             connection.state == ConnectionState::Connected
                 && Some(connection.address_generation) == address
                 && connection.in_flight.iter().any(|in_flight| in_flight.written_at < written_at)
                 && connection.is_silent(now, silence_timeout)
         };
-        let overtaken: Vec<ConnectionId> = self
+        let stalled: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(&id, connection)| id != by && is_overtaken(connection))
+            .filter(|(&id, connection)| id != answered_on && is_stalled(connection))
             .map(|(&id, _)| id)
             .collect();
-        overtaken.into_iter().for_each(|id| self.close_malformed(id));
+        stalled.into_iter().for_each(|id| self.close_malformed(id));
     }
 }
--- a/src/net/connection_pool/tests.rs
+++ b/src/net/connection_pool/tests.rs
@@ -12,7 +12,7 @@
 const HEALTH_CHECK_TIMEOUT: Nanos = 50;
 const DEADLINE: Nanos = 400;
 const SILENCE_TIMEOUT: Nanos = 100;
-const NO_SOCKET_PAUSE: Nanos = 20;
+const NO_SOCKET_BACKOFF: Nanos = 20;
 
 fn new_pool() -> ConnectionPool {
     ConnectionPool::new(PoolLimits {
@@ -22,17 +22,17 @@
         queued_parts: 64,
         closed_attempts: 8,
         silence_timeout: SILENCE_TIMEOUT,
-        no_socket_pause: NO_SOCKET_PAUSE,
+        no_socket_backoff: NO_SOCKET_BACKOFF,
     })
 }
 
-fn part(id: u64, until: Nanos) -> Dispatch {
+fn part(id: u64, deadline: Nanos) -> Dispatch {
     let text =
         PartRequest { name: format!("q.{id}"), shard: ShardId(0), text: "t".into(), first_phase: None };
     Dispatch {
         attempt: AttemptId(id),
         part: Arc::new(text),
-        deadline: until,
+        deadline,
         start_deadline: Nanos::MAX,
         cancellation: CancellationToken::new(),
     }
@@ -43,7 +43,7 @@
     InboundFrame::Answer { part_name: format!("q.{id}"), outcome: Outcome::Success, value }
 }
 
-/// How far an attempt is, according to the model.
+/// The progress of an attempt in the model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Progress {
     Queued,
@@ -52,7 +52,7 @@
     Ended,
 }
 
-/// What the model knows: attempts and their deadlines, and what the network owes the pool.
+/// The model: attempts with their deadlines, and the operations whose results the pool awaits.
 #[derive(Default)]
 struct Model {
     attempts: Vec<(Progress, Nanos)>,
@@ -77,12 +77,12 @@
             Input::AddressChanged => self.at_current_address.clear(),
             Input::CancelAttempt(id) => self.attempts[id.0 as usize].0 = Progress::Ended,
             Input::FrameWritten(id) => self.end_write(*id, true),
-            // What was partially written may have run, as if it were complete.
+            // A partially written attempt may have run, as a completely written one may.
             Input::WriteFailed { connection: id, partially_written } => {
                 self.end_write(*id, *partially_written)
             }
             Input::AttemptsOmitted { connection: id, attempts } => self.attempts_omitted(*id, attempts),
-            Input::NoSocketAvailable(_) => self.no_socket_until = self.now + NO_SOCKET_PAUSE,
+            Input::NoSocketAvailable(_) => self.no_socket_until = self.now + NO_SOCKET_BACKOFF,
             _ => {}
         }
         let stops = input == Input::AcceptsNewAttempts(false);
@@ -90,7 +90,7 @@
             self.check(output);
         }
         let any_queued = self.attempts.iter().any(|a| a.0 == Progress::Queued);
-        assert!(!stops || !any_queued, "it stays queued where nothing new is accepted");
+        assert!(!stops || !any_queued, "an attempt stays queued though nothing new is accepted");
         let outdated = |connection: &Connection| {
             connection.state == ConnectionState::Connected
                 && connection.address_generation != pool.address_generation
@@ -98,13 +98,16 @@
         };
         assert!(
             !pool.connections.values().any(outdated),
-            "a connection to an earlier address stays open though it is idle"
+            "an idle connection to a previous address stays open"
         );
         let in_flight = self
             .connected
             .iter()
             .map(|u| self.attempts.iter().filter(|a| a.0 == Progress::Written(*u)).count());
-        assert!(in_flight.max().unwrap_or(0) <= PARTS_PER_CONNECTION, "more parts than a connection carries");
+        assert!(
+            in_flight.max().unwrap_or(0) <= PARTS_PER_CONNECTION,
+            "more parts on a connection than its limit"
+        );
     }
 
     fn attempts_omitted(&mut self, id: ConnectionId, omitted: &[AttemptId]) {
@@ -123,7 +126,7 @@
         let at = self.writing.iter().position(|w| w.0 == id).unwrap();
         for part in self.writing.remove(at).1 {
             let attempt = &mut self.attempts[part as usize];
-            // What was not written completely may be handed out once more.
+            // An attempt that was not completely written may be written again.
             if attempt.0 == Progress::BeingWritten(id) {
                 attempt.0 = if complete { Progress::Written(id) } else { Progress::Queued };
             }
@@ -133,7 +136,10 @@
     fn check(&mut self, output: Output) {
         match output {
             Output::Connect(id) => {
-                assert!(self.now >= self.no_socket_until, "tried again though there was no socket");
+                assert!(
+                    self.now >= self.no_socket_until,
+                    "a connection was opened during the delay after a lack of sockets"
+                );
                 self.connecting.push(id);
                 self.at_current_address.push(id);
             }
@@ -151,7 +157,7 @@
                 let is_new = bytes[4] != b'K';
                 assert!(
                     !is_new || self.accepts_new_attempts && self.at_current_address.contains(&id),
-                    "new on {id:?}"
+                    "new work was written on {id:?}"
                 );
                 self.writing_health_check.extend((bytes[4] == b'I').then_some(id));
                 let text = String::from_utf8_lossy(&bytes[5..]).into_owned();
@@ -161,7 +167,7 @@
                     let attempt = &mut self.attempts[part as usize];
                     assert!(
                         attempt.0 == Progress::Queued && attempt.1 > self.now && self.accepts_new_attempts,
-                        "sent too late"
+                        "an attempt was written though it was not queued, was past its deadline or was not accepted"
                     );
                     attempt.0 = Progress::BeingWritten(id);
                 }
@@ -178,7 +184,7 @@
                     Outcome::Success => matches!(at, Progress::Written(_) | Progress::BeingWritten(_)),
                     _ => false,
                 };
-                assert!(fits, "{id:?} ended {outcome:?} when it was {at:?}");
+                assert!(fits, "{id:?} ended as {outcome:?} while its progress was {at:?}");
             }
         }
     }
@@ -228,9 +234,11 @@
                 }
             }
             18 => {
-                // An answer that nobody expects, or that was expected before.
-                let over: Vec<u64> = (0..self.attempts.len() as u64 + 1).collect();
-                if let (Some(id), Some(&part)) = (one(&self.connected), over.get(pick % over.len())) {
+                // An answer to an unknown attempt, or to one that has already ended.
+                let candidates: Vec<u64> = (0..self.attempts.len() as u64 + 1).collect();
+                if let (Some(id), Some(&part)) =
+                    (one(&self.connected), candidates.get(pick % candidates.len()))
+                {
                     if self.attempts.get(part as usize).is_none_or(|a| a.0 == Progress::Ended) {
                         self.step(pool, Input::FrameReceived { connection: id, frame: answer(part) });
                     }
@@ -238,7 +246,7 @@
             }
             19 => {
                 if let Some(id) = one(&self.connected) {
-                    self.step(pool, Input::FrameBegun(id));
+                    self.step(pool, Input::PartialFrameReceived(id));
                 }
             }
             13 => {
@@ -289,7 +297,7 @@
         self.step(pool, if complete { Input::FrameWritten(id) } else { failed });
     }
 
-    /// Everything breaks: what has not ended must end now.
+    /// Fails every pending operation and connection, so that all remaining attempts end.
     fn break_everything(&mut self, pool: &mut ConnectionPool) {
         for _ in 0..1000 {
             if let Some(&id) = self.connecting.first() {
@@ -313,9 +321,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens in whatever order: each attempt ends exactly once and as its frame's progress
-    /// says, nothing is handed to a data node that accepts nothing new, or on a connection to an earlier address, no
-    /// connection is left over, and none is tried in the moment after there was no socket for one.
+    /// For any sequence of inputs: each attempt ends exactly once, with an outcome that matches the progress of its
+    /// frame; no new work is written to a data node that accepts none or over a connection to a previous address; no
+    /// connection remains; and no connection is opened during the delay after a lack of sockets.
     #[test]
     fn every_attempt_ends_once_and_according_to_its_progress(
         steps in proptest::collection::vec((0..22u8, any::<usize>()), 0..200),
@@ -331,7 +339,7 @@
     }
 }
 
-/// Guards against writing to a connection that its data node is about to close as idle.
+/// A data node closes connections after its own idle timeout; a call written to such a connection would be lost.
 #[test]
 fn a_connection_near_its_idle_timeout_is_not_used() {
     let mut pool = new_pool();
@@ -349,7 +357,7 @@
     assert_eq!(pool.step(2 * IDLE_TIMEOUT, Input::Tick), [Output::Close(ConnectionId(0))]);
 }
 
-/// A pool with one connection on which so many parts were written, the first of them answered.
+/// A pool with one connection to which `count` parts were written, the first of them answered.
 fn pool_with_written(count: u64) -> ConnectionPool {
     let mut pool = new_pool();
     pool.step(0, Input::AcceptsNewAttempts(true));
@@ -368,8 +376,8 @@
     pool
 }
 
-/// Guards against waiting on a connection whose answers cannot be matched: what is in flight ends at once, what
-/// is queued goes over another, and nothing more is sent on it.
+/// Answers on a connection with an unknown answer cannot be relied on: attempts in flight on it end immediately, queued
+/// ones move to another connection, and nothing more is written to it.
 #[test]
 fn an_unknown_answer_closes_its_connection_only() {
     let mut pool = pool_with_written(2);
@@ -391,8 +399,8 @@
     assert_eq!(pool.connections[&ConnectionId(1)].part_count(), 2);
 }
 
-/// Guards against taking an idle connection that was reset unseen for a data node that cannot be reached,
-/// and against trying connections without end.
+/// An idle connection may have been reset without notice, which does not mean that the data node is unreachable. A call
+/// that could not be written moves once, so that it does not try connections forever.
 #[test]
 fn a_call_that_was_not_written_goes_over_one_more_connection() {
     let mut pool = pool_with_written(1);
@@ -413,8 +421,8 @@
     );
 }
 
-/// Guards a part that may not be repeated: once its first byte may have been read it goes over no other connection, and
-/// ends as one that may have run; what was omitted from the frame never ran.
+/// A part may not be repeated once the data node may have read its first byte: it moves to no other connection and ends
+/// as one that may have run. Attempts omitted from the frame never ran.
 #[test]
 fn a_partially_written_call_is_not_sent_again() {
     let mut pool = pool_with_written(1);
@@ -435,13 +443,13 @@
     );
 }
 
-/// Guards against taking a late answer to a cancelled attempt for an unknown one.
+/// The answer to a cancelled attempt may arrive after the cancellation; it is not an answer to an unknown part.
 #[test]
 fn a_late_answer_to_a_cancelled_attempt_is_dropped_and_its_connection_stays_open() {
     let mut pool = pool_with_written(3);
     pool.step(1, Input::CancelAttempt(AttemptId(1)));
     pool.step(1, Input::FrameWritten(ConnectionId(0)));
-    assert_eq!(pool.step(2, Input::FrameBegun(ConnectionId(0))), []);
+    assert_eq!(pool.step(2, Input::PartialFrameReceived(ConnectionId(0))), []);
     assert_eq!(pool.step(2, Input::FrameReceived { connection: ConnectionId(0), frame: answer(1) }), []);
     let ended = pool.step(3, Input::FrameReceived { connection: ConnectionId(0), frame: answer(2) });
     assert!(
@@ -450,10 +458,10 @@
     );
 }
 
-/// Guards against sending on over a connection that has died unseen: new parts go over another, and once
-/// that is answered, those in flight on the first end at once.
+/// A connection may fail without a close. New parts then use another connection, and once a part on that one is
+/// answered, the attempts in flight on the silent one end immediately.
 #[test]
-fn a_silent_connection_gets_nothing_new() {
+fn a_silent_connection_gets_no_new_parts() {
     let mut pool = pool_with_written(2);
     pool.step(1, Input::SendCall(vec![part(2, DEADLINE)]));
     pool.step(1, Input::FrameWritten(ConnectionId(0)));
@@ -470,8 +478,8 @@
     assert_eq!(ended[1..], [Output::Close(ConnectionId(0)), lost(1), lost(2)], "{ended:?}");
 }
 
-/// Guards against work for a query that has its answer: a data node that accepts a new connection late would read
-/// the part first, and after it that the attempt is cancelled.
+/// A data node that accepts a new connection late would read the part before its cancellation, and work for a query
+/// that already has its answer.
 #[test]
 fn a_new_connection_is_closed_when_its_only_attempt_is_cancelled() {
     let mut pool = new_pool();
@@ -480,16 +488,16 @@
     pool.step(0, Input::SendCall(vec![part(1, DEADLINE)]));
     pool.step(1, Input::Connected(ConnectionId(0)));
     pool.step(1, Input::FrameWritten(ConnectionId(0)));
-    // The other's frame is handed out, and not yet reported as written.
+    // The other part's frame is being written; the write has not been reported yet.
     let outputs = pool.step(2, Input::CancelAttempt(AttemptId(0)));
     assert_eq!(outputs, [], "another part is in flight");
     assert!(pool.step(3, Input::CancelAttempt(AttemptId(1))).contains(&Output::Close(ConnectionId(0))));
 }
 
-/// Guards against holding the process's own lack of sockets against a data node: a hundred coordinators that did
-/// ejected healthy ones. What is queued goes over the connection that is there, or was not sent.
+/// A process without free sockets must not count that against the data node: a hundred coordinators that did ejected
+/// healthy data nodes. Queued parts use an existing connection, or end as not sent.
 #[test]
-fn a_lack_of_sockets_is_no_fault_of_the_data_node() {
+fn a_lack_of_sockets_does_not_count_against_the_data_node() {
     let mut pool = pool_with_written(2);
     assert_eq!(
         pool.step(1 + SILENCE_TIMEOUT, Input::SendCall(vec![part(2, DEADLINE)])),
@@ -508,33 +516,34 @@
     assert_eq!(pool.connection_count(), 0);
 }
 
-/// Guards against a try for every part in the moment in which no socket is left: one coordinator did, hundreds of
-/// times. The parts end as after a try of their own, and the next moment there is another.
+/// Without the delay after a lack of sockets, every part tries to open a connection: one coordinator did, hundreds of
+/// times. During the delay parts end as if they had tried, and after it a connection is tried again.
 #[test]
-fn a_lack_of_sockets_is_found_once_in_a_moment() {
+fn no_connection_is_tried_during_the_delay_after_a_lack_of_sockets() {
     let mut pool = new_pool();
     pool.step(0, Input::AcceptsNewAttempts(true));
     assert_eq!(pool.step(0, Input::SendCall(vec![part(0, DEADLINE)])), [Output::Connect(ConnectionId(0))]);
     pool.step(0, Input::NoSocketAvailable(ConnectionId(0)));
     for id in 1..100 {
-        let ended = pool.step(NO_SOCKET_PAUSE - 1, Input::SendCall(vec![part(id, DEADLINE)]));
+        let ended = pool.step(NO_SOCKET_BACKOFF - 1, Input::SendCall(vec![part(id, DEADLINE)]));
         assert_eq!(
             ended,
             [Output::AttemptEnded { attempt: AttemptId(id), outcome: Outcome::NotSent, value: None }]
         );
     }
     assert_eq!(
-        pool.step(NO_SOCKET_PAUSE - 1, Input::CheckHealth),
+        pool.step(NO_SOCKET_BACKOFF - 1, Input::CheckHealth),
         [Output::HealthChecked(Outcome::ConnectFailed)]
     );
     assert_eq!(pool.connection_count(), 0);
-    let tried = pool.step(NO_SOCKET_PAUSE, Input::SendCall(vec![part(100, DEADLINE)]));
+    let tried = pool.step(NO_SOCKET_BACKOFF, Input::SendCall(vec![part(100, DEADLINE)]));
     assert_eq!(tried, [Output::Connect(ConnectionId(1))]);
 }
 
-/// Guards the parts of that moment where a connection is open, though silent: they go over it, as long as it has capacity.
+/// During the delay after a lack of sockets, parts use an open connection while it has capacity, even a silent one, and
+/// do not end unsent.
 #[test]
-fn in_a_lack_of_sockets_open_connections_are_filled() {
+fn parts_use_open_connections_during_a_lack_of_sockets() {
     let (mut pool, now) = (pool_with_written(2), 1 + SILENCE_TIMEOUT);
     pool.step(now, Input::SendCall(vec![part(2, DEADLINE)]));
     pool.step(now, Input::NoSocketAvailable(ConnectionId(1)));
@@ -548,41 +557,41 @@
     );
 }
 
-/// Guards against choosing such a connection again once all that was in flight on it is cancelled.
+/// A silent connection would look idle and be chosen again once all its attempts in flight are cancelled.
 #[test]
 fn a_connection_whose_attempts_were_cancelled_in_silence_is_closed() {
     let mut pool = pool_with_written(2);
     pool.step(1 + SILENCE_TIMEOUT, Input::SendCall(vec![part(2, DEADLINE)]));
     let outputs = pool.step(1 + SILENCE_TIMEOUT, Input::CancelAttempt(AttemptId(1)));
     assert!(outputs.contains(&Output::Close(ConnectionId(0))), "{outputs:?}");
-    // An attempt cancelled early says nothing of its connection.
+    // A cancellation before the silence timeout leaves the connection open.
     let mut pool = pool_with_written(2);
     let outputs = pool.step(SILENCE_TIMEOUT / 2, Input::CancelAttempt(AttemptId(1)));
     assert!(matches!(outputs[..], [Output::Write { connection: ConnectionId(0), .. }]), "{outputs:?}");
 }
 
-/// Guards against going on with a connection that brings more than belongs to its answers.
+/// Input that answers no attempt or health check shows that the connection's answers cannot be relied on.
 #[test]
 fn unexpected_input_closes_an_idle_connection() {
-    for unasked in [
-        Input::FrameBegun(ConnectionId(0)),
+    for unexpected in [
+        Input::PartialFrameReceived(ConnectionId(0)),
         Input::FrameReceived { connection: ConnectionId(0), frame: answer(0) },
         Input::FrameReceived {
             connection: ConnectionId(0),
             frame: InboundFrame::HealthCheckAnswer(Outcome::Success),
         },
     ] {
-        assert_eq!(pool_with_written(1).step(2, unasked), [Output::Close(ConnectionId(0))]);
+        assert_eq!(pool_with_written(1).step(2, unexpected), [Output::Close(ConnectionId(0))]);
     }
-    // A duplicate answer costs no other part.
+    // A duplicate answer fails no other part.
     assert_eq!(
         pool_with_written(2).step(2, Input::FrameReceived { connection: ConnectionId(0), frame: answer(0) }),
         []
     );
 }
 
-/// Guards the drain rule for calls and health checks that wait for a connection or a write: they end at once, since neither may
-/// end for long, and nothing goes out when it does.
+/// Calls and health checks that wait for a connection or a write when a drain begins end immediately, since the wait
+/// may take long. Nothing is sent when the wait ends.
 #[test]
 fn queued_work_ends_at_once_when_nothing_new_is_accepted() {
     let not_sent =
@@ -595,7 +604,7 @@
     assert_eq!(ended, [not_sent(0), Output::HealthChecked(Outcome::NotSent)]);
     assert_eq!(pool.step(0, Input::Connected(ConnectionId(0))), []);
     assert_eq!(pool.step(0, Input::CheckHealth), [Output::HealthChecked(Outcome::NotSent)]);
-    // What is being written is not ended here: its first byte may be out.
+    // An attempt that is being written does not end here: its first byte may already be written.
     let mut pool = pool_with_written(1);
     pool.step(2, Input::SendCall(vec![part(1, DEADLINE)]));
     pool.step(2, Input::SendCall(vec![part(2, DEADLINE)]));
@@ -604,7 +613,7 @@
         pool.step(2, Input::AttemptsOmitted { connection: ConnectionId(0), attempts: vec![AttemptId(1)] }),
         [not_sent(1)]
     );
-    // And what was not begun on a connection that breaks is not given another.
+    // A call of which no byte was written moves to no other connection when its connection fails.
     let mut pool = pool_with_written(1);
     pool.step(2, Input::SendCall(vec![part(1, DEADLINE)]));
     pool.step(2, Input::AcceptsNewAttempts(false));
@@ -614,7 +623,8 @@
     );
 }
 
-/// Guards a health check whose turn to be written came after nothing new was accepted any more: it ends, and once.
+/// A health check may be omitted because its write starts after the data node stopped accepting new work. It ends
+/// exactly once, also if it times out first.
 #[test]
 fn an_omitted_health_check_ends_once() {
     let mut pool = pool_with_written(1);
@@ -631,16 +641,16 @@
     assert_eq!(pool.step(2 + HEALTH_CHECK_TIMEOUT, Input::HealthCheckOmitted(ConnectionId(0))), []);
 }
 
-/// Guards a data node that moves: what is in flight where it was may end there, all else goes over a new connection, and the
-/// earlier one is closed once it is idle.
+/// After a data node's address changes, attempts in flight at the previous address may end there. All other work uses a
+/// new connection, and the previous one is closed once it is idle.
 #[test]
-fn nothing_new_goes_over_a_connection_to_an_earlier_address() {
+fn new_work_never_uses_a_connection_to_a_previous_address() {
     let mut pool = pool_with_written(3);
     pool.step(2, Input::SendCall(vec![part(3, DEADLINE)]));
     assert_eq!(pool.step(2, Input::AddressChanged), []);
     let opened = pool.step(2, Input::SendCall(vec![part(4, DEADLINE)]));
     assert_eq!(opened, [Output::Connect(ConnectionId(1))]);
-    // Its turn to be written came after the move.
+    // The address changed before the call's first byte was written.
     assert_eq!(
         pool.step(2, Input::AttemptsOmitted { connection: ConnectionId(0), attempts: vec![AttemptId(3)] }),
         []
@@ -661,10 +671,10 @@
     ));
 }
 
-/// Guards what is queued for a connection to an address that its data node has left: it goes over one to the new address,
-/// and the earlier one is closed when it comes up. Without a socket for another, no earlier connection is filled.
+/// Work queued for a connection that is still being opened when the address changes moves to the new address, and that
+/// connection is closed once established. Without a socket for a new one, work does not use the previous connection.
 #[test]
-fn a_connection_being_opened_to_an_earlier_address_is_not_used() {
+fn a_connection_being_opened_to_a_previous_address_is_not_used() {
     let mut pool = new_pool();
     pool.step(0, Input::AcceptsNewAttempts(true));
     pool.step(0, Input::SendCall(vec![part(0, DEADLINE)]));
@@ -683,9 +693,9 @@
     );
 }
 
-/// Guards what is in flight at an earlier address against answers from the new one: they do not show that it is lost.
+/// An answer from the new address does not show that attempts in flight at the previous address are lost.
 #[test]
-fn an_answer_from_the_new_address_ends_nothing_at_the_earlier_one() {
+fn an_answer_from_the_new_address_ends_no_attempt_at_the_previous_one() {
     let mut pool = pool_with_written(2);
     pool.step(2, Input::AddressChanged);
     let now = 2 + SILENCE_TIMEOUT;
--- a/src/net/connection_pool/writing.rs
+++ b/src/net/connection_pool/writing.rs
@@ -1,29 +1,29 @@
-//! Hands frames to connections, and takes how their writing went.
+//! Passes frames to connections and handles the results of their writes.
 
 use std::collections::VecDeque;
 
 use crate::api::Outcome;
 use crate::engine::{AttemptId, Dispatch};
-use crate::net::connection_pool::connection::{ConnectionState, QueuedCall};
+use crate::net::connection_pool::connection::{ConnectionState, QueuedWork};
 use crate::net::connection_pool::{ConnectionId, ConnectionPool, Output};
 use crate::net::frame::OutboundFrame;
 
 impl ConnectionPool {
-    /// Hands the next frame to a connection that has none to write.
+    /// Prepares the next queued work of a connection and passes its frame to the writer, unless a write is in progress.
     pub(super) fn write_next(&mut self, id: ConnectionId) {
-        while let Some(call) = self.take_writable(id) {
-            let Some((call, frame)) = self.prepare(call) else { continue };
+        while let Some(work) = self.take_writable(id) {
+            let Some((work, frame)) = self.prepare(work) else { continue };
             let Some(connection) = self.connections.get_mut(&id) else { return };
-            if matches!(call, QueuedCall::HealthCheck) {
+            if matches!(work, QueuedWork::HealthCheck) {
                 connection.health_checks.push_back(self.now);
             }
-            connection.writing = Some(call);
+            connection.writing = Some(work);
             self.outputs.push(Output::Write { connection: id, frame });
         }
     }
 
-    /// The next call that is queued on a connection that can take it now.
-    fn take_writable(&mut self, id: ConnectionId) -> Option<QueuedCall> {
+    /// Takes the next queued work if the connection is open and no write is in progress.
+    fn take_writable(&mut self, id: ConnectionId) -> Option<QueuedWork> {
         let connection = self.connections.get_mut(&id)?;
         if connection.state != ConnectionState::Connected || connection.writing.is_some() {
             return None;
@@ -31,22 +31,22 @@
         connection.queued.pop_front()
     }
 
-    /// What of a call may be sent now, and its frame. Attempts that may not end at once.
-    fn prepare(&mut self, call: QueuedCall) -> Option<(QueuedCall, OutboundFrame)> {
-        match call {
-            QueuedCall::Attempts { dispatches, moved } => {
+    /// Returns the part of a call that may be sent now, with its frame. The other attempts immediately end as not sent.
+    fn prepare(&mut self, work: QueuedWork) -> Option<(QueuedWork, OutboundFrame)> {
+        match work {
+            QueuedWork::Attempts { dispatches, moved } => {
                 let dispatches = self.retain_sendable(dispatches);
                 if dispatches.is_empty() {
                     return None;
                 }
                 let frame = OutboundFrame::Call(dispatches.clone());
-                Some((QueuedCall::Attempts { dispatches, moved }, frame))
+                Some((QueuedWork::Attempts { dispatches, moved }, frame))
             }
-            QueuedCall::Cancel { part_name } => {
+            QueuedWork::Cancel { part_name } => {
                 let frame = OutboundFrame::Cancel(part_name.clone());
-                Some((QueuedCall::Cancel { part_name }, frame))
+                Some((QueuedWork::Cancel { part_name }, frame))
             }
-            QueuedCall::HealthCheck => Some((QueuedCall::HealthCheck, OutboundFrame::HealthCheck)),
+            QueuedWork::HealthCheck => Some((QueuedWork::HealthCheck, OutboundFrame::HealthCheck)),
         }
     }
 
@@ -61,7 +61,7 @@
     pub(super) fn frame_written(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_used_at = self.now;
-        if let Some(QueuedCall::Attempts { dispatches, .. }) = connection.writing.take() {
+        if let Some(QueuedWork::Attempts { dispatches, .. }) = connection.writing.take() {
             if connection.state == ConnectionState::Closing {
                 let outcome = connection.loss_outcome();
                 dispatches.iter().for_each(|dispatch| self.end_attempt(dispatch.attempt, outcome, None));
@@ -73,11 +73,11 @@
         self.remove_if_closed(id);
     }
 
-    /// What was omitted on a connection to an earlier address goes over one to the new address.
+    /// Moves omitted attempts to the new address if their connection goes to a previous one; otherwise ends them.
     pub(super) fn attempts_omitted(&mut self, id: ConnectionId, attempts: &[AttemptId]) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let is_outdated = connection.address_generation != self.address_generation;
-        let Some(QueuedCall::Attempts { dispatches, moved }) = &mut connection.writing else { return };
+        let Some(QueuedWork::Attempts { dispatches, moved }) = &mut connection.writing else { return };
         let moved = *moved;
         let is_omitted = |dispatch: &Dispatch| attempts.contains(&dispatch.attempt);
         let (omitted, sent): (Vec<_>, Vec<_>) = std::mem::take(dispatches).into_iter().partition(is_omitted);
@@ -85,33 +85,35 @@
         if omitted.is_empty() {
             return;
         }
-        let omitted = QueuedCall::Attempts { dispatches: omitted, moved };
+        let omitted = QueuedWork::Attempts { dispatches: omitted, moved };
         if is_outdated {
             self.place(omitted);
         } else {
-            self.refuse(omitted);
+            self.end_not_sent(omitted);
         }
     }
 
-    /// The health check last handed out is the last of those that are awaited, unless it has timed out.
+    /// Ends the health check that was passed to the connection last. It is the most recent unanswered one, unless it
+    /// has timed out.
     pub(super) fn health_check_omitted(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.health_checks.pop_back().is_some() {
-            self.refuse(QueuedCall::HealthCheck);
+            self.end_not_sent(QueuedWork::HealthCheck);
         }
     }
 
-    /// What was not begun goes over another connection. What was cut off in its frame ends as one that may have run,
-    /// though it should not have: its first bytes may have been read, and a part that may not be repeated is lost then.
+    /// Moves a call of which no byte was written to another connection. The attempts of a partially written call end as
+    /// if they may have run, although they should not have: the data node may have read the first bytes, and a part
+    /// that may not be repeated is then lost.
     pub(super) fn write_failed(&mut self, id: ConnectionId, partially_written: bool) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let outcome = connection.loss_outcome();
         let mut unsent = VecDeque::new();
         match connection.writing.take() {
-            Some(QueuedCall::Attempts { dispatches, .. }) if partially_written => {
+            Some(QueuedWork::Attempts { dispatches, .. }) if partially_written => {
                 dispatches.iter().for_each(|dispatch| self.end_attempt(dispatch.attempt, outcome, None));
             }
-            Some(call @ QueuedCall::Attempts { .. }) => unsent.push_back(call),
+            Some(work @ QueuedWork::Attempts { .. }) => unsent.push_back(work),
             _ => {}
         }
         self.close(id);
--- a/src/net/frame/inbound.rs
+++ b/src/net/frame/inbound.rs
@@ -4,23 +4,23 @@
 
 use crate::api::Outcome;
 use crate::engine::Value;
-use crate::net::frame::{letter, status, LENGTH_BYTES};
+use crate::net::frame::{frame_type, status, LENGTH_BYTES};
 
 /// A frame from a data node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum InboundFrame {
-    /// The end of an attempt.
+    /// The result of an attempt.
     Answer {
-        /// The part's name.
+        /// The name of the part, as sent in the call.
         part_name: String,
-        /// How it ended.
+        /// The outcome that the data node reports.
         outcome: Outcome,
-        /// Its value, if it succeeded.
+        /// The returned value; `None` unless the attempt succeeded.
         value: Option<Value>,
     },
-    /// The end of a health check.
+    /// The result of a health check.
     HealthCheckAnswer(Outcome),
-    /// The frame before could not be used, for this reason; the connection is closed next.
+    /// The data node refused the previous frame for this reason and closes the connection next.
     FrameRefused(String),
 }
 
@@ -34,106 +34,107 @@
     }
 }
 
-/// Why bytes are no frame.
+/// Why bytes are not a valid frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Its length is 0, or over the limit.
-    #[error("its length is out of range")]
+    /// The frame's length is zero or exceeds the limit.
+    #[error("frame length is zero or exceeds the limit")]
     LengthOutOfRange,
-    /// Its letter is none that a data node sends.
-    #[error("its letter is not known")]
-    UnknownLetter,
-    /// The answer to a health check is over the limit.
-    #[error("the answer to a health check is too long")]
+    /// Data nodes send no frames of this type.
+    #[error("unknown frame type")]
+    UnknownType,
+    /// The answer to a health check exceeds the line limit.
+    #[error("answer to a health check is too long")]
     HealthCheckAnswerTooLong,
-    /// An answer's first line is over the limit.
-    #[error("an answer's line does not end")]
+    /// An answer's line exceeds the line limit.
+    #[error("answer line is too long")]
     LineTooLong,
-    /// An answer has no line at all.
-    #[error("an answer has no line")]
+    /// A complete answer contains no line feed.
+    #[error("answer line is missing")]
     LineMissing,
-    /// An answer's line has too few fields.
-    #[error("an answer's line does not have four fields")]
+    /// An answer's line has fewer than four fields.
+    #[error("answer line has fewer than four fields")]
     FieldMissing,
-    /// An answer's line is not UTF-8.
-    #[error("an answer's line is not text")]
+    /// The part's name or the score is not UTF-8.
+    #[error("answer line is not valid UTF-8")]
     LineNotText,
-    /// An answer's score is no number.
-    #[error("an answer's score is no number")]
+    /// An answer's score is not an unsigned integer.
+    #[error("answer score is not a number")]
     ScoreNotANumber,
-    /// An answer's status is none that is known.
-    #[error("an answer's status is not known")]
+    /// An answer's status is not one of the protocol.
+    #[error("unknown answer status")]
     UnknownStatus,
     /// An answer's value is not UTF-8.
-    #[error("a value is not text")]
+    #[error("answer value is not valid UTF-8")]
     ValueNotText,
 }
 
-/// Bounds of frames from data nodes.
+/// Size limits of frames from data nodes.
 #[derive(Debug, Clone, Copy)]
 pub struct FrameLimits {
-    /// Bytes of a frame.
-    pub frame: usize,
-    /// Bytes of the line that begins an answer.
-    pub line: usize,
+    /// Maximum length of a frame: type byte and payload.
+    pub max_frame_bytes: usize,
+    /// Maximum length of an answer's line, line feed included, and of the answer to a health check.
+    pub max_line_bytes: usize,
 }
 
-/// The first frame in `bytes` and how many of them it takes; none while it is incomplete. What can never become a frame
-/// is an error as soon as that shows, since its rest may never come.
+/// Parses the first frame in `bytes`; returns it with its size in bytes, or `None` while it is incomplete. Reports
+/// bytes that cannot become a valid frame as soon as they are received, since the rest of the frame may never arrive.
 ///
 /// # Errors
-/// The frame is empty, over a limit or of no known form.
+/// The frame is empty, exceeds a limit or is malformed.
 pub fn parse(bytes: &[u8], limits: FrameLimits) -> Result<Option<(InboundFrame, usize)>, FrameError> {
     let Some(length) = bytes.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
-    if length == 0 || length > limits.frame {
+    if length == 0 || length > limits.max_frame_bytes {
         return Err(FrameError::LengthOutOfRange);
     }
     let end = LENGTH_BYTES + length;
     let received = &bytes[LENGTH_BYTES..bytes.len().min(end)];
-    let Some((&letter, rest)) = received.split_first() else { return Ok(None) };
+    let Some((&frame_type, payload)) = received.split_first() else { return Ok(None) };
     let is_complete = received.len() == length;
-    let frame = parse_rest(letter, rest, is_complete, limits.line)?;
+    let frame = parse_payload(frame_type, payload, is_complete, limits.max_line_bytes)?;
     Ok(frame.map(|frame| (frame, end)))
 }
 
-/// The frame of this letter; none while it is incomplete.
-fn parse_rest(
-    letter: u8,
-    rest: &[u8],
+/// Parses the payload of a frame of this type; returns `None` while it is incomplete.
+fn parse_payload(
+    frame_type: u8,
+    payload: &[u8],
     is_complete: bool,
-    line_limit: usize,
+    max_line_bytes: usize,
 ) -> Result<Option<InboundFrame>, FrameError> {
-    match letter {
-        letter::ANSWER => parse_answer(rest, is_complete, line_limit),
-        letter::HEALTH_CHECK | letter::LOAD_CHECK => {
-            if rest.len() > line_limit {
+    match frame_type {
+        frame_type::ANSWER => parse_answer(payload, is_complete, max_line_bytes),
+        frame_type::HEALTH_CHECK | frame_type::LOAD_CHECK => {
+            if payload.len() > max_line_bytes {
                 return Err(FrameError::HealthCheckAnswerTooLong);
             }
-            let outcome = if rest == status::SERVER_ERROR { Outcome::ServerError } else { Outcome::Success };
+            let outcome =
+                if payload == status::SERVER_ERROR { Outcome::ServerError } else { Outcome::Success };
             Ok(is_complete.then_some(InboundFrame::HealthCheckAnswer(outcome)))
         }
-        letter::REFUSED => {
-            let reason = || String::from_utf8_lossy(rest).into_owned();
+        frame_type::REFUSED => {
+            let reason = || String::from_utf8_lossy(payload).into_owned();
             Ok(is_complete.then(|| InboundFrame::FrameRefused(reason())))
         }
-        _ => Err(FrameError::UnknownLetter),
+        _ => Err(FrameError::UnknownType),
     }
 }
 
 fn parse_answer(
-    rest: &[u8],
+    payload: &[u8],
     is_complete: bool,
-    line_limit: usize,
+    max_line_bytes: usize,
 ) -> Result<Option<InboundFrame>, FrameError> {
-    match parse_answer_line(rest, line_limit)? {
+    match parse_answer_line(payload, max_line_bytes)? {
         Some((line, data)) if is_complete => line.into_frame(data).map(Some),
         None if is_complete => Err(FrameError::LineMissing),
         _ => Ok(None),
     }
 }
 
-/// The line that begins an answer.
+/// The line at the beginning of an answer.
 struct AnswerLine<'a> {
     part_name: &'a str,
     status: AnswerStatus,
@@ -157,13 +158,16 @@
     }
 }
 
-/// An answer's line, and the bytes of its value that follow; none while the line is incomplete. The load report, the
-/// line's last field, is not read: whatever it holds, the answer is as good.
-fn parse_answer_line(rest: &[u8], line_limit: usize) -> Result<Option<(AnswerLine<'_>, &[u8])>, FrameError> {
-    let Some(end) = rest.iter().take(line_limit).position(|&byte| byte == b'\n') else {
-        return if rest.len() < line_limit { Ok(None) } else { Err(FrameError::LineTooLong) };
+/// Parses an answer's line; returns it with the bytes after it, or `None` while the line is incomplete. Ignores the
+/// load report, the line's last field, so that a malformed report does not invalidate the answer.
+fn parse_answer_line(
+    payload: &[u8],
+    max_line_bytes: usize,
+) -> Result<Option<(AnswerLine<'_>, &[u8])>, FrameError> {
+    let Some(end) = payload.iter().take(max_line_bytes).position(|&byte| byte == b'\n') else {
+        return if payload.len() < max_line_bytes { Ok(None) } else { Err(FrameError::LineTooLong) };
     };
-    let fields: Vec<&[u8]> = rest[..end].splitn(4, |&byte| byte == b' ').collect();
+    let fields: Vec<&[u8]> = payload[..end].splitn(4, |&byte| byte == b' ').collect();
     let [part_name, code, score, _load_report] = fields[..] else {
         return Err(FrameError::FieldMissing);
     };
@@ -177,5 +181,5 @@
         status::REJECTED => AnswerStatus::Failure(Outcome::Rejected),
         _ => return Err(FrameError::UnknownStatus),
     };
-    Ok(Some((AnswerLine { part_name: text(part_name)?, status }, &rest[end + 1..])))
+    Ok(Some((AnswerLine { part_name: text(part_name)?, status }, &payload[end + 1..])))
 }
--- a/src/net/frame/mod.rs
+++ b/src/net/frame/mod.rs
@@ -1,7 +1,7 @@
-//! The frames that are exchanged with data nodes, and their encoding: pure functions over bytes.
+//! The frames exchanged with data nodes, and their encoding: pure functions over bytes.
 //!
-//! A frame is a four-byte length, least significant byte first, one letter and the rest; the length covers the letter
-//! and the rest. The protocol's letters and words stand in this module alone.
+//! A frame consists of a four-byte little-endian length, a one-byte frame type and a payload. The length covers the
+//! type and the payload. Only this module defines the protocol's type bytes and keywords.
 
 mod inbound;
 mod outbound;
@@ -9,51 +9,51 @@
 pub use inbound::{parse, FrameError, FrameLimits, InboundFrame};
 pub use outbound::{EncodedFrame, OutboundFrame};
 
-/// Bytes of a frame's length.
+/// Size of a frame's length field.
 const LENGTH_BYTES: usize = 4;
 
-/// The letters of frames.
-mod letter {
+/// Frame types.
+mod frame_type {
     /// To a data node: a call.
     pub(super) const CALL: u8 = b'D';
-    /// To a data node: an attempt is cancelled.
+    /// To a data node: cancels an attempt.
     pub(super) const CANCEL: u8 = b'K';
-    /// Both ways: a health check, and its answer.
+    /// In both directions: a health check and its answer.
     pub(super) const HEALTH_CHECK: u8 = b'I';
-    /// Both ways: a health check for a load report, and its answer.
+    /// In both directions: a health check that requests a load report, and its answer.
     pub(super) const LOAD_CHECK: u8 = b'U';
     /// From a data node: the answer to a part.
     pub(super) const ANSWER: u8 = b'O';
-    /// From a data node: the frame before could not be used.
+    /// From a data node: the previous frame was refused.
     pub(super) const REFUSED: u8 = b'Z';
 }
 
-/// The parameters of a part in a call.
+/// Parameters of a part in a call.
 mod parameter {
-    /// Milliseconds for which the answer is waited for.
+    /// Timeout of the part's answer, in milliseconds.
     pub(super) const TIMEOUT_MS: &str = "d";
-    /// The shards that were answered in the first phase of a query.
+    /// The shards that answered in the first phase of the query.
     pub(super) const FIRST_PHASE_SHARDS: &str = "from";
     /// Whether the first phase was complete.
     pub(super) const FIRST_PHASE_COMPLETE: &str = "whole";
 }
 
-/// How parts and health checks end.
+/// Status codes of parts and health checks.
 mod status {
-    /// A part was answered.
+    /// The part succeeded.
     pub(super) const SUCCESS: &[u8] = b"200";
-    /// A part or a health check failed.
+    /// The part or the health check failed.
     pub(super) const SERVER_ERROR: &[u8] = b"500";
-    /// A part was rejected.
+    /// The data node rejected the part.
     pub(super) const REJECTED: &[u8] = b"503";
 }
 
-/// A frame of this letter.
-fn encode(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(LENGTH_BYTES + 1 + rest.len());
-    bytes.extend_from_slice(&(rest.len() as u32 + 1).to_le_bytes());
-    bytes.push(letter);
-    bytes.extend_from_slice(rest);
+/// Encodes a frame of this type.
+fn encode(frame_type: u8, payload: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + 1 + payload.len());
+    bytes.extend_from_slice(&(payload.len() as u32 + 1).to_le_bytes());
+    bytes.push(frame_type);
+    bytes.extend_from_slice(payload);
     bytes
 }
 
--- a/src/net/frame/outbound.rs
+++ b/src/net/frame/outbound.rs
@@ -2,18 +2,18 @@
 
 use crate::api::Nanos;
 use crate::engine::{AttemptId, Dispatch, FirstPhase};
-use crate::net::frame::{encode, letter, parameter};
+use crate::net::frame::{encode, frame_type, parameter};
 
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// A frame to be written.
+/// A frame to be written to a data node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OutboundFrame {
     /// A call: attempts that are sent together.
     Call(Vec<Dispatch>),
-    /// A health check: new work for the data node, as a call is.
+    /// A health check; counts as new work for the data node, as a call does.
     HealthCheck,
-    /// The attempt of the part of this name is cancelled.
+    /// Cancels the attempt for the part of this name.
     Cancel(String),
 }
 
@@ -29,26 +29,26 @@
     }
 }
 
-/// What of a frame is written at one moment.
+/// The result of encoding a frame at one point in time.
 #[derive(Debug, Default, PartialEq)]
 pub struct EncodedFrame {
-    /// Its bytes, unless nothing of it is written.
+    /// The encoded bytes; `None` if nothing of the frame is written.
     pub bytes: Option<Vec<u8>>,
-    /// Attempts that it carries.
+    /// Attempts that the bytes contain.
     pub sent: Vec<AttemptId>,
-    /// Attempts that are omitted, and never run.
+    /// Attempts that were omitted and never run.
     pub omitted: Vec<AttemptId>,
-    /// It is a health check that is not written.
+    /// Whether the frame is a health check that was omitted.
     pub health_check_omitted: bool,
 }
 
 impl OutboundFrame {
-    /// Whether it is a call.
+    /// Whether the frame contains attempts.
     pub fn is_call(&self) -> bool {
         matches!(self, Self::Call(_))
     }
 
-    /// Whether it should be written to its end, given that it carries the attempts `sent`: none of them was cancelled.
+    /// Whether a partially written frame with the attempts `sent` should be completed: none of them was cancelled.
     pub fn is_wanted(&self, sent: &[AttemptId]) -> bool {
         match self {
             Self::Call(dispatches) => dispatches
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Encodes it as of `now`. Attempts that were cancelled or whose deadline has passed are omitted, and all that is new
-    /// if the data node may not be sent anything new.
+    /// Encodes the frame as of `now`. Omits attempts that were cancelled or whose deadline has passed. Omits all
+    /// attempts and health checks if the data node accepts none.
     pub fn encode_at(&self, now: Nanos, accepts_new_attempts: bool) -> EncodedFrame {
         match self {
             Self::Call(dispatches) => encode_call_at(dispatches, now, accepts_new_attempts),
@@ -89,21 +89,21 @@
     }
 }
 
-/// A call's frame: for each part a line and the query's text.
+/// Encodes a call: for each part, a line and the query's text.
 pub(super) fn call(dispatches: &[&Dispatch], now: Nanos) -> Vec<u8> {
-    let mut rest = Vec::new();
+    let mut payload = Vec::new();
     for dispatch in dispatches {
         let part = &dispatch.part;
         let text = part.text.as_bytes();
         let parameters = call_parameters(dispatch, now);
         let line = format!("{} {} {parameters} {}\n", part.name, part.shard.0, text.len());
-        rest.extend_from_slice(line.as_bytes());
-        rest.extend_from_slice(text);
+        payload.extend_from_slice(line.as_bytes());
+        payload.extend_from_slice(text);
     }
-    encode(letter::CALL, &rest)
+    encode(frame_type::CALL, &payload)
 }
 
-/// A part's parameters: how many milliseconds its answer is waited for, and the first phase of its query.
+/// Encodes a part's parameters: the timeout of its answer, and the result of the query's first phase if there was one.
 fn call_parameters(dispatch: &Dispatch, now: Nanos) -> String {
     let timeout_ms = (dispatch.deadline.saturating_sub(now) / NANOS_PER_MILLI).max(1);
     let timeout = format!("{}={timeout_ms}", parameter::TIMEOUT_MS);
@@ -114,12 +114,12 @@
     format!("{timeout},{shards},{complete}")
 }
 
-/// The frame that cancels the attempt of a part.
+/// Encodes the cancellation of a part's attempt.
 pub(super) fn cancel(part_name: &str) -> Vec<u8> {
-    encode(letter::CANCEL, part_name.as_bytes())
+    encode(frame_type::CANCEL, part_name.as_bytes())
 }
 
-/// The frame of a health check.
+/// Encodes a health check.
 pub(super) fn health_check() -> Vec<u8> {
-    encode(letter::HEALTH_CHECK, b"")
+    encode(frame_type::HEALTH_CHECK, b"")
 }
--- a/src/net/frame/tests.rs
+++ b/src/net/frame/tests.rs
@@ -8,7 +8,7 @@
 
 const MILLI: Nanos = 1_000_000;
 
-const LIMITS: FrameLimits = FrameLimits { frame: 1024, line: 100 };
+const LIMITS: FrameLimits = FrameLimits { max_frame_bytes: 1024, max_line_bytes: 100 };
 
 fn dispatch(first_phase: Option<FirstPhase>) -> Dispatch {
     let part = PartRequest { name: "9b1f.3".into(), shard: ShardId(3), text: "c41e77d0".into(), first_phase };
@@ -21,9 +21,9 @@
     }
 }
 
-/// The protocol's own example, and the parameters of a second phase.
+/// The example in the protocol's specification, and the parameters of a second phase.
 #[test]
-fn calls_are_encoded_as_the_protocol_shows() {
+fn frames_are_encoded_as_specified_by_the_protocol() {
     let bytes = call(&[&dispatch(None)], 10 * MILLI);
     assert_eq!(bytes[..5], [26, 0, 0, 0, b'D']);
     assert_eq!(&bytes[5..], b"9b1f.3 3 d=240 8\nc41e77d0");
@@ -34,7 +34,7 @@
     assert_eq!(health_check(), b"\x01\0\0\0I");
 }
 
-/// Guards against sending an attempt whose query has its answer while its frame waits to be written.
+/// A query may be answered while the frame of its attempt waits to be written; that attempt must not be sent.
 #[test]
 fn cancelled_attempts_are_omitted() {
     let (active, mut cancelled) = (dispatch(None), dispatch(None));
@@ -44,10 +44,10 @@
     assert_eq!(now(vec![cancelled]), None);
 }
 
-/// Guards a data node that accepts nothing new against health checks whose turn comes late; cancellations are sent all
-/// the same.
+/// The data node may stop accepting new work while a health check waits to be written. The health check is then
+/// omitted, but cancellations are still sent.
 #[test]
-fn a_health_check_is_omitted_where_nothing_new_is_accepted() {
+fn a_health_check_is_omitted_when_no_new_work_is_accepted() {
     let now = |frame: OutboundFrame, accepts_new_attempts| frame.encode_at(10 * MILLI, accepts_new_attempts);
     assert_eq!(
         now(OutboundFrame::HealthCheck, true),
@@ -58,15 +58,15 @@
         EncodedFrame { health_check_omitted: true, ..EncodedFrame::default() }
     );
     for accepts_new_attempts in [false, true] {
-        let notice = OutboundFrame::Cancel("a.1".to_string());
+        let cancellation = OutboundFrame::Cancel("a.1".to_string());
         let encoded = EncodedFrame { bytes: Some(cancel("a.1")), ..EncodedFrame::default() };
-        assert_eq!(now(notice, accepts_new_attempts), encoded);
+        assert_eq!(now(cancellation, accepts_new_attempts), encoded);
     }
 }
 
-/// Answers come in pieces: no prefix is an error or a frame.
+/// An answer may arrive in several reads: no proper prefix is an error or a frame.
 #[test]
-fn an_incomplete_answer_is_waited_for() {
+fn an_incomplete_answer_is_neither_a_frame_nor_an_error() {
     let bytes = encode(b'O', b"9b1f.3 200 1840277719 inflight=7,util=0.61\n5be2a07c");
     for cut in 0..bytes.len() {
         assert_eq!(parse(&bytes[..cut], LIMITS), Ok(None));
@@ -77,9 +77,9 @@
     assert_eq!(used, bytes.len());
 }
 
-/// Oversized and malformed frames are named, so that their connection is closed.
+/// Oversized and malformed frames are errors, so that their connection is closed.
 #[test]
-fn bad_frames_are_errors() {
+fn oversized_and_malformed_frames_are_errors() {
     assert!(parse(&[0, 0, 0, 0], LIMITS).is_err());
     assert!(parse(&[255, 255, 255, 255, b'O'], LIMITS).is_err());
     for rest in ["no line", "a 200 1\n", "a 299 1 -\n", "a 200 x -\nv"] {
@@ -89,9 +89,9 @@
     assert!(parse(&encode(b'O', b"a 200 1 -\n\xff"), LIMITS).is_err());
 }
 
-/// Guards against a good answer lost for its load report, which may hold anything but a line's end.
+/// A load report may contain any bytes but a line feed; a malformed one must not invalidate its answer.
 #[test]
-fn an_unreadable_load_report_does_not_invalidate_an_answer() {
+fn a_malformed_load_report_does_not_invalidate_an_answer() {
     for report in [&b""[..], b"-", b"qps=1 x=2", b"\xff\xfe", b"qps=", b"{} \t\0"] {
         let bytes = encode(b'O', &[b"a.1 200 7 ", report, b"\nv"].concat());
         let value = Some(Value { score: 7, data: "v".into() });
@@ -100,9 +100,9 @@
     }
 }
 
-/// Guards against waiting for the rest of what can never be a frame.
+/// Bytes that cannot become a valid frame are an error immediately: the rest of the frame may never arrive.
 #[test]
-fn what_can_never_be_a_frame_is_an_error_at_once() {
+fn an_invalid_frame_is_an_error_before_it_is_complete() {
     let long = encode(b'O', &[b'a'; 200]);
     assert_eq!(parse(&long[..50], LIMITS), Ok(None));
     let huge = 3_000_000_000_u32.to_le_bytes();
@@ -113,26 +113,27 @@
 }
 
 proptest! {
-    /// Nothing that a data node sends may panic.
+    /// No bytes from a data node cause a panic.
     #[test]
-    fn any_bytes_are_parsed_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
-        let _ = parse(&bytes, FrameLimits { frame: 32, line: 16 });
+    fn parsing_any_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
+        let _ = parse(&bytes, FrameLimits { max_frame_bytes: 32, max_line_bytes: 16 });
     }
 }
 
-/// Guards drains, retry windows and deadlines while a frame waits for its socket: what may not be sent at that moment is
-/// omitted, and reported as such.
+/// A drain may begin, or a retry window or deadline pass, while a frame waits for its socket. Attempts that may no
+/// longer be sent are omitted and reported as omitted.
 #[test]
 fn attempts_that_may_not_be_sent_now_are_omitted() {
-    let kept = dispatch(None);
-    let window = Dispatch { attempt: AttemptId(2), start_deadline: 20 * MILLI, ..dispatch(None) };
-    let time = Dispatch { attempt: AttemptId(3), deadline: 20 * MILLI, ..dispatch(None) };
-    let frame = OutboundFrame::Call(vec![kept.clone(), window, time]);
+    let sendable = dispatch(None);
+    let past_start_deadline =
+        Dispatch { attempt: AttemptId(2), start_deadline: 20 * MILLI, ..dispatch(None) };
+    let past_deadline = Dispatch { attempt: AttemptId(3), deadline: 20 * MILLI, ..dispatch(None) };
+    let frame = OutboundFrame::Call(vec![sendable.clone(), past_start_deadline, past_deadline]);
     let all = [AttemptId(1), AttemptId(2), AttemptId(3)];
     assert_eq!(frame.encode_at(10 * MILLI, true).sent, all);
     let later = frame.encode_at(20 * MILLI, true);
     assert_eq!((&later.sent[..], &later.omitted[..]), (&all[..1], &all[1..]));
-    assert_eq!(later.bytes, OutboundFrame::Call(vec![kept]).encode_at(20 * MILLI, true).bytes);
+    assert_eq!(later.bytes, OutboundFrame::Call(vec![sendable]).encode_at(20 * MILLI, true).bytes);
     let drained = frame.encode_at(10 * MILLI, false);
     assert_eq!((drained.bytes, drained.omitted.len()), (None, 3));
 }
--- a/src/net/node/actor.rs
+++ b/src/net/node/actor.rs
@@ -1,4 +1,4 @@
-//! The actor's loop.
+//! The data node's actor: handles its mailbox and performs the pool's outputs.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -20,13 +20,13 @@
 use crate::net::node::NodeContext;
 use crate::runtime::{lock, nanos, spawn, Stream};
 
-/// How often the pool is told that time has passed.
+/// Interval between the pool's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same while a health check is awaited.
+/// Interval between the pool's ticks while a health check is unanswered.
 const HEALTH_CHECK_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A connection that is up.
+/// An established connection.
 struct OpenConnection {
     stream: Arc<Stream>,
     /// The mailbox of its writer.
@@ -37,7 +37,7 @@
     id: ServerId,
     gate: DrainGate,
     context: NodeContext,
-    /// The actor's own mailbox, for its connections.
+    /// The actor's own mailbox, to which its connections report.
     mailbox: Sender<NodeMessage>,
     pool: ConnectionPool,
     address: Option<SocketAddr>,
@@ -76,7 +76,7 @@
         match message {
             NodeMessage::Address(address) => self.set_address(address),
             NodeMessage::GateClosed => {
-                // It may have been opened again meanwhile.
+                // The gate may have been opened again in the meantime.
                 let open = self.gate.is_open(self.context.clock.now());
                 self.step(Input::AcceptsNewAttempts(open));
             }
@@ -88,7 +88,7 @@
             }
             NodeMessage::CloseIdleConnections => self.step(Input::CloseIdleConnections),
             NodeMessage::Connection(input) => self.connection_changed(input),
-            // The permit is given back once the frames are handled.
+            // The permit is released once the frames are handled.
             NodeMessage::FramesReceived { connection, received, permit: _permit } => {
                 self.frames_received(connection, received);
             }
@@ -97,7 +97,7 @@
                 self.open.insert(connection, OpenConnection { stream, writer });
                 self.step(Input::Connected(connection));
             }
-            // Only actors of feature servers send the one, and the loop takes the other.
+            // Frame connections send no `FetchEnded`, and `run` handles `Remove`.
             NodeMessage::FetchEnded { .. } | NodeMessage::Remove => {}
         }
     }
@@ -130,12 +130,12 @@
         }
         match received.trailing {
             TrailingBytes::None => {}
-            TrailingBytes::FrameBegun => self.step(Input::FrameBegun(connection)),
+            TrailingBytes::PartialFrame => self.step(Input::PartialFrameReceived(connection)),
             TrailingBytes::Malformed => self.step(Input::MalformedInput(connection)),
         }
     }
 
-    /// Steps the pool, and carries out what it decides. The drain gate is checked before each step.
+    /// Passes an input to the pool and performs its outputs. Checks the drain gate before each input.
     fn step(&mut self, input: Input) {
         let now = self.context.clock.now();
         let accepts_new_attempts = self.gate.is_open(now);
@@ -146,7 +146,7 @@
             match output {
                 Output::Connect(id) => {
                     if !self.connect(id) {
-                        // At once, so that what comes next does not wait for this connection, or try for another.
+                        // Reported immediately, so that later work neither waits for this connection nor opens another.
                         outputs.extend(self.pool.step(now, Input::NoSocketAvailable(id)));
                     }
                 }
@@ -163,10 +163,10 @@
     }
 
     fn write(&self, connection: ConnectionId, frame: OutboundFrame) {
-        let handed_out = self.open.get(&connection).is_some_and(|open| open.writer.send(frame).is_ok());
-        if !handed_out {
+        let is_sent = self.open.get(&connection).is_some_and(|open| open.writer.send(frame).is_ok());
+        if !is_sent {
             let failed = Input::WriteFailed { connection, partially_written: false };
-            // The mailbox outlives the actor's own loop.
+            // The send cannot fail, since the mailbox outlives the actor's loop.
             let _ = self.mailbox.send(NodeMessage::Connection(failed));
         }
     }
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Begins to open a connection; returns whether there was a socket for it.
+    /// Starts to open a connection; returns whether a socket was available.
     fn connect(&mut self, id: ConnectionId) -> bool {
         let permit = self.context.permits.take();
         let (Some(address), Some(permit)) = (self.address, permit) else {
@@ -196,9 +196,9 @@
         spawn("connection", self.context.limits.stack_words, move || task.run(permit)).is_ok()
     }
 
-    /// Logs that there was no socket, if `is_due` says so.
-    fn log_no_socket(&self, is_due: fn(&mut LogRateLimit, Nanos) -> Option<u64>) {
-        let occurrences = is_due(&mut lock(&self.context.no_socket_log), self.context.clock.now());
+    /// Logs that no socket was available, if `due` returns a number of occurrences to report.
+    fn log_no_socket(&self, due: fn(&mut LogRateLimit, Nanos) -> Option<u64>) {
+        let occurrences = due(&mut lock(&self.context.no_socket_log), self.context.clock.now());
         if let Some(occurrences) = occurrences {
             log::warn!(occurrences = occurrences; "no socket left for a connection to a data node");
         }
@@ -214,6 +214,6 @@
         queued_parts: limits.queued_parts_per_node,
         closed_attempts: limits.remembered_parts,
         silence_timeout: nanos(limits.connection_silence_for(context.shortest_latency_objective)),
-        no_socket_pause: nanos(limits.no_socket_backoff),
+        no_socket_backoff: nanos(limits.no_socket_backoff),
     }
 }
--- a/src/net/node/connection.rs
+++ b/src/net/node/connection.rs
@@ -16,18 +16,18 @@
 use crate::net::node::NodeContext;
 use crate::runtime::{spawn, Permit, Permits, Stream};
 
-/// Pieces of one connection that may wait in the actor's mailbox.
+/// Maximum number of reads of one connection that wait in the actor's mailbox.
 const READ_AHEAD_LIMIT: usize = 4;
 
-/// How often the reader tries to get a permit for the next.
-const READ_AHEAD_PAUSE: Duration = Duration::from_millis(1);
+/// Interval between the reader's attempts to take a permit.
+const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Reports to a data node's actor; nobody is left to be told once that has ended.
+/// Reports to a data node's actor; the report is discarded if the actor has ended.
 pub(super) fn report(node: &Sender<NodeMessage>, input: Input) {
     let _ = node.send(NodeMessage::Connection(input));
 }
 
-/// One connection to be opened.
+/// The task of one connection, from opening it to its end.
 pub(super) struct ConnectionTask {
     pub(super) id: ConnectionId,
     pub(super) address: SocketAddr,
@@ -38,7 +38,7 @@
 }
 
 impl ConnectionTask {
-    /// Runs the connection to its end.
+    /// Opens the connection, starts its writer and reads until it ends.
     pub(super) fn run(self, permit: Permit) {
         let Some(stream) = self.connect(permit) else { return };
         let Some(writer) = self.start_writer(stream.clone()) else {
@@ -46,7 +46,7 @@
         };
         let connected = NodeMessage::Connected { connection: self.id, stream: stream.clone(), writer };
         if self.node.send(connected).is_err() {
-            return; // The actor has ended, and nobody else would close this.
+            return; // The actor has ended and would not shut the stream down to end the reads.
         }
         self.read(&stream);
         stream.shutdown();
@@ -58,9 +58,9 @@
         match Stream::connect(&self.address, timeout, Some(permit)) {
             Ok(stream) => Some(Arc::new(stream)),
             Err(error) => {
-                log::debug!(address:% = self.address, error:% = error; "a connection could not be opened");
+                log::debug!(address:% = self.address, error:% = error; "failed to open a connection to a data node");
                 Counters::add(&self.context.counters.dials_failed);
-                // A local shortage says nothing of the data node.
+                // A lack of local resources does not count against the data node.
                 let input =
                     if is_local_shortage(&error) { Input::NoSocketAvailable } else { Input::ConnectFailed };
                 report(&self.node, input(self.id));
@@ -93,19 +93,19 @@
         read_frames(stream, &self.context, |received| {
             let permit = wait_for_permit(&permits);
             let message = NodeMessage::FramesReceived { connection: self.id, received, permit };
-            // Nobody is left to be told once the actor has ended.
+            // The send fails only after the actor has ended; the input is then discarded.
             let _ = self.node.send(message);
         });
     }
 }
 
-/// Waits until one more piece of a connection may be handed to the actor. A data node that sends without end is read no
-/// faster than the actor takes it: that would otherwise never see an empty mailbox, and nobody else would get a turn.
+/// Waits for a permit to send the next read to the actor. A data node that sends continuously is read no faster than
+/// the actor handles its input. Otherwise the actor's mailbox would never be empty, and other coroutines would starve.
 fn wait_for_permit(permits: &Permits) -> Permit {
     loop {
         if let Some(permit) = permits.take() {
             return permit;
         }
-        may::coroutine::sleep(READ_AHEAD_PAUSE);
+        may::coroutine::sleep(PERMIT_RETRY_INTERVAL);
     }
 }
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -1,5 +1,5 @@
-//! The actor of one data node that speaks frames: carries out on sockets what its
-//! [`ConnectionPool`](crate::net::connection_pool::ConnectionPool) decides.
+//! The actor of one data node that uses the frame protocol: performs the outputs of its
+//! [`ConnectionPool`](crate::net::connection_pool::ConnectionPool) on sockets.
 
 mod actor;
 mod connection;
@@ -21,30 +21,30 @@
 use crate::runtime::{spawn_vital, Clock, Permits};
 use crate::settings::Connections;
 
-/// What every actor of a data node needs.
+/// Dependencies of every data node's actor.
 #[derive(Clone)]
 pub struct NodeContext {
-    /// The coordinator's mailbox.
+    /// The coordinator's mailbox, which receives the ends of attempts and health checks.
     pub core: CoreMailbox,
-    /// The process's limits.
+    /// The limits of the process, such as stack sizes and timeouts.
     pub limits: Arc<Limits>,
-    /// The settings of connections.
+    /// The settings of connections: multiplexing, idle and connect timeouts.
     pub connections: Connections,
     /// The shortest latency objective of all classes.
     pub shortest_latency_objective: Duration,
-    /// Sockets that all data nodes may hold together.
+    /// Permits for sockets, shared by all data nodes.
     pub permits: Permits,
-    /// Limits the log line that says that no socket is left.
+    /// Rate limit of the log line about missing sockets, shared by all data nodes.
     pub no_socket_log: Arc<Mutex<LogRateLimit>>,
-    /// Counters.
+    /// The counters of the process; data nodes' actors count connections, attempts and bad frames.
     pub counters: Arc<Counters>,
-    /// The clock.
+    /// The monotonic clock that deadlines are compared with.
     pub clock: Clock,
-    /// Updates of the endpoint list that were received and not yet applied.
+    /// Updates of the endpoint list that were received but not yet applied.
     pub pending_updates: PendingUpdates,
 }
 
-/// Starts the actor; returns its mailbox.
+/// Starts the data node's actor; returns its mailbox.
 pub fn start(id: ServerId, gate: DrainGate, context: NodeContext) -> Sender<NodeMessage> {
     let (mailbox, inbox) = channel();
     let own_mailbox = mailbox.clone();
--- a/src/net/node/reader.rs
+++ b/src/net/node/reader.rs
@@ -9,27 +9,27 @@
 use crate::net::node::NodeContext;
 use crate::runtime::Stream;
 
-/// Bytes that are read at once.
+/// Size of the buffer for one read.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// How long one read waits while no frame has begun; it is simply repeated.
+/// Timeout of one read while no partial frame is buffered; the read is then repeated.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why a connection is read no further.
+/// Why the reader stops reading a connection.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
-    #[error("a frame stopped midway")]
+    #[error("timed out in the middle of a frame")]
     FrameTimedOut,
     #[error(transparent)]
     Malformed(#[from] FrameError),
 }
 
-/// Reads a connection to its end and hands on what was received, piece by piece.
-pub(super) fn read_frames(stream: &Stream, context: &NodeContext, hand_on: impl Fn(ReceivedFrames)) {
+/// Reads a connection until it ends or is malformed, and passes the result of each read to `deliver`.
+pub(super) fn read_frames(stream: &Stream, context: &NodeContext, deliver: impl Fn(ReceivedFrames)) {
     let mut reader = FrameReader::new(context);
     while let Some(received) = reader.read(stream) {
         let is_malformed = received.trailing == TrailingBytes::Malformed;
-        hand_on(received);
+        deliver(received);
         if is_malformed {
             return;
         }
@@ -39,12 +39,12 @@
 struct FrameReader<'a> {
     context: &'a NodeContext,
     limits: FrameLimits,
-    /// A frame that has begun must be complete within this.
+    /// Maximum time between the first and the last byte of a frame.
     frame_timeout: Duration,
-    /// Bytes that are not yet a complete frame.
+    /// Received bytes that do not form a complete frame yet.
     buffered: Vec<u8>,
     read_buffer: Vec<u8>,
-    /// When the frame began that is not yet complete.
+    /// When the partial frame in `buffered` began.
     frame_begun_at: Option<Instant>,
 }
 
@@ -53,7 +53,10 @@
         let limits = &context.limits;
         Self {
             context,
-            limits: FrameLimits { frame: limits.max_frame_bytes, line: limits.max_frame_line_bytes },
+            limits: FrameLimits {
+                max_frame_bytes: limits.max_frame_bytes,
+                max_line_bytes: limits.max_frame_line_bytes,
+            },
             frame_timeout: limits
                 .frame_read_timeout
                 .max(limits.connection_silence_for(context.shortest_latency_objective)),
@@ -63,7 +66,7 @@
         }
     }
 
-    /// What is received next; none once the connection has ended.
+    /// Reads once and returns the result; `None` once the connection has ended.
     fn read(&mut self, stream: &Stream) -> Option<ReceivedFrames> {
         loop {
             let timeout = self.read_timeout();
@@ -87,7 +90,7 @@
             .map_or(READ_TIMEOUT, |begun_at| self.frame_timeout.saturating_sub(begun_at.elapsed()))
     }
 
-    /// Takes the complete frames out of what is buffered.
+    /// Removes and returns the complete frames in the buffer.
     fn take_frames(&mut self) -> ReceivedFrames {
         let mut frames = Vec::new();
         let mut consumed = 0;
@@ -103,13 +106,14 @@
             }
         }
         self.buffered.drain(..consumed);
-        self.note_frame_begun(consumed);
-        let trailing = if self.buffered.is_empty() { TrailingBytes::None } else { TrailingBytes::FrameBegun };
+        self.update_frame_begun_at(consumed);
+        let trailing =
+            if self.buffered.is_empty() { TrailingBytes::None } else { TrailingBytes::PartialFrame };
         ReceivedFrames { frames, trailing }
     }
 
-    /// Notes when the frame began that is not yet complete, after so many bytes of complete frames.
-    fn note_frame_begun(&mut self, consumed: usize) {
+    /// Updates the start time of the partial frame after `consumed` bytes of complete frames were removed.
+    fn update_frame_begun_at(&mut self, consumed: usize) {
         let continues = consumed == 0 && self.frame_begun_at.is_some();
         if self.buffered.is_empty() {
             self.frame_begun_at = None;
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -27,7 +27,7 @@
     let context = NodeContext {
         core,
         limits: Arc::new(Limits { no_socket_backoff: Duration::from_secs(3600), ..Limits::default() }),
-        // Each part needs a connection of its own.
+        // Each part needs a separate connection.
         connections: Connections { idle: Nanos::MAX, connect_timeout: 60_000_000_000, multiplex: 1 },
         shortest_latency_objective: Duration::from_secs(1),
         permits: Permits::new(permits),
@@ -39,10 +39,10 @@
     (context, core_inbox)
 }
 
-/// Guards against a try for each of the parts that wait in the mailbox when no socket is left: the first that finds none
-/// speaks for all of that moment, and each attempt ends as not sent.
+/// When no socket is left, every part in the mailbox would otherwise try to open a connection. Only the first one
+/// tries, and each attempt ends as not sent.
 #[test]
-fn a_lack_of_sockets_is_found_once_for_a_full_mailbox() {
+fn a_full_mailbox_tries_one_connection_when_no_socket_is_left() {
     const PARTS: u64 = 100;
     let (context, core_inbox) = context(0);
     let no_socket_log = context.no_socket_log.clone();
@@ -50,11 +50,11 @@
     gate.set_open(true);
     let (mailbox, inbox) = channel();
     let node = NodeActor::new(ServerId(1), gate, context, mailbox.clone());
-    // All of it waits before the actor handles the first.
+    // All messages are in the mailbox before the actor handles the first.
     mailbox.send(NodeMessage::Address("127.0.0.1:9".parse().unwrap())).unwrap();
     (0..PARTS).for_each(|id| mailbox.send(NodeMessage::Call(vec![part(id)])).unwrap());
     mailbox.send(NodeMessage::Remove).unwrap();
-    // After this line none is due, and the tries are counted.
+    // No further line is due after this one, so the limit counts the tries.
     lock(&no_socket_log).occurred(0);
     node.run(&inbox);
     assert_eq!(lock(&no_socket_log).due(Nanos::MAX), Some(1));
@@ -66,10 +66,10 @@
     }
 }
 
-/// Guards the moment between a frame's handing out and its first byte: if the gate is closed or the data node has moved
-/// to another address by then, neither a call nor a health check is written, and each ends as not sent.
+/// The gate may close, or the data node's address may change, between a frame's transfer to the writer and its first
+/// byte. Then neither a call nor a health check is written, and each ends as not sent.
 #[test]
-fn a_frame_handed_out_before_an_endpoint_update_is_not_begun_after_it() {
+fn a_frame_passed_to_the_writer_before_an_endpoint_update_is_not_written_after_it() {
     let call = || NodeMessage::Call(vec![part(0)]);
     let close: fn(&DrainGate) = |gate| assert!(gate.set_open(false));
     let moved: fn(&DrainGate) = |gate| gate.set_address("127.0.0.1:9".parse().unwrap());
@@ -90,15 +90,15 @@
         node.handle_message(NodeMessage::Address(address));
         node.handle_message(work);
         let Ok(NodeMessage::Connected { connection, stream, writer }) = inbox.recv() else {
-            panic!("the connection is not up")
+            panic!("the connection was not established")
         };
-        let (own_writer, handed_out) = channel();
+        let (test_writer, frames) = channel();
         node.handle_message(NodeMessage::Connected {
             connection,
             stream: stream.clone(),
-            writer: own_writer,
+            writer: test_writer,
         });
-        let frame = handed_out.recv().unwrap();
+        let frame = frames.recv().unwrap();
         update_gate(&gate);
         writer.send(frame).unwrap();
         let mut written = false;
@@ -112,7 +112,7 @@
                 CoreMessage::AttemptEnded { attempt: AttemptId(0), outcome: Outcome::NotSent, value: None }
                 | CoreMessage::HealthChecked { outcome: Outcome::NotSent, .. },
             ) => {}
-            _ => panic!("it did not end as not sent"),
+            _ => panic!("the work did not end as not sent"),
         }
         stream.shutdown();
         let mut received = Vec::new();
--- a/src/net/node/writer.rs
+++ b/src/net/node/writer.rs
@@ -24,7 +24,7 @@
     /// The mailbox of the data node's actor.
     pub(super) node: Sender<NodeMessage>,
     pub(super) gate: DrainGate,
-    /// How long the write of one frame may take.
+    /// Timeout of the write of one frame.
     pub(super) timeout: Duration,
     pub(super) counters: Arc<Counters>,
     pub(super) clock: Clock,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Writes what of a frame may be sent at the moment of its first byte: nothing yields between the last check and that
-    /// byte, however long the socket was full before.
+    /// Writes the part of a frame that may be sent when its first byte is written. The coroutine does not yield between
+    /// the last check and that byte, however long the socket was full before.
     fn write(&self, frame: &OutboundFrame) -> (EncodedFrame, Result<(), WriteError>) {
         let latest = RefCell::new(EncodedFrame::default());
         let current = || {
@@ -60,7 +60,7 @@
         (latest.into_inner(), result)
     }
 
-    /// Reports what became of a frame; what was omitted from it first.
+    /// Reports the result of a frame's write to the actor, after its omitted attempts and health check.
     fn report_written(&self, frame: &OutboundFrame, encoded: EncodedFrame, result: &Result<(), WriteError>) {
         let EncodedFrame { sent, omitted, health_check_omitted, .. } = encoded;
         log_written(self.connection, frame, sent.len(), result);
--- a/src/net/received_frames.rs
+++ b/src/net/received_frames.rs
@@ -1,24 +1,24 @@
-//! What a connection's reader hands to the data node's actor.
+//! The input that a connection's reader sends to the data node's actor.
 
 use crate::net::frame::InboundFrame;
 
-/// What was received on a connection in one piece. It is handled together, so that nothing new is sent on a connection
-/// that turns out to be malformed.
+/// The result of one read from a connection. The actor handles all of it before it sends anything new, since the
+/// input may end with malformed bytes.
 #[derive(Debug)]
 pub struct ReceivedFrames {
-    /// Complete frames.
+    /// The complete frames, in the order received.
     pub frames: Vec<InboundFrame>,
-    /// What follows them.
+    /// The bytes after the last complete frame.
     pub trailing: TrailingBytes,
 }
 
-/// What follows the complete frames.
+/// The kind of bytes after the complete frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrailingBytes {
-    /// Nothing.
+    /// No bytes follow.
     None,
     /// The beginning of a frame.
-    FrameBegun,
-    /// Bytes that can never become a frame.
+    PartialFrame,
+    /// Bytes that cannot be the beginning of a valid frame.
     Malformed,
 }
