--- a/src/net/endpoints.rs
+++ b/src/net/endpoints.rs
@@ -1,7 +1,7 @@
-//! The endpoint list (pure): updates as discovery writes them, and as the coordinator's core takes them.
+//! The endpoint list, without I/O: discovery's updates, and their conversion for the coordinator's core.
 //!
-//! [`WatchParser`] takes the stream of a watch apart, `wire` reads one update, and `merge` prepares it for the table
-//! of what is in force. A line that cannot be read costs that line only.
+//! [`WatchParser`] splits the stream of a watch into events, `wire` parses one update, and `merge` prepares it for the
+//! membership table. An unreadable line does not affect the other lines of its update.
 
 use std::net::SocketAddr;
 
@@ -20,43 +20,43 @@
 pub use line::{EndpointEntry, EndpointLine};
 pub use watch_parser::{WatchEvent, WatchParser};
 
-/// A snapshot of the endpoint list or a change to it, as discovery writes it.
+/// A snapshot of the endpoint list or a delta, as discovery sends it.
 #[derive(Debug, Clone)]
 pub struct DiscoveryUpdate {
-    /// Its version.
+    /// The version of the endpoint list after this update.
     pub version: u64,
-    /// Whether it is a snapshot: a data node that is missing from it is removed.
+    /// Whether this is a snapshot, which removes every data node that it does not list.
     pub complete: bool,
-    /// Its lines, in their order.
+    /// The lines in the order of the JSON array.
     pub lines: Vec<EndpointLine>,
 }
 
 impl DiscoveryUpdate {
-    /// Why lines of it cannot be used as a whole, in the order of the lines: none where all lines can.
+    /// Errors of the lines that are not complete, in the order of the lines.
     pub fn unreadable_lines(&self) -> impl Iterator<Item = &LineError> {
         self.lines.iter().filter_map(EndpointLine::error)
     }
 }
 
-/// A data node as the core knows it, and its address.
+/// A data node's description for the core, and its address.
 pub type ListedEndpoint = (Endpoint, SocketAddr);
 
-/// An update ready for the core.
+/// An update of the endpoint list, converted for the core.
 #[derive(Debug, Clone)]
 pub struct EndpointUpdate {
-    /// Whether it is a snapshot or a change, or a list that discovery has not confirmed yet.
+    /// Snapshot, delta, or a list that discovery has not confirmed yet.
     pub kind: EndpointUpdateKind,
-    /// Its endpoints, with the address of each.
+    /// The listed endpoints with their addresses.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointUpdate {
-    /// The update that says that nothing has changed: the list that is held is in force.
+    /// An empty delta: confirms the current list without changing it.
     pub fn unchanged() -> Self {
         Self { kind: EndpointUpdateKind::Delta, endpoints: Vec::new() }
     }
 
-    /// What the core is to take over of an update that the table of what is in force has applied.
+    /// Converts the lines that the membership table has applied.
     pub fn from_applied(update: Update<ListedEndpoint>) -> Self {
         let kind = if update.complete { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
         let endpoints = update.lines.into_iter().filter_map(listed_endpoint).collect();
@@ -64,7 +64,7 @@
     }
 }
 
-/// The endpoint of a line, in the line's state; none where only the state is known.
+/// Returns the line's endpoint in the line's state, or `None` if only the state is known.
 fn listed_endpoint(line: Line<ListedEndpoint>) -> Option<ListedEndpoint> {
     let (endpoint, address) = line.member?;
     Some((Endpoint { state: endpoint_state(line.state), ..endpoint }, address))
--- a/src/net/endpoints/error.rs
+++ b/src/net/endpoints/error.rs
@@ -1,16 +1,15 @@
-//! Why a line or an update cannot be read (pure): the fault by name, and a short excerpt of what came.
+//! Errors of parsing a line or an update: the kind of fault and a short excerpt of the input.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// The most characters of a peer's text that an error keeps.
 const MAX_EXCERPT_CHARACTERS: usize = 60;
 
-/// What stands for a character that is not printable ASCII.
+/// Replaces each character that is not printable ASCII.
 const REPLACEMENT: char = '?';
 
-/// The beginning of a text that a peer sent, printable and of bounded length.
+/// The start of a text received from a peer, limited to printable ASCII and [`MAX_EXCERPT_CHARACTERS`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Excerpt(String);
 
@@ -25,30 +24,30 @@
     }
 }
 
-/// What is wrong with a line or an update. Its text names the field as discovery does.
+/// The fault of a line or an update. Its text uses discovery's field names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineFault {
     /// The line is not a JSON object.
     NotAnObject,
-    /// The line has no name that can be read.
+    /// The line's name is missing or unreadable.
     Name,
-    /// The line's state is missing, null, not a string, or given twice.
+    /// The line's state is missing, null, not a string, or duplicated.
     State,
-    /// The line's address is not one.
+    /// The line's address is missing or invalid.
     Address,
-    /// The line's partition group is not a number.
+    /// The line's partition group is missing or not a 32-bit unsigned integer.
     PartitionGroup,
-    /// The line's start is not a time.
+    /// The line's start time is not an unsigned integer.
     StartTime,
-    /// The JSON object is not an update.
+    /// The input is not a valid update object.
     NotAnUpdate,
     /// The JSON object is longer than the limit.
     TooLong,
-    /// What came is not the beginning of a JSON object.
+    /// The input does not begin with a JSON object.
     UnexpectedByte,
 }
 
-/// Why a line or an update cannot be read. It holds a bounded part of what came, without control characters.
+/// An error in a line or an update. It keeps a bounded excerpt of the input, without control characters.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct LineError {
     fault: LineFault,
@@ -57,17 +56,17 @@
 }
 
 impl LineError {
-    /// `fault`, with the text in which it was seen.
+    /// Creates an error with an excerpt of the faulty text.
     pub fn new(fault: LineFault, text: &str) -> Self {
         Self { fault, name: None, text: Excerpt::of(text) }
     }
 
-    /// The same, of a line of the data node `name`.
-    pub fn at(self, name: &str) -> Self {
+    /// Adds the name of the data node that the line describes.
+    pub fn with_name(self, name: &str) -> Self {
         Self { name: Some(Excerpt::of(name)), ..self }
     }
 
-    /// What is wrong.
+    /// Returns the kind of fault, without the excerpt.
     pub fn fault(&self) -> LineFault {
         self.fault
     }
--- a/src/net/endpoints/line.rs
+++ b/src/net/endpoints/line.rs
@@ -1,4 +1,4 @@
-//! One line of the endpoint list, as far as it can be read (pure).
+//! One line of the endpoint list, parsed completely or in part.
 
 use std::net::SocketAddr;
 
@@ -6,47 +6,47 @@
 
 use super::error::LineError;
 
-/// A line of which all that is needed can be read.
+/// A line with all required fields.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// The data node's name.
+    /// The data node's name, unique in the list.
     pub name: String,
-    /// Its address.
+    /// Where the data node accepts connections.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The availability zone; `None` if it is missing or unreadable.
     pub zone: Option<String>,
-    /// Its partition group.
+    /// The partition group that the data node serves.
     pub partition_group: u32,
-    /// Its state.
+    /// The state that discovery reports.
     pub state: State,
-    /// Its size for comparison: finite and not negative.
+    /// Relative capacity; finite and not negative.
     pub capacity: f64,
-    /// When it last started, as Unix time in milliseconds; 0 means long ago.
+    /// Unix time of the last start in milliseconds; 0 if the line has none.
     pub started_at_ms: u64,
 }
 
-/// A line, as far as it can be read.
+/// A line, parsed completely or in part.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointLine {
-    /// All that is needed.
+    /// All required fields are readable.
     Complete(EndpointEntry),
-    /// Name and state only: enough to close the data node's gate, and too little to open it.
+    /// Only the name and state are known: they can close the data node's gate, but not open it.
     Partial {
         /// The data node's name.
         name: String,
-        /// Its state; draining where that cannot be read.
+        /// The state; draining if it is unreadable.
         state: State,
-        /// When it last started, if that can be read; 0 where it is left out.
+        /// Unix time of the last start in milliseconds; 0 if it is missing, `None` if it is unreadable.
         started_at_ms: Option<u64>,
-        /// Why the rest cannot be used.
+        /// The first error among the required fields.
         reason: LineError,
     },
-    /// It is not known which data node the line is of.
+    /// The line names no data node.
     Unreadable(LineError),
 }
 
 impl EndpointLine {
-    /// Why it is not complete; nothing where it is.
+    /// Returns why the line is not complete, or `None` if it is.
     pub fn error(&self) -> Option<&LineError> {
         match self {
             Self::Complete(_) => None,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The data node's name, where it is known.
+    /// Returns the data node's name, if it is known.
     pub fn name(&self) -> Option<&str> {
         match self {
             Self::Complete(entry) => Some(&entry.name),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The data node's state; draining where it is not known.
+    /// Returns the data node's state; draining if it is unknown.
     pub fn state(&self) -> State {
         match self {
             Self::Complete(entry) => entry.state,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// When the data node last started, as Unix time in milliseconds, where it is known.
+    /// Returns the Unix time of the data node's last start in milliseconds, if it is known.
     pub fn started_at_ms(&self) -> Option<u64> {
         match self {
             Self::Complete(entry) => Some(entry.started_at_ms),
--- a/src/net/endpoints/merge.rs
+++ b/src/net/endpoints/merge.rs
@@ -1,9 +1,9 @@
-//! Prepares an update for the table of what is in force: each data node is named once.
+//! Prepares an update for the membership table by merging the lines of each data node into one.
 //!
-//! A later line of a data node replaces an earlier one, but a drain gate that one line closes is not opened by another
-//! line of the same update, unless that one tells of a newer start. Discovery doesn't say in which order it writes
-//! changes: if `up` is the older of the two, a node that drains would get new work; if it is the newer, one node is idle
-//! until the next snapshot or change, which breaks no rule.
+//! A later line of a data node replaces an earlier one. However, if one line closes the drain gate, another line of the
+//! same update opens it only if it reports a newer start. The order in which discovery writes changes is unspecified:
+//! if `up` were the older state, a draining node would get new work. If it is the newer one, the node stays idle until
+//! the next snapshot or delta, which does not violate the drain rule.
 
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
 const NANOS_PER_MS: u64 = 1_000_000;
 
 impl From<DiscoveryUpdate> for Update<ListedEndpoint> {
-    /// Lines that do not say which data node they are of are left out.
+    /// Omits lines without a readable name.
     fn from(update: DiscoveryUpdate) -> Self {
         let mut merged = MergedLines::default();
         update.lines.into_iter().for_each(|line| merged.add(line));
@@ -24,7 +24,7 @@
     }
 }
 
-/// A line for the table; none where it is not known which data node it is of.
+/// Converts a line for the table; returns `None` if its data node is unknown.
 fn table_line(line: EndpointLine) -> Option<Line<ListedEndpoint>> {
     match line {
         EndpointLine::Complete(entry) => Some(Line {
@@ -52,11 +52,11 @@
     (endpoint, entry.address)
 }
 
-/// The lines of an update, with one line for each data node.
+/// The merged lines of an update, one for each data node.
 #[derive(Default)]
 struct MergedLines {
     lines: Vec<EndpointLine>,
-    /// By the data node's name: the index of its line.
+    /// Index in `lines` by the data node's name.
     indices: HashMap<String, usize>,
 }
 
@@ -76,10 +76,10 @@
     }
 }
 
-/// What two lines of the same data node say together.
+/// Merges two lines of the same data node.
 fn merge(earlier: &EndpointLine, later: EndpointLine) -> EndpointLine {
     match (earlier, later) {
-        // It cannot open a gate, and says nothing else.
+        // A partial line cannot open a gate, and `Up` carries no other information.
         (_, EndpointLine::Partial { state: State::Up, .. }) => earlier.clone(),
         (EndpointLine::Complete(before), EndpointLine::Partial { state, .. }) => {
             EndpointLine::Complete(EndpointEntry { state, ..before.clone() })
@@ -91,7 +91,7 @@
     }
 }
 
-/// Whether a data node that is up by its later line may be sent new work, whatever its earlier line says.
+/// Returns whether a later line in state `Up` may open the gate despite the earlier line.
 fn may_reopen(earlier: &EndpointLine, later: &EndpointEntry) -> bool {
     let is_newer_start = |started_at_ms| later.started_at_ms > started_at_ms;
     earlier.state() == State::Up || earlier.started_at_ms().is_some_and(is_newer_start)
--- a/src/net/endpoints/tests.rs
+++ b/src/net/endpoints/tests.rs
@@ -2,9 +2,9 @@
 use curlewdeck_membership::State as MemberState;
 use proptest::prelude::*;
 
-const MOST: usize = 4096;
+const MAX_BYTES: usize = 4096;
 
-/// An event of a watch, in short.
+/// A [`WatchEvent`] without its contents.
 #[derive(Debug, Clone, PartialEq)]
 enum ParsedEvent {
     Version(u64),
@@ -12,7 +12,7 @@
     Unreadable,
 }
 
-fn short(event: WatchEvent) -> ParsedEvent {
+fn parsed(event: WatchEvent) -> ParsedEvent {
     match event {
         WatchEvent::Update(update) => ParsedEvent::Version(update.version),
         WatchEvent::Heartbeat => ParsedEvent::Heartbeat,
@@ -20,22 +20,23 @@
     }
 }
 
-/// The events of a watch whose bytes come cut in these places. What has been parsed is not held any more.
-fn parse(bytes: &[u8], cuts: &[usize]) -> Result<Vec<ParsedEvent>, LineError> {
+/// Parses a stream that arrives in chunks of these lengths, the last of which is the remainder. Checks that parsed
+/// bytes are discarded.
+fn parse(bytes: &[u8], chunk_lengths: &[usize]) -> Result<Vec<ParsedEvent>, LineError> {
     let (mut parser, mut rest, mut events) = (WatchParser::default(), bytes, Vec::new());
-    for cut in cuts.iter().copied().chain([bytes.len()]) {
-        let (piece, later) = rest.split_at(cut.min(rest.len()));
-        parser.buffer().extend_from_slice(piece);
-        rest = later;
-        while let Some(event) = parser.next_event(MOST)? {
-            events.push(short(event));
+    for length in chunk_lengths.iter().copied().chain([bytes.len()]) {
+        let (chunk, remainder) = rest.split_at(length.min(rest.len()));
+        parser.buffer().extend_from_slice(chunk);
+        rest = remainder;
+        while let Some(event) = parser.next_event(MAX_BYTES)? {
+            events.push(parsed(event));
         }
-        assert!(parser.buffer().len() <= MOST);
+        assert!(parser.buffer().len() <= MAX_BYTES);
     }
     Ok(events)
 }
 
-/// A line with the fields that are needed, of which some are others.
+/// A complete line with some of its fields replaced; an empty value removes the field.
 fn line_with(changes: &[(&str, &str)]) -> String {
     let mut fields = vec![
         ("uid", r#""s-1""#),
@@ -74,55 +75,54 @@
     DiscoveryUpdate::read(text.as_bytes()).unwrap()
 }
 
-type Named<'a> = Vec<(&'a str, EndpointState)>;
+type NamedStates<'a> = Vec<(&'a str, EndpointState)>;
 
-/// An update's lines for the table of what is in force.
-fn table(update: DiscoveryUpdate) -> Update<ListedEndpoint> {
+fn table_update(update: DiscoveryUpdate) -> Update<ListedEndpoint> {
     update.into()
 }
 
-/// Name and state of the lines for the table, and the same of those that are known in part.
-fn states(update: &Update<ListedEndpoint>) -> (Named<'_>, Named<'_>) {
-    let of = |complete: bool| {
+/// Names and states of the complete lines, and of the partial lines.
+fn states(update: &Update<ListedEndpoint>) -> (NamedStates<'_>, NamedStates<'_>) {
+    let named_states = |complete: bool| {
         let lines = update.lines.iter().filter(move |line| line.member.is_some() == complete);
         lines.map(|line| (line.uid.as_str(), endpoint_state(line.state))).collect()
     };
-    (of(true), of(false))
+    (named_states(true), named_states(false))
 }
 
-// ---- Lines. ----
+// Lines.
 
-/// Guards against a line that is turned down for a field that may be left out, or for the form of a number.
+/// Rejecting a line for a missing optional field or for the notation of a number would lose a usable data node.
 #[test]
 fn a_line_is_complete_without_optional_fields_and_with_numbers_in_any_form() {
-    let same = entry();
+    let unchanged = entry();
     let complete: &[(&[(&str, &str)], EndpointEntry)] = &[
-        (&[], same.clone()),
-        (&[("az", "null")], EndpointEntry { zone: None, ..same.clone() }),
-        (&[("az", "")], EndpointEntry { zone: None, ..same.clone() }),
-        (&[("az", "5")], EndpointEntry { zone: None, ..same.clone() }),
-        (&[("model", "null")], same.clone()),
-        (&[("model", "")], same.clone()),
-        (&[("boot_ms", "null")], EndpointEntry { started_at_ms: 0, ..same.clone() }),
-        (&[("boot_ms", "")], EndpointEntry { started_at_ms: 0, ..same.clone() }),
-        (&[("boot_ms", "7.0")], same.clone()),
-        (&[("boot_ms", "7e0")], same.clone()),
-        (&[("pod_group", "3.0")], same.clone()),
-        (&[("capacity_hint", "2e0")], same.clone()),
-        (&[("capacity_hint", "2")], same.clone()),
-        (&[("capacity_hint", "0")], EndpointEntry { capacity: 0.0, ..same.clone() }),
-        (&[("capacity_hint", "")], EndpointEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", "null")], EndpointEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", "-1")], EndpointEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", "1e999")], EndpointEntry { capacity: 1.0, ..same.clone() }),
-        (&[("capacity_hint", r#""2""#)], EndpointEntry { capacity: 1.0, ..same.clone() }),
-        (&[("extra", r#"{"a":[1,"\ud800",1e999]}"#)], same.clone()),
+        (&[], unchanged.clone()),
+        (&[("az", "null")], EndpointEntry { zone: None, ..unchanged.clone() }),
+        (&[("az", "")], EndpointEntry { zone: None, ..unchanged.clone() }),
+        (&[("az", "5")], EndpointEntry { zone: None, ..unchanged.clone() }),
+        (&[("model", "null")], unchanged.clone()),
+        (&[("model", "")], unchanged.clone()),
+        (&[("boot_ms", "null")], EndpointEntry { started_at_ms: 0, ..unchanged.clone() }),
+        (&[("boot_ms", "")], EndpointEntry { started_at_ms: 0, ..unchanged.clone() }),
+        (&[("boot_ms", "7.0")], unchanged.clone()),
+        (&[("boot_ms", "7e0")], unchanged.clone()),
+        (&[("pod_group", "3.0")], unchanged.clone()),
+        (&[("capacity_hint", "2e0")], unchanged.clone()),
+        (&[("capacity_hint", "2")], unchanged.clone()),
+        (&[("capacity_hint", "0")], EndpointEntry { capacity: 0.0, ..unchanged.clone() }),
+        (&[("capacity_hint", "")], EndpointEntry { capacity: 1.0, ..unchanged.clone() }),
+        (&[("capacity_hint", "null")], EndpointEntry { capacity: 1.0, ..unchanged.clone() }),
+        (&[("capacity_hint", "-1")], EndpointEntry { capacity: 1.0, ..unchanged.clone() }),
+        (&[("capacity_hint", "1e999")], EndpointEntry { capacity: 1.0, ..unchanged.clone() }),
+        (&[("capacity_hint", r#""2""#)], EndpointEntry { capacity: 1.0, ..unchanged.clone() }),
+        (&[("extra", r#"{"a":[1,"\ud800",1e999]}"#)], unchanged.clone()),
         (
             &[("endpoint", r#""[::1]:9""#)],
-            EndpointEntry { address: "[::1]:9".parse().unwrap(), ..same.clone() },
+            EndpointEntry { address: "[::1]:9".parse().unwrap(), ..unchanged.clone() },
         ),
-        (&[("state", r#""removed""#)], EndpointEntry { state: MemberState::Removed, ..same.clone() }),
-        (&[("state", r#""resting""#)], EndpointEntry { state: MemberState::Draining, ..same.clone() }),
+        (&[("state", r#""removed""#)], EndpointEntry { state: MemberState::Removed, ..unchanged.clone() }),
+        (&[("state", r#""resting""#)], EndpointEntry { state: MemberState::Draining, ..unchanged.clone() }),
     ];
     for (changes, expected) in complete {
         let text = line_with(changes);
@@ -130,9 +130,9 @@
     }
 }
 
-/// Guards against a line that loses its name and state for another field.
+/// An unreadable field must not discard the line's name and state: the state may have to close a gate.
 #[test]
-fn a_line_that_is_not_complete_still_gives_its_name_and_state() {
+fn an_incomplete_line_keeps_its_name_and_state() {
     use LineFault::{Address, PartitionGroup, StartTime, State};
     let partial = [
         ("endpoint", "null", Address),
@@ -151,13 +151,17 @@
         ("boot_ms", r#""x""#, StartTime),
     ];
     for (key, value, fault) in partial {
-        for (word, said) in
+        for (state_text, expected_state) in
             [("up", MemberState::Up), ("draining", MemberState::Draining), ("removed", MemberState::Removed)]
         {
-            let text = line_with(&[("state", &format!("{word:?}")), (key, value)]);
+            let text = line_with(&[("state", &format!("{state_text:?}")), (key, value)]);
             match EndpointLine::read(&text) {
                 EndpointLine::Partial { name, state, started_at_ms, reason } => {
-                    assert_eq!((name.as_str(), state, reason.fault()), ("s-1", said, fault), "{text}");
+                    assert_eq!(
+                        (name.as_str(), state, reason.fault()),
+                        ("s-1", expected_state, fault),
+                        "{text}"
+                    );
                     assert_eq!(started_at_ms, (fault != StartTime).then_some(7), "{text}");
                 }
                 other => panic!("{text}: {other:?}"),
@@ -176,22 +180,22 @@
     }
 }
 
-/// Guards against a name that is guessed.
+/// A line without a readable name must not be attributed to any data node.
 #[test]
 fn a_line_without_a_name_is_unreadable() {
     let names = ["null", "", "5", r#""""#, "{}", r#""\ud800""#, "\"\u{fffd}\""];
     let lines = names.map(|name| line_with(&[("uid", name)]));
-    let no_lines = ["null", "5", "[]", r#""s-1""#].map(str::to_string);
-    for text in lines.iter().chain(&no_lines) {
+    let non_objects = ["null", "5", "[]", r#""s-1""#].map(str::to_string);
+    for text in lines.iter().chain(&non_objects) {
         assert!(matches!(EndpointLine::read(text), EndpointLine::Unreadable(_)), "{text}");
     }
 }
 
-/// Guards against a gate that is opened by one of two values of the same field.
+/// With two conflicting values of a field, the parser could pick the one that opens a gate.
 #[test]
-fn a_field_that_is_given_twice_counts_as_unreadable() {
-    let twice = |field: &str| line_with(&[]).replacen('{', &format!("{{{field},"), 1);
-    let line = |field: &str| EndpointLine::read(&twice(field));
+fn a_duplicated_field_is_unreadable() {
+    let with_duplicate = |field: &str| line_with(&[]).replacen('{', &format!("{{{field},"), 1);
+    let line = |field: &str| EndpointLine::read(&with_duplicate(field));
     assert!(matches!(line(r#""uid":"s-2""#), EndpointLine::Unreadable(_)));
     assert!(matches!(
         line(r#""state":"draining""#),
@@ -201,7 +205,7 @@
     assert_eq!(line(r#""az":"b""#), EndpointLine::Complete(EndpointEntry { zone: None, ..entry() }));
 }
 
-/// Guards against what a peer wrote being logged without a bound or as it is.
+/// Errors are logged, so they must neither grow with the peer's input nor contain its control characters.
 #[test]
 fn an_error_is_short_and_names_the_cause() {
     let long = format!(r#""{}""#, "x\u{1b}\u{202e}".repeat(10_000));
@@ -209,26 +213,26 @@
         for second in ["null", &long] {
             let text = line_with(&[("pod_group", second), (key, value)]);
             if let Some(error) = EndpointLine::read(&text).error() {
-                let said = error.to_string();
-                assert!(said.len() < 200, "{} bytes", said.len());
-                assert!(said.chars().all(|c| c.is_ascii() && !c.is_ascii_control()), "{said}");
+                let message = error.to_string();
+                assert!(message.len() < 200, "{} bytes", message.len());
+                assert!(message.chars().all(|c| c.is_ascii() && !c.is_ascii_control()), "{message}");
             }
         }
     }
-    let said =
+    let message =
         |changes: &[(&str, &str)]| EndpointLine::read(&line_with(changes)).error().unwrap().to_string();
-    assert_eq!(said(&[("endpoint", "null")]), "data node 's-1': endpoint is no address: null");
-    assert_eq!(said(&[("pod_group", "")]), "data node 's-1': pod_group is no cell: missing");
-    assert_eq!(said(&[("uid", "5")]), "uid is no name: 5");
+    assert_eq!(message(&[("endpoint", "null")]), "data node 's-1': endpoint is not an address: null");
+    assert_eq!(message(&[("pod_group", "")]), "data node 's-1': pod_group is not a partition group: missing");
+    assert_eq!(message(&[("uid", "5")]), "uid is not a name: 5");
     let object = DiscoveryUpdate::read(format!(r#"{{"rev":1,"targets":{long}}}"#).as_bytes()).unwrap_err();
     assert!(object.to_string().len() < 200);
 }
 
-// ---- Updates. ----
+// Updates.
 
-/// Guards against one line that costs the changes of all others.
+/// If an unreadable line invalidated its update, a draining data node in another line would get new work.
 #[test]
-fn one_line_that_cannot_be_read_costs_that_line_only() {
+fn an_unreadable_line_does_not_affect_other_lines() {
     let good = line_with(&[("state", r#""draining""#)]);
     let deep = format!("{}{}", "[".repeat(1000), "]".repeat(1000));
     let bad = [
@@ -246,20 +250,20 @@
         for lines in [[good.as_str(), bad], [bad, good.as_str()]] {
             let update = update(&lines);
             assert_eq!(update.unreadable_lines().count(), 1, "{bad}");
-            assert_eq!(states(&table(update)).0, [("s-1", EndpointState::Draining)], "{bad}");
+            assert_eq!(states(&table_update(update)).0, [("s-1", EndpointState::Draining)], "{bad}");
         }
     }
-    // Bytes that are no text at all.
+    // Bytes that are not UTF-8.
     let text =
         [br#"{"rev":1,"targets":[{"uid":"s-"#, &b"\xff\xfe"[..], br#"","state":"up"},"#, good.as_bytes()];
     let update = DiscoveryUpdate::read(&[&text.concat()[..], b"]}"].concat()).unwrap();
     assert_eq!(update.unreadable_lines().count(), 1);
-    assert_eq!(states(&table(update)).0, [("s-1", EndpointState::Draining)]);
+    assert_eq!(states(&table_update(update)).0, [("s-1", EndpointState::Draining)]);
 }
 
-/// What is known of an object as a whole.
+/// `targets` and `all` may be missing, but `rev` is required; each of them must have the right type.
 #[test]
-fn an_object_needs_a_version_and_a_list() {
+fn an_update_needs_a_version_and_valid_optional_fields() {
     let read = |text: &str| DiscoveryUpdate::read(text.as_bytes());
     for text in [
         r#"{"rev":41}"#,
@@ -270,7 +274,7 @@
         assert_eq!((update.version, update.complete, update.lines.len()), (41, false, 0), "{text}");
     }
     assert!(read(r#"{"rev":41,"all":true}"#).unwrap().complete);
-    let no_updates = [
+    let invalid_updates = [
         "{}",
         "[]",
         "[41]",
@@ -286,14 +290,14 @@
         r#"{"rev":1,"all":1}"#,
         r#"{"rev":1,"rev":2}"#,
     ];
-    for text in no_updates {
+    for text in invalid_updates {
         assert!(read(text).is_err(), "{text}");
     }
 }
 
-/// Lines that are known in part are handed on by name and state.
+/// A line without a usable address still has to close the data node's gate if its state requires that.
 #[test]
-fn lines_that_are_known_in_part_are_handed_on() {
+fn partial_lines_reach_the_table_with_name_and_state() {
     let lines = [
         line_with(&[]),
         line_with(&[("uid", r#""s-2""#), ("endpoint", "null")]),
@@ -303,7 +307,7 @@
     ];
     let update = update(&lines.each_ref().map(String::as_str));
     assert_eq!(update.unreadable_lines().count(), 4);
-    let applied = table(update);
+    let applied = table_update(update);
     let partial = vec![
         ("s-2", EndpointState::Active),
         ("s-3", EndpointState::Removed),
@@ -313,14 +317,14 @@
     assert_eq!(applied.lines[0].member.as_ref().unwrap().0.started_at, 7_000_000);
 }
 
-/// Of lines of the same data node the last counts, but none opens the gate that another one shuts, unless it tells of a
-/// newer start: in which order discovery writes changes is not known, and a rest too long breaks no rule.
+/// The order of the lines in an update is unspecified: an `up` line after a `draining` line may be the older state, and
+/// opening the gate would then send new work to a draining data node.
 #[test]
-fn no_line_opens_the_gate_that_another_of_its_object_shuts() {
+fn only_a_newer_start_reopens_a_gate_that_the_same_update_closes() {
     let line = |state: &str, started_at_ms: &str| {
         line_with(&[("state", &format!("{state:?}")), ("boot_ms", started_at_ms)])
     };
-    let part = |state: &str| line_with(&[("state", &format!("{state:?}")), ("endpoint", "null")]);
+    let partial = |state: &str| line_with(&[("state", &format!("{state:?}")), ("endpoint", "null")]);
     let cases = [
         (vec![line("up", "7"), line("draining", "7")], EndpointState::Draining),
         (vec![line("draining", "7"), line("up", "7")], EndpointState::Draining),
@@ -331,29 +335,35 @@
         (vec![line("up", "8"), line("removed", "7")], EndpointState::Removed),
         (vec![line("draining", "7"), line("removed", "7")], EndpointState::Removed),
         (vec![line("draining", "7"), line("up", "7"), line("up", "7")], EndpointState::Draining),
-        (vec![line("up", "7"), part("draining")], EndpointState::Draining),
-        (vec![line("up", "7"), part("up")], EndpointState::Active),
-        (vec![line("draining", "7"), part("up")], EndpointState::Draining),
-        (vec![part("draining"), line("up", "7")], EndpointState::Draining),
-        (vec![part("draining"), line("up", "8")], EndpointState::Active),
-        (vec![part("up"), line("up", "7")], EndpointState::Active),
+        (vec![line("up", "7"), partial("draining")], EndpointState::Draining),
+        (vec![line("up", "7"), partial("up")], EndpointState::Active),
+        (vec![line("draining", "7"), partial("up")], EndpointState::Draining),
+        (vec![partial("draining"), line("up", "7")], EndpointState::Draining),
+        (vec![partial("draining"), line("up", "8")], EndpointState::Active),
+        (vec![partial("up"), line("up", "7")], EndpointState::Active),
         (vec![line("draining", r#""x""#), line("up", "8")], EndpointState::Draining),
     ];
-    for (lines, phase) in cases {
+    for (lines, expected) in cases {
         let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
-        assert_eq!(states(&table(update(&lines))), (vec![("s-1", phase)], vec![]), "{lines:?}");
+        assert_eq!(states(&table_update(update(&lines))), (vec![("s-1", expected)], vec![]), "{lines:?}");
     }
-    // Without any whole line.
-    let (down, up) = (part("draining"), part("up"));
-    assert_eq!(states(&table(update(&[&down, &up]))), (vec![], vec![("s-1", EndpointState::Draining)]));
-    assert_eq!(states(&table(update(&[&up, &down]))), (vec![], vec![("s-1", EndpointState::Draining)]));
+    // Without any complete line.
+    let (draining, up) = (partial("draining"), partial("up"));
+    assert_eq!(
+        states(&table_update(update(&[&draining, &up]))),
+        (vec![], vec![("s-1", EndpointState::Draining)])
+    );
+    assert_eq!(
+        states(&table_update(update(&[&up, &draining]))),
+        (vec![], vec![("s-1", EndpointState::Draining)])
+    );
 }
 
-// ---- The stream of a watch. ----
+// The stream of a watch.
 
-/// Lines may come indented, and their texts may hold whatever braces they like.
+/// Braces inside strings and line feeds between fields do not end an object.
 #[test]
-fn an_object_ends_where_it_ends() {
+fn objects_may_be_indented_and_have_braces_in_strings() {
     let line = br#"{"rev":1,"all":false,"targets":[{"uid":"s}{\"\\","endpoint":"127.0.0.1:1","pod_group":0,"state":"up"}]}"#;
     let value: serde_json::Value = serde_json::from_slice(line).unwrap();
     let indented = serde_json::to_string_pretty(&value).unwrap();
@@ -368,39 +378,42 @@
     assert_eq!(parse(&text, &[]).unwrap(), expected);
 }
 
-/// Guards against waiting for the end of what is no list, and against holding one that never ends.
+/// Waiting for the end of invalid input would delay the error, and an endless object would exhaust the memory.
 #[test]
-fn what_is_no_object_is_said_at_once() {
+fn invalid_input_is_reported_without_waiting_for_more() {
     for text in ["nonsense", "]", "\"rev\"", "{\"rev\":1}}", "[]", "{}", "{\"rev\":\"x\"}"] {
         let mut parser = WatchParser::default();
         parser.buffer().extend_from_slice(text.as_bytes());
         assert!(
-            (0..2).any(|_| matches!(parser.next_event(MOST), Ok(Some(WatchEvent::Unreadable(_))))),
+            (0..2).any(|_| matches!(parser.next_event(MAX_BYTES), Ok(Some(WatchEvent::Unreadable(_))))),
             "{text}"
         );
     }
     for byte in [b' ', b'[', b'{'] {
         let mut parser = WatchParser::default();
-        parser.buffer().extend_from_slice(&[byte; MOST]);
-        assert!(matches!(parser.next_event(MOST), Ok(None)));
+        parser.buffer().extend_from_slice(&[byte; MAX_BYTES]);
+        assert!(matches!(parser.next_event(MAX_BYTES), Ok(None)));
         parser.buffer().push(byte);
-        assert_eq!(parser.next_event(MOST).unwrap_err().fault(), LineFault::TooLong);
+        assert_eq!(parser.next_event(MAX_BYTES).unwrap_err().fault(), LineFault::TooLong);
     }
 }
 
-/// Guards against an object whose length counts only where it comes in many pieces.
+/// An object that arrives in a single chunk is limited like one that arrives in many.
 #[test]
-fn the_limit_of_an_object_does_not_depend_on_how_it_is_cut() {
+fn the_object_size_limit_does_not_depend_on_chunk_boundaries() {
     let text = |len: usize| format!(r#"{{"rev":1,"x":"{}"}}"#, "y".repeat(len - r#"{"rev":1,"x":""}"#.len()));
-    for cuts in [vec![], vec![1; MOST], vec![1000; 5]] {
-        assert_eq!(parse(text(MOST).as_bytes(), &cuts).unwrap(), [ParsedEvent::Version(1)]);
-        assert_eq!(parse(text(MOST + 1).as_bytes(), &cuts).unwrap_err().fault(), LineFault::TooLong);
+    for chunk_lengths in [vec![], vec![1; MAX_BYTES], vec![1000; 5]] {
+        assert_eq!(parse(text(MAX_BYTES).as_bytes(), &chunk_lengths).unwrap(), [ParsedEvent::Version(1)]);
+        assert_eq!(
+            parse(text(MAX_BYTES + 1).as_bytes(), &chunk_lengths).unwrap_err().fault(),
+            LineFault::TooLong
+        );
     }
 }
 
-/// A line that is no object, and one that was cut off within a text, cost no other line, wherever the stream is cut.
+/// The parser resumes on the next line after invalid input and after an object that was truncated inside a string.
 #[test]
-fn what_follows_a_line_that_is_no_object_is_heard() {
+fn lines_after_an_invalid_line_are_parsed() {
     use ParsedEvent::{Heartbeat, Unreadable, Version};
     let cases: &[(&[u8], &[ParsedEvent])] = &[
         (b"nonsense {\"rev\":9}\n{\"rev\":1}\n", &[Unreadable, Version(1)]),
@@ -417,23 +430,23 @@
         ),
     ];
     for (text, expected) in cases {
-        let shown = String::from_utf8_lossy(text);
+        let printable = String::from_utf8_lossy(text);
         for first in 0..text.len() {
-            assert_eq!(parse(text, &[first]).unwrap(), *expected, "{shown} cut at {first}");
+            assert_eq!(parse(text, &[first]).unwrap(), *expected, "{printable} split at {first}");
         }
-        assert_eq!(parse(text, &vec![1; text.len()]).unwrap(), *expected, "{shown}");
+        assert_eq!(parse(text, &vec![1; text.len()]).unwrap(), *expected, "{printable}");
     }
 }
 
-/// Guards against holding a line that is no object and never ends.
+/// An invalid line without an end would otherwise exhaust the memory.
 #[test]
-fn a_line_that_is_skipped_is_not_held() {
+fn skipped_bytes_are_not_buffered() {
     let mut parser = WatchParser::default();
     parser.buffer().push(b'x');
-    assert!(matches!(parser.next_event(MOST), Ok(Some(WatchEvent::Unreadable(_)))));
+    assert!(matches!(parser.next_event(MAX_BYTES), Ok(Some(WatchEvent::Unreadable(_)))));
     for _ in 0..10 {
-        parser.buffer().extend_from_slice(&[b'{'; MOST]);
-        assert!(matches!(parser.next_event(MOST), Ok(None)));
+        parser.buffer().extend_from_slice(&[b'{'; MAX_BYTES]);
+        assert!(matches!(parser.next_event(MAX_BYTES), Ok(None)));
         assert!(parser.buffer().is_empty());
     }
 }
@@ -441,13 +454,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However a watch is cut, it tells the same.
+    /// A chunk boundary at any byte must not lose or change an event.
     #[test]
-    fn objects_do_not_depend_on_how_they_are_cut(
+    fn events_do_not_depend_on_chunk_boundaries(
         order in proptest::collection::vec(0..7_u8, 1..12),
-        cuts in proptest::collection::vec(1..30_usize, 0..60),
+        chunk_lengths in proptest::collection::vec(1..30_usize, 0..60),
     ) {
-        let (mut text, mut whole) = (Vec::new(), Vec::new());
+        let (mut text, mut expected) = (Vec::new(), Vec::new());
         for (rev, kind) in (0..).zip(&order) {
             let (line, event) = match kind {
                 0 => (format!("{{\"rev\":{rev}}}\n"), ParsedEvent::Version(rev)),
@@ -459,29 +472,29 @@
                 _ => ("\n".to_string(), ParsedEvent::Heartbeat),
             };
             text.extend_from_slice(line.as_bytes());
-            whole.push(event);
+            expected.push(event);
         }
-        prop_assert_eq!(parse(&text, &cuts).unwrap(), whole);
+        prop_assert_eq!(parse(&text, &chunk_lengths).unwrap(), expected);
     }
 
-    /// Whatever bytes come, however they are cut: the same is told, and nothing grows or panics.
+    /// Arbitrary input must not cause a panic, an unbounded buffer, or events that depend on chunk boundaries.
     #[test]
-    fn any_bytes_tell_the_same_however_they_are_cut(
+    fn arbitrary_bytes_are_parsed_the_same_for_all_chunk_boundaries(
         text in proptest::collection::vec(
             prop_oneof![Just(b'{'), Just(b'}'), Just(b'['), Just(b']'), Just(b'"'), Just(b'\\'), Just(b'\n'),
                 Just(b'1'), Just(b' '), Just(0xef), Just(0xbb), Just(0xbf), any::<u8>()], 0..200),
-        cuts in proptest::collection::vec(1..20_usize, 0..60),
+        chunk_lengths in proptest::collection::vec(1..20_usize, 0..60),
     ) {
-        let whole = parse(&text, &[]);
-        prop_assert_eq!(parse(&text, &cuts), whole.clone());
-        // A good line that follows an end of a line outside of any object is heard.
-        let later = [&text[..], b"\n{\"rev\":77}\n"].concat();
-        prop_assert_eq!(parse(&later, &cuts), parse(&later, &[]));
+        let unsplit = parse(&text, &[]);
+        prop_assert_eq!(parse(&text, &chunk_lengths), unsplit.clone());
+        // The same with a valid update on a line after the arbitrary bytes.
+        let extended = [&text[..], b"\n{\"rev\":77}\n"].concat();
+        prop_assert_eq!(parse(&extended, &chunk_lengths), parse(&extended, &[]));
     }
 
-    /// Any values in the fields of one line cost that line at most, and never open the gate of another state.
+    /// No combination of field values affects another line, or opens a gate without the state `up`.
     #[test]
-    fn any_values_in_a_line_cost_that_line_at_most(
+    fn arbitrary_field_values_affect_only_their_own_line(
         values in proptest::collection::vec((0..8_usize, 0..12_usize), 0..6),
         first in any::<bool>(),
     ) {
@@ -492,13 +505,13 @@
         ];
         let mut changes = vec![("uid", r#""s-2""#)];
         changes.extend(values.iter().map(|&(key, value)| (KEYS[key], VALUES[value])));
-        let (good, other) = (line_with(&[("state", r#""draining""#)]), line_with(&changes));
-        let lines = if first { [other.as_str(), &good] } else { [&good, other.as_str()] };
-        let applied = table(update(&lines));
+        let (valid, other) = (line_with(&[("state", r#""draining""#)]), line_with(&changes));
+        let lines = if first { [other.as_str(), &valid] } else { [&valid, other.as_str()] };
+        let applied = table_update(update(&lines));
         prop_assert!(states(&applied).0.contains(&("s-1", EndpointState::Draining)));
-        let said_up = changes.iter().all(|change| change.0 != "state");
-        let up = |lines: &[(&str, EndpointState)]| lines.iter().any(|l| l.1 == EndpointState::Active);
-        let (whole, partial) = states(&applied);
-        prop_assert!(said_up || !(up(&whole) || up(&partial)));
+        let state_unchanged = changes.iter().all(|change| change.0 != "state");
+        let any_active = |lines: &[(&str, EndpointState)]| lines.iter().any(|l| l.1 == EndpointState::Active);
+        let (complete, partial) = states(&applied);
+        prop_assert!(state_unchanged || !(any_active(&complete) || any_active(&partial)));
     }
 }
--- a/src/net/endpoints/watch_parser.rs
+++ b/src/net/endpoints/watch_parser.rs
@@ -1,57 +1,58 @@
-//! The stream of a watch, taken apart into updates and heartbeats as its bytes come (pure).
+//! Incremental parser that splits the stream of a watch into updates and heartbeats.
 
 use super::error::{LineError, LineFault};
 use super::DiscoveryUpdate;
 
-/// What a watch says next.
+/// One event in the stream of a watch.
 #[derive(Debug, Clone)]
 pub enum WatchEvent {
-    /// A change to the endpoint list, or all of it.
+    /// A delta or a snapshot of the endpoint list.
     Update(DiscoveryUpdate),
-    /// An empty line: nothing has changed.
+    /// An empty line: the list has not changed.
     Heartbeat,
-    /// What came cannot be read, and a change may be lost with it; what follows on later lines can be.
+    /// Unreadable input, which may have contained a change. Parsing continues with a later line.
     Unreadable(LineError),
 }
 
-/// The bytes that may stand before the first object.
+/// The UTF-8 byte order mark, which is accepted at the start of the stream.
 const BYTE_ORDER_MARK: [u8; 3] = [0xef, 0xbb, 0xbf];
 
-/// Takes the JSON objects of a watch apart as they come, one after the other, each on a line of its own or indented over
-/// several. Each byte is looked at once, however they are cut. What is not an object is skipped up to the line's end.
+/// Splits the stream of a watch into its JSON objects, each of which may span one line or several. Scans each byte
+/// once, regardless of chunk boundaries. Input other than an object is skipped up to the end of the line.
 #[derive(Debug, Default)]
 pub struct WatchParser {
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that have been looked at.
+    /// Number of scanned bytes at the start of `buffer`.
     scanned: usize,
-    /// Bytes of the byte order mark that have come, or are not expected any more.
+    /// Number of bytes of the byte order mark seen; its full length once the mark is complete or ruled out.
     byte_order_mark: usize,
-    /// Open braces and brackets.
+    /// Number of open braces and brackets.
     depth: usize,
-    /// Whether the next byte is within a string, and right behind a backslash there.
+    /// Whether the next byte is inside a string.
     in_string: bool,
+    /// Whether the next byte follows a backslash inside a string.
     escaped: bool,
-    /// Whether the line has had an object: its end is no heartbeat.
+    /// Whether an object ended on the current line, whose end is then not a heartbeat.
     after_object: bool,
-    /// Whether the rest of the line is skipped, since it is not an object.
+    /// Whether the rest of the current line is skipped as invalid.
     skipping: bool,
 }
 
 impl WatchParser {
-    /// The bytes that are not parsed yet; more are appended here.
+    /// Returns the buffer of unparsed bytes, to which the caller appends received bytes.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.buffer
     }
 
-    /// Whether an object has come in part.
+    /// Returns whether the buffer ends inside an object.
     pub fn is_within_object(&self) -> bool {
         self.depth > 0
     }
 
-    /// The next event; none while it is not complete.
+    /// Returns the next event, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// An object takes more than `max_bytes`: nothing that follows can be told apart.
+    /// An object exceeds `max_bytes`; the rest of the stream cannot be parsed.
     pub fn next_event(&mut self, max_bytes: usize) -> Result<Option<WatchEvent>, LineError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             if self.scanned >= max_bytes && !self.skipping {
@@ -68,7 +69,7 @@
         Ok(None)
     }
 
-    /// The event that ends with this byte, if one does.
+    /// Scans one byte; returns the event that it completes, if any.
     fn scan(&mut self, byte: u8) -> Option<WatchEvent> {
         if self.is_byte_order_mark(byte) {
             self.discard_scanned();
@@ -77,8 +78,8 @@
         match byte {
             b'\n' if self.skipping || self.depth == 0 => self.end_line(),
             _ if self.skipping => None,
-            // A JSON string has no line end in it: the object was cut off here.
-            b'\n' if self.in_string => Some(self.end_cut_off_object()),
+            // A JSON string cannot contain a line feed: the object is truncated.
+            b'\n' if self.in_string => Some(self.end_truncated_object()),
             _ if self.in_string => {
                 self.scan_string(byte);
                 None
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Whether this is the next byte of the byte order mark; from the first that is not, none is expected any more.
+    /// Returns whether this is the next byte of the byte order mark. Any other byte ends the check for the mark.
     fn is_byte_order_mark(&mut self, byte: u8) -> bool {
         if BYTE_ORDER_MARK.get(self.byte_order_mark) == Some(&byte) {
             self.byte_order_mark += 1;
@@ -133,7 +134,7 @@
         read.map_or_else(WatchEvent::Unreadable, WatchEvent::Update)
     }
 
-    fn end_cut_off_object(&mut self) -> WatchEvent {
+    fn end_truncated_object(&mut self) -> WatchEvent {
         let text = String::from_utf8_lossy(&self.buffer[..self.scanned]);
         let error = LineError::new(LineFault::NotAnUpdate, &text);
         self.discard_scanned();
--- a/src/net/endpoints/wire.rs
+++ b/src/net/endpoints/wire.rs
@@ -1,6 +1,6 @@
-//! Discovery's words for an endpoint list, mapped to the types of this module and back to nothing else.
+//! Parses discovery's JSON format of the endpoint list.
 //!
-//! Each field of a line is read on its own, so that one that cannot be read costs as little as possible.
+//! Each field of a line is parsed separately, so that an unreadable field invalidates as little as possible.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -27,10 +27,10 @@
 
 const DEFAULT_CAPACITY: f64 = 1.0;
 
-/// The largest number up to which each whole number has a float of its own.
+/// 2^53: up to this number, `f64` represents every integer exactly.
 const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
 
-/// An update as discovery writes it. Messages on a malformed update show the type's name.
+/// An update as discovery sends it. The type's name appears in error messages about malformed updates.
 #[derive(Deserialize)]
 struct MembershipUpdate {
     #[serde(deserialize_with = "version")]
@@ -43,7 +43,7 @@
 
 fn version<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let text = Box::<RawValue>::deserialize(deserializer)?;
-    whole_number(text.get()).ok_or_else(|| D::Error::custom("rev is no version"))
+    whole_number(text.get()).ok_or_else(|| D::Error::custom("rev is not a version"))
 }
 
 fn flag<'de, D: Deserializer<'de>>(deserializer: D) -> Result<bool, D::Error> {
@@ -63,10 +63,10 @@
 }
 
 impl DiscoveryUpdate {
-    /// Reads a JSON object. Bytes that are not UTF-8 cost the line in whose name they stand.
+    /// Parses a JSON object. Invalid UTF-8 in a data node's name makes its line unreadable.
     ///
     /// # Errors
-    /// It is not a JSON object, has no version, or its lines are not an array.
+    /// The input is not a JSON object, it has no valid version, or its lines are not an array.
     pub fn read(bytes: &[u8]) -> Result<Self, LineError> {
         let text = String::from_utf8_lossy(bytes);
         if !text.trim_start().starts_with('{') {
@@ -77,7 +77,7 @@
 }
 
 impl EndpointLine {
-    /// Reads a line's JSON.
+    /// Parses a line's JSON; errors are kept in the result.
     pub fn read(text: &str) -> Self {
         let Ok(fields) = serde_json::from_str::<LineFields>(text) else {
             return Self::Unreadable(LineError::new(LineFault::NotAnObject, text));
@@ -89,13 +89,13 @@
     }
 }
 
-/// The fields of a line by name, each as the JSON that it came as; nothing for one that is given twice.
+/// The raw JSON of a line's fields by name; `None` for a duplicated field.
 struct LineFields<'a>(HashMap<String, Option<&'a RawValue>>);
 
 impl LineFields<'_> {
     fn name(&self) -> Result<String, LineError> {
         let name = self.field(LineFault::Name, NAME, string)?;
-        // A replacement character stands for bytes that were not UTF-8: which name it was is not known.
+        // The name had invalid UTF-8, which was replaced: the original name is unknown.
         let is_name = |name: &String| !name.is_empty() && !name.contains(char::REPLACEMENT_CHARACTER);
         name.filter(is_name).ok_or_else(|| self.error(LineFault::Name, NAME))
     }
@@ -109,7 +109,7 @@
             Err(reason) => EndpointLine::Partial {
                 state: known_state.unwrap_or(State::Draining),
                 started_at_ms: known_start,
-                reason: reason.at(&name),
+                reason: reason.with_name(&name),
                 name,
             },
         }
@@ -133,14 +133,14 @@
     }
 
     fn state(&self) -> Result<State, LineError> {
-        self.required(LineFault::State, STATE, |text| Some(state_named(&string(text)?)))
+        self.required(LineFault::State, STATE, |text| Some(parse_state(&string(text)?)))
     }
 
     fn started_at_ms(&self) -> Result<u64, LineError> {
         Ok(self.field(LineFault::StartTime, STARTED_AT_MS, whole_number)?.unwrap_or(0))
     }
 
-    /// A field that must be there.
+    /// Parses a field that must be present and not null.
     fn required<T>(
         &self,
         fault: LineFault,
@@ -150,7 +150,7 @@
         self.field(fault, key, read)?.ok_or_else(|| self.error(fault, key))
     }
 
-    /// A field that may be missing or null.
+    /// Parses a field that may be missing or null.
     fn field<T>(
         &self,
         fault: LineFault,
@@ -165,7 +165,7 @@
         }
     }
 
-    /// A field that counts as missing where it cannot be read.
+    /// Parses a field that counts as missing if it is unreadable.
     fn optional<T>(&self, key: &str, read: impl Fn(&str) -> Option<T>) -> Option<T> {
         self.0.get(key).copied().flatten().and_then(|value| read(value.get()))
     }
@@ -173,7 +173,7 @@
     fn error(&self, fault: LineFault, key: &str) -> LineError {
         let text = match self.0.get(key) {
             None => "missing",
-            Some(None) => "given twice",
+            Some(None) => "duplicate field",
             Some(Some(value)) => value.get(),
         };
         LineError::new(fault, text)
@@ -204,8 +204,8 @@
     }
 }
 
-/// A state that is not known counts as draining: nothing new is sent there.
-fn state_named(name: &str) -> State {
+/// Treats an unknown state as draining, so that nothing new is sent to the data node.
+fn parse_state(name: &str) -> State {
     match name {
         STATE_UP => State::Up,
         STATE_REMOVED => State::Removed,
@@ -229,7 +229,7 @@
     serde_json::from_str(json).ok().filter(|capacity: &f64| capacity.is_finite() && *capacity >= 0.0)
 }
 
-/// A whole number that is not negative, also where it is written as a float.
+/// Parses a non-negative integer, which may be written as a float.
 fn whole_number(json: &str) -> Option<u64> {
     serde_json::from_str(json).ok().or_else(|| whole_float(json))
 }
@@ -242,15 +242,15 @@
 impl fmt::Display for LineFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotAnObject => f.write_str("the line is no object"),
-            Self::Name => write!(f, "{NAME} is no name"),
-            Self::State => write!(f, "{STATE} is no state"),
-            Self::Address => write!(f, "{ADDRESS} is no address"),
-            Self::PartitionGroup => write!(f, "{PARTITION_GROUP} is no cell"),
-            Self::StartTime => write!(f, "{STARTED_AT_MS} is no time"),
-            Self::NotAnUpdate => f.write_str("the object is no membership update"),
+            Self::NotAnObject => f.write_str("the line is not a JSON object"),
+            Self::Name => write!(f, "{NAME} is not a name"),
+            Self::State => write!(f, "{STATE} is not a state"),
+            Self::Address => write!(f, "{ADDRESS} is not an address"),
+            Self::PartitionGroup => write!(f, "{PARTITION_GROUP} is not a partition group"),
+            Self::StartTime => write!(f, "{STARTED_AT_MS} is not a time"),
+            Self::NotAnUpdate => f.write_str("the object is not a membership update"),
             Self::TooLong => f.write_str("the object is too long"),
-            Self::UnexpectedByte => f.write_str("no object begins so"),
+            Self::UnexpectedByte => f.write_str("expected a JSON object"),
         }
     }
 }
