--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -1,4 +1,4 @@
-//! The actor: it begins and abandons calls as the subscription decides, and applies the updates that they bring.
+//! The discovery actor: starts and abandons calls as the subscription decides, and applies the updates received.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     address: SocketAddr,
     subscription: Subscription,
     table: MembershipTable<ListedEndpoint>,
-    /// Connections of the calls that are open.
+    /// Connections of the open calls.
     streams: HashMap<CallId, Arc<Stream>>,
     call_log: CallLog,
     update_log: UpdateLog,
@@ -36,7 +36,7 @@
 }
 
 impl Actor {
-    /// An actor that has made no call; the endpoint list from before the start has this version.
+    /// Creates an actor without calls. `known_version` is the version of the endpoint list from before the start.
     pub(super) fn new(
         plan: &DiscoveryPlan,
         known_version: u64,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Applies an update to the table; returns what of it the core is to take over.
+    /// Applies an update to the membership table; returns the part that the core has to apply.
     pub(super) fn apply(&mut self, update: DiscoveryUpdate) -> EndpointUpdate {
         EndpointUpdate::from_applied(self.table.apply(update.into()))
     }
 
-    /// Handles messages for as long as the process lives.
+    /// Handles messages until the process ends.
     pub(super) fn run(mut self, inbox: &Receiver<DiscoveryMessage>) {
         self.step(Event::TimePassed);
         while let Ok(message) = inbox.recv() {
@@ -80,16 +80,16 @@
 
     fn handle_message(&mut self, message: DiscoveryMessage) {
         match message {
-            DiscoveryMessage::TimePassed => {
+            DiscoveryMessage::TimerFired => {
                 self.timer.fired();
                 self.step(Event::TimePassed);
             }
             DiscoveryMessage::QueryWaiting => self.step(Event::QueryWaiting),
             DiscoveryMessage::ReloadBegins => self.step(Event::ReloadBegins),
             DiscoveryMessage::ReloadSettled => self.step(Event::ReloadSettled),
-            DiscoveryMessage::Moved(address) => self.move_to(address),
+            DiscoveryMessage::Moved(address) => self.address_changed(address),
             DiscoveryMessage::Connected(call, stream) => self.call_connected(call, stream),
-            // The rest is of calls; what is late of one that was abandoned is dropped.
+            // Messages of abandoned calls are dropped.
             DiscoveryMessage::Heartbeat(call, pending) if self.subscription.hears(call) => {
                 self.heartbeat(call, pending);
             }
@@ -103,8 +103,8 @@
         }
     }
 
-    fn move_to(&mut self, address: SocketAddr) {
-        log::info!(address:% = address; "discovery moved");
+    fn address_changed(&mut self, address: SocketAddr) {
+        log::info!(address:% = address; "discovery address changed");
         self.address = address;
         self.step(Event::ServiceMoved);
     }
@@ -129,14 +129,14 @@
         let applied = self.table.apply(update.into());
         self.call_log.answered(call, FirstAnswer::Version(version), self.now());
         self.update_log.applied(version, &applied, self.now());
-        // The lease first: the core looks at it when it takes the update.
+        // Extend the lease first: the core checks it when it applies the update.
         self.step(Event::Told(call, version));
         self.send_to_core(EndpointUpdate::from_applied(applied), Some(pending));
     }
 
     fn call_ended(&mut self, call: CallId, error: &CallError) {
         Counters::add(&self.context.counters.discovery_call_errors);
-        self.call_log.ended(call, &error.why, self.now());
+        self.call_log.ended(call, &error.reason, self.now());
         self.streams.remove(&call);
         self.step(Event::Ended(call, error.end));
     }
@@ -145,7 +145,7 @@
         self.context.core.send(CoreMessage::EndpointsUpdated(update, pending));
     }
 
-    /// Has the subscription handle an event, and carries out what it decides.
+    /// Passes an event to the subscription and executes the resulting commands.
     fn step(&mut self, event: Event) {
         let now = self.now();
         let end_before = self.subscription.usable_until();
@@ -169,7 +169,7 @@
             Command::Begin(call, request) => self.begin_call(call, request),
             Command::Abandon(call, reason) => self.abandon_call(call, reason),
             Command::UseUnconfirmedList => {
-                log::warn!("endpoint list from before the start used unconfirmed");
+                log::warn!("using the unconfirmed endpoint list from before the start");
                 self.send_to_core(EndpointUpdate::unchanged(), None);
             }
             Command::ListRestored => self.send_to_core(EndpointUpdate::unchanged(), None),
@@ -186,10 +186,10 @@
     fn begin_call(&mut self, id: CallId, request: Request) {
         if self.subscription.follows() {
             Counters::add(&self.context.counters.discovery_call_errors);
-            self.call_log.begins_beside_watch(id, self.now());
+            self.call_log.started_during_watch(id, self.now());
         }
         Counters::add(&self.context.counters.discovery_calls);
-        self.call_log.begins(id, request, self.now());
+        self.call_log.started(id, request, self.now());
         let call = Call {
             id,
             request,
@@ -201,7 +201,7 @@
         let own_mailbox = self.own_mailbox.clone();
         let ended = move |error: Option<CallError>| {
             let error = error.unwrap_or_else(CallError::coroutine_failed);
-            // The actor outlives its calls.
+            // The send cannot fail: the actor outlives its calls.
             let _ = own_mailbox.send(DiscoveryMessage::Ended(id, error));
         };
         spawn_reporting("discovery call", self.context.limits.core_stack_words, move || call.run(), ended);
@@ -226,7 +226,7 @@
     fn coroutine_failed() -> Self {
         Self {
             end: CallEnd::LocalFailure,
-            why: "its coroutine has failed, or could not be started".to_string(),
+            reason: "the coroutine of the call failed or could not be started".to_string(),
         }
     }
 }
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -1,6 +1,6 @@
-//! One call to discovery: a snapshot where that is requested, and a watch that goes on until its connection ends.
+//! One call to discovery: a snapshot if requested, then a watch until its connection ends.
 //!
-//! A call has no time-out of its own but for its dial: the actor shuts its connection when it is abandoned.
+//! Only the dial has a time-out. To abandon a call, the actor shuts down its connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,16 +18,16 @@
 use crate::runtime::Stream;
 
 const READ_BYTES: usize = 4096;
-/// Longer than any call is silent: the actor has abandoned it by then.
+/// Twice the lifetime of a call: the actor abandons a silent call before this time-out.
 const READ_TIMEOUT: Duration = Duration::from_nanos(2 * CALL_LIFETIME);
 const PATH: &str = "/catalog/members";
 
 const STATUS_OK: u16 = 200;
 const STATUS_BUSY: u16 = 503;
 
-const CONNECTION_ENDED: &str = "the connection has ended";
+const CONNECTION_CLOSED: &str = "connection closed by the service";
 
-/// A call that is to be made.
+/// The parameters of a call that has not been made yet.
 pub(super) struct Call {
     pub(super) id: CallId,
     pub(super) request: Request,
@@ -38,13 +38,13 @@
 }
 
 impl Call {
-    /// Makes the call; returns how it has ended.
+    /// Makes the call; returns why it ended.
     pub(super) fn run(self) -> CallError {
         self.make().err().unwrap_or_else(watch_ended)
     }
 
     fn send_to_actor(&self, message: DiscoveryMessage) {
-        // The actor outlives its calls.
+        // The send cannot fail: the actor outlives its calls.
         let _ = self.actor.send(message);
     }
 
@@ -56,7 +56,7 @@
         self.send_to_actor(DiscoveryMessage::Heartbeat(self.id, self.pending_updates.begin_update()));
     }
 
-    /// Returns when the watch has ended as it should.
+    /// Makes the call; returns `Ok` if the service ended the watch in order.
     fn make(&self) -> Result<(), CallError> {
         let mut connection = self.dial()?;
         let since = match self.request {
@@ -77,7 +77,7 @@
             Stream::connect(&self.address, self.limits.discovery_call_timeout, None).map_err(|e| {
                 CallError {
                     end: if is_local_shortage(&e) { CallEnd::LocalFailure } else { CallEnd::Unreachable },
-                    why: format!("no connection: {e}"),
+                    reason: format!("connection failed: {e}"),
                 }
             })?;
         let stream = Arc::new(stream);
@@ -86,7 +86,7 @@
         Ok(Connection { stream, watched })
     }
 
-    /// Reads the complete list; returns its version, and whether the connection can be used for another request.
+    /// Requests a snapshot; returns its version, and whether the connection can be reused for another request.
     fn snapshot(&self, connection: &Connection) -> Result<(u64, bool), CallError> {
         let (head, received) = self.request(connection, PATH)?;
         let (body, ended) = self.body(connection, &head, received)?;
@@ -97,35 +97,35 @@
         Ok((version, !ended && head.keep_alive()))
     }
 
-    /// Watches for changes after a version.
+    /// Watches for changes after version `since`.
     fn watch(&self, connection: &Connection, since: u64) -> Result<(), CallError> {
         let (head, received) = self.request(connection, &format!("{PATH}?stream=1&index={since}"))?;
         if head.is_chunked() || head.ends_with_connection() {
             return self.read_watch(connection, &head, received);
         }
-        // A service without watches answers with what has changed by now.
+        // A service without watches answers with the changes so far.
         let (body, _) = self.body(connection, &head, received)?;
         let mut parser = WatchParser::default();
         parser.buffer().extend_from_slice(&body);
         self.send_events(&mut parser)?;
-        Err(CallError { end: CallEnd::Complete, why: "it was answered without a watch".to_string() })
+        Err(CallError { end: CallEnd::Complete, reason: "the service answered without a watch".to_string() })
     }
 
-    /// Sends a request; returns the head of a successful answer, and what has come of its body.
+    /// Sends a request; returns the head of a successful response and the bytes of its body received so far.
     fn request(&self, connection: &Connection, target: &str) -> Result<(http::Head, Vec<u8>), CallError> {
         let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
         let written = connection.stream.write_all(request.as_bytes(), self.limits.node_write_timeout);
-        written.map_err(|e| unanswered(format!("request not written: {e}")))?;
+        written.map_err(|e| unanswered(format!("request could not be written: {e}")))?;
         let (head, body) = self.head(connection)?;
-        let why = || format!("answered {}", head.status);
+        let reason = || format!("HTTP status {}", head.status);
         match head.status {
             STATUS_OK => Ok((head, body)),
-            STATUS_BUSY => Err(CallError { end: CallEnd::Busy, why: why() }),
-            _ => Err(CallError { end: CallEnd::Rejected, why: why() }),
+            STATUS_BUSY => Err(CallError { end: CallEnd::Busy, reason: reason() }),
+            _ => Err(CallError { end: CallEnd::Rejected, reason: reason() }),
         }
     }
 
-    /// Reads the head of an answer; returns what has come behind it, too.
+    /// Reads the head of a response; returns it and the bytes received after it.
     fn head(&self, connection: &Connection) -> Result<(http::Head, Vec<u8>), CallError> {
         let mut received = Vec::new();
         loop {
@@ -134,18 +134,18 @@
                 received.drain(..size);
                 return Ok((head, received));
             }
-            let begun = !received.is_empty();
+            let is_partial = !received.is_empty();
             match connection.read(&mut received) {
                 Ok(true) => {}
-                Ok(false) if begun => return Err(truncated(CONNECTION_ENDED)),
-                Ok(false) => return Err(unanswered(CONNECTION_ENDED.to_string())),
-                Err(why) if begun => return Err(truncated(&why)),
-                Err(why) => return Err(unanswered(why)),
+                Ok(false) if is_partial => return Err(truncated(CONNECTION_CLOSED)),
+                Ok(false) => return Err(unanswered(CONNECTION_CLOSED.to_string())),
+                Err(reason) if is_partial => return Err(truncated(&reason)),
+                Err(reason) => return Err(unanswered(reason)),
             }
         }
     }
 
-    /// Reads a body to its end; returns it, and whether the connection has ended with it. A reset is not an end.
+    /// Reads a body to its end; returns it, and whether the service has closed the connection. A reset is an error.
     fn body(
         &self,
         connection: &Connection,
@@ -157,14 +157,14 @@
             match head.body(&received, max_bytes).map_err(|e| truncated(e.reason))? {
                 Some((body, _)) => return Ok((body, ended)),
                 None if ended && head.ends_with_connection() => return Ok((received, ended)),
-                None if ended => return Err(truncated(CONNECTION_ENDED)),
-                None => ended = !connection.read(&mut received).map_err(|why| truncated(&why))?,
+                None if ended => return Err(truncated(CONNECTION_CLOSED)),
+                None => ended = !connection.read(&mut received).map_err(|reason| truncated(&reason))?,
             }
         }
     }
 
-    /// Reads the objects of a watch. Only a complete object or an empty line is handed on: half a line does not show that
-    /// the watch is alive, nor one that never ends.
+    /// Reads the events of a watch. Only a complete object or an empty line shows that the watch is alive; an
+    /// incomplete line is not reported to the actor.
     fn read_watch(
         &self,
         connection: &Connection,
@@ -187,15 +187,16 @@
             let within_line = parser.is_within_object() || chunks.within_chunk();
             match connection.read(&mut received) {
                 Ok(true) => {}
-                Ok(false) if within_line => return Err(truncated(CONNECTION_ENDED)),
+                Ok(false) if within_line => return Err(truncated(CONNECTION_CLOSED)),
                 Ok(false) => return Ok(()),
-                Err(why) if within_line => return Err(truncated(&why)),
-                Err(why) => return Err(broken(&why)),
+                Err(reason) if within_line => return Err(truncated(&reason)),
+                Err(reason) => return Err(broken(&reason)),
             }
         }
     }
 
-    /// Hands on all that can be read; what cannot may have been a change, and only a snapshot makes up for it.
+    /// Sends all readable events to the actor. Unreadable input may have been a change, so the call then fails: only a
+    /// snapshot recovers such a change.
     fn send_events(&self, parser: &mut WatchParser) -> Result<(), CallError> {
         let mut result = Ok(());
         while let Some(event) = parser.next_event(self.limits.max_update_bytes).map_err(unreadable)? {
@@ -209,17 +210,17 @@
     }
 }
 
-/// A connection that is checked for unread updates, and shut when it is dropped.
+/// A connection that is checked for unread updates, and shut down when dropped.
 struct Connection {
     stream: Arc<Stream>,
     watched: Arc<WatchedConnection>,
 }
 
 impl Connection {
-    /// Appends what comes next; returns whether anything came, or the peer has ended the connection. A reset is an error.
+    /// Waits for bytes and appends them; returns false if the service has closed the connection. A reset is an error.
     fn read(&self, received: &mut Vec<u8>) -> Result<bool, String> {
         let mut buffer = [0; READ_BYTES];
-        let count = self.watched.read(&mut buffer, READ_TIMEOUT).map_err(|e| format!("nothing came: {e}"))?;
+        let count = self.watched.read(&mut buffer, READ_TIMEOUT).map_err(|e| format!("read failed: {e}"))?;
         received.extend_from_slice(&buffer[..count]);
         Ok(count > 0)
     }
@@ -231,23 +232,23 @@
     }
 }
 
-fn broken(why: &str) -> CallError {
-    CallError { end: CallEnd::Broken, why: why.to_string() }
+fn broken(reason: &str) -> CallError {
+    CallError { end: CallEnd::Broken, reason: reason.to_string() }
 }
 
 fn watch_ended() -> CallError {
-    CallError { end: CallEnd::WatchEnded, why: "the watch was ended".to_string() }
+    CallError { end: CallEnd::WatchEnded, reason: "the service ended the watch".to_string() }
 }
 
-/// Something had begun to come, and is lost.
-fn truncated(why: &str) -> CallError {
-    CallError { end: CallEnd::Truncated, why: why.to_string() }
+/// The response ended before it was complete.
+fn truncated(reason: &str) -> CallError {
+    CallError { end: CallEnd::Truncated, reason: reason.to_string() }
 }
 
-fn unanswered(why: String) -> CallError {
-    CallError { end: CallEnd::Unanswered, why }
+fn unanswered(reason: String) -> CallError {
+    CallError { end: CallEnd::Unanswered, reason }
 }
 
 fn unreadable(error: LineError) -> CallError {
-    CallError { end: CallEnd::Unreadable, why: format!("the endpoint list is not as expected: {error}") }
+    CallError { end: CallEnd::Unreadable, reason: format!("endpoint list is unreadable: {error}") }
 }
--- a/src/net/discovery/call_log.rs
+++ b/src/net/discovery/call_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of calls to discovery: when each began, when it was answered, and how it ended.
+//! Logs calls to discovery: their start, first answer and end.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,34 +9,34 @@
 use crate::api::Nanos;
 use crate::net::log_limit::LogRateLimit;
 
-/// The calls that are open, as the log knows them.
+/// Writes the log lines on calls, and keeps for each open call the data that they report.
 #[derive(Debug)]
 pub(super) struct CallLog {
     open: HashMap<CallId, OpenCall>,
-    /// Bounds the lines on calls that fail.
+    /// Limits the rate of log lines on failed calls.
     failures: LogRateLimit,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct OpenCall {
     request: Request,
-    begun: Nanos,
-    answered: Option<Nanos>,
+    started_at: Nanos,
+    answered_at: Option<Nanos>,
 }
 
 impl OpenCall {
-    /// Milliseconds since the call was answered, or since it began if it was not.
+    /// Milliseconds since the first answer, or since the start if there is no answer yet.
     fn elapsed_ms(&self, now: Nanos) -> u64 {
-        now.saturating_sub(self.answered.unwrap_or(self.begun)) / NANOS_PER_MS
+        now.saturating_sub(self.answered_at.unwrap_or(self.started_at)) / NANOS_PER_MS
     }
 }
 
-/// What a call was answered with first.
+/// The first answer to a call.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum FirstAnswer {
-    /// Nothing has changed.
+    /// The list has not changed.
     Heartbeat,
-    /// An update of this version.
+    /// An update with its version.
     Version(u64),
 }
 
@@ -50,62 +50,61 @@
 }
 
 impl CallLog {
-    /// No call is open; a line on failures in `interval` at most.
+    /// Creates a log that writes at most one line on failures per `interval`.
     pub(super) fn new(interval: Nanos) -> Self {
         Self { open: HashMap::new(), failures: LogRateLimit::new(interval) }
     }
 
-    /// A call begins.
-    pub(super) fn begins(&mut self, call: CallId, request: Request, now: Nanos) {
-        log::debug!(call = call.0, request:? = request; "discovery call begins");
-        self.open.insert(call, OpenCall { request, begun: now, answered: None });
+    pub(super) fn started(&mut self, call: CallId, request: Request, now: Nanos) {
+        log::debug!(call = call.0, request:? = request; "discovery call started");
+        self.open.insert(call, OpenCall { request, started_at: now, answered_at: None });
     }
 
-    /// A call begins although a watch is open: that one is verified, or was silent for too long.
-    pub(super) fn begins_beside_watch(&mut self, call: CallId, now: Nanos) {
+    /// Logs that a call starts while a watch is open, either to verify the watch or because it is silent.
+    pub(super) fn started_during_watch(&mut self, call: CallId, now: Nanos) {
         if let Some(failures) = self.failures.occurred(now) {
             log::warn!(
                 call = call.0, failures_since_last_line = failures;
-                "discovery call begins beside a watch"
+                "discovery call started while a watch is open"
             );
         }
     }
 
-    /// A call has brought something: its first answer is logged.
+    /// Logs the first answer to a call, and ignores later ones.
     pub(super) fn answered(&mut self, call: CallId, answer: FirstAnswer, now: Nanos) {
-        let Some(open) = self.open.get_mut(&call).filter(|open| open.answered.is_none()) else { return };
+        let Some(open) = self.open.get_mut(&call).filter(|open| open.answered_at.is_none()) else { return };
         let after_ms = open.elapsed_ms(now);
-        open.answered = Some(now);
+        open.answered_at = Some(now);
         log::info!(
             call = call.0, request:? = open.request, answer:% = answer, after_ms = after_ms;
             "discovery call answered"
         );
     }
 
-    /// A call has ended with its connection.
+    /// Logs that a call has ended with its connection.
     pub(super) fn ended(&mut self, call: CallId, reason: &str, now: Nanos) {
         let open = self.open.remove(&call);
         self.failed(call, open, reason, now);
     }
 
-    /// A call is abandoned.
+    /// Logs that the actor has abandoned a call; only an unanswered one counts as failed.
     pub(super) fn abandoned(&mut self, call: CallId, reason: Abandoned, now: Nanos) {
         let open = self.open.remove(&call);
         match reason {
-            Abandoned::Unanswered => self.failed(call, open, "abandoned unanswered", now),
+            Abandoned::Unanswered => self.failed(call, open, "abandoned without an answer", now),
             Abandoned::Superseded | Abandoned::ServiceMoved => {
                 log::debug!(call = call.0, reason:? = reason; "discovery call abandoned");
             }
         }
     }
 
-    /// One line on a failed call, unless there was one within the interval.
+    /// Logs a failed call, unless a line was logged within the interval.
     fn failed(&mut self, call: CallId, open: Option<OpenCall>, reason: &str, now: Nanos) {
         let (Some(failures), Some(open)) = (self.failures.occurred(now), open) else { return };
         log::warn!(
             call = call.0,
             request:? = open.request,
-            answered = open.answered.is_some(),
+            answered = open.answered_at.is_some(),
             elapsed_ms = open.elapsed_ms(now),
             reason = reason,
             failures_since_last_line = failures;
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Service discovery: the actor that keeps the endpoint list up to date.
 //!
-//! It carries out what [`Subscription`](curlewdeck_membership::Subscription) decides, and hands on to the core what
-//! [`MembershipTable`](curlewdeck_membership::MembershipTable) has in force. Its timer runs beside its calls: one that is
-//! never heard of again is abandoned, and another one begins.
+//! The actor executes the commands of [`Subscription`](curlewdeck_membership::Subscription) and sends the updates that
+//! [`MembershipTable`](curlewdeck_membership::MembershipTable) has applied to the core. Its timer is independent of its
+//! calls, so that it abandons a silent call and starts another one.
 
 mod actor;
 mod call;
@@ -29,50 +29,51 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// What the actor of discovery needs of the process.
+/// Shared state and settings of the process that the discovery actor uses.
 pub struct DiscoveryContext {
     /// The core's mailbox.
     pub core: CoreMailbox,
-    /// The process's limits.
+    /// Time-outs and sizes of the process.
     pub limits: Arc<Limits>,
-    /// Counters.
+    /// Counts calls, their errors and expired leases.
     pub counters: Arc<Counters>,
-    /// The clock.
+    /// The clock of all deadlines.
     pub clock: Clock,
-    /// Updates that were read, and that the core has not taken yet.
+    /// Tracks the updates that the core has not applied yet.
     pub pending_updates: PendingUpdates,
-    /// Until when the endpoint list may be used.
+    /// The lease of the endpoint list, whose end the actor sets.
     pub lease: EndpointListLease,
 }
 
-/// How one coordinator subscribes to discovery.
+/// The settings of a coordinator's subscription to discovery.
 pub struct DiscoveryPlan {
-    /// The service's address.
+    /// The address of the discovery service.
     pub address: SocketAddr,
-    /// Whether it is polled or watched.
+    /// Whether the actor polls the service or watches it.
     pub discovery: DiscoveryMode,
-    /// Coordinators that call the same service.
+    /// The number of coordinators that call the same service.
     pub coordinators: u32,
-    /// The seed of random numbers.
+    /// The seed of the random numbers that spread calls over time.
     pub seed: u64,
-    /// The endpoint list from before the start.
+    /// The endpoint list from before the start, if there is one.
     pub known: Option<DiscoveryUpdate>,
 }
 
-/// Starts the actor; returns its mailbox, and the endpoint list from before the start as the core takes it.
+/// Starts the actor; returns its mailbox and the unconfirmed endpoint list from before the start, converted for the
+/// core.
 ///
 /// # Errors
-/// There is no thread for its timer.
+/// The timer's thread cannot be started.
 pub fn start(
     mut plan: DiscoveryPlan,
     context: DiscoveryContext,
 ) -> io::Result<(Sender<DiscoveryMessage>, EndpointUpdate)> {
     let (mailbox, inbox) = channel();
     let timer_mailbox = mailbox.clone();
-    // The actor outlives its timer.
-    let timer = Timer::start(context.clock, move || drop(timer_mailbox.send(DiscoveryMessage::TimePassed)))?;
+    // The send cannot fail: the actor outlives its timer.
+    let timer = Timer::start(context.clock, move || drop(timer_mailbox.send(DiscoveryMessage::TimerFired)))?;
     let known = plan.known.take();
-    // Everything has changed since version 0.
+    // Every change is newer than version 0.
     let version = known.as_ref().map_or(0, |known| known.version);
     log::info!(
         address:% = plan.address,
--- a/src/net/discovery/update_log.rs
+++ b/src/net/discovery/update_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of updates of the endpoint list.
+//! Logs updates of the endpoint list.
 
 use curlewdeck_membership::{State, Update};
 
@@ -6,10 +6,10 @@
 use crate::net::endpoints::{DiscoveryUpdate, ListedEndpoint};
 use crate::net::log_limit::LogRateLimit;
 
-/// The most names of draining or removed endpoints in one line.
+/// Maximum number of draining, or of removed, endpoints that a log line names.
 const MAX_NAMES: usize = 8;
 
-/// Bounds the lines on updates.
+/// Limits the rate of log lines on updates.
 #[derive(Debug)]
 pub(super) struct UpdateLog {
     applied: LogRateLimit,
@@ -17,7 +17,7 @@
 }
 
 impl UpdateLog {
-    /// The least time between two lines on updates, and between two on unreadable lines.
+    /// Takes the minimum intervals between log lines on updates, and between log lines on unreadable lines.
     pub(super) fn new(applied_interval: Nanos, unreadable_interval: Nanos) -> Self {
         Self {
             applied: LogRateLimit::new(applied_interval),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// An update was applied: how many endpoints it names in each state, and the first that are not in service.
+    /// Logs an applied update: the number of endpoints in each state, and the first names of those not in service.
     pub(super) fn applied(&mut self, version: u64, update: &Update<ListedEndpoint>, now: Nanos) {
         let Some(updates) = self.applied.occurred(now) else { return };
         log::info!(
@@ -41,7 +41,7 @@
         );
     }
 
-    /// Logs the first line that cannot be used, of those that an interval lets through.
+    /// Counts the update's unreadable lines; logs one of them if the interval allows it.
     pub(super) fn unreadable_lines(&mut self, update: &DiscoveryUpdate, now: Nanos) {
         let mut due = None;
         for error in update.unreadable_lines() {
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the actors of the coordinator ("core"), discovery and the data nodes. This module stands below
-//! all of these actors, which do not know each other.
+//! The messages between the actors of the coordinator ("core"), discovery and the data nodes. The actors depend on this
+//! module, not on each other.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,51 +21,51 @@
 pub use crate::net::drain_gate::DrainGate;
 pub use crate::net::received_frames::{ReceivedFrames, TrailingBytes};
 
-/// Hands a query's outcome to its frontend; called at most once.
+/// Delivers a query's outcome to its frontend; called at most once.
 pub type Reply = Box<dyn FnOnce(Result<QueryOutcome, RejectReason>) + Send>;
 
 /// A message to the coordinator.
 pub enum CoreMessage {
     /// A query was submitted.
     Submit {
-        /// Its id.
+        /// The id that [`CoreMessage::ClientDisconnected`] refers to.
         query: QueryId,
-        /// The query.
+        /// The parts, class and deadline of the query.
         request: QueryRequest,
-        /// Takes its outcome.
+        /// Receives the outcome.
         reply: Reply,
     },
     /// A query's client has disconnected.
     ClientDisconnected(QueryId),
-    /// An update of the endpoint list, and the guard that counts it as pending until it is dropped.
+    /// An update of the endpoint list, and a guard that counts the update as pending until it is applied.
     EndpointsUpdated(EndpointUpdate, Option<PendingUpdate>),
-    /// The endpoint list's lease has ended: nothing is sent by it until an update has come.
+    /// The endpoint list's lease has ended: nothing is sent until the next update.
     EndpointListExpired,
-    /// An attempt has ended.
+    /// Reports the outcome of an attempt, successful or not.
     AttemptEnded {
-        /// The attempt.
+        /// The id that the engine assigned to the attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// The result of the attempt.
         outcome: Outcome,
-        /// Its value, if it succeeded.
+        /// The value received; `None` unless the attempt succeeded.
         value: Option<Value>,
     },
     /// A health check has ended.
     HealthChecked {
-        /// The data node.
+        /// The checked data node.
         server: ServerId,
-        /// How it ended.
+        /// The result of the health check.
         outcome: Outcome,
     },
     /// The settings have changed.
     UpdateSettings(Box<Deployment>),
-    /// The process shuts down: every query is answered by then.
+    /// The process shuts down: every query must be answered before this deadline.
     ShutDownBy(Nanos),
-    /// The timer has fired.
+    /// The coordinator's timer has fired.
     TimerFired,
-    /// Take a snapshot of the request ledger.
+    /// Requests a snapshot of the request ledger.
     SnapshotLedger(Box<dyn FnOnce(LedgerSnapshot) + Send>),
-    /// Take what of the request ledger outlives the process.
+    /// Requests the part of the request ledger that is saved across restarts.
     SaveLedger(Box<dyn FnOnce(SavedLedger) + Send>),
 }
 
@@ -74,7 +74,7 @@
 pub struct CoreMailbox(Sender<CoreMessage>);
 
 impl CoreMailbox {
-    /// Sends a message.
+    /// Sends a message without waiting; logs an error if the actor has ended.
     pub fn send(&self, message: CoreMessage) {
         if self.0.send(message).is_err() {
             log::error!("the coordinator's actor has ended");
@@ -82,30 +82,30 @@
     }
 }
 
-/// The coordinator's mailbox before its actor runs: data nodes and discovery need it first.
+/// Creates the coordinator's mailbox, which data nodes and discovery need before the coordinator's actor starts.
 pub fn mailbox() -> (CoreMailbox, Receiver<CoreMessage>) {
     let (sender, inbox) = channel();
     (CoreMailbox(sender), inbox)
 }
 
-/// The log's target under which one request can be followed from its last byte in to its answer. Off by default:
+/// The log target that traces each request from its last byte received to its answer. Off by default;
 /// `RUST_LOG=info,request=debug` turns it on.
 pub const REQUEST_LOG_TARGET: &str = "request";
 
-/// A message to the actor of discovery.
+/// A message to the discovery actor.
 #[derive(Debug)]
 pub enum DiscoveryMessage {
-    /// Time has passed.
-    TimePassed,
+    /// The discovery actor's timer has fired.
+    TimerFired,
     /// A query waits for the endpoint list to be confirmed.
     QueryWaiting,
-    /// The configuration is being reloaded, which may name another address of discovery.
+    /// A reload of the configuration has started, which may change discovery's address.
     ReloadBegins,
     /// The reload has been applied or rejected.
     ReloadSettled,
-    /// Discovery is at another address from now on.
+    /// Discovery's address has changed to this one.
     Moved(SocketAddr),
-    /// A call has its connection.
+    /// A call has opened a connection.
     Connected(CallId, Arc<Stream>),
     /// A watch reports that nothing has changed.
     Heartbeat(CallId, PendingUpdate),
@@ -118,54 +118,54 @@
 /// Why a call to discovery has ended.
 #[derive(Debug)]
 pub struct CallError {
-    /// What that means for the next call.
+    /// The kind of end, which determines the next call.
     pub end: CallEnd,
     /// The cause, for the log.
-    pub why: String,
+    pub reason: String,
 }
 
-/// A message to the actor of a data node, whichever protocol that speaks.
+/// A message to the actor of a data node, for all protocols of data nodes.
 #[derive(Debug)]
 pub enum NodeMessage {
-    /// The data node's address.
+    /// The data node's current address.
     Address(SocketAddr),
-    /// Its drain gate was closed: what is queued is to go elsewhere at once.
+    /// The drain gate was closed: queued attempts end at once, so that their parts can be sent to other data nodes.
     GateClosed,
-    /// Send one call.
+    /// Sends one call with its attempts.
     Call(Vec<Dispatch>),
-    /// Cancel an attempt.
+    /// Cancels an attempt that is queued or in flight.
     CancelAttempt(AttemptId),
-    /// Check its health.
+    /// Checks the data node's health.
     CheckHealth,
-    /// Close idle connections.
+    /// Closes the connections without attempts in flight.
     CloseIdleConnections,
-    /// Something has happened to a connection.
+    /// An event of a connection.
     Connection(Input),
     /// Frames were received on a connection.
     FramesReceived {
-        /// The connection.
+        /// The connection on which they were received.
         connection: ConnectionId,
-        /// The frames.
+        /// The complete frames of one read, and the state of the bytes after them.
         received: ReceivedFrames,
-        /// The permit with which the reader reads ahead of the actor.
+        /// Limits how far the reader may be ahead of the actor.
         permit: Permit,
     },
-    /// A connection is up.
+    /// A connection was established.
     Connected {
-        /// The connection.
+        /// The id of the connection.
         connection: ConnectionId,
-        /// Its stream.
+        /// Used to shut down the connection.
         stream: Arc<Stream>,
-        /// The mailbox of its writer.
+        /// The mailbox of the coroutine that writes to the connection.
         writer: Sender<OutboundFrame>,
     },
-    /// It has left the endpoint list, and no attempt is in flight there: the actor ends.
+    /// The data node was removed from the endpoint list and has no attempt in flight: the actor ends.
     Remove,
-    /// A fetch has ended.
+    /// An HTTP fetch has ended.
     FetchEnded {
-        /// Its attempt.
+        /// The attempt that the fetch served.
         attempt: AttemptId,
-        /// Its connection, if that can be used again.
+        /// The connection, if it can be reused.
         reusable: Option<Arc<Stream>>,
     },
 }
