--- a/src/net/coordinator/actor.rs
+++ b/src/net/coordinator/actor.rs
@@ -1,4 +1,4 @@
-//! The actor's state, its loop, and what it does on each message.
+//! The actor's state, main loop and message handlers.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -13,50 +13,50 @@
 use crate::engine::{AttemptId, Engine, QueryRequest, RejectReason, Value};
 use crate::net::coordinator::config::{OnEndpointsStarted, StartNode};
 use crate::net::coordinator::handle::CoreHandle;
-use crate::net::coordinator::node::Node;
+use crate::net::coordinator::node::NodeHandle;
 use crate::net::endpoint_list_lease::EndpointListLease;
 use crate::net::messages::{CoreMessage, DiscoveryMessage, Reply, REQUEST_LOG_TARGET};
 use crate::runtime::{lock, Timer};
 use crate::settings::Deployment;
 
-/// How far the endpoint list can be relied on.
+/// Whether the endpoint list may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EndpointListState {
-    /// It is from before the start.
+    /// The list is from before the start.
     Unconfirmed,
-    /// The same, and a query waits for it to be confirmed.
-    Awaited,
-    /// It is in force.
-    InForce,
-    /// Its lease has ended.
+    /// The list is from before the start, and a query waits for its confirmation.
+    ConfirmationRequested,
+    /// The list may be used until its lease ends.
+    Usable,
+    /// The lease has ended.
     Expired,
 }
 
 pub(super) struct CoreActor {
     pub(super) engine: Engine,
-    /// The source of truth; the counters of queries and attempts are a view of it.
+    /// The authoritative record, from which the counters of queries and attempts are derived.
     pub(super) ledger: RequestLedger,
     pub(super) handle: CoreHandle,
     pub(super) discovery: Sender<DiscoveryMessage>,
     pub(super) start_node: StartNode,
     pub(super) timer: Timer,
-    pub(super) nodes: HashMap<ServerId, Node>,
+    pub(super) nodes: HashMap<ServerId, NodeHandle>,
     pub(super) replies: HashMap<QueryId, Reply>,
     pub(super) endpoint_list: EndpointListState,
     pub(super) lease: EndpointListLease,
-    /// When the endpoint list was last updated or confirmed.
+    /// Time of the last update or confirmation of the endpoint list.
     pub(super) last_update_at: Nanos,
-    /// After so long without an update, that is logged and counted.
+    /// Longest expected interval between updates; a longer one is logged and counted as overdue.
     pub(super) poll_interval_max: Nanos,
     pub(super) on_endpoints_started: Option<OnEndpointsStarted>,
     pub(super) restored_ledger: Option<SavedLedger>,
     pub(super) stats_interval: Option<Nanos>,
-    /// When the process stats are published next.
+    /// Time of the next publication of the process stats.
     pub(super) next_publication: Nanos,
 }
 
 impl CoreActor {
-    /// Handles messages until the last of its mailboxes is dropped. The engine runs once for all messages that wait.
+    /// Handles messages until the last mailbox is dropped. Runs the engine once for each batch of queued messages.
     pub(super) fn run(&mut self, inbox: &Receiver<CoreMessage>) {
         loop {
             self.run_engine();
@@ -80,10 +80,10 @@
             CoreMessage::ClientDisconnected(query) => self.client_disconnected(query),
             CoreMessage::EndpointsUpdated(update, pending) => {
                 self.apply_endpoint_update(update);
-                // It counts as pending until it is applied.
+                // The update counts as pending until it is applied.
                 drop(pending);
             }
-            // Noticed before the engine runs next.
+            // `check_lease` handles it before the next run of the engine.
             CoreMessage::EndpointListExpired => {}
             CoreMessage::AttemptEnded { attempt, outcome, value } => {
                 self.attempt_ended(now, attempt, outcome, value);
@@ -125,7 +125,7 @@
     fn record_not_accepted(&mut self, now: Nanos, query: QueryId, class: ClassId, reason: RejectReason) {
         match reason {
             RejectReason::QueueFull => self.handle.count_queue_full(class),
-            // Counts as any other that is rejected: its deadline passed before it could be accepted.
+            // The deadline passed before the query could be accepted; counted like any other rejected query.
             RejectReason::DeadlinePassed => {
                 self.ledger.query_accepted(now, query, class);
                 self.ledger.query_ended(query, QueryEnd::Rejected);
@@ -134,14 +134,14 @@
         }
     }
 
-    /// Has discovery called at once when the first query waits for the endpoint list to be confirmed.
+    /// Requests a discovery call when the first query waits for the endpoint list to be confirmed.
     fn request_confirmation(&mut self) {
         if self.endpoint_list != EndpointListState::Unconfirmed {
             return;
         }
-        self.endpoint_list = EndpointListState::Awaited;
+        self.endpoint_list = EndpointListState::ConfirmationRequested;
         if self.discovery.send(DiscoveryMessage::QueryWaiting).is_err() {
-            log::error!("the actor of discovery has ended");
+            log::error!("the discovery actor has ended");
         }
     }
 
@@ -168,7 +168,7 @@
         snapshot
     }
 
-    /// Records the queries that were rejected before they came to the engine.
+    /// Records the queries that were rejected before they reached the engine.
     pub(super) fn record_rejected_queue_full(&mut self) {
         for (class, &count) in lock(&self.handle.rejected_queue_full).iter().enumerate() {
             self.ledger.queries_rejected_queue_full(ClassId(class), count);
--- a/src/net/coordinator/commands.rs
+++ b/src/net/coordinator/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the engine's commands.
+//! Execution of the engine's commands.
 
 use curlewdeck_accounting::QueryEnd;
 
@@ -7,12 +7,12 @@
 use crate::net::coordinator::actor::CoreActor;
 use crate::net::messages::{NodeMessage, Reply, REQUEST_LOG_TARGET};
 
-/// Yields before answers are handed out after a cancellation. From the coordinator to a data node's connection there are
-/// two coroutines, which run in the order in which they are woken, since one worker runs them all; as many again, since a
-/// frame that is being written goes first.
+/// Number of yields between a cancellation and the delivery of answers. A cancellation passes through two coroutines on
+/// its way to a data node's connection. One worker runs all coroutines in the order in which they are woken. The number
+/// is doubled because a frame that is already being written is finished first.
 const YIELDS_BEFORE_ANSWERS: usize = 4;
 
-/// What was done in one run of the engine.
+/// Effects of one run of the engine that are completed after its last command.
 #[derive(Default)]
 struct RunEffects {
     any_cancelled: bool,
@@ -20,24 +20,24 @@
 }
 
 impl CoreActor {
-    /// Runs the engine, and carries out its commands in their order; answers are handed out last.
+    /// Runs the engine and executes its commands in order; delivers answers last.
     pub(super) fn run_engine(&mut self) {
         let now = self.handle.clock.now();
         self.check_lease(now);
         let mut effects = RunEffects::default();
         for command in self.engine.run(now) {
-            self.carry_out(now, command, &mut effects);
+            self.execute(now, command, &mut effects);
         }
         self.handle.counters.record_ledger(&self.ledger);
         if effects.any_cancelled && !effects.answers.is_empty() {
-            // A data node that reads late must not find an attempt of a query that has its answer without the notice that
-            // it is cancelled: those notices are written first.
+            // Write cancellations before delivering answers: otherwise a data node that reads late could start an
+            // attempt of a query that is already answered.
             (0..YIELDS_BEFORE_ANSWERS).for_each(|_| may::coroutine::yield_now());
         }
         effects.answers.into_iter().for_each(|(reply, outcome)| reply(Ok(outcome)));
     }
 
-    fn carry_out(&mut self, now: Nanos, command: Command, effects: &mut RunEffects) {
+    fn execute(&mut self, now: Nanos, command: Command, effects: &mut RunEffects) {
         match command {
             Command::RecordAttempt(event) => self.record_attempt(event),
             Command::SendCall { server, call } => self.send_call(server, call),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Records the end of a query before it is answered: whoever has the answer finds it counted.
+    /// Records the end of a query before its answer is delivered, so that a client with an answer finds it counted.
     fn record_finished(&mut self, now: Nanos, query: QueryId, outcome: &QueryOutcome) {
         match outcome {
             QueryOutcome::Answered { complete, coverage, .. } => {
--- a/src/net/coordinator/config.rs
+++ b/src/net/coordinator/config.rs
@@ -1,4 +1,4 @@
-//! What the actor is made of, and its start.
+//! Configuration and start of the coordinator's actor.
 
 use std::sync::{Arc, Mutex};
 
@@ -18,42 +18,42 @@
 use crate::runtime::{spawn_vital, Clock, Timer};
 use crate::settings::Deployment;
 
-/// What the coordinator's actor is made of.
+/// The components and settings of the coordinator's actor.
 pub struct CoreConfig {
-    /// The engine.
+    /// Schedules queries and attempts; without I/O.
     pub engine: Engine,
-    /// The settings.
+    /// The settings at the start.
     pub deployment: Arc<Deployment>,
-    /// The interval at which the process stats are published, in nanoseconds; none if nobody fetches them.
+    /// The interval in nanoseconds at which the process stats are published; `None` if they have no reader.
     pub stats_interval: Option<Nanos>,
-    /// The clock.
+    /// The clock of all deadlines.
     pub clock: Clock,
-    /// Counters.
+    /// The counters that the actor updates.
     pub counters: Arc<Counters>,
-    /// Queries that may wait in the mailbox.
+    /// Maximum number of queries in the mailbox; further ones are rejected.
     pub max_mailbox_queries: usize,
-    /// The stack of the actor, in words.
+    /// Stack size of the actor's coroutine in words.
     pub stack_words: usize,
-    /// Until when the endpoint list may be used.
+    /// The lease of the endpoint list, set by discovery.
     pub lease: EndpointListLease,
-    /// Bounds of the request ledger's table of nodes.
+    /// Limits of the request ledger's table of data nodes.
     pub node_table_bounds: NodeBounds,
-    /// The request ledger that an earlier process saved.
+    /// The request ledger saved by an earlier process, if there is one.
     pub restored_ledger: Option<SavedLedger>,
-    /// Called with the shards of which a data node is new or has restarted.
+    /// Called after each update of the endpoint list.
     pub on_endpoints_started: Option<OnEndpointsStarted>,
 }
 
-/// Called with the shards whose data nodes are new or have restarted.
+/// Callback that takes the shards whose data nodes are new or have restarted; there may be none.
 pub type OnEndpointsStarted = Box<dyn Fn(&[ShardId]) + Send>;
 
-/// Starts the actor of a data node. It checks the gate right before anything new is sent.
+/// Starts the actor of a data node, which checks the gate right before it sends anything new.
 pub type StartNode = Box<dyn FnMut(ServerId, DrainGate) -> Sender<NodeMessage> + Send>;
 
-/// Starts the actor; `known` is the endpoint list as it was before the start.
+/// Starts the actor; `known` is the endpoint list from before the start.
 ///
 /// # Errors
-/// The thread of its timer cannot be started.
+/// The timer's thread cannot be started.
 pub fn start(
     config: CoreConfig,
     mailbox: CoreMailbox,
@@ -110,7 +110,7 @@
     }
 }
 
-/// A request ledger that goes on with what an earlier process saved.
+/// Creates the request ledger, restored from the one that an earlier process saved.
 fn new_ledger(config: &CoreConfig) -> RequestLedger {
     let mut ledger = RequestLedger::new(
         &config.deployment.settings.classes,
@@ -123,7 +123,7 @@
     ledger
 }
 
-/// How long the endpoint list may go without an update; any span where discovery pushes updates.
+/// Longest expected interval between updates of the endpoint list; unlimited if discovery pushes updates.
 fn poll_interval_max(deployment: &Deployment) -> Nanos {
     match deployment.settings.discovery {
         DiscoveryMode::Poll { poll_interval_max } => poll_interval_max,
--- a/src/net/coordinator/endpoint_updates.rs
+++ b/src/net/coordinator/endpoint_updates.rs
@@ -1,11 +1,11 @@
-//! Updates of the endpoint list: they reach the drain gates first, then the engine.
+//! Applies updates of the endpoint list, first to the drain gates, then to the engine.
 
 use std::sync::atomic::Ordering;
 
 use crate::api::{EndpointState, EndpointUpdateKind, Nanos, ServerId};
 use crate::counters::Counters;
 use crate::net::coordinator::actor::{CoreActor, EndpointListState};
-use crate::net::coordinator::node::Node;
+use crate::net::coordinator::node::NodeHandle;
 use crate::net::endpoints::EndpointUpdate;
 use crate::net::messages::{DrainGate, NodeMessage};
 
@@ -28,7 +28,7 @@
         self.update_engine(update);
     }
 
-    /// Notes that the endpoint list was updated, and whether that was overdue.
+    /// Records the time of an update, and logs and counts an overdue one.
     fn record_update(&mut self, now: Nanos, kind: EndpointUpdateKind) {
         let elapsed = now.saturating_sub(self.last_update_at);
         if elapsed > self.poll_interval_max {
@@ -38,11 +38,11 @@
         self.last_update_at = now;
         self.endpoint_list = match kind {
             EndpointUpdateKind::Unconfirmed => EndpointListState::Unconfirmed,
-            EndpointUpdateKind::Delta | EndpointUpdateKind::Snapshot => EndpointListState::InForce,
+            EndpointUpdateKind::Delta | EndpointUpdateKind::Snapshot => EndpointListState::Usable,
         };
     }
 
-    /// Closes the gates of the data nodes that a complete list does not name.
+    /// Closes the gates of the data nodes that are missing from a complete list.
     fn close_missing(&mut self, now: Nanos, update: &EndpointUpdate) {
         for (&server, node) in &self.nodes {
             let name = self.engine.server_name(server);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Closes the gate of a data node that has left the list. One that is not known needs no actor for that.
+    /// Closes the gate of a data node that was removed from the list. Starts no actor for an unknown data node.
     fn close_removed(&mut self, now: Nanos, name: &str) {
         let Some(server) = self.engine.server_id(name) else { return };
         if let Some(node) = self.nodes.get(&server) {
@@ -62,16 +62,16 @@
         self.ledger.node_state(now, server, name, EndpointState::Removed);
     }
 
-    /// The data node's actor, which is started if there is none.
-    fn node_or_start(&mut self, server: ServerId) -> &Node {
+    /// Returns the handle of the data node's actor, which it starts if necessary.
+    fn node_or_start(&mut self, server: ServerId) -> &NodeHandle {
         let (start_node, lease) = (&mut self.start_node, &self.lease);
         self.nodes.entry(server).or_insert_with(|| {
             let gate = DrainGate::with_lease(lease.clone());
-            Node { mailbox: start_node(server, gate.clone()), gate }
+            NodeHandle { mailbox: start_node(server, gate.clone()), gate }
         })
     }
 
-    /// Hands the update to the engine.
+    /// Applies the update to the engine, readiness and counters.
     fn update_engine(&mut self, update: EndpointUpdate) {
         let endpoints: Vec<_> = update.endpoints.into_iter().map(|(endpoint, _)| endpoint).collect();
         if self.handle.clock.wall_stepped() {
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Nothing is sent by an endpoint list whose lease has ended; what is queued at the data nodes' actors ends at once.
+    /// Once the lease has ended, stops sending and ends the attempts that are queued at the data nodes' actors.
     pub(super) fn check_lease(&mut self, now: Nanos) {
-        if self.endpoint_list != EndpointListState::InForce || self.lease.is_valid(now) {
+        if self.endpoint_list != EndpointListState::Usable || self.lease.is_valid(now) {
             return;
         }
         self.endpoint_list = EndpointListState::Expired;
--- a/src/net/coordinator/handle.rs
+++ b/src/net/coordinator/handle.rs
@@ -1,4 +1,4 @@
-//! What the frontends see of the coordinator.
+//! The handle through which frontends use the coordinator.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -15,31 +15,31 @@
 use crate::runtime::{lock, Clock};
 use crate::settings::Deployment;
 
-/// How long a caller waits for [`CoreHandle::saved_ledger`].
+/// Time-out of [`CoreHandle::saved_ledger`].
 const SAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The coordinator's actor as the frontends see it; clones share it.
+/// A handle of the coordinator's actor; clones refer to the same actor.
 #[derive(Clone)]
 pub struct CoreHandle {
     pub(super) mailbox: CoreMailbox,
     pub(super) next_query: Arc<AtomicU64>,
-    /// Queries in the mailbox.
+    /// Number of queries in the mailbox.
     pub(super) mailbox_queries: Arc<AtomicUsize>,
     pub(super) max_mailbox_queries: usize,
     pub(super) ready: Arc<AtomicBool>,
-    /// By class: queries rejected because a queue was full, which the request ledger takes over.
+    /// Number of queries rejected because a queue was full, by class. The actor copies it to the request ledger.
     pub(super) rejected_queue_full: Arc<Mutex<Vec<u64>>>,
     pub(super) deployment: Arc<Mutex<Arc<Deployment>>>,
-    /// The process stats as they were last published.
+    /// The last published process stats.
     pub(super) published_stats: Arc<Mutex<Arc<ProcessStats>>>,
     /// The clock of all deadlines.
     pub clock: Clock,
-    /// Counters.
+    /// The counters of the process.
     pub counters: Arc<Counters>,
 }
 
 impl CoreHandle {
-    /// Submits a query. `reply` is called once, unless its client is reported as disconnected before.
+    /// Submits a query. Calls `reply` once, unless the client is reported as disconnected before.
     pub fn submit(&self, request: QueryRequest, reply: Reply) -> QueryId {
         let query = QueryId(self.next_query.fetch_add(1, Ordering::Relaxed));
         if self.mailbox_queries.fetch_add(1, Ordering::AcqRel) >= self.max_mailbox_queries {
@@ -62,66 +62,66 @@
         rejected[class.0] += 1;
     }
 
-    /// The settings that are in force.
+    /// Returns the current settings, as last applied by the actor.
     pub fn deployment(&self) -> Arc<Deployment> {
         lock(&self.deployment).clone()
     }
 
-    /// Puts new settings in force; queries that are open keep the rules under which they were submitted.
+    /// Applies new settings; open queries keep the rules under which they were submitted.
     pub fn update_settings(&self, deployment: Deployment) {
         self.mailbox.send(CoreMessage::UpdateSettings(Box::new(deployment)));
     }
 
-    /// Tells that the process shuts down: every query is answered by then, those that are queued included.
+    /// Starts the shutdown: all queries, including queued ones, are answered before the deadline.
     pub fn shut_down_by(&self, deadline: Nanos) {
         self.mailbox.send(CoreMessage::ShutDownBy(deadline));
     }
 
-    /// The process stats as they were last published, without waiting for the actor.
+    /// Returns the last published process stats without waiting for the actor.
     pub fn process_stats(&self) -> Arc<ProcessStats> {
         lock(&self.published_stats).clone()
     }
 
-    /// Hands a snapshot of the request ledger to `take`, once the actor comes to it.
+    /// Requests a snapshot of the request ledger; the actor calls `take` with it.
     pub fn ledger_snapshot(&self, take: impl FnOnce(LedgerSnapshot) + Send + 'static) {
         self.mailbox.send(CoreMessage::SnapshotLedger(Box::new(take)));
     }
 
-    /// A snapshot of the request ledger, for a thread that waits; none if the actor does not come to it within this time.
-    /// Must not be called from a coroutine.
-    pub fn ledger_snapshot_within(&self, within: Duration) -> Option<LedgerSnapshot> {
-        self.request(within, CoreMessage::SnapshotLedger)
+    /// Waits for a snapshot of the request ledger; returns `None` after this time-out. Blocks the thread, so it must
+    /// not be called from a coroutine.
+    pub fn ledger_snapshot_within(&self, timeout: Duration) -> Option<LedgerSnapshot> {
+        self.request(timeout, CoreMessage::SnapshotLedger)
     }
 
-    /// What of the request ledger outlives the process; none if the actor does not come to it within two seconds. Must not
-    /// be called from a coroutine.
+    /// Waits for the part of the request ledger that is saved across restarts; returns `None` after two seconds. Blocks
+    /// the thread, so it must not be called from a coroutine.
     pub fn saved_ledger(&self) -> Option<SavedLedger> {
         self.request(SAVE_TIMEOUT, CoreMessage::SaveLedger)
     }
 
-    /// Sends a message that takes a callback, and waits for the call.
+    /// Sends a message with a callback, and waits for the callback's value.
     fn request<T: Send + 'static>(
         &self,
-        within: Duration,
+        timeout: Duration,
         message: impl FnOnce(Box<dyn FnOnce(T) + Send>) -> CoreMessage,
     ) -> Option<T> {
-        let (result, results) = std::sync::mpsc::channel();
-        // Nobody waits any more after the time-out.
-        self.mailbox.send(message(Box::new(move |value| drop(result.send(value)))));
-        results.recv_timeout(within).ok()
+        let (sender, receiver) = std::sync::mpsc::channel();
+        // The send fails after the time-out, when the receiver is dropped.
+        self.mailbox.send(message(Box::new(move |value| drop(sender.send(value)))));
+        receiver.recv_timeout(timeout).ok()
     }
 
-    /// Reports that the client of a query has disconnected.
+    /// Reports that the client of a query has disconnected; the query then gets no reply.
     pub fn client_disconnected(&self, query: QueryId) {
         self.mailbox.send(CoreMessage::ClientDisconnected(query));
     }
 
-    /// Whether queries can be served: some data node is active.
+    /// Returns whether queries can be served: at least one data node is active.
     pub fn ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// How long a client should wait before it retries a query that was rejected because a queue was full.
+    /// Returns how long a client should wait before it retries a query that was rejected because a queue was full.
     pub fn queue_full_retry_after(&self) -> Nanos {
         let settings = &self.deployment().settings;
         settings.max_retry_after.unwrap_or(0).min(settings.shortest_latency_objective() / 4)
--- a/src/net/coordinator/metrics_publisher.rs
+++ b/src/net/coordinator/metrics_publisher.rs
@@ -1,4 +1,4 @@
-//! Publishes the process stats, so that whoever reads them does not wait for the actor.
+//! Publishes the process stats, so that readers do not wait for the actor.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use crate::runtime::lock;
 
 impl CoreActor {
-    /// Publishes the process stats if that is due; returns when it is next, whatever else happens: which data nodes are
-    /// excluded changes with time alone.
+    /// Publishes the process stats if they are due; returns the time of the next publication. The interval is
+    /// independent of messages, since the set of excluded data nodes changes with time alone.
     pub(super) fn publish_process_stats(&mut self) -> Option<Nanos> {
         let interval = self.stats_interval?;
         let now = self.handle.clock.now();
--- a/src/net/coordinator/mod.rs
+++ b/src/net/coordinator/mod.rs
@@ -1,4 +1,5 @@
-//! The coordinator's actor: the engine behind a mailbox, its commands handed on to data nodes, discovery and frontends.
+//! The coordinator's actor: runs the engine on the messages of a mailbox, and forwards the engine's commands to data
+//! nodes, discovery and frontends.
 
 mod actor;
 mod commands;
--- a/src/net/coordinator/node.rs
+++ b/src/net/coordinator/node.rs
@@ -1,4 +1,4 @@
-//! A data node's actor, as the coordinator knows it.
+//! The coordinator's handle of a data node's actor.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,20 @@
 use crate::api::EndpointState;
 use crate::net::messages::{DrainGate, NodeMessage};
 
-/// The mailbox of a data node's actor, and the gate in front of the data node.
-pub(super) struct Node {
+/// The mailbox of a data node's actor, and the data node's drain gate.
+pub(super) struct NodeHandle {
     pub(super) mailbox: Sender<NodeMessage>,
     pub(super) gate: DrainGate,
 }
 
-impl Node {
-    /// Sends a message to the actor.
+impl NodeHandle {
     pub(super) fn send(&self, message: NodeMessage) {
         if self.mailbox.send(message).is_err() {
             log::error!("the actor of a data node has ended");
         }
     }
 
-    /// Takes what the endpoint list says: its address, and whether it may be sent anything new.
+    /// Applies the data node's address and state from the endpoint list.
     pub(super) fn update(&self, state: EndpointState, address: SocketAddr) {
         self.gate.set_address(address);
         self.send(NodeMessage::Address(address));
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Nothing new is sent from now on, and what is queued ends at once.
+    /// Closes the gate; if it was open, the actor ends its queued attempts.
     pub(super) fn close_gate(&self) {
         if self.gate.set_open(false) {
             self.send(NodeMessage::GateClosed);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! Networking: an actor with a mailbox for the coordinator, for discovery and for each data node. Parsing and the state
-//! machine of the connections are pure, beside them.
+//! Networking: one actor each for the coordinator, discovery and every data node. Parsing and the connections' state
+//! machine are separate modules without I/O.
 
 pub mod connection_pool;
 pub mod coordinator;
--- a/src/net/pending_updates/tests.rs
+++ b/src/net/pending_updates/tests.rs
@@ -2,82 +2,81 @@
 
 use std::io::Write;
 
-/// A connection to discovery, and its far end.
+/// A connection to discovery, and the socket of its peer.
 fn connection() -> (Arc<Stream>, std::net::TcpStream) {
     let listener = may::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (Arc::new(Stream::new(listener.accept().unwrap().0, None).unwrap()), peer)
 }
 
-fn waited_in_vain(pending_updates: &PendingUpdates) -> bool {
+fn wait_timed_out(pending_updates: &PendingUpdates) -> bool {
     let clock = Clock::start();
-    let begun = clock.now();
+    let start = clock.now();
     pending_updates.wait_until_current(&clock);
-    clock.now() - begun >= nanos(WAIT_MAX)
+    clock.now() - start >= nanos(WAIT_MAX)
 }
 
-/// Guards a frame against an update that was written and not read when the process went on: it waits until the update
-/// was read, handed on and taken, whichever of the three is missing.
+/// After a suspension of the process, a frame could be sent to a draining data node while the update is still unread,
+/// read but not registered, or registered but not applied.
 #[test]
-fn an_update_is_waited_for_until_it_is_taken() {
+fn sends_wait_until_an_update_is_applied() {
     let (stream, mut peer) = connection();
     let pending_updates = PendingUpdates::default();
     let watched = pending_updates.watch(stream.clone());
-    assert!(!waited_in_vain(&pending_updates), "nothing waits");
-    let stale = || pending_updates.0.current_at.store(0, Ordering::SeqCst);
+    assert!(!wait_timed_out(&pending_updates), "no update");
+    let expire_check = || pending_updates.0.current_at.store(0, Ordering::SeqCst);
     let mut buf = [0; 64];
     peer.write_all(b"update").unwrap();
     stream.wait_readable(Duration::from_secs(10)).unwrap();
-    stale();
-    assert!(waited_in_vain(&pending_updates), "unread");
+    expire_check();
+    assert!(wait_timed_out(&pending_updates), "unread");
     watched.read(&mut buf, Duration::from_secs(10)).unwrap();
-    stale();
-    assert!(waited_in_vain(&pending_updates), "read, and not handed on");
+    expire_check();
+    assert!(wait_timed_out(&pending_updates), "read, but not registered");
     let update = pending_updates.begin_update();
     assert!(watched.read(&mut buf, Duration::ZERO).is_err());
-    stale();
-    assert!(waited_in_vain(&pending_updates), "handed on, and not taken");
+    expire_check();
+    assert!(wait_timed_out(&pending_updates), "registered, but not applied");
     drop(update);
-    stale();
-    assert!(!waited_in_vain(&pending_updates), "taken");
+    expire_check();
+    assert!(!wait_timed_out(&pending_updates), "applied");
 }
 
-/// Guards sends against a silent or ended connection, and one whose reader has ended: neither holds anything up.
+/// A connection closed by its peer, or one whose reader has ended, brings no update and must not delay sends.
 #[test]
-fn a_connection_without_updates_holds_nothing_up() {
+fn a_connection_without_updates_delays_no_send() {
     let (stream, peer) = connection();
     let pending_updates = PendingUpdates::default();
     let watched = pending_updates.watch(stream.clone());
     drop(peer);
     stream.wait_readable(Duration::from_secs(10)).unwrap();
-    assert!(!waited_in_vain(&pending_updates), "its end is no update");
+    assert!(!wait_timed_out(&pending_updates), "end of the connection");
     let (unread, mut peer) = connection();
     drop(pending_updates.watch(unread.clone()));
     peer.write_all(b"update").unwrap();
     unread.wait_readable(Duration::from_secs(10)).unwrap();
     pending_updates.0.current_at.store(0, Ordering::SeqCst);
-    assert!(!waited_in_vain(&pending_updates), "its reader has ended");
+    assert!(!wait_timed_out(&pending_updates), "dropped by its reader");
     drop(watched);
 }
 
-/// Guards the end of a watch against a check between its reset and its reader's next turn: the reader is told of the reset,
-/// and not of an end in order.
+/// The operating system reports a reset once. If a check consumed it, the reader would see an orderly end of the watch.
 #[test]
-fn a_check_leaves_a_reset_to_the_reader() {
+fn a_reset_seen_by_a_check_is_still_reported_to_the_reader() {
     let (stream, peer) = connection();
     let pending_updates = PendingUpdates::default();
     let watched = pending_updates.watch(stream);
     socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
     // On loopback the reset has arrived once this returns.
     drop(peer);
-    assert!(!waited_in_vain(&pending_updates), "a reset is no update");
+    assert!(!wait_timed_out(&pending_updates), "reset of the connection");
     let read = watched.read(&mut [0], Duration::from_secs(10));
     assert_eq!(read.map_err(|e| e.kind()), Err(io::ErrorKind::ConnectionReset));
 }
 
-/// Guards against a check for each frame, and against one that is relied on for too long.
+/// Checking for each frame would cost system calls, and an outdated result would miss a newer update.
 #[test]
-fn a_check_holds_for_a_bounded_time() {
+fn the_result_of_a_check_is_valid_for_a_bounded_time() {
     let pending_updates = PendingUpdates::default();
     let clock = Clock::start();
     pending_updates.wait_until_current(&clock);
