--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -4,7 +4,7 @@
 
 use crate::api::Nanos;
 
-/// A steady clock: Unix time in nanoseconds at its start, monotonic from there on.
+/// A monotonic clock in nanoseconds that begins at the Unix time of its start.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// Unix time at the start.
@@ -13,18 +13,18 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that begins at the wall clock's current time.
     pub fn start() -> Self {
         Self { base: unix_now(), start: Instant::now() }
     }
 
-    /// The time.
+    /// Returns the Unix time at the start plus the elapsed time, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.base + nanos(self.start.elapsed())
     }
 
-    /// Whether the wall clock was stepped since the start: it differs from this clock by more than
-    /// 50 ms and the time that reading both took.
+    /// Returns whether the wall clock was stepped since the start: it differs from this clock by more than 50 ms plus
+    /// the time taken to read both.
     pub fn wall_stepped(&self) -> bool {
         let (before, wall, after) = (self.now(), unix_now(), self.now());
         let stepped_back = wall.saturating_add(WALL_CLOCK_TOLERANCE) < before;
@@ -33,15 +33,15 @@
     }
 }
 
-/// The wall clock is slewed by less than this without a step, in nanoseconds.
+/// Difference in nanoseconds up to which the wall clock is considered slewed, not stepped.
 const WALL_CLOCK_TOLERANCE: Nanos = 50_000_000;
 
-/// Unix time in nanoseconds, by the wall clock.
+/// Returns the wall clock's Unix time in nanoseconds.
 fn unix_now() -> Nanos {
     nanos(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
 
-/// A span in nanoseconds; the longest that can be expressed if it is longer.
+/// Converts a duration to nanoseconds; saturates at the maximum.
 pub fn nanos(span: Duration) -> Nanos {
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/src/runtime/clock/tests.rs
+++ b/src/runtime/clock/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards the detection of a step of the wall clock, either way, and against seeing one where there was none.
+/// A step forward and a step back must both be detected, and none may be reported without a step.
 #[test]
 fn a_step_of_the_wall_clock_is_detected_either_way() {
     let clock = Clock::start();
--- a/src/runtime/connect/tests.rs
+++ b/src/runtime/connect/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Guards against a list kept for every length of time-out that ever was: there are few lengths.
+/// `may` keeps a list for each distinct time-out, so the memory would grow with every new duration.
 #[test]
-fn socket_timeouts_have_few_lengths() {
-    let lengths: std::collections::BTreeSet<Duration> =
+fn socket_timeouts_are_rounded_to_few_durations() {
+    let durations: std::collections::BTreeSet<Duration> =
         (0..10_000).map(|n| round_timeout(Duration::from_micros(n * 1000 + n))).collect();
-    assert!(lengths.len() <= 201, "{}", lengths.len());
+    assert!(durations.len() <= 201, "{}", durations.len());
     assert_eq!(round_timeout(Duration::from_millis(250)), Duration::from_millis(250));
     assert_eq!(round_timeout(Duration::ZERO), TIMEOUT_STEP);
 }
 
-/// Guards connecting against errors that last for a moment, by their numbers as Linux documents them; a refusal is final,
-/// and no error is retried for ever.
+/// Transient errors, by their Linux numbers, are retried up to the limit of attempts. A refused connection is not
+/// retried.
 #[test]
 fn a_connect_is_retried_after_a_transient_error() {
     const ECONNREFUSED: i32 = 111;
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! What every actor builds on: the clock, timers, permits, streams, coroutines and threads.
+//! Runtime support for all actors: the clock, timers, permits, streams, coroutines and threads.
 
 mod clock;
 mod connect;
--- a/src/runtime/permits.rs
+++ b/src/runtime/permits.rs
@@ -1,4 +1,4 @@
-//! Bounds on how many of one kind exist at once: sockets, or messages.
+//! Counting permits that limit how many sockets or messages exist at once.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -9,24 +9,24 @@
     limit: usize,
 }
 
-/// A bounded number of permits; clones share it.
+/// A pool with a limited number of permits; clones share the pool.
 #[derive(Debug, Clone)]
 pub struct Permits(Arc<Usage>);
 
-/// One permit; given back when dropped.
+/// A permit, which returns to its pool when dropped.
 #[derive(Debug)]
 pub struct Permit(Arc<Usage>);
 
 impl Permits {
-    /// At most `limit` permits at once.
+    /// Creates a pool of `limit` permits.
     pub fn new(limit: usize) -> Self {
         Self(Arc::new(Usage { in_use: AtomicUsize::new(0), limit }))
     }
 
-    /// One of them, unless all are in use.
+    /// Takes a permit without waiting; returns `None` if all are in use.
     pub fn take(&self) -> Option<Permit> {
-        let one_more = |in_use: usize| (in_use < self.0.limit).then_some(in_use + 1);
-        self.0.in_use.fetch_update(Ordering::AcqRel, Ordering::Acquire, one_more).ok()?;
+        let increment = |in_use: usize| (in_use < self.0.limit).then_some(in_use + 1);
+        self.0.in_use.fetch_update(Ordering::AcqRel, Ordering::Acquire, increment).ok()?;
         Some(Permit(self.0.clone()))
     }
 }
--- a/src/runtime/spawn.rs
+++ b/src/runtime/spawn.rs
@@ -3,13 +3,13 @@
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The stack of a thread that waits, and does little when it is woken, in bytes.
+/// Stack size in bytes of a thread that mostly waits and does little work.
 pub const SMALL_STACK: usize = 128 * 1024;
 
-/// The exit code of a process that ends for an internal fault (`EX_SOFTWARE`).
+/// The exit code after an internal fault (`EX_SOFTWARE`).
 const EXIT_INTERNAL_FAULT: i32 = 70;
 
-/// Starts a thread of the system, for what would block the worker of the coroutines.
+/// Starts an operating system thread, for work that would block the worker of the coroutines.
 ///
 /// # Errors
 /// The thread cannot be started.
@@ -17,14 +17,14 @@
     std::thread::Builder::new().name(name.into()).stack_size(stack_bytes).spawn(run).map(drop)
 }
 
-/// A coroutine that could not be started: there is no memory for its stack. Its closure has been dropped.
+/// A coroutine could not be started because its stack could not be allocated. Its closure has been dropped.
 #[derive(Debug, thiserror::Error)]
-#[error("cannot start {name}: {why}")]
+#[error("cannot start {name}: {reason}")]
 pub struct SpawnError {
-    /// The coroutine's name.
+    /// The coroutine's name, as passed to [`spawn`].
     pub name: &'static str,
-    /// The cause.
-    pub why: String,
+    /// The cause, as plain text.
+    pub reason: String,
 }
 
 impl From<SpawnError> for io::Error {
@@ -33,8 +33,8 @@
     }
 }
 
-/// Starts an actor that others cannot do without: should it panic, or not start, the process ends, so that the
-/// platform restarts it instead of keeping one that answers nobody.
+/// Starts an actor that the process cannot work without. If the actor panics or cannot be started, the process exits,
+/// so that the platform restarts it instead of keeping a process that answers no queries.
 pub fn spawn_vital(name: &'static str, stack_words: usize, run: impl FnOnce() + Send + 'static) {
     let started = spawn(name, stack_words, move || {
         let guard = ExitOnPanic(name);
@@ -42,27 +42,27 @@
         drop(guard);
     });
     if started.is_err() {
-        log::error!(actor = name; "the process ends: a vital actor could not be started");
+        log::error!(actor = name; "exiting: a vital actor could not be started");
         std::process::exit(EXIT_INTERNAL_FAULT);
     }
 }
 
-/// Ends the process if it is dropped by a panic; holds the actor's name.
+/// Exits the process if dropped during a panic. Contains the actor's name.
 struct ExitOnPanic(&'static str);
 
 impl Drop for ExitOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            log::error!(actor = self.0; "the process ends: a vital actor panicked");
+            log::error!(actor = self.0; "exiting: a vital actor panicked");
             std::process::exit(EXIT_INTERNAL_FAULT);
         }
     }
 }
 
-/// Starts a coroutine with a stack of so many words. What it owns is dropped as it unwinds, should it panic.
+/// Starts a coroutine with a stack of `stack_words` words. If it panics, unwinding drops the values that it owns.
 ///
 /// # Errors
-/// There is no memory for its stack, which `may` reports by a panic in its caller. It is logged, too.
+/// The stack could not be allocated, which `may` reports by a panic in its caller. The error is also logged.
 pub fn spawn(
     name: &'static str,
     stack_words: usize,
@@ -70,17 +70,17 @@
 ) -> Result<(), SpawnError> {
     let builder = may::coroutine::Builder::new().name(name.into()).stack_size(stack_words);
     let start = || may::go!(builder, run).map(drop);
-    let why = match catch_unwind(AssertUnwindSafe(start)) {
+    let reason = match catch_unwind(AssertUnwindSafe(start)) {
         Ok(Ok(())) => return Ok(()),
         Ok(Err(e)) => e.to_string(),
-        Err(_) => "no memory for its stack".to_string(),
+        Err(_) => "out of memory for the stack".to_string(),
     };
-    log::error!(coroutine = name, error:% = why; "a coroutine could not be started");
-    Err(SpawnError { name, why })
+    log::error!(coroutine = name, error:% = reason; "coroutine could not be started");
+    Err(SpawnError { name, reason })
 }
 
-/// Starts a coroutine, and calls `on_end` once it has ended: with its result, or with none if it panicked or was never
-/// started.
+/// Starts a coroutine, and calls `on_end` once after its end: with its result, or with `None` if it panicked or could
+/// not be started.
 pub fn spawn_reporting<T: Send + 'static>(
     name: &'static str,
     stack_words: usize,
@@ -88,14 +88,14 @@
     on_end: impl FnOnce(Option<T>) + Send + 'static,
 ) {
     let report = ReportOnDrop { on_end: Some(on_end), result: None };
-    // If it does not start, the closure is dropped, and `report` with it.
+    // If the start fails, the closure is dropped together with `report`, which then calls `on_end`.
     let _ = spawn(name, stack_words, move || {
         let mut report = report;
         report.result = Some(run());
     });
 }
 
-/// Reports the result, if there is one by then, when it is dropped.
+/// Calls `on_end` when dropped, with the result if there is one.
 struct ReportOnDrop<T, F: FnOnce(Option<T>)> {
     on_end: Option<F>,
     result: Option<T>,
--- a/src/runtime/spawn/tests.rs
+++ b/src/runtime/spawn/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 use std::time::Duration;
 
-/// More than any machine has, in words.
-const NO_STACK: usize = 1 << 56;
+/// A stack size in words that no machine can allocate.
+const IMPOSSIBLE_STACK: usize = 1 << 56;
 
-/// Guards whoever starts a coroutine against one that does not start: it gets an error, and no panic.
+/// `may` panics in the caller if the stack cannot be allocated; the caller must get an error instead.
 #[test]
 fn a_coroutine_that_cannot_start_is_an_error() {
-    let failed = spawn("too large", NO_STACK, || unreachable!("it has no stack"));
+    let failed = spawn("too large", IMPOSSIBLE_STACK, || unreachable!("started without a stack"));
     assert_eq!(failed.unwrap_err().name, "too large");
 }
 
-/// Guards whoever waits for the end of a coroutine: it is reported once, be it a result, a panic or a failed start.
+/// Callers wait for the report: it must come exactly once after a result, a panic or a failed start.
 #[test]
 fn the_end_of_a_coroutine_is_reported_however_it_ends() {
     let (ends, reports) = std::sync::mpsc::channel();
@@ -22,7 +22,7 @@
     };
     let stack_words = crate::limits::Limits::default().core_stack_words;
     assert_eq!(report("result", stack_words, || 7), Some(7));
-    assert_eq!(report("panic", stack_words, || panic!("as the test wants it")), None);
-    assert_eq!(report("too large", NO_STACK, || 7), None);
+    assert_eq!(report("panic", stack_words, || panic!("panic on purpose")), None);
+    assert_eq!(report("too large", IMPOSSIBLE_STACK, || 7), None);
     assert!(reports.try_recv().is_err());
 }
--- a/src/runtime/stream.rs
+++ b/src/runtime/stream.rs
@@ -1,4 +1,4 @@
-//! Connections as coroutines read and write them.
+//! TCP streams for coroutines.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
 use crate::runtime::connect::{connect, round_timeout};
 use crate::runtime::Permit;
 
-/// The pause before another try at a socket whose buffer is full.
+/// Pause before the next write to a socket whose send buffer is full.
 const WRITE_PAUSE: Duration = Duration::from_millis(1);
 
-/// After so many reads in a row that found something at once, a reader yields the worker to others.
+/// Number of consecutive reads without a wait after which a reader yields the worker to other coroutines.
 const MAX_CONSECUTIVE_READS: u32 = 8;
 
-/// For how long it does. The worker polls for events only once nothing is runnable, so that a mere yield would keep all
-/// other sockets unread.
+/// Pause of a reader that yields. The worker polls for events only when no coroutine is runnable, so that a yield
+/// without a pause would leave all other sockets unread.
 const READ_PAUSE: Duration = Duration::from_millis(1);
 
-/// A connection that one coroutine reads while others write or shut it: one descriptor, no clone.
+/// A connection that one coroutine reads while others write to it or shut it down, all through one file descriptor.
 #[derive(Debug)]
 pub struct Stream {
     inner: TcpStream,
-    /// Reads in a row that found something at once.
+    /// Number of consecutive reads that returned without a wait.
     consecutive_reads: AtomicU32,
-    /// The system's number of the failure that [`has_unread`](Self::has_unread) has met; 0 if none has. The system reports
-    /// a failure once, and reads return 0 bytes from then on: without this a reset would be read as an orderly end.
-    peek_failure: AtomicI32,
+    /// The `errno` of a failure that [`has_unread`](Self::has_unread) consumed, or 0. The operating system reports a
+    /// failure once, and later reads return 0 bytes: without this field, a reset would be read as an orderly end.
+    peek_errno: AtomicI32,
     _permit: Option<Permit>,
 }
 
-/// Why something was not written completely.
+/// An error that prevented a complete write.
 #[derive(Debug, thiserror::Error)]
 #[error("{source}")]
 pub struct WriteError {
-    /// Some of it was written, and may have been read.
+    /// Whether some bytes were written, which the peer may have read.
     pub partially_written: bool,
-    /// The cause.
+    /// The error of the connection, or the reason why the write was aborted.
     pub source: io::Error,
 }
 
 impl Stream {
-    /// Wraps an accepted connection.
+    /// Wraps a connection and sets `TCP_NODELAY`. The permit is returned when the stream is dropped.
     ///
     /// # Errors
     /// The socket's options cannot be set.
@@ -52,44 +52,45 @@
         Ok(Self {
             inner,
             consecutive_reads: AtomicU32::new(0),
-            peek_failure: AtomicI32::new(0),
+            peek_errno: AtomicI32::new(0),
             _permit: permit,
         })
     }
 
-    /// Opens a connection. What fails for a moment only is tried again.
+    /// Opens a connection within `timeout`, and retries after transient errors.
     ///
     /// # Errors
-    /// It is refused or not up in time.
-    pub fn connect(address: &SocketAddr, within: Duration, permit: Option<Permit>) -> io::Result<Self> {
-        Self::new(connect(address, within)?, permit)
+    /// The connection is refused, or not established in time.
+    pub fn connect(address: &SocketAddr, timeout: Duration, permit: Option<Permit>) -> io::Result<Self> {
+        Self::new(connect(address, timeout)?, permit)
     }
 
-    /// Reads; waits for so long at most until there is something. Only one coroutine may wait.
+    /// Reads, and waits up to `timeout` for bytes. Returns 0 once the peer has closed its side. Only one coroutine may
+    /// wait.
     ///
     /// # Errors
     /// `TimedOut`, or the connection has failed.
-    pub fn read(&self, buffer: &mut [u8], within: Duration) -> io::Result<usize> {
-        self.read_observed(buffer, within, |_| ())
+    pub fn read(&self, buffer: &mut [u8], timeout: Duration) -> io::Result<usize> {
+        self.read_observed(buffer, timeout, |_| ())
     }
 
-    /// The same; `note` is called with true before each read, which may take bytes from the socket, and with false before
-    /// each wait, when none were taken.
+    /// Reads like [`Stream::read`]. Calls `observe` with true before each attempt to read, which may take bytes from
+    /// the socket, and with false before each wait, if no bytes were taken.
     ///
     /// # Errors
     /// As [`Stream::read`].
     pub fn read_observed(
         &self,
         buffer: &mut [u8],
-        within: Duration,
-        note: impl Fn(bool),
+        timeout: Duration,
+        observe: impl Fn(bool),
     ) -> io::Result<usize> {
         loop {
-            note(true);
+            observe(true);
             match self.try_read(buffer) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    note(false);
-                    self.wait_readable(within)?;
+                    observe(false);
+                    self.wait_readable(timeout)?;
                 }
                 result => {
                     self.yield_if_busy();
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Lets other coroutines run, and their sockets be polled, if this one has been read often without a wait: a peer
-    /// that sends without end would have the worker to itself otherwise.
+    /// Pauses the coroutine after eight consecutive reads without a wait, so that other coroutines run and
+    /// their sockets are polled. Otherwise a peer that sends continuously would occupy the worker.
     pub fn yield_if_busy(&self) {
         if self.consecutive_reads.load(Ordering::Relaxed) >= MAX_CONSECUTIVE_READS {
             self.consecutive_reads.store(0, Ordering::Relaxed);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Reads what is there, without waiting.
+    /// Reads available bytes without waiting.
     ///
     /// # Errors
     /// `WouldBlock`, or the connection has failed.
@@ -129,19 +130,19 @@
         }
     }
 
-    /// Waits until there is something to read or the peer has closed its side, for so long at most. Only one coroutine may
+    /// Waits up to `timeout` until there are bytes to read or the peer has closed its side. Only one coroutine may
     /// wait.
     ///
     /// # Errors
     /// `TimedOut`, or the connection has failed.
-    pub fn wait_readable(&self, within: Duration) -> io::Result<()> {
-        retry_interrupted(within, |remaining| {
+    pub fn wait_readable(&self, timeout: Duration) -> io::Result<()> {
+        retry_interrupted(timeout, |remaining| {
             self.inner.set_read_timeout(Some(round_timeout(remaining)))?;
             self.inner.peek(&mut [0]).map(drop)
         })
     }
 
-    /// Peeks without waiting: 0 bytes once the peer has closed its side.
+    /// Peeks without waiting; returns 0 once the peer has closed its side.
     fn peek_now(&self) -> io::Result<usize> {
         loop {
             match self.inner.inner().peek(&mut [0]) {
@@ -151,26 +152,26 @@
         }
     }
 
-    /// Records a failure, for the next read.
+    /// Records a failure, which the next read returns.
     fn record_failure(&self, error: &io::Error) {
-        if let Some(number) = error.raw_os_error().filter(|_| error.kind() != io::ErrorKind::WouldBlock) {
-            self.peek_failure.store(number, Ordering::Relaxed);
+        if let Some(errno) = error.raw_os_error().filter(|_| error.kind() != io::ErrorKind::WouldBlock) {
+            self.peek_errno.store(errno, Ordering::Relaxed);
         }
     }
 
-    /// The failure that `has_unread` has met.
     fn recorded_failure(&self) -> Option<io::Error> {
-        let number = self.peek_failure.load(Ordering::Relaxed);
-        (number != 0).then(|| io::Error::from_raw_os_error(number))
+        let errno = self.peek_errno.load(Ordering::Relaxed);
+        (errno != 0).then(|| io::Error::from_raw_os_error(errno))
     }
 
-    /// Whether a read would not wait: there are bytes, the peer has closed its side, or the connection has failed.
+    /// Returns whether a read would return at once: there are bytes, the peer has closed its side, or the connection
+    /// has failed.
     pub fn is_readable(&self) -> bool {
         !matches!(self.peek_now(), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether there are bytes to be read. That the peer has closed its side does not count. A failure is left to the
-    /// next read.
+    /// Returns whether there are unread bytes; false if the peer has only closed its side. A failure is recorded and
+    /// returned by the next read.
     pub fn has_unread(&self) -> bool {
         match self.peek_now() {
             Ok(count) => count > 0,
@@ -181,34 +182,36 @@
         }
     }
 
-    /// Whether the peer has not closed its side, as far as can be seen: unread bytes hide an end behind them.
+    /// Returns false if the connection has failed or the peer has closed its side. Unread bytes hide a close that
+    /// follows them.
     pub fn is_open(&self) -> bool {
         self.peek_now().map_or_else(|e| e.kind() == io::ErrorKind::WouldBlock, |count| count > 0)
     }
 
-    /// Writes all, or fails after so long.
+    /// Writes all bytes, or fails with `TimedOut` after `timeout`.
     ///
     /// # Errors
-    /// The connection has failed or takes no more.
-    pub fn write_all(&self, bytes: &[u8], within: Duration) -> io::Result<()> {
-        self.write_rest(bytes, || true, WriteTimeout::start(within))
+    /// The connection has failed, or its buffer stayed full.
+    pub fn write_all(&self, bytes: &[u8], timeout: Duration) -> io::Result<()> {
+        self.write_rest(bytes, || true, WriteTimeout::start(timeout))
     }
 
-    /// Writes what `current` returns at the moment at which the first byte can be written, or nothing if that is none by
-    /// then: a socket may be full for long, and what is wanted changes meanwhile. Nothing is begun once the peer has
-    /// closed the connection. `current` is called again if `is_timely` no longer holds before the first byte: the process
-    /// was held up since. After the first byte, writing goes on only as long as `is_wanted` holds.
+    /// Writes the bytes that `current` returns at the time when the first byte can be written, or nothing if it returns
+    /// `None` then. The socket may be full for a long time, during which the bytes to send may change. Fails before the
+    /// first byte if the peer has closed the connection. Before the first byte, calls `current` again if `is_timely`
+    /// returns false, because the process was suspended meanwhile. After the first byte, continues only while
+    /// `is_wanted` returns true.
     ///
     /// # Errors
-    /// As [`Stream::write_all`], or it was begun and is no longer wanted: the connection is of no further use.
+    /// As [`Stream::write_all`], or a partially written message is no longer wanted: the connection cannot be reused.
     pub fn write_latest(
         &self,
         current: impl FnMut() -> Option<Vec<u8>>,
         is_timely: impl Fn() -> bool,
         is_wanted: impl Fn() -> bool,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), WriteError> {
-        let timeout = WriteTimeout::start(within);
+        let timeout = WriteTimeout::start(timeout);
         let rest = self
             .write_first(current, is_timely, timeout)
             .map_err(|source| WriteError { partially_written: false, source })?;
@@ -216,7 +219,7 @@
             .map_err(|source| WriteError { partially_written: true, source })
     }
 
-    /// Writes the first of the bytes that `current` returns by then; returns those that are left.
+    /// Writes the first bytes of the latest result of `current`; returns the remaining bytes.
     fn write_first(
         &self,
         mut current: impl FnMut() -> Option<Vec<u8>>,
@@ -246,7 +249,7 @@
         Ok(Vec::new())
     }
 
-    /// Writes all of these, as long as `is_wanted` holds.
+    /// Writes all bytes while `is_wanted` returns true.
     fn write_rest(
         &self,
         mut bytes: &[u8],
@@ -270,34 +273,34 @@
         Ok(())
     }
 
-    /// Closes the write side: the peer reads to the end of what was written.
+    /// Closes the write side: the peer reads all written bytes, then the end of the stream.
     pub fn shutdown_write(&self) {
-        // It fails where the peer has reset the connection already.
+        // Fails if the peer has already reset the connection.
         let _ = self.inner.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Closes both sides; a reader that waits is woken.
+    /// Closes both sides and wakes a waiting reader.
     pub fn shutdown(&self) {
-        // It fails where the peer has reset the connection already.
+        // Fails if the peer has already reset the connection.
         let _ = self.inner.shutdown(std::net::Shutdown::Both);
     }
 }
 
-/// How long a write may take.
+/// The time limit of a write.
 #[derive(Debug, Clone, Copy)]
 struct WriteTimeout {
     start: Instant,
-    within: Duration,
+    timeout: Duration,
 }
 
 impl WriteTimeout {
-    fn start(within: Duration) -> Self {
-        Self { start: Instant::now(), within }
+    fn start(timeout: Duration) -> Self {
+        Self { start: Instant::now(), timeout }
     }
 
-    /// Waits a moment for a socket whose buffer is full, or fails if the time is over.
+    /// Pauses for [`WRITE_PAUSE`] while the socket's buffer is full, or fails after the time limit.
     fn pause(&self) -> io::Result<()> {
-        if self.start.elapsed() >= self.within {
+        if self.start.elapsed() >= self.timeout {
             return Err(io::ErrorKind::TimedOut.into());
         }
         may::coroutine::sleep(WRITE_PAUSE);
@@ -305,11 +308,11 @@
     }
 }
 
-/// Waits again, for what is left of this time, if a wait was interrupted by a signal.
-fn retry_interrupted(within: Duration, mut wait: impl FnMut(Duration) -> io::Result<()>) -> io::Result<()> {
+/// Repeats a wait that was interrupted by a signal, with the remaining time.
+fn retry_interrupted(timeout: Duration, mut wait: impl FnMut(Duration) -> io::Result<()>) -> io::Result<()> {
     let start = Instant::now();
     loop {
-        let remaining = within.saturating_sub(start.elapsed());
+        let remaining = timeout.saturating_sub(start.elapsed());
         match wait(remaining) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             result => return result,
--- a/src/runtime/timer.rs
+++ b/src/runtime/timer.rs
@@ -1,4 +1,4 @@
-//! A timer for one actor.
+//! A timer thread that wakes one actor.
 
 use std::io;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
@@ -7,14 +7,14 @@
 use crate::api::Nanos;
 use crate::runtime::{thread, Clock};
 
-/// A timer for one actor: a thread that sleeps until the time it was last set to, then calls `on_fire`.
+/// A timer for one actor: a thread that sleeps until the earliest time it was set to, then calls `on_fire`.
 ///
-/// `may`'s own timers are not used for spans that vary. Its `recv_timeout` waits the whole span again when it is
-/// woken a moment early, and it keeps a list for each length of span for good.
+/// `may`'s timers are unsuitable for varying durations: its `recv_timeout` waits for the full duration again after
+/// waking up slightly early, and it keeps a list per distinct duration, which it never frees.
 #[derive(Debug, Clone)]
 pub struct Timer {
     requests: Sender<Nanos>,
-    /// When it fires next, as far as its owner has asked for it.
+    /// The earliest time requested since the timer last fired.
     next: Option<Nanos>,
 }
 
@@ -29,16 +29,16 @@
         Ok(Self { requests, next: None })
     }
 
-    /// Makes sure that it fires at `at`, or earlier if it was set to that.
+    /// Requests that the timer fires at `at`, unless it was already set to an earlier time.
     pub fn set(&mut self, at: Nanos) {
         if self.next.is_none_or(|next| at < next) {
             self.next = Some(at);
-            // The thread ends with its last sender only.
+            // The send cannot fail: the thread ends only after the last sender is dropped.
             let _ = self.requests.send(at);
         }
     }
 
-    /// To be called when it has fired: the next time is set anew.
+    /// Must be called after the timer has fired, before it is set again.
     pub fn fired(&mut self) {
         self.next = None;
     }
@@ -64,7 +64,6 @@
     }
 }
 
-/// The stack of the timer's thread, in bytes.
 const STACK_BYTES: usize = 64 * 1024;
 
 #[cfg(test)]
--- a/src/runtime/timer/tests.rs
+++ b/src/runtime/timer/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against a timer that waits out an earlier setting, or a time already past.
+/// A timer already set to a later time must not wait for it when an earlier or past time is requested.
 #[test]
 fn a_timer_set_to_an_earlier_time_fires_then() {
     let (fired, events) = std::sync::mpsc::channel();
