--- a/src/frontend/accept.rs
+++ b/src/frontend/accept.rs
@@ -1,4 +1,4 @@
-//! Errors of `accept`: none of them ends a listener or keeps it busy, and they are logged at a limited rate.
+//! Errors of `accept`: the listener retries after each of them, without a busy loop, and logs them at a limited rate.
 
 use std::io::{Error, ErrorKind};
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use crate::api::Nanos;
 use crate::net::log_limit::LogRateLimit;
 
-/// Between two attempts while the system lacks descriptors, memory or a network.
+/// The pause between two attempts while the system lacks file descriptors, memory or a network.
 const RESOURCE_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Logs the errors of one listener, and decides how soon it tries again.
+/// Logs the errors of one listener and chooses the pause before the next attempt.
 #[derive(Debug)]
 pub struct AcceptErrors {
     listener: &'static str,
@@ -17,12 +17,12 @@
 }
 
 impl AcceptErrors {
-    /// No errors so far at the listener of this name. It logs at most once in `log_interval`.
+    /// Creates the record for the listener of this name. Errors are logged at most once per `log_interval`.
     pub fn new(listener: &'static str, log_interval: Nanos) -> Self {
         Self { listener, log: LogRateLimit::new(log_interval) }
     }
 
-    /// Records an error at `now`; returns how long to wait before the next attempt.
+    /// Records an error at `now`. Returns how long to wait before the next attempt.
     pub fn record(&mut self, now: Nanos, error: &Error) -> Duration {
         if let Some(occurrences) = self.log.occurred(now) {
             log::warn!(listener = self.listener, error:% = error, occurrences = occurrences; "accept failed");
@@ -31,7 +31,7 @@
     }
 }
 
-/// How long to wait after an error: not at all after one that concerns a single connection or call.
+/// Returns how long to wait after an error: zero if it concerns only a single connection or call.
 fn retry_pause(error: &Error) -> Duration {
     match error.kind() {
         ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted => Duration::ZERO,
--- a/src/frontend/accept/tests.rs
+++ b/src/frontend/accept/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const SECOND: Nanos = 1_000_000_000;
-/// As Linux numbers them.
+// Error numbers of Linux.
 const INTERRUPTED: i32 = 4;
 const NO_MEMORY: i32 = 12;
 const TABLE_FULL: i32 = 23;
@@ -14,7 +14,7 @@
 const TIMED_OUT: i32 = 110;
 const HOST_UNREACHABLE: i32 = 113;
 
-/// Guards the next connections: they do not wait for one that was lost.
+/// A connection that was lost before `accept` must not delay the next one.
 #[test]
 fn an_error_of_one_connection_does_not_delay_the_next() {
     for number in [INTERRUPTED, ABORTED] {
@@ -22,9 +22,10 @@
     }
 }
 
-/// Guards against a loop that is busy while a resource is lacking, and against one that is late once it is back.
+/// Without a pause the accept loop is busy while a resource is unavailable; a long pause delays connections after the
+/// resource is available again.
 #[test]
-fn a_lasting_error_is_retried_after_a_short_pause() {
+fn a_persistent_error_is_retried_after_a_short_pause() {
     for number in [
         NO_MEMORY,
         TABLE_FULL,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Guards the log against a line with each attempt.
+/// One line per attempt would flood the log while an error persists.
 #[test]
 fn errors_are_logged_at_a_limited_rate() {
     let mut errors = AcceptErrors::new("front", 10 * SECOND);
--- a/src/frontend/aggregation/mod.rs
+++ b/src/frontend/aggregation/mod.rs
@@ -137,7 +137,7 @@
             }
         };
         answer.send(reply);
-        Served::Now
+        Served::Answered
     }
 
     fn reject_malformed(&self, bad: BadMessage) -> Reply {
--- a/src/frontend/aggregation/query.rs
+++ b/src/frontend/aggregation/query.rs
@@ -115,7 +115,7 @@
         };
         let responder = self.responder(merging, class);
         let reply = Box::new(move |ended| responder.respond(ended, answer));
-        Served::Later(self.core.submit(request, reply))
+        Served::Submitted(self.core.submit(request, reply))
     }
 
     fn responder(&self, merging: Arc<Mutex<QueryMerger>>, class: ClassId) -> QueryResponder {
--- a/src/frontend/arrival_times.rs
+++ b/src/frontend/arrival_times.rs
@@ -1,32 +1,32 @@
-//! When the buffered bytes of a connection arrived: a request that was sent ahead waits for the answers before it, and
-//! its client's time runs meanwhile. Pure: the time is passed in.
+//! When the buffered bytes of a connection arrived. A pipelined request waits until the requests before it are
+//! answered, and its timeout includes that wait. This module has no clock: callers pass the time in.
 
 use std::collections::VecDeque;
 
 use crate::api::Nanos;
 
-/// Bytes that arrive within this time count as arrived with the first of them, in nanoseconds.
+/// Bytes that arrive within this many nanoseconds share the arrival time of the first of them.
 const COALESCING_NS: Nanos = 5_000_000;
 
-/// The bytes of a connection, and when they arrived.
+/// The arrival times of a connection's buffered bytes.
 #[derive(Debug, Default)]
 pub struct ArrivalTimes {
-    /// All bytes so far.
+    /// The number of bytes received since the connection opened.
     received_bytes: u64,
-    /// The bytes that are buffered, in the order of their arrival.
+    /// The buffered bytes, in the order of their arrival.
     runs: VecDeque<Run>,
 }
 
-/// Bytes that arrived together.
+/// Bytes that share an arrival time.
 #[derive(Debug, Clone, Copy)]
 struct Run {
-    /// The position behind the last of them.
+    /// The position after the last byte, counted from the opening of the connection.
     end: u64,
     arrived_at: Nanos,
 }
 
 impl ArrivalTimes {
-    /// Records that so many bytes have arrived.
+    /// Records the arrival of `bytes` bytes at `now`.
     pub fn record(&mut self, bytes: usize, now: Nanos) {
         self.received_bytes += bytes as u64;
         match self.runs.back_mut() {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Takes out a request that leaves so many bytes buffered. Returns when its last byte arrived; `now` if none did.
+    /// Removes a request from the buffer; `buffered` bytes remain after it. Returns when the last byte of the request
+    /// arrived, or `now` if no bytes are recorded.
     pub fn take_request(&mut self, buffered: usize, now: Nanos) -> Nanos {
         let end = self.received_bytes.saturating_sub(buffered as u64);
         while self.runs.front().is_some_and(|run| run.end < end) {
--- a/src/frontend/arrival_times/tests.rs
+++ b/src/frontend/arrival_times/tests.rs
@@ -2,23 +2,23 @@
 
 const MS: Nanos = 1_000_000;
 
-/// Guards the time of requests that were sent ahead: each counts from its own last byte, however late its turn comes.
+/// The timeout of a pipelined request starts when its last byte arrives, not when the requests before it are answered.
 #[test]
-fn each_request_counts_from_its_last_byte() {
+fn the_timeout_of_each_request_starts_at_its_last_byte() {
     let mut arrivals = ArrivalTimes::default();
     arrivals.record(100, 10 * MS);
     arrivals.record(40, 200 * MS);
     arrivals.record(60, 500 * MS);
-    // 100 bytes are one request, the next 100 another.
+    // The first 100 bytes are one request, the next 100 another.
     assert_eq!(arrivals.take_request(100, 900 * MS), 10 * MS);
     assert_eq!(arrivals.take_request(0, 900 * MS), 500 * MS);
     arrivals.record(100, 1000 * MS);
     assert_eq!(arrivals.take_request(0, 1000 * MS), 1000 * MS);
 }
 
-/// Two in one read, and one whose last byte begins the next read.
+/// One read holds a request and part of the next, whose last byte is the first byte of a later read.
 #[test]
-fn requests_may_be_cut_anywhere() {
+fn requests_may_be_split_across_reads_at_any_byte() {
     let mut arrivals = ArrivalTimes::default();
     arrivals.record(150, 10 * MS);
     assert_eq!(arrivals.take_request(100, 20 * MS), 10 * MS);
@@ -28,7 +28,7 @@
     assert_eq!(arrivals.take_request(49, 300 * MS), 100 * MS);
 }
 
-/// Guards against an entry for each byte of a client that sends them one by one.
+/// A client that sends single bytes must not create an entry per byte.
 #[test]
 fn bytes_that_arrive_together_share_an_entry() {
     let mut arrivals = ArrivalTimes::default();
--- a/src/frontend/features/mod.rs
+++ b/src/frontend/features/mod.rs
@@ -135,7 +135,7 @@
             }
         };
         answer.send(reply);
-        Served::Now
+        Served::Answered
     }
 
     fn reject_malformed(&self, bad: BadMessage) -> Reply {
--- a/src/frontend/features/query.rs
+++ b/src/frontend/features/query.rs
@@ -107,6 +107,6 @@
             validator: parts.validator,
             client: requester.client,
         };
-        Served::Later(self.core.submit(query, reply))
+        Served::Submitted(self.core.submit(query, reply))
     }
 }
--- a/src/frontend/http_server/accept.rs
+++ b/src/frontend/http_server/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, or rejects them where there is no place.
+//! Accepts client connections, and rejects them when all connection slots are in use.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,16 +21,16 @@
 use crate::net::http;
 use crate::runtime::{nanos, spawn, thread, Permit, Stream, SMALL_STACK};
 
-/// How soon the accepting thread notices that the process finishes.
+/// How often the accepting thread checks whether the process is shutting down.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two attempts to find a place for a connection.
+/// The pause between two attempts to get a permit for a new connection.
 const EVICTION_PAUSE: Duration = Duration::from_millis(1);
 
-/// Listens at an address, and starts to accept connections.
+/// Binds an address and starts a coroutine that accepts connections. Returns the local address.
 ///
 /// # Errors
-/// The address cannot be bound, or there is no coroutine.
+/// Fails if the address cannot be bound or the coroutine cannot be started.
 pub fn listen(
     address: SocketAddr,
     frontend: Arc<dyn Frontend>,
@@ -49,19 +49,19 @@
                 }
             }
         }
-        // Lets open connections run while many new ones arrive.
+        // Lets the coroutines of open connections run while many new connections arrive.
         may::coroutine::yield_now();
     })?;
     Ok(local)
 }
 
-/// Accepts connections at a socket that the process inherited, and that other processes may accept from.
+/// Accepts connections on an inherited listening socket that other processes may accept from too.
 ///
-/// A thread accepts one connection at a time, and only once the one before it is served, so that none is taken that
-/// could not be read. It ends when the process finishes.
+/// A thread accepts one connection at a time, and only after the previous one has been registered or rejected, so that
+/// it never accepts a connection that this process could not read. The thread stops at shutdown of the process.
 ///
 /// # Errors
-/// The socket cannot be used, or there is no thread.
+/// Fails if the socket is unusable or the coroutine or thread cannot be started.
 pub fn listen_inherited(
     inherited: Inherited,
     frontend: Arc<dyn Frontend>,
@@ -71,16 +71,16 @@
     let service = context.service.clone();
     let errors = accept_errors(&context.limits);
     let (streams, accepted) = channel::<TcpStream>();
-    let (taken, next) = thread_channel::channel();
+    let (handled_sender, handled) = thread_channel::channel();
     spawn("accept", context.limits.stack_words, move || {
         for stream in accepted.iter() {
             accept(stream, &frontend, &context);
-            if taken.send(()).is_err() {
+            if handled_sender.send(()).is_err() {
                 return;
             }
         }
     })?;
-    let acceptor = InheritedAcceptor { inherited, service, errors, streams, next };
+    let acceptor = InheritedAcceptor { inherited, service, errors, streams, handled };
     thread("accept", SMALL_STACK, move || acceptor.run())?;
     Ok(local)
 }
@@ -89,15 +89,15 @@
     AcceptErrors::new("front", nanos(limits.no_socket_log_interval))
 }
 
-/// The thread that accepts at an inherited socket.
+/// The thread that accepts connections on an inherited socket.
 struct InheritedAcceptor {
     inherited: Inherited,
     service: Arc<Service>,
     errors: AcceptErrors,
-    /// To the coroutine that serves them.
+    /// Sends accepted streams to the coroutine that registers or rejects them.
     streams: Sender<TcpStream>,
-    /// Tells that the stream sent last has been taken.
-    next: thread_channel::Receiver<()>,
+    /// Receives a message when the last stream has been registered or rejected.
+    handled: thread_channel::Receiver<()>,
 }
 
 impl InheritedAcceptor {
@@ -111,7 +111,7 @@
             };
             match accepted {
                 Ok(Some(stream)) => {
-                    if self.streams.send(stream).is_err() || self.next.recv().is_err() {
+                    if self.streams.send(stream).is_err() || self.handled.recv().is_err() {
                         return;
                     }
                 }
@@ -122,7 +122,7 @@
     }
 }
 
-/// Serves a new connection if there is a place for it.
+/// Starts serving a new connection, or rejects it if no slot becomes free.
 fn accept(stream: TcpStream, frontend: &Arc<dyn Frontend>, context: &FrontendContext) {
     let counters = &context.core.counters;
     let Some(permit) = admit(context) else {
@@ -134,21 +134,22 @@
     let (frontend, context) = (frontend.clone(), context.clone());
     let connection = Arc::new(ClientConnection::new(stream, context.service.now()));
     let registration = context.service.register(connection.clone());
-    // A connection for which there is no coroutine is closed as it is dropped.
+    // If the coroutine cannot be started, dropping the connection closes it.
     let _ = spawn("client", context.limits.stack_words, move || {
         ClientTask { key: registration.key(), connection, frontend, context }.run();
         drop(registration);
     });
 }
 
-/// A permit for a new connection, for which another one may have to be evicted.
+/// Gets a permit for a new connection, and evicts another connection if needed. Returns `None` if no connection can be
+/// evicted, or none has freed its slot within `client_place_timeout`.
 fn admit(context: &FrontendContext) -> Option<Permit> {
     let start = Instant::now();
     loop {
         if let Some(permit) = context.permits.take() {
             return Some(permit);
         }
-        let none_is_evictable = context.service.evict(&context.limits) == Eviction::None;
+        let none_is_evictable = context.service.evict(&context.limits) == Eviction::AllPending;
         if none_is_evictable || start.elapsed() >= context.limits.client_place_timeout {
             return None;
         }
@@ -156,8 +157,8 @@
     }
 }
 
-/// Answers that there is no place. While there are permits for it, the connection then lingers until the client has
-/// read so.
+/// Answers with status 503. If a permit for rejected connections is available, the connection then lingers until the
+/// client has received the answer.
 fn reject(stream: TcpStream, context: &FrontendContext) {
     let permit = context.rejected.take();
     let lingers = permit.is_some();
@@ -165,13 +166,13 @@
     let reply = Reply::text(503, "too many connections").with_header("Retry-After", "1");
     let bytes =
         http::response(reply.status, reply.content_type, &reply.extra_headers, &reply.body, false, false);
-    // One write that does not wait: the connection is rejected in any case.
+    // A single write without waiting: the connection is closed even if the write fails.
     let is_written = stream.write_all(&bytes, Duration::ZERO).is_ok();
     stream.shutdown_write();
     if is_written && lingers {
         let limits = context.limits.clone();
         let stack_words = limits.stack_words;
-        // Without a coroutine it is closed at once.
+        // If the coroutine cannot be started, the connection closes immediately.
         let _ = spawn("turned away", stack_words, move || {
             linger(&stream, &mut vec![0; READ_BUFFER_BYTES], &limits);
         });
--- a/src/frontend/http_server/answer.rs
+++ b/src/frontend/http_server/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one request on its way from a frontend to the writer of the connection.
+//! The answer to one request, passed from a frontend to the writer of the connection.
 
 use std::io;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::net::http;
 use crate::runtime::Stream;
 
-/// A long body, made piece by piece as the client takes it.
+/// A long body, generated piece by piece as the client receives it.
 pub type BodyPieces = Box<dyn Iterator<Item = Vec<u8>> + Send>;
 
-/// The form in which a request is answered. The default closes the connection.
+/// How an answer is framed and whether the connection stays open after it. The default closes the connection.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct AnswerForm {
     pub(super) keep_alive: bool,
@@ -24,7 +24,7 @@
     pub(super) accepts_chunks: bool,
 }
 
-/// A request that has been read and is neither answered nor abandoned; counted until it is dropped.
+/// A request that has been read and neither answered nor abandoned. It counts as pending until it is dropped.
 pub(super) struct PendingRequest {
     service: Arc<Service>,
     connection: Arc<ClientConnection>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Takes the answer to one request.
+/// The one-time responder of a request: sends its answer to the writer of the connection.
 pub struct Answer {
     pub(super) writer: Sender<OutboundAnswer>,
     pub(super) received_at: Nanos,
@@ -53,25 +53,25 @@
 }
 
 impl Answer {
-    /// Tells whether the client is still connected.
+    /// Returns a check of whether the client is still connected.
     pub fn client(&self) -> ClientLiveness {
-        // An attempt in flight does not keep its client's connection open.
+        // The weak reference lets the connection close while an attempt is in flight.
         let connection = Arc::downgrade(&self.pending.connection);
         ClientLiveness::new(move || connection.upgrade().is_some_and(|c| c.is_client_connected()))
     }
 
-    /// When the last byte of the request was received: its deadline counts from then.
+    /// When the last byte of the request was received. The request's deadline is measured from this time.
     pub fn received_at(&self) -> Nanos {
         self.received_at
     }
 
-    /// Sends the reply.
+    /// Sends the reply; nothing is sent if the client has disconnected.
     pub fn send(self, reply: Reply) {
         self.send_to_writer(reply, None);
     }
 
-    /// Sends a reply whose body follows in pieces, one after the other as the client takes them. A client that does not
-    /// accept chunks gets them as one body.
+    /// Sends a reply with a chunked body. Each piece is generated and written once the client has received the previous
+    /// one. A client that does not accept chunked bodies gets all pieces as one body.
     pub fn stream(self, mut reply: Reply, pieces: BodyPieces) {
         if self.form.accepts_chunks {
             return self.send_to_writer(reply, Some(pieces));
@@ -82,12 +82,12 @@
 
     fn send_to_writer(self, reply: Reply, pieces: Option<BodyPieces>) {
         let Self { writer, form, pending, .. } = self;
-        // A client that has disconnected needs no answer.
+        // Sending fails if the client has disconnected; the answer is then dropped.
         let _ = writer.send(OutboundAnswer { reply, pieces, form, _pending: pending });
     }
 }
 
-/// An answer in the mailbox of a connection's writer.
+/// An answer in the queue of a connection's writer.
 pub(super) struct OutboundAnswer {
     pub(super) reply: Reply,
     pieces: Option<BodyPieces>,
@@ -96,14 +96,15 @@
 }
 
 impl OutboundAnswer {
-    /// Writes the answer; the client must take each of its pieces within `timeout`.
+    /// Writes the answer. Each piece must be written within `timeout`.
     pub(super) fn write(&mut self, stream: &Stream, keep_alive: bool, timeout: Duration) -> io::Result<()> {
-        let Reply { status, content_type: kind, extra_headers: more, body } = &self.reply;
+        let Reply { status, content_type, extra_headers, body } = &self.reply;
         let Some(pieces) = self.pieces.take() else {
-            let bytes = http::response(*status, kind, more, body, keep_alive, self.form.head_only);
+            let bytes =
+                http::response(*status, content_type, extra_headers, body, keep_alive, self.form.head_only);
             return stream.write_all(&bytes, timeout);
         };
-        stream.write_all(&http::chunked_head(*status, kind, more, keep_alive), timeout)?;
+        stream.write_all(&http::chunked_head(*status, content_type, extra_headers, keep_alive), timeout)?;
         if self.form.head_only {
             return Ok(());
         }
--- a/src/frontend/http_server/client_task.rs
+++ b/src/frontend/http_server/client_task.rs
@@ -12,7 +12,7 @@
 use super::{Frontend, FrontendContext};
 use crate::runtime::spawn;
 
-/// Bytes that one read takes at most.
+/// The maximum number of bytes per read.
 pub(super) const READ_BUFFER_BYTES: usize = 4096;
 
 /// Serves one client connection.
--- a/src/frontend/http_server/eviction.rs
+++ b/src/frontend/http_server/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction: which connection is closed when a new one finds no place.
+//! Eviction: chooses the connection to close when a new one needs a slot.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -11,25 +11,25 @@
 use crate::limits::Limits;
 use crate::runtime::nanos;
 
-/// Whether a place becomes free for a new connection.
+/// Whether a slot becomes free for a new connection.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Eviction {
-    /// One will be free soon.
-    Soon,
-    /// All connections have pending requests.
-    None,
+    /// A slot will be free soon.
+    SlotFreeSoon,
+    /// Every slot is held by a connection with a pending request.
+    AllPending,
 }
 
-/// How readily a connection is evicted: the greatest goes first.
+/// The eviction priority of a connection. Connections with the greatest value are evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Evictability {
-    /// Idle for a short time after an answer.
+    /// Idle after an answer for less than `client_evictable_idle`.
     BrieflyIdle,
     /// No complete request has been received on it.
     NothingServed,
-    /// Idle for long after an answer.
+    /// Idle after an answer for at least `client_evictable_idle`.
     LongIdle,
-    /// Ended, and lingering.
+    /// Ended and lingering.
     Ended,
 }
 
@@ -63,8 +63,8 @@
 }
 
 impl Service {
-    /// Evicts one connection so that a new one finds a place, by [`Evictability`] and then by how long it has been
-    /// idle. Never one with a pending request, nor one with received bytes that have not been read.
+    /// Evicts one connection to free its slot: the one with the greatest [`Evictability`], then the longest idle time.
+    /// Never evicts a connection with a pending request or with unread bytes of a request.
     pub(super) fn evict(&self, limits: &Limits) -> Eviction {
         let now = self.now();
         let open = self.connections();
@@ -72,7 +72,7 @@
         for connection in open.values() {
             let state = connection.state();
             if state.evicted() {
-                return Eviction::Soon;
+                return Eviction::SlotFreeSoon;
             }
             if !state.has_pending_request() {
                 let idle = state.idle_for(now);
@@ -82,13 +82,13 @@
         }
         candidates.sort_unstable_by_key(|candidate| Reverse((candidate.evictability, candidate.idle)));
         if candidates.iter().any(|candidate| candidate.try_evict(now, limits)) {
-            return Eviction::Soon;
+            return Eviction::SlotFreeSoon;
         }
-        // A place that no listed connection takes belongs to one that has just ended.
+        // A slot without a registered connection is held by one that has just ended and is about to free it.
         if candidates.is_empty() && open.len() >= limits.clients {
-            Eviction::None
+            Eviction::AllPending
         } else {
-            Eviction::Soon
+            Eviction::SlotFreeSoon
         }
     }
 }
--- a/src/frontend/http_server/frontend.rs
+++ b/src/frontend/http_server/frontend.rs
@@ -1,4 +1,4 @@
-//! The interface between the server and a frontend, and what the connections of a frontend share.
+//! The interface between the server and a frontend, and the state shared by the connections of a frontend.
 
 use std::sync::Arc;
 
@@ -9,35 +9,35 @@
 use crate::net::http::{BadMessage, Request};
 use crate::runtime::Permits;
 
-/// Maps requests to queries, and their outcomes to replies.
+/// Maps requests to queries, and the outcomes of queries to replies.
 pub trait Frontend: Send + Sync + 'static {
-    /// Answers through `answer`, at once or once the core has ended the query.
+    /// Answers a request through `answer`, either immediately or when the core has ended the query.
     fn serve(&self, request: Request, answer: Answer) -> Served;
 
-    /// The reply to input that is not a valid request.
+    /// Returns the reply to a malformed request.
     fn reject_malformed(&self, bad: BadMessage) -> Reply;
 }
 
 /// How a request was served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Served {
-    /// Answered already.
-    Now,
-    /// Submitted to the core as this query; the answer follows.
-    Later(QueryId),
+    /// The answer has been sent.
+    Answered,
+    /// The request was submitted to the core as this query; the answer is sent when the query ends.
+    Submitted(QueryId),
 }
 
-/// What the connections of a frontend share.
+/// The state shared by the connections of a frontend.
 #[derive(Clone)]
 pub struct FrontendContext {
-    /// The core.
+    /// Submits queries to the coordinator core, and cancels those of disconnected clients.
     pub core: CoreHandle,
-    /// Limits.
+    /// Timeouts and size limits of connections and requests.
     pub limits: Arc<Limits>,
-    /// The state of the process.
+    /// The lifecycle of the process, and the open client connections of all frontends.
     pub service: Arc<Service>,
-    /// Permits of the client connections of all frontends.
+    /// Permits for client connections, shared by all frontends.
     pub permits: Permits,
-    /// Permits of rejected connections that are kept until their client has read so.
+    /// Permits for rejected connections that linger until the client has received the answer.
     pub rejected: Permits,
 }
--- a/src/frontend/http_server/mod.rs
+++ b/src/frontend/http_server/mod.rs
@@ -1,6 +1,7 @@
-//! The HTTP server of the frontends: a coroutine for each client connection reads requests, another writes the answers.
+//! The HTTP server of the frontends. Each client connection has one coroutine that reads requests and one that writes
+//! the answers.
 //!
-//! A [`Frontend`] decides what each request is answered with. [`Service`] is the state that all frontends share: the
+//! A [`Frontend`] produces the answer to each request. [`Service`] holds the state that all frontends share: the
 //! lifecycle of the process and its open client connections.
 
 mod accept;
@@ -17,7 +18,6 @@
 
 pub use accept::{listen, listen_inherited};
 pub use answer::{Answer, BodyPieces};
-// The name under which the startup module knows it.
 pub use frontend::{Frontend, FrontendContext, Served};
 pub use reply::Reply;
 pub use service::Service;
--- a/src/frontend/http_server/reader.rs
+++ b/src/frontend/http_server/reader.rs
@@ -1,7 +1,7 @@
-//! The reader of a client connection: takes requests out of what is received, one at a time.
+//! The reader of a client connection: parses requests from the received bytes and serves them one at a time.
 //!
-//! A client may send the next request before the answer to the one before. Such a request waits in the buffer, but the
-//! connection is read on meanwhile, so that a client that disconnects is noticed.
+//! A client may pipeline requests: it sends the next one before the previous one is answered. The next request waits in
+//! the buffer. The reader keeps reading meanwhile, so that it detects a disconnect.
 
 use std::io;
 use std::ops::ControlFlow;
@@ -18,40 +18,41 @@
 use crate::net::http::{self, BadMessage, Request, RequestReader};
 use crate::net::messages::REQUEST_LOG_TARGET;
 
-/// How often the connection of a client that has sent ahead is read while its request is pending.
+/// The interval between reads of a connection with a pending request and pipelined bytes.
 const READ_AHEAD_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Why nothing more is read.
+/// Why the reader stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadEnd {
-    /// Nothing more is served, but the client may still be sending.
+    /// No further request is served, but the client may still be sending.
     Finished,
     /// The client has disconnected.
     Disconnected,
 }
 
-/// Whether the loop goes on.
+/// Whether the request loop continues.
 type Flow<T = ()> = ControlFlow<ReadEnd, T>;
 
-/// The end of a connection on which nothing more is served.
 const FINISHED: ReadEnd = ReadEnd::Finished;
 
 /// Reads the requests of one client connection.
 pub(super) struct RequestLoop<'a> {
     task: &'a ClientTask,
-    /// To the connection's writer.
+    /// Sends answers to the connection's writer.
     answers: &'a Sender<OutboundAnswer>,
-    /// From the writer: an answer is written, and whether the connection stays open.
+    /// Receives one message from the writer per written answer: whether the connection stays open.
     answers_written: &'a Receiver<bool>,
     requests: RequestReader,
     arrivals: ArrivalTimes,
-    /// The request that is not yet answered.
+    /// How the request was served whose answer has not been written yet.
     pending: Option<Served>,
-    /// As much has been sent ahead as may be: what follows is dropped, and the connection ends with the pending answer.
+    /// The read-ahead buffer has reached its limit: further bytes are discarded, and the connection closes after the
+    /// pending answer.
     is_read_ahead_full: bool,
-    /// Whether the last read has succeeded.
+    /// Whether the last read succeeded.
     has_just_read: bool,
-    /// When the request that is being read began; the first one begins with the connection.
+    /// When the reader began to wait for the request it is reading: for the first request, when the connection opened.
+    /// `None` while no request is being read.
     request_began: Option<Instant>,
 }
 
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Reads requests to the end of the connection.
+    /// Reads and serves requests until the connection ends.
     pub(super) fn run(mut self, buffer: &mut [u8]) -> ReadEnd {
         let end = loop {
             if let ControlFlow::Break(end) = self.step(buffer) {
@@ -87,12 +88,12 @@
         end
     }
 
-    /// Takes the next request, or else reads once.
+    /// Serves the next buffered request, or reads once if there is none.
     fn step(&mut self, buffer: &mut [u8]) -> Flow {
-        let has_sent_ahead = self.pending.is_some() && self.requests.has_partial_request();
-        self.take_written_answer(has_sent_ahead)?;
+        let has_pipelined = self.pending.is_some() && self.requests.has_partial_request();
+        self.take_written_answer(has_pipelined)?;
         let timeout = if self.pending.is_some() {
-            self.pending_read_timeout(has_sent_ahead)
+            self.pending_read_timeout(has_pipelined)
         } else {
             if let Some(request) = self.next_request()? {
                 return self.begin_request(request);
@@ -101,20 +102,20 @@
         };
         let read = self.read(buffer, timeout);
         self.has_just_read = read.is_ok();
-        if has_sent_ahead && self.has_just_read {
-            // Lets others run between the reads of a client that sends ahead.
+        if has_pipelined && self.has_just_read {
+            // Lets other coroutines run between the reads of a client that pipelines requests.
             may::coroutine::yield_now();
         }
         self.task.connection.stream.yield_if_busy();
         self.handle_read(read, buffer)
     }
 
-    /// Notes that the pending request has been answered, if it has.
-    fn take_written_answer(&mut self, has_sent_ahead: bool) -> Flow {
+    /// Clears the pending request if its answer has been written. Breaks if the connection does not stay open.
+    fn take_written_answer(&mut self, has_pipelined: bool) -> Flow {
         if self.pending.is_none() {
             return Flow::Continue(());
         }
-        let written = if has_sent_ahead && !self.has_just_read {
+        let written = if has_pipelined && !self.has_just_read {
             self.answers_written.recv_timeout(READ_AHEAD_INTERVAL).ok()
         } else {
             self.answers_written.try_recv().ok()
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The next complete request, if one has been received.
+    /// Returns the next complete request, or `None` if more bytes are needed. Answers a malformed request and breaks.
     fn next_request(&mut self) -> Flow<Option<Request>> {
         let next = self.requests.next_request(&self.task.context.limits);
         let is_partial = self.requests.has_partial_request();
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Has a request served, unless the connection has ended.
+    /// Serves a request, unless the connection has ended.
     fn begin_request(&mut self, request: Request) -> Flow {
         if !self.task.connection.state().begin_request() {
             return Flow::Break(FINISHED);
@@ -153,16 +154,17 @@
         Flow::Continue(())
     }
 
-    /// How long to wait for bytes while a request is pending.
-    fn pending_read_timeout(&self, has_sent_ahead: bool) -> Duration {
-        if has_sent_ahead {
+    /// Returns how long to wait for bytes while a request is pending.
+    fn pending_read_timeout(&self, has_pipelined: bool) -> Duration {
+        if has_pipelined {
             Duration::ZERO
         } else {
             self.task.context.limits.linger
         }
     }
 
-    /// How long to wait for bytes of the next request. The connection ends if its time for that is over.
+    /// Returns how long to wait for bytes of the next request. Ends the connection if the request's read timeout has
+    /// expired.
     fn request_read_timeout(&mut self) -> Flow<Duration> {
         let limits = &self.task.context.limits;
         let left =
@@ -213,17 +215,17 @@
             self.pending.is_some() && self.requests.buffered_bytes() >= self.task.context.limits.read_ahead;
     }
 
-    /// Ends the connection unless any part of a request has been received; returns whether it has ended.
+    /// Ends the connection unless any part of a request has been received. Returns whether it has ended.
     fn end_connection(&self) -> bool {
         self.task.connection.end(self.task.context.service.now())
     }
 
-    /// Abandons the pending query of a client that has disconnected.
+    /// Cancels the pending query of a client that has disconnected.
     fn handle_disconnect(&self) {
         self.task.connection.stream.shutdown();
         let is_unanswered = self.answers_written.try_recv().is_err();
         match self.pending {
-            Some(Served::Later(query)) if is_unanswered => {
+            Some(Served::Submitted(query)) if is_unanswered => {
                 log::debug!(
                     target: REQUEST_LOG_TARGET,
                     connection = self.task.key, query = query.0;
@@ -237,9 +239,9 @@
         }
     }
 
-    /// Logs how far the request had come of a client that disconnected without its answer.
+    /// Logs a client that disconnected without its answer, and how many bytes of the next request it had sent.
     fn log_unanswered(&self, query: Option<u64>) {
-        let Some(occurrences) = self.task.context.service.client_left_unanswered() else { return };
+        let Some(occurrences) = self.task.context.service.record_unanswered_disconnect() else { return };
         log::info!(
             connection = self.task.key, query = query, received_bytes = self.requests.buffered_bytes(),
             occurrences = occurrences;
@@ -247,14 +249,14 @@
         );
     }
 
-    /// Answers input that is not a valid request; the connection is closed after it.
+    /// Answers a malformed request. The connection closes after the answer.
     fn reject_malformed(&self, bad: BadMessage) -> ReadEnd {
         if self.task.connection.state().begin_request() {
             Counters::add(&self.task.context.core.counters.bad_requests);
             let now = self.task.context.service.now();
             let reply = self.task.frontend.reject_malformed(bad);
             self.answer(now, AnswerForm::default()).send(reply);
-            // The writer reports each answer before it ends.
+            // Waits until the answer is written: the writer reports each answer before it stops.
             let _ = self.answers_written.recv();
         }
         FINISHED
@@ -267,7 +269,7 @@
             accepts_chunks: request.accepts_chunks,
         };
         let served = self.task.frontend.serve(request, self.answer(received_at, form));
-        if let Served::Later(query) = served {
+        if let Served::Submitted(query) = served {
             log::debug!(
                 target: REQUEST_LOG_TARGET,
                 connection = self.task.key, query = query.0;
--- a/src/frontend/http_server/reply.rs
+++ b/src/frontend/http_server/reply.rs
@@ -1,20 +1,20 @@
-//! The reply to a request, independent of the connection it goes to.
+//! The reply to a request, independent of the connection that carries it.
 
-/// A reply: its status, headers and body, without the headers that concern the connection.
+/// The status, headers and body of a reply, without the headers that concern the connection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reply {
-    /// Status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// The value of the `Content-Type` header.
     pub content_type: &'static str,
-    /// Further header lines, each ended by CR LF.
+    /// Further header lines, each terminated by CR LF.
     pub extra_headers: String,
-    /// Body.
+    /// The body before chunking; empty if it is streamed in pieces.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// A plain line of text.
+    /// Creates a `text/plain` reply of one line.
     pub fn text(status: u16, text: &str) -> Self {
         Self {
             status,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The same reply with a further header line.
+    /// Returns the reply with a header line appended.
     #[must_use]
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.extra_headers.push_str(&format!("{name}: {value}\r\n"));
--- a/src/frontend/http_server/service.rs
+++ b/src/frontend/http_server/service.rs
@@ -7,7 +7,7 @@
 
 use curlewdeck_lifecycle::{Closing, Lifecycle};
 
-use super::client_connection::{ClientConnection, PartialRequest};
+use super::client_connection::{ClientConnection, PartialRequestPolicy};
 use crate::api::Nanos;
 use crate::net::coordinator::CoreHandle;
 use crate::net::log_limit::LogRateLimit;
@@ -20,12 +20,13 @@
     pending_requests: AtomicUsize,
     connections: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     next_key: AtomicU64,
-    /// Bounds the log lines about clients that disconnect without an answer.
+    /// Limits the rate of log lines about clients that disconnect without an answer.
     unanswered_log: Mutex<LogRateLimit>,
 }
 
 impl Service {
-    /// A service without connections. It logs clients that disconnect without an answer at most once in `log_interval`.
+    /// Creates the state without connections. Clients that disconnect without an answer are logged at most once per
+    /// `log_interval`.
     pub fn new(clock: Clock, lifecycle: Lifecycle, log_interval: Nanos) -> Self {
         Self {
             clock,
@@ -37,40 +38,41 @@
         }
     }
 
-    /// The lifecycle of the process. The guard must not be held over a yield of the coroutine.
+    /// Locks the lifecycle of the process. The guard must not be held over a yield of the coroutine.
     pub fn lifecycle(&self) -> MutexGuard<'_, Lifecycle> {
         lock(&self.lifecycle)
     }
 
-    /// The current time on the clock of the lifecycle.
+    /// The current time on the clock that the lifecycle uses.
     pub fn now(&self) -> Nanos {
         self.clock.now()
     }
 
-    /// Which connections are to be closed now.
+    /// Which connections must be closed now.
     pub fn closing(&self) -> Closing {
         self.lifecycle().closing(self.now())
     }
 
-    /// Why the process is not ready for new clients; `None` if it is.
+    /// Why the process is not ready for new clients, or `None` if it is ready.
     pub fn not_ready_reason(&self, core: &CoreHandle) -> Option<&'static str> {
         self.lifecycle()
             .not_serving_reason()
             .or_else(|| (!core.ready()).then_some("no data node is known yet"))
     }
 
-    /// The number of requests that have been read and not yet answered.
+    /// The number of requests that have been read and neither answered nor abandoned.
     pub fn pending_requests(&self) -> usize {
         self.pending_requests.load(Ordering::Acquire)
     }
 
-    /// Ends the idle connections, except those younger than `min_age` whose first request may be on its way, and closes
-    /// those that have lingered for `linger`. Connections with a partial request are ended too, unless the process
-    /// finishes: its clients have nobody to come back to. Returns whether no connection is open and no request pending.
+    /// Ends idle connections, and closes those that have lingered for `linger`. Keeps connections without a served
+    /// request that are younger than `min_age`, because their first request may be in transit. Ends connections with a
+    /// partial request too, unless the process is shutting down: then the client could not reconnect. Returns whether
+    /// no connection is open and no request is pending.
     pub fn close_idle(&self, min_age: Duration, linger: Duration) -> bool {
         let partial = match self.lifecycle().finishing() {
-            true => PartialRequest::KeepsOpen,
-            false => PartialRequest::IsDropped,
+            true => PartialRequestPolicy::KeepOpen,
+            false => PartialRequestPolicy::Discard,
         };
         let now = self.clock.now();
         let mut any_open = false;
@@ -80,12 +82,12 @@
         !any_open && self.pending_requests() == 0
     }
 
-    /// The open connections by their keys. The guard must not be held over a yield of the coroutine.
+    /// Locks the map of open connections by key. The guard must not be held over a yield of the coroutine.
     pub(super) fn connections(&self) -> MutexGuard<'_, HashMap<u64, Arc<ClientConnection>>> {
         lock(&self.connections)
     }
 
-    /// Lists a connection as open until the registration is dropped.
+    /// Registers an open connection until the registration is dropped.
     pub(super) fn register(self: &Arc<Self>, connection: Arc<ClientConnection>) -> Registration {
         let key = self.next_key.fetch_add(1, Ordering::Relaxed);
         self.connections().insert(key, connection);
@@ -100,21 +102,22 @@
         self.pending_requests.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Records a client that disconnected without its answer. Returns how many did since the last log line, if one is
-    /// due.
-    pub(super) fn client_left_unanswered(&self) -> Option<u64> {
+    /// Records a client that disconnected without its answer. If a log line is due, returns the number of such
+    /// disconnects since the last one.
+    pub(super) fn record_unanswered_disconnect(&self) -> Option<u64> {
         let now = self.now();
         lock(&self.unanswered_log).occurred(now)
     }
 }
 
-/// Ends one connection if it is idle; returns whether it is still to be waited for.
+/// Ends one connection if it is idle, or closes it if it has lingered for long enough. Returns whether it is still
+/// open.
 fn close_if_idle(
     connection: &ClientConnection,
     now: Nanos,
     min_age: Duration,
     linger: Duration,
-    partial: PartialRequest,
+    partial: PartialRequestPolicy,
 ) -> bool {
     let (ended_at, may_end) = {
         let state = connection.state();
@@ -135,14 +138,14 @@
     true
 }
 
-/// The entry of an open connection: removed when its coroutine ends, or could not be started.
+/// The entry of an open connection. Dropping it removes the entry when the coroutine ends or fails to start.
 pub(super) struct Registration {
     service: Arc<Service>,
     key: u64,
 }
 
 impl Registration {
-    /// The connection's key, by which log lines name it.
+    /// The key that identifies the connection in log lines.
     pub(super) fn key(&self) -> u64 {
         self.key
     }
--- a/src/frontend/http_server/tests.rs
+++ b/src/frontend/http_server/tests.rs
@@ -18,17 +18,17 @@
     (ClientConnection::new(stream, 0), client)
 }
 
-/// Guards against serving a request on a connection that is being closed, whose answer would be lost, and against
-/// closing one on which a request has come.
+/// A request served on a connection that is being closed loses its answer. So does a request on a connection that is
+/// closed after the request has arrived.
 #[test]
-fn a_connection_is_either_ended_or_served() {
+fn a_closed_connection_serves_no_request_and_one_with_a_request_is_not_closed() {
     for close in [ClientConnection::end, ClientConnection::evict] {
         let (ended, _client) = connection();
         assert!(close(&ended, 0));
         assert!(!ended.state().begin_request(), "served after it was closed");
         let (served, _client) = connection();
         assert!(served.state().begin_request());
-        assert!(!close(&served, 0), "closed with a request open");
+        assert!(!close(&served, 0), "closed with a pending request");
         served.state().finish_request(0);
         assert!(served.state().begin_request(), "the next request is served");
         let (unread, mut client) = connection();
@@ -36,12 +36,12 @@
         while !unread.stream.is_readable() {
             std::thread::yield_now();
         }
-        assert!(!close(&unread, 0), "closed with a request on its way");
+        assert!(!close(&unread, 0), "closed with unread bytes");
     }
 }
 
-/// Guards against ending a connection between the reading of a request's first and last bytes; a client that stops
-/// there does not keep others out.
+/// A connection that ends between the first and last bytes of a request loses the request. A client that stops sending
+/// in the middle of a request must still give up its slot to another connection.
 #[test]
 fn a_partial_request_keeps_its_connection_open_until_it_is_evicted() {
     let (partial, mut client) = connection();
@@ -54,9 +54,10 @@
     assert!(partial.evict(0));
 }
 
-/// Guards against taking a client that waits, or has sent ahead, for a disconnected one, and the other way round.
+/// A wrong result cancels the query of a client that is waiting or has pipelined a request, or spends attempts on a
+/// client that has disconnected.
 #[test]
-fn a_disconnected_client_is_noticed_without_reading() {
+fn a_disconnect_is_detected_without_reading() {
     let (connection, mut client) = connection();
     assert!(connection.is_client_connected());
     client.write_all(b"x").unwrap();
@@ -72,24 +73,24 @@
     assert!(!connection.is_client_connected());
 }
 
-/// Guards new connections while others end: the place of one that is no longer listed is about to be free, and they
-/// wait for it; they are rejected only where each place has a pending request.
+/// A connection that has just ended is removed from the map before it frees its slot. A new connection must wait for
+/// that slot; it may be rejected only if every slot has a pending request.
 #[test]
-fn eviction_waits_for_a_place_that_is_about_to_be_free() {
+fn eviction_waits_for_a_slot_that_is_about_to_be_free() {
     let service = Service::new(
         Clock::start(),
         Lifecycle::new(Spans { drain_notice: 0, drain_rest: 0, shared_listener: false }),
         0,
     );
     let limits = Limits { clients: 2, ..Limits::default() };
-    let list = |n: u64| {
+    let register = |key: u64| {
         let (connection, client) = connection();
         assert!(connection.state().begin_request());
-        service.connections().insert(n, Arc::new(connection));
+        service.connections().insert(key, Arc::new(connection));
         client
     };
-    let _one = list(1);
-    assert_eq!(service.evict(&limits), Eviction::Soon, "the other place is neither free nor busy");
-    let _two = list(2);
-    assert_eq!(service.evict(&limits), Eviction::None);
+    let _one = register(1);
+    assert_eq!(service.evict(&limits), Eviction::SlotFreeSoon, "the other slot is about to be free");
+    let _two = register(2);
+    assert_eq!(service.evict(&limits), Eviction::AllPending);
 }
--- a/src/frontend/http_server/writer.rs
+++ b/src/frontend/http_server/writer.rs
@@ -1,4 +1,4 @@
-//! The writer of a client connection: a coroutine that writes its answers one after the other.
+//! The writer of a client connection: a coroutine that writes the answers in order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +16,13 @@
     pub(super) key: u64,
     pub(super) connection: Arc<ClientConnection>,
     pub(super) service: Arc<Service>,
-    /// How long the client may take for each piece of an answer.
+    /// The maximum time for writing each piece of an answer.
     pub(super) timeout: Duration,
 }
 
 impl AnswerWriter {
-    /// Writes answers until the reader has ended. Tells `written` of each one whether the connection stays open.
+    /// Writes answers until the reader has stopped. After each answer, sends to `written` whether the connection stays
+    /// open.
     pub(super) fn run(&self, answers: &Receiver<OutboundAnswer>, written: &Sender<bool>) {
         for answer in answers.iter() {
             let keep_alive = self.write(answer);
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Writes one answer, after which its request is no longer pending; returns whether the connection stays open.
+    /// Writes one answer and ends its pending request. Returns whether the connection stays open.
     fn write(&self, mut answer: OutboundAnswer) -> bool {
         let keep_alive = answer.form.keep_alive && self.service.closing() == Closing::None;
         let stream = &self.connection.stream;
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The frontends: each maps its requests to queries of the core, and their outcomes to replies.
+//! The frontends: each maps requests to queries of the core, and the outcomes of queries to replies.
 
 pub mod accept;
 pub mod aggregation;
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -85,18 +85,18 @@
     fn serve(&self, request: Request, answer: Answer) -> Served {
         if request.path == HEALTH_PATH {
             answer.send(self.health(&request.method));
-            return Served::Now;
+            return Served::Answered;
         }
         match self.query_request(&request, answer.received_at(), answer.client()) {
             Ok(query) => {
                 let queue_full_retry_after = self.core.queue_full_retry_after();
                 let reply = Box::new(move |ended| answer.send(query_reply(ended, queue_full_retry_after)));
-                Served::Later(self.core.submit(query, reply))
+                Served::Submitted(self.core.submit(query, reply))
             }
             Err(reply) => {
                 Counters::add(&self.core.counters.bad_requests);
                 answer.send(reply);
-                Served::Now
+                Served::Answered
             }
         }
     }
