--- a/src/frontend/aggregation/mod.rs
+++ b/src/frontend/aggregation/mod.rs
@@ -1,9 +1,9 @@
-//! The aggregation frontend: rankings, sums and listings over all tag ranges, merged into one answer that says what it
-//! covers. HTTP/1.1 and JSON, as `docs/desk-openapi.json` defines it.
+//! The aggregation frontend: rankings, sums and listings over all tag ranges, merged into one answer that states its
+//! coverage. The API uses HTTP/1.1 and JSON and is defined in `docs/desk-openapi.json`.
 //!
-//! Each request becomes one query with a part for each range and a text of its own for each part. Values are checked as
-//! they arrive ([`curlewdeck_merge::merger::QueryMerger::accept_value`]): an invalid one ends its attempt as one that may have run,
-//! and the engine retries elsewhere.
+//! Each request becomes one query with a part for each range. Each part has its own text. Values are checked on arrival
+//! by [`curlewdeck_merge::merger::QueryMerger::accept_value`]. An invalid value ends its attempt as one that may have
+//! been executed, and the engine retries at another data node.
 
 mod query;
 mod range_cache;
@@ -31,18 +31,18 @@
 const JSON: &str = "application/json";
 const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.1";
 const OPENAPI_PATH: &str = "/openapi.json";
-/// The definition of the API, as it is published.
+/// The published OpenAPI definition of the API.
 pub const OPENAPI_TEXT: &str = include_str!("../../../docs/desk-openapi.json");
 
-/// Query names: the upper half is the seed of the process, the lower half counts.
+/// The upper half of the number in a query name: the seed of the process. The lower half is a counter.
 const NAME_SEED_MASK: u64 = 0xffff_ffff_0000_0000;
 
-/// The frontend of the aggregated sets.
+/// The frontend for queries over aggregated sets.
 pub struct AggregationFrontend {
     core: CoreHandle,
     limits: Arc<Limits>,
     range_cache: Memory,
-    /// Seal the cursors.
+    /// The keys that seal and open cursors.
     cursor_keys: Keys,
     cursor_lifetime_s: u64,
     sets: Vec<(SetConfig, ClassId)>,
@@ -50,7 +50,7 @@
     next_query: AtomicU64,
 }
 
-/// What a request asks for.
+/// The resource that a request addresses.
 enum Resource {
     Sets,
     OpenApi,
@@ -58,22 +58,22 @@
 }
 
 impl AggregationFrontend {
-    /// The frontend of these sets.
+    /// Creates the frontend for the configured sets. Query names begin with the upper half of `seed`.
     ///
     /// # Errors
-    /// As [`AggregationConfig::check`] and [`AggregationConfig::keys`].
+    /// Returns the errors of [`AggregationConfig::check`] and [`AggregationConfig::keys`].
     pub fn new(
         config: &AggregationConfig,
         core: CoreHandle,
         limits: Arc<Limits>,
-        memory: Memory,
+        range_cache: Memory,
         seed: u64,
     ) -> Result<Self, AggregationConfigError> {
         let classes = config.check(&core.deployment())?;
         Ok(Self {
             core,
             limits,
-            range_cache: memory,
+            range_cache,
             cursor_keys: config.keys()?,
             cursor_lifetime_s: config.cursor_life_s,
             sets: config.sets.iter().cloned().zip(classes).collect(),
@@ -81,7 +81,7 @@
         })
     }
 
-    /// The resource of a request, or the reply to a request that has none.
+    /// Routes a request to its resource, or returns the reply to an invalid request.
     fn resource(&self, request: &Request) -> Result<Resource, Reply> {
         let path = http::decode(&request.path, false).ok_or_else(|| problem(400, "the path is malformed"))?;
         let segments: Vec<&str> = path.split('/').skip(1).collect();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The description of all sets.
+    /// The body of the list of sets.
     fn sets(&self) -> Json {
         let sets: Vec<Json> = self.sets.iter().map(|(set, class)| self.set(set, *class)).collect();
         json!({"sets": sets, "ranges": self.core.deployment().shards})
@@ -145,6 +145,6 @@
     }
 }
 
-fn document(kind: &'static str, body: Vec<u8>) -> Reply {
-    Reply { status: 200, content_type: kind, extra_headers: String::new(), body }
+fn document(content_type: &'static str, body: Vec<u8>) -> Reply {
+    Reply { status: 200, content_type, extra_headers: String::new(), body }
 }
--- a/src/frontend/aggregation/query.rs
+++ b/src/frontend/aggregation/query.rs
@@ -1,4 +1,4 @@
-//! From the body of a request to a query of the core.
+//! Converts the body of a request to a query of the core.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
@@ -17,21 +17,21 @@
 use crate::frontend::problem::{query_deadline, unix_now};
 use crate::runtime::lock;
 
-/// The rows of an answer where the request names no limit.
+/// The row limit of a request without a `limit` field.
 const DEFAULT_ROWS: usize = 10;
 const MAX_FILTER_FIELDS: usize = 16;
-/// Of a filter's field and of its value.
+/// The maximum length of a filter's field name and of its value.
 const MAX_FILTER_BYTES: usize = 256;
 
 /// A valid query that has not been submitted yet.
 pub(super) struct AggregationQuery {
-    merging: Arc<Mutex<QueryMerger>>,
+    merger: Arc<Mutex<QueryMerger>>,
     class: ClassId,
     timeout: Duration,
 }
 
 impl AggregationFrontend {
-    /// The query over a set that the body of a request asks for.
+    /// Converts the body of a request to a query over a set, or returns the reply to an invalid body.
     pub(super) fn query(
         &self,
         (set, class): &(SetConfig, ClassId),
@@ -55,9 +55,9 @@
             limit,
             filter: body.filter,
         };
-        let merging = self.merging(query, body.cursor.as_deref())?;
+        let merger = self.merger(query, body.cursor.as_deref())?;
         Ok(AggregationQuery {
-            merging: Arc::new(Mutex::new(merging)),
+            merger: Arc::new(Mutex::new(merger)),
             class: self.core.deployment().current_class(*class),
             timeout,
         })
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The merge of a query's first page, or of the page at a cursor.
-    fn merging(&self, query: Query, cursor: Option<&str>) -> Result<QueryMerger, Reply> {
+    /// Creates the merger for the first page of a query, or for the page at a cursor.
+    fn merger(&self, query: Query, cursor: Option<&str>) -> Result<QueryMerger, Reply> {
         let ranges = self.core.deployment().shards;
         let Some(text) = cursor else { return Ok(QueryMerger::new(query, ranges)) };
         if !query.paged() {
@@ -93,14 +93,14 @@
         Ok(QueryMerger::resume(query, cursor))
     }
 
-    /// Submits a query to the core: a part for each range, each with its own text.
+    /// Submits a query to the core, with a part for each range. Each part has its own text.
     pub(super) fn submit(&self, query: AggregationQuery, answer: Answer) -> Served {
-        let AggregationQuery { merging, class, timeout } = query;
+        let AggregationQuery { merger, class, timeout } = query;
         let ranges = self.core.deployment().shards;
         let weight = 1.0 / f64::from(ranges);
         let part_texts = {
-            let merging = lock(&merging);
-            (0..ranges).map(|range| merging.request_text(range).into()).collect()
+            let merger = lock(&merger);
+            (0..ranges).map(|range| merger.request_text(range).into()).collect()
         };
         let request = QueryRequest {
             name: format!("d{:016x}", self.next_query.fetch_add(1, Ordering::Relaxed)),
@@ -110,17 +110,17 @@
             parts: (0..ranges).map(|range| (ShardId(range), weight)).collect(),
             text: "".into(),
             part_texts,
-            validator: validator(merging.clone()),
+            validator: validator(merger.clone()),
             client: answer.client(),
         };
-        let responder = self.responder(merging, class);
+        let responder = self.responder(merger, class);
         let reply = Box::new(move |ended| responder.respond(ended, answer));
         Served::Submitted(self.core.submit(request, reply))
     }
 
-    fn responder(&self, merging: Arc<Mutex<QueryMerger>>, class: ClassId) -> QueryResponder {
+    fn responder(&self, merger: Arc<Mutex<QueryMerger>>, class: ClassId) -> QueryResponder {
         QueryResponder {
-            merging,
+            merger,
             min_coverage: self.core.deployment().settings.classes[class.0].min_coverage,
             range_cache: self.range_cache.clone(),
             cursor_keys: self.cursor_keys.clone(),
@@ -131,7 +131,7 @@
     }
 }
 
-/// The name and scale of the measure of this name; by default the set's first one.
+/// Returns the name and scale of the named measure, or of the set's first one if `name` is `None`.
 fn measure(set: &SetConfig, name: Option<&str>) -> Result<(String, u8), Reply> {
     let measure = match name {
         None => &set.measures[0],
@@ -152,13 +152,13 @@
     Ok(())
 }
 
-/// Offers each value to the merge as it arrives.
-fn validator(merging: Arc<Mutex<QueryMerger>>) -> ResponseValidator {
+/// Passes each value to the merger on arrival. Values that the merger rejects are invalid.
+fn validator(merger: Arc<Mutex<QueryMerger>>) -> ResponseValidator {
     ResponseValidator::new(move |shard, value| {
-        let offered = lock(&merging).accept_value(shard.0, &value.data);
-        if let Err(invalid) = &offered {
+        let accepted = lock(&merger).accept_value(shard.0, &value.data);
+        if let Err(invalid) = &accepted {
             log::warn!(range = shard.0, reason:% = invalid; "invalid value from a data node");
         }
-        offered.is_ok()
+        accepted.is_ok()
     })
 }
--- a/src/frontend/aggregation/range_cache.rs
+++ b/src/frontend/aggregation/range_cache.rs
@@ -1,4 +1,4 @@
-//! The values of ranges that earlier answers had, for those that a later answer misses.
+//! Caches the values of ranges from earlier answers, to fill in ranges that are missing from a later answer.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -8,12 +8,12 @@
 use crate::net::coordinator::OnEndpointsStarted;
 use crate::runtime::{lock, nanos};
 
-/// The range cache. It is shared with the core, which reports restarted data nodes.
+/// The range cache, shared with the core, which reports restarted data nodes.
 #[derive(Clone)]
 pub struct Memory(Arc<Mutex<RangeCache>>);
 
 impl Memory {
-    /// An empty cache for so many ranges.
+    /// Creates an empty cache for at most `ranges` ranges.
     pub fn new(limits: &Limits, ranges: u32) -> Self {
         let bounds = CacheLimits {
             max_entries: limits.range_cache_entries,
@@ -23,7 +23,7 @@
         Self(Arc::new(Mutex::new(RangeCache::new(bounds))))
     }
 
-    /// Drops what restarted data nodes returned earlier.
+    /// Returns the callback that removes the cached values of the shards of restarted data nodes.
     pub fn on_endpoints_started(&self) -> OnEndpointsStarted {
         let cache = self.clone();
         Box::new(move |shards| {
@@ -32,7 +32,7 @@
         })
     }
 
-    /// The cached ranges. The guard must not be held over a yield of the coroutine.
+    /// Locks the cached ranges. The guard must not be held over a yield of the coroutine.
     pub(super) fn ranges(&self) -> MutexGuard<'_, RangeCache> {
         lock(&self.0)
     }
--- a/src/frontend/aggregation/response.rs
+++ b/src/frontend/aggregation/response.rs
@@ -18,14 +18,14 @@
 
 /// Answers one query once the core has ended it.
 pub(super) struct QueryResponder {
-    pub(super) merging: Arc<Mutex<QueryMerger>>,
-    /// An answer that covers less is none.
+    pub(super) merger: Arc<Mutex<QueryMerger>>,
+    /// The minimum coverage of an answer, as a share of 1. An answer below it is an error.
     pub(super) min_coverage: f64,
     pub(super) range_cache: Memory,
     pub(super) cursor_keys: Keys,
     pub(super) cursor_lifetime_s: u64,
     pub(super) core: CoreHandle,
-    /// The size of the chunks of a long answer.
+    /// The size of each chunk of a long answer, in bytes.
     pub(super) chunk_bytes: usize,
 }
 
@@ -41,7 +41,7 @@
         let values: Vec<_> = rows.into_iter().map(|row| (row.shard.0, row.data)).collect();
         match self.merge(&values) {
             Ok(merged) => self.send(&merged, answer),
-            Err(fault) => answer.send(self.fault_reply(&fault)),
+            Err(error) => answer.send(self.merge_error_reply(&error)),
         }
     }
 
@@ -56,16 +56,16 @@
         }
     }
 
-    /// Merges the values of the data nodes, with a sealed cursor where another page follows.
+    /// Merges the values of the data nodes. Adds a sealed cursor if another page follows.
     fn merge(&self, values: &[(u32, Arc<str>)]) -> Result<MergedAnswer, MergeError> {
-        let merging = lock(&self.merging);
+        let merger = lock(&self.merger);
         let mut cached = self.range_cache.ranges();
-        let merged = merging.finish(values, self.min_coverage, &mut cached, self.core.clock.now());
+        let merged = merger.finish(values, self.min_coverage, &mut cached, self.core.clock.now());
         self.publish_cache_counts(&cached);
         let mut merged = merged?;
         merged.answer.head.next = merged.next.map(|ranges| {
             let until = unix_now().saturating_add(self.cursor_lifetime_s);
-            self.cursor_keys.seal(&Cursor { query: merging.query().digest(), until, ranges })
+            self.cursor_keys.seal(&Cursor { query: merger.query().digest(), until, ranges })
         });
         Ok(merged.answer)
     }
@@ -78,11 +78,12 @@
         Counters::set(&counters.range_cache_contradictions, counts.contradictions);
     }
 
-    /// The reply to a query that was not answered, which names a value that was not valid if there was one.
+    /// The reply to a query that was not answered, or `None` if it was answered. The reply to a failed query names a
+    /// range with an invalid value, if there is one, and the reason.
     fn unanswered_reply(&self, ended: &Result<QueryOutcome, RejectReason>) -> Option<Reply> {
         let reply = unanswered_reply(ended, self.core.queue_full_retry_after())?;
-        let merging = lock(&self.merging);
-        let invalid = merging.rejected().next();
+        let merger = lock(&self.merger);
+        let invalid = merger.rejected().next();
         match (ended, invalid) {
             (Ok(QueryOutcome::Failed), Some((range, reason))) => {
                 Some(problem(504, &format!("no answer in time; tag range {range}: {reason}")))
@@ -91,16 +92,16 @@
         }
     }
 
-    fn fault_reply(&self, fault: &MergeError) -> Reply {
-        match fault {
-            // Missing ranges may be back soon, but a row that is too large stays so.
-            MergeError::BelowMinimumCoverage(cover)
-                if cover.missing.values().all(|reason| reason.code() != "row-too-large") =>
+    fn merge_error_reply(&self, error: &MergeError) -> Reply {
+        match error {
+            // Missing ranges may become available soon, but a row that is too large will not become smaller.
+            MergeError::BelowMinimumCoverage(coverage)
+                if coverage.missing.values().all(|reason| reason.code() != "row-too-large") =>
             {
-                with_retry_after(problem(503, &fault.to_string()), self.core.queue_full_retry_after())
+                with_retry_after(problem(503, &error.to_string()), self.core.queue_full_retry_after())
             }
-            MergeError::BelowMinimumCoverage(_) => problem(502, &fault.to_string()),
-            MergeError::Overflow | MergeError::InvalidValue(_) => problem(500, &fault.to_string()),
+            MergeError::BelowMinimumCoverage(_) => problem(502, &error.to_string()),
+            MergeError::Overflow | MergeError::InvalidValue(_) => problem(500, &error.to_string()),
         }
     }
 }
--- a/src/frontend/aggregation/wire.rs
+++ b/src/frontend/aggregation/wire.rs
@@ -1,4 +1,4 @@
-//! The body of a request: the only place that knows its field names.
+//! The body of a request. Its field names are defined only here.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::frontend::problem::PROBLEM_MEDIA_TYPE;
 use crate::net::http;
 
-/// The body of a query. Messages about a malformed one name this type: its name is part of the protocol.
+/// The body of a query. Replies to a malformed body contain this type's name, which makes it part of the protocol.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub(super) struct Body {
@@ -28,7 +28,7 @@
 }
 
 impl Body {
-    /// The body in these bytes, or the reply to a malformed one.
+    /// Parses a body, or returns the reply to a malformed one.
     pub(super) fn parse(bytes: &[u8]) -> Result<Self, Reply> {
         let mut json = serde_json::Deserializer::from_slice(bytes);
         let body = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The reply to a request with a field that is not valid.
+/// The reply to a request with an invalid field. `field` is the path of the field, or empty for the entire body.
 pub(super) fn invalid_field(field: &str, detail: &str) -> Reply {
     let title = http::reason(400);
     let body =
--- a/src/frontend/features/documents.rs
+++ b/src/frontend/features/documents.rs
@@ -1,18 +1,18 @@
-//! The documents of the API other than features: landing page, API definition and collections.
+//! The documents of the API without features: landing page, API definition and collections.
 
 use serde_json::{json, Map, Value as Json};
 
 use super::{FeaturesFrontend, GEOJSON, JSON, OPENAPI};
 use crate::config::CollectionConfig;
 
-/// The conformance classes of the API.
+/// The OGC conformance classes that the API implements.
 pub(super) const CONFORMANCE: [&str; 2] = [
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core",
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/geojson",
 ];
 const CRS84: &str = "http://www.opengis.net/def/crs/OGC/1.3/CRS84";
 
-/// The landing page.
+/// The landing page, with links to the other documents.
 pub(super) fn landing(base: &str) -> Json {
     json!({
         "title": "curlewdeck",
@@ -26,13 +26,13 @@
     })
 }
 
-/// A link of a document.
-pub(super) fn link(base: &str, path: &str, rel: &str, kind: &str, title: &str) -> Json {
-    json!({"href": format!("{base}{path}"), "rel": rel, "type": kind, "title": title})
+/// A link object. `rel` is the link relation and `media_type` the type of the target.
+pub(super) fn link(base: &str, path: &str, rel: &str, media_type: &str, title: &str) -> Json {
+    json!({"href": format!("{base}{path}"), "rel": rel, "type": media_type, "title": title})
 }
 
 impl FeaturesFrontend {
-    /// The description of the collection at this index.
+    /// Describes the collection at `index` of the configured collections.
     pub(super) fn collection(&self, base: &str, index: usize) -> Json {
         let collection = &self.collections[index].0;
         let path = format!("/collections/{}", collection.id);
@@ -50,13 +50,13 @@
         body
     }
 
-    /// The description of all collections.
+    /// Describes all collections.
     pub(super) fn collections(&self, base: &str) -> Json {
         let all: Vec<Json> = (0..self.collections.len()).map(|index| self.collection(base, index)).collect();
         json!({"links": [link(base, "/collections", "self", JSON, "The collections")], "collections": all})
     }
 
-    /// The definition of the API, as far as the Core requirements ask for one.
+    /// The OpenAPI definition, with the elements that the Core requirements class demands.
     pub(super) fn api(&self, base: &str) -> Json {
         let mut paths = Map::new();
         paths.insert("/".to_string(), get_operation("Landing page"));
@@ -95,6 +95,6 @@
     json!({"get": {"summary": summary, "responses": {"200": {"description": "OK"}}}})
 }
 
-fn query_parameter(name: &str, kind: &str) -> Json {
-    json!({"name": name, "in": "query", "schema": {"type": kind}})
+fn query_parameter(name: &str, schema_type: &str) -> Json {
+    json!({"name": name, "in": "query", "schema": {"type": schema_type}})
 }
--- a/src/frontend/features/filter.rs
+++ b/src/frontend/features/filter.rs
@@ -1,4 +1,4 @@
-//! The filter of a request for features: its query parameters, and where its page begins.
+//! The filter of a request for features: its query parameters and the start of its page.
 
 use curlewdeck_merge::cursor::RangeProgress;
 use curlewdeck_merge::query::{Op, Order, Query};
@@ -6,10 +6,10 @@
 use crate::net::features::Cursor;
 use crate::net::http;
 
-/// The features of a page where the request names no limit.
+/// The number of features on a page if the request has no `limit` parameter.
 const DEFAULT_PAGE_FEATURES: usize = 10;
 
-/// A parameter that is not valid, and why.
+/// An invalid parameter, with the reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub(super) struct InvalidParameter(&'static str);
@@ -17,9 +17,9 @@
 /// Where a page begins.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum PageStart {
-    /// At an offset within one range; the other ranges follow.
+    /// At an offset in one range, followed by the ranges after it.
     Offset(Cursor),
-    /// Each range continues after an id; with the sealed cursor, if the request has one.
+    /// After an id in each range; with the sealed cursor of the request, if it has one.
     Ids(Vec<RangeProgress>, Option<String>),
 }
 
@@ -33,12 +33,12 @@
 }
 
 impl ItemsFilter {
-    /// No restriction, from this start on.
+    /// Creates a filter without restrictions for the page at `start`.
     pub(super) fn new(start: PageStart) -> Self {
         Self { bbox: None, datetime: None, limit: DEFAULT_PAGE_FEATURES, start }
     }
 
-    /// Sets a parameter other than the cursor.
+    /// Validates and sets a parameter other than the cursor. A limit above `max_limit` is lowered to it.
     pub(super) fn set(
         &mut self,
         name: &str,
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// The digest that the cursors of this filter are bound to.
+    /// The digest of the filter and its collection. Sealed cursors are bound to it.
     pub(super) fn digest(&self, collection: &str) -> [u8; 16] {
         let named = |name: &str, value: &Option<String>| value.clone().map(|value| (name.to_string(), value));
         let filters = [named("bbox", &self.bbox), named("datetime", &self.datetime)];
@@ -95,7 +95,7 @@
     Ok(limit)
 }
 
-/// Checks a bounding box: four numbers, or six with heights; south must not lie beyond north.
+/// Checks a bounding box: four numbers, or six with heights. South must not be greater than north.
 pub(super) fn check_bbox(text: &str) -> Result<(), InvalidParameter> {
     let numbers: Result<Vec<f64>, _> = text.split(',').map(|number| number.trim().parse::<f64>()).collect();
     let numbers = numbers.map_err(|_| InvalidParameter("bbox: numbers are expected"))?;
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-/// Checks an instant, or an interval with `..` or nothing for an open end.
+/// Checks an instant or an interval. An open end of an interval is `..` or empty; one end must be closed.
 pub(super) fn check_datetime(text: &str) -> Result<(), InvalidParameter> {
     const MALFORMED: InvalidParameter =
         InvalidParameter("datetime: an RFC 3339 time or interval is expected");
--- a/src/frontend/features/item.rs
+++ b/src/frontend/features/item.rs
@@ -9,7 +9,7 @@
 use crate::net::http;
 
 impl FeaturesFrontend {
-    /// Answers with the feature of this id, which is asked for in all ranges.
+    /// Queries all ranges for the feature of this id, and answers with it.
     pub(super) fn item(&self, base: String, collection: usize, id: &str, answer: Answer) -> Served {
         let collection_path = format!("/collections/{}", self.collections[collection].0.id);
         let path = format!("{collection_path}/items/{}", http::encode(id));
--- a/src/frontend/features/items.rs
+++ b/src/frontend/features/items.rs
@@ -1,4 +1,4 @@
-//! Requests for the features of a collection, answered page by page.
+//! Requests for the features of a collection, answered in pages.
 
 use serde_json::value::RawValue;
 use serde_json::{json, Value as Json};
@@ -15,7 +15,7 @@
 use crate::net::features::Cursor;
 
 impl FeaturesFrontend {
-    /// Answers with one page of the features that pass the filter.
+    /// Submits the query for one page of the features that match the filter, and answers with the page.
     pub(super) fn items(
         &self,
         base: String,
@@ -41,23 +41,23 @@
     }
 }
 
-/// One page of features, as it was requested.
+/// A requested page of features.
 pub(super) struct ItemsPage {
-    /// The base of links.
+    /// The base URL of links.
     pub(super) base: String,
     /// The path of the collection's items.
     pub(super) path: String,
     pub(super) filter: ItemsFilter,
     /// The number of tag ranges.
     pub(super) ranges: u32,
-    /// Seals the cursor of the next page, where pages go by id.
+    /// Seals the cursor of the next page. `None` if pages continue at offsets.
     pub(super) sealer: Option<CursorSealer>,
 }
 
-/// The features of a page, and the cursors of the page and the next one.
+/// The features of a page, its cursor and the cursor of the next page. `page_cursor` is `None` for the first page.
 struct PageContents<'a> {
     features: Vec<&'a RawValue>,
-    own_cursor: Option<String>,
+    page_cursor: Option<String>,
     next_cursor: Option<String>,
 }
 
@@ -67,11 +67,13 @@
             PageStart::Offset(cursor) => {
                 QueryParts::from_range(cursor.range, self.path_at(Some(&cursor.text())))
             }
-            PageStart::Ids(reached, _) => QueryParts::by_id(&self.path_at(None), reached, self.filter.limit),
+            PageStart::Ids(progress, _) => {
+                QueryParts::by_id(&self.path_at(None), progress, self.filter.limit)
+            }
         }
     }
 
-    /// The path of the page at a cursor, with the query string.
+    /// The path and query string of the page at a cursor.
     fn path_at(&self, cursor: Option<&str>) -> String {
         let first_page = format!("{}?{}", self.path, self.filter.query_string());
         match cursor {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The features of all ranges that answered, merged and cut at the limit.
+    /// Merges the features of all ranges that answered into a page of at most `limit` features.
     pub(super) fn reply(&self, ended: Result<QueryOutcome, RejectReason>) -> Reply {
         let Ok(QueryOutcome::Answered { complete, rows, .. }) = ended else {
             return problem(500, "there is no answer");
@@ -95,7 +97,7 @@
             Err(reply) => return reply,
         };
         let missing = self.missing_ranges(&values);
-        // A range whose value cannot be read is missing, even from a complete answer.
+        // A range with a malformed value is missing, even if the core reports the answer as complete.
         let members = json!({
             "numberReturned": contents.features.len(),
             "timeStamp": chrono::Utc::now().to_rfc3339_opts(chrono::SecondsFormat::Millis, true),
@@ -107,7 +109,7 @@
         Reply { status: 200, content_type: GEOJSON, extra_headers: String::new(), body }
     }
 
-    /// The ranges of the query without a readable value.
+    /// The ranges of the query without a valid value.
     fn missing_ranges(&self, values: &[RangeFeatures]) -> Vec<u32> {
         let first_range = match &self.filter.start {
             PageStart::Offset(cursor) => cursor.range.0,
@@ -121,24 +123,24 @@
         match &self.filter.start {
             PageStart::Offset(cursor) => {
                 let (features, next) = by_offset(values, *cursor, self.filter.limit);
-                let own_cursor = (*cursor != Cursor::START).then(|| cursor.text());
-                Ok(PageContents { features, own_cursor, next_cursor: next.map(Cursor::text) })
+                let page_cursor = (*cursor != Cursor::START).then(|| cursor.text());
+                Ok(PageContents { features, page_cursor, next_cursor: next.map(Cursor::text) })
             }
-            PageStart::Ids(reached, own_cursor) => {
-                let (features, next) = by_id(values, reached, self.filter.limit)
+            PageStart::Ids(progress, page_cursor) => {
+                let (features, next) = by_id(values, progress, self.filter.limit)
                     .map_err(|invalid| problem(502, &invalid.to_string()))?;
                 let next_cursor = next.zip(self.sealer.as_ref()).map(|(ranges, sealer)| sealer.seal(ranges));
-                Ok(PageContents { features, own_cursor: own_cursor.clone(), next_cursor })
+                Ok(PageContents { features, page_cursor: page_cursor.clone(), next_cursor })
             }
         }
     }
 
     fn links(&self, contents: &PageContents) -> Vec<Json> {
         let base = &self.base;
-        let own_path = self.path_at(contents.own_cursor.as_deref());
+        let page_path = self.path_at(contents.page_cursor.as_deref());
         let collection_path = self.path.trim_end_matches("/items");
         let mut links = vec![
-            link(base, &own_path, "self", GEOJSON, "This page"),
+            link(base, &page_path, "self", GEOJSON, "This page"),
             link(base, collection_path, "collection", JSON, "The collection"),
         ];
         if let Some(cursor) = &contents.next_cursor {
@@ -148,7 +150,7 @@
     }
 }
 
-/// A GeoJSON feature collection with these further members. The features are copied byte for byte.
+/// Serializes a GeoJSON feature collection with additional members. The features are copied byte for byte.
 fn feature_collection(features: &[&RawValue], members: &Json) -> Vec<u8> {
     let features: Vec<&str> = features.iter().map(|feature| feature.get()).collect();
     let members = members.to_string();
--- a/src/frontend/features/mod.rs
+++ b/src/frontend/features/mod.rs
@@ -1,8 +1,8 @@
-//! The frontend of OGC API - Features: feature queries in, GeoJSON out.
+//! The frontend of OGC API - Features: answers feature queries with GeoJSON.
 //!
-//! Each request for features becomes one query with a part for each tag range, and its answer is one page. A page
-//! follows the ranges in order, or the ids of the features where the data nodes return them so: see [`pages`]. Where a
-//! class may be answered in part, the ranges that did not answer are named in `missingRanges`, and `complete` is false.
+//! Each request for features becomes one query with a part for each tag range, and its answer is one page. Pages follow
+//! the order of the ranges, or the order of feature ids if the data nodes return features in that order: see [`pages`].
+//! If a class allows partial answers, `missingRanges` lists the ranges that did not answer, and `complete` is false.
 
 mod documents;
 mod filter;
@@ -35,25 +35,25 @@
 const JSON: &str = "application/json";
 const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.0";
 
-/// Query names: the upper half is the seed of the process, the lower half counts.
+/// The upper half of a query name: the seed of the process. The lower half is a counter.
 const NAME_SEED_MASK: u64 = 0xffff_ffff_0000_0000;
 
-/// The frontend of the feature collections.
+/// The frontend for requests over the feature collections.
 pub struct FeaturesFrontend {
     core: CoreHandle,
     limits: Arc<Limits>,
-    /// The base of links, where it is configured.
+    /// The configured base URL of links. `None` derives it from the `Host` header of each request.
     base: Option<String>,
     collections: Vec<(CollectionConfig, ClassId)>,
     /// The number of tag ranges.
     ranges: u32,
-    /// Seals the cursors of pages by id; absent where pages continue at offsets.
+    /// Seals the cursors of pages in the order of ids. `None` if pages continue at offsets.
     cursor_keys: Option<CursorKeys>,
     /// The number in the name of the next query.
     next_query: AtomicU64,
 }
 
-/// The keys that seal the cursors of pages by id.
+/// The keys that seal the cursors of pages in the order of ids, and the lifetime of the cursors.
 #[derive(Clone)]
 struct CursorKeys {
     keys: Arc<Keys>,
@@ -75,10 +75,10 @@
 }
 
 impl FeaturesFrontend {
-    /// The frontend of these collections.
+    /// Creates the frontend for the configured collections. Query names begin with the upper half of `seed`.
     ///
     /// # Errors
-    /// As [`FeaturesConfig::check`].
+    /// Returns the errors of [`FeaturesConfig::check`] and of reading the cursor keys.
     pub fn new(
         config: &FeaturesConfig,
         core: CoreHandle,
@@ -98,7 +98,7 @@
         })
     }
 
-    /// The base of links in the answer to a request.
+    /// Returns the base URL of links in the answer to a request.
     fn base(&self, request: &Request) -> String {
         let host = || format!("http://{}", request.headers.get("host").unwrap_or("localhost"));
         self.base.clone().unwrap_or_else(host)
@@ -143,16 +143,11 @@
     }
 }
 
-fn document(kind: &'static str, body: &Json) -> Reply {
-    Reply {
-        status: 200,
-        content_type: kind,
-        extra_headers: String::new(),
-        body: body.to_string().into_bytes(),
-    }
+fn document(content_type: &'static str, body: &Json) -> Reply {
+    Reply { status: 200, content_type, extra_headers: String::new(), body: body.to_string().into_bytes() }
 }
 
-/// The features in the value of a range, if they can be read.
+/// Parses the features in the value of a range. Logs a malformed value and returns `None`.
 fn read_features(row: &Row) -> Option<RangeFeatures> {
     match features::features_of(&row.data) {
         Ok(features) => Some((row.shard, features)),
--- a/src/frontend/features/pages.rs
+++ b/src/frontend/features/pages.rs
@@ -1,7 +1,7 @@
-//! Pages of features, merged from tag ranges. Pure.
+//! Pages of features, merged from tag ranges. This module does no I/O.
 //!
-//! Where the feature servers return features in the order of their ids, a page continues after an id, and so repeats
-//! and skips nothing when a server dies or features change. Elsewhere it continues at an offset.
+//! If the feature servers return features in the order of their ids, a page continues after an id. Such pages neither
+//! repeat nor skip features when a server fails or features change. Otherwise a page continues at an offset.
 
 use std::borrow::Cow;
 
@@ -15,10 +15,10 @@
 use crate::api::ShardId;
 use crate::net::features::{self, Cursor};
 
-/// The features of a range that has answered.
+/// A range that has answered, and its features in the order received.
 pub type RangeFeatures = (ShardId, Vec<Box<RawValue>>);
 
-/// A feature and its place in the order of a listing.
+/// A feature and its sort key.
 #[derive(Clone)]
 struct Feature<'a> {
     key: Cow<'a, str>,
@@ -37,32 +37,32 @@
     id: Cow<'a, str>,
 }
 
-/// The id of a feature, if it is a text.
+/// Returns the id of a feature, or `None` if it is missing, not a string or longer than [`MAX_KEY_BYTES`].
 fn id(feature: &RawValue) -> Option<Cow<'_, str>> {
     serde_json::from_str::<FeatureId>(feature.get()).ok().map(|f| f.id).filter(|id| id.len() <= MAX_KEY_BYTES)
 }
 
-/// Why the features of a range cannot be merged by id.
+/// Why the features of a range cannot be merged in the order of their ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidFeatures(&'static str);
 
-/// Checks that the value of a range may be merged by id: features in the order of the bytes of their ids, after the
-/// requested place, and no more than `limit`.
+/// Checks that the value of a range can be merged in the order of ids: at most `limit` features, sorted by the bytes of
+/// their ids, all at or after the requested position.
 ///
 /// # Errors
-/// Says what is wrong with the value.
-pub fn check_ids(value: &str, place: &Position, limit: usize) -> Result<(), InvalidFeatures> {
+/// Returns the reason why the value is invalid.
+pub fn check_ids(value: &str, position: &Position, limit: usize) -> Result<(), InvalidFeatures> {
     let features = features::features_of(value).map_err(InvalidFeatures)?;
     if features.len() > limit {
-        return Err(InvalidFeatures("more features than were asked for"));
+        return Err(InvalidFeatures("more features than the requested limit"));
     }
     let mut last: Option<String> = None;
     for feature in &features {
-        let id =
-            id(feature).ok_or(InvalidFeatures("a feature has no id that is a text of at most 256 bytes"))?;
-        if !place.admits(&id) {
-            return Err(InvalidFeatures("features that were passed already"));
+        let id = id(feature)
+            .ok_or(InvalidFeatures("a feature has no id that is a string of at most 256 bytes"))?;
+        if !position.admits(&id) {
+            return Err(InvalidFeatures("a feature precedes the requested position"));
         }
         if last.as_deref().is_some_and(|last| last >= &*id) {
             return Err(InvalidFeatures("features are not in the order of their ids"));
@@ -72,40 +72,42 @@
     Ok(())
 }
 
-/// The features of one page in the order of ranges and offsets, and the cursor of the next page if there may be more.
+/// Merges one page in the order of ranges and offsets. Returns its features, and the cursor of the next page if there
+/// may be more features.
 pub fn by_offset(ranges: &[RangeFeatures], cursor: Cursor, limit: usize) -> (Vec<&RawValue>, Option<Cursor>) {
-    // Sorts by range, then by offset.
+    // The zero-padded key sorts by range, then by offset.
     let key = |range: &ShardId, n: usize| Cow::Owned(format!("{:010}.{n:020}", range.0));
     let rows = ranges.iter().map(|(range, features)| {
         let rows = features.iter().enumerate();
         Rows {
             range: range.0,
             rows: rows.map(move |(n, f)| Ok(Feature { key: key(range, n), feature: f.as_ref() })),
-            // A range that returned as many as the limit may have more.
+            // A range that returned `limit` features may have more.
             has_more: features.len() >= limit,
         }
     });
-    // Every row above is readable.
+    // The merge fails only on an invalid row, and every row above is valid.
     let Ok(page) = page::merge(rows, limit) else { return (Vec::new(), None) };
-    let given = |range: u32| page.rows.iter().filter(|r| r.0 == range).count();
+    let returned_count = |range: u32| page.rows.iter().filter(|r| r.0 == range).count();
     let next = page.more.then(|| match &page.last {
         Some((_, range)) => {
             let range_id = ShardId(*range);
-            Cursor { range: range_id, offset: cursor.offset_in(range_id) + given(*range) }
+            Cursor { range: range_id, offset: cursor.offset_in(range_id) + returned_count(*range) }
         }
         None => cursor,
     });
     (page.rows.iter().map(|r| r.1.feature).collect(), next)
 }
 
-/// The features of one page in the order of their ids, and where each range continues if there may be more: a missing
-/// range stays where it was. A feature of several ranges is returned once.
+/// Merges one page in the order of feature ids. Returns its features, and the progress of each range if there may be
+/// more features. The progress of a missing range stays unchanged. A feature that several ranges return is included
+/// once.
 ///
 /// # Errors
-/// A feature has no id; [`check_ids`] finds it first.
+/// Fails if a feature has no id. [`check_ids`] rejects such a value earlier.
 pub fn by_id<'a>(
     ranges: &'a [RangeFeatures],
-    reached: &[RangeProgress],
+    progress: &[RangeProgress],
     limit: usize,
 ) -> Result<(Vec<&'a RawValue>, Option<Vec<RangeProgress>>), InvalidValue> {
     let rows = ranges.iter().map(|(range, features)| Rows {
@@ -117,16 +119,16 @@
         has_more: features.len() >= limit,
     });
     let page = page::merge(rows, limit)?;
-    let there = |range: usize| ranges.iter().any(|r| r.0 .0 as usize == range);
-    let place = |(range, reached): (usize, &RangeProgress)| match &page.last {
-        Some((id, _)) if there(range) => RangeProgress {
-            position: reached.position.furthest(&Position::After(id.clone())),
-            ..reached.clone()
+    let has_answered = |range: usize| ranges.iter().any(|r| r.0 .0 as usize == range);
+    let next_progress = |(range, progress): (usize, &RangeProgress)| match &page.last {
+        Some((id, _)) if has_answered(range) => RangeProgress {
+            position: progress.position.furthest(&Position::After(id.clone())),
+            ..progress.clone()
         },
-        _ => reached.clone(),
+        _ => progress.clone(),
     };
-    let more = page.more || ranges.len() < reached.len();
-    let next = more.then(|| reached.iter().enumerate().map(place).collect());
+    let has_more = page.more || ranges.len() < progress.len();
+    let next = has_more.then(|| progress.iter().enumerate().map(next_progress).collect());
     let mut features: Vec<&RawValue> = Vec::with_capacity(page.rows.len());
     let mut last: Option<&Cow<str>> = None;
     for (_, row) in &page.rows {
--- a/src/frontend/features/query.rs
+++ b/src/frontend/features/query.rs
@@ -21,24 +21,24 @@
 }
 
 impl Requester {
-    /// The one who waits for this answer.
+    /// Returns the client that waits for an answer, and when its request was received.
     pub(super) fn of(answer: &Answer) -> Self {
         Self { client: answer.client(), received_at: answer.received_at() }
     }
 }
 
-/// What the parts of a query ask for.
+/// The ranges, texts and validation of a query's parts.
 pub(super) struct QueryParts {
-    /// Ranges before this one are left out.
+    /// The first range of the query; earlier ranges get no part.
     first_range: ShardId,
     text: String,
-    /// The text of each range, where they differ.
+    /// The text for each range. Empty if all ranges get `text`.
     range_texts: Vec<Arc<str>>,
     validator: ResponseValidator,
 }
 
 impl QueryParts {
-    /// The same text for all ranges.
+    /// Sends the same text to all ranges.
     pub(super) fn new(text: String) -> Self {
         Self {
             first_range: ShardId(0),
@@ -48,33 +48,33 @@
         }
     }
 
-    /// The same text for this range and those after it.
+    /// Sends the same text to `first_range` and the ranges after it.
     pub(super) fn from_range(first_range: ShardId, text: String) -> Self {
         Self { first_range, ..Self::new(text) }
     }
 
-    /// Each range continues after an id of its own. Its value counts only if its features are in the order of their ids.
-    pub(super) fn by_id(path: &str, reached: &[RangeProgress], limit: usize) -> Self {
+    /// Continues each range at its own position. A value is valid only if its features are in the order of their ids.
+    pub(super) fn by_id(path: &str, progress: &[RangeProgress], limit: usize) -> Self {
         Self {
-            range_texts: reached.iter().map(|reached| range_text(path, &reached.position)).collect(),
-            validator: id_validator(reached, limit),
+            range_texts: progress.iter().map(|progress| range_text(path, &progress.position)).collect(),
+            validator: id_validator(progress, limit),
             ..Self::new(path.to_string())
         }
     }
 }
 
-fn range_text(path: &str, place: &Position) -> Arc<str> {
-    match place {
+fn range_text(path: &str, position: &Position) -> Arc<str> {
+    match position {
         Position::Start => path.into(),
         Position::From(id) | Position::After(id) => format!("{path}&after={}", http::encode(id)).into(),
     }
 }
 
-fn id_validator(reached: &[RangeProgress], limit: usize) -> ResponseValidator {
-    let places: Vec<Position> = reached.iter().map(|reached| reached.position.clone()).collect();
+fn id_validator(progress: &[RangeProgress], limit: usize) -> ResponseValidator {
+    let positions: Vec<Position> = progress.iter().map(|progress| progress.position.clone()).collect();
     ResponseValidator::new(move |shard, value| {
-        let place = places.get(shard.0 as usize).cloned().unwrap_or_default();
-        let checked = check_ids(&value.data, &place, limit);
+        let position = positions.get(shard.0 as usize).cloned().unwrap_or_default();
+        let checked = check_ids(&value.data, &position, limit);
         if let Err(error) = &checked {
             log_malformed(shard, &error.to_string());
         }
@@ -83,7 +83,7 @@
 }
 
 impl FeaturesFrontend {
-    /// Submits a query over all ranges from the first one on.
+    /// Submits a query with a part for each range from `parts.first_range` on.
     pub(super) fn submit(
         &self,
         collection: usize,
--- a/src/frontend/features/resource.rs
+++ b/src/frontend/features/resource.rs
@@ -1,4 +1,4 @@
-//! Routing: which resource a request asks for.
+//! Routing: maps the path and query string of a request to a resource.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 
 const MAX_FEATURE_ID_BYTES: usize = 256;
 
-/// The resource that a request asks for. Collections are named by their index.
+/// The resource that a request addresses. A collection is identified by its index in the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Resource {
     Landing,
@@ -26,7 +26,7 @@
 }
 
 impl FeaturesFrontend {
-    /// The resource of a request, or the reply to a request that has none.
+    /// Routes a request to its resource, or returns the reply to an invalid request.
     pub(super) fn resource(&self, request: &Request) -> Result<Resource, Reply> {
         let path = http::decode(&request.path, false).ok_or_else(|| problem(400, "the path is malformed"))?;
         let segments: Vec<&str> = path.split('/').skip(1).collect();
@@ -58,7 +58,7 @@
         index.ok_or_else(|| problem(404, "there is no such collection"))
     }
 
-    /// The filter in a query string.
+    /// Parses the filter in a query string.
     fn filter(&self, collection: usize, query: &str) -> Result<ItemsFilter, Reply> {
         let mut filter = ItemsFilter::new(self.first_page());
         let mut cursor = None;
@@ -83,7 +83,7 @@
         Ok(filter)
     }
 
-    /// Where the first page begins.
+    /// The start of the first page.
     fn first_page(&self) -> PageStart {
         match &self.cursor_keys {
             Some(_) => PageStart::Ids(vec![RangeProgress::default(); self.ranges as usize], None),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Where the page of a cursor begins. A sealed cursor is bound to its collection and filter.
+    /// The start of the page at a cursor. A sealed cursor is valid only for its collection and filter.
     fn page_start(&self, collection: usize, filter: &ItemsFilter, text: String) -> Result<PageStart, Reply> {
         let Some(cursor_keys) = &self.cursor_keys else {
             let cursor = Cursor::parse(&text).filter(|cursor| cursor.range.0 < self.ranges);
--- a/src/frontend/features/tests.rs
+++ b/src/frontend/features/tests.rs
@@ -22,9 +22,9 @@
     }
 }
 
-/// A value that cannot be read is marked as missing, never passed over in silence.
+/// An answer without the features of a range, because its value is malformed, must list the range in `missingRanges`.
 #[test]
-fn an_unreadable_range_is_missing() {
+fn a_range_with_a_malformed_value_is_listed_as_missing() {
     let row = |shard, data: &str| Row { shard: ShardId(shard), data: data.into() };
     let filter =
         ItemsFilter { bbox: None, datetime: None, limit: 5, start: PageStart::Offset(Cursor::START) };
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,4 +1,4 @@
-//! The frontend of the platform's protocol: each `POST` is a query, whose class is the first segment of the path.
+//! The frontend of the platform's protocol: each `POST` is a query whose class is the first segment of the path.
 
 mod wire;
 
@@ -20,16 +20,16 @@
 
 /// The frontend of the platform's protocol.
 pub struct Platform {
-    /// The core.
+    /// Submits queries to the coordinator core.
     pub core: CoreHandle,
-    /// Limits.
+    /// The maximum client timeout, and the margin for sending the answer.
     pub limits: Arc<Limits>,
-    /// The state of the process.
+    /// The lifecycle of the process, by which health checks are answered.
     pub service: Arc<Service>,
 }
 
 impl Platform {
-    /// The query that a request asks for, or the reply to a request that is not valid.
+    /// Converts a request to a query, or returns the reply to an invalid request.
     fn query_request(
         &self,
         request: &Request,
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The timeout that the client names, if it names one.
+    /// The timeout in the `X-Timeout` header, or `None` without the header.
     fn client_timeout(&self, request: &Request) -> Result<Option<Duration>, Reply> {
         let Some(text) = request.headers.get("x-timeout") else { return Ok(None) };
         parse_timeout(text)
@@ -106,7 +106,7 @@
     }
 }
 
-/// The id that the client gave to a request.
+/// Returns the valid `X-Request-ID` of a request, or the reply to a missing or invalid one.
 fn request_id(request: &Request) -> Result<&str, Reply> {
     let id = request.headers.get("x-request-id").unwrap_or("");
     let is_visible = id.bytes().all(|byte| byte.is_ascii_graphic());
@@ -116,7 +116,7 @@
     Ok(id)
 }
 
-/// A number followed by `m` (milliseconds) or `u` (microseconds).
+/// Parses a number followed by `m` (milliseconds) or `u` (microseconds).
 fn parse_timeout(text: &str) -> Option<Duration> {
     let unit = text.chars().last()?;
     let number: f64 = text.strip_suffix(unit)?.parse().ok()?;
@@ -156,7 +156,7 @@
     }
 }
 
-/// Adds `Retry-After` in decimal seconds, unless the client may retry at once.
+/// Adds a `Retry-After` header in decimal seconds, unless the client may retry immediately.
 fn with_retry_after(reply: Reply, retry_after: Nanos) -> Reply {
     match retry_after {
         0 => reply,
--- a/src/frontend/platform/wire.rs
+++ b/src/frontend/platform/wire.rs
@@ -1,11 +1,11 @@
-//! Bodies of the platform's protocol: the only place that knows its field names.
+//! Bodies of the platform's protocol. Its field names are defined only here.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::ShardId;
 use crate::engine::Row;
 
-/// The body of a query. Messages about a malformed one name this type: its name is part of the protocol.
+/// The body of a query. Replies to a malformed body contain this type's name, which makes it part of the protocol.
 #[derive(Debug, Deserialize, PartialEq)]
 pub(super) struct Body {
     pub(super) parts: Vec<BodyPart>,
@@ -13,7 +13,7 @@
     pub(super) text: String,
 }
 
-/// One part of a query; messages name this type, too.
+/// One part of a query. Replies to a malformed body contain this type's name too.
 #[derive(Debug, Deserialize, PartialEq)]
 pub(super) struct BodyPart {
     id: u32,
@@ -22,7 +22,6 @@
 }
 
 impl BodyPart {
-    /// The shard and its weight.
     pub(super) fn shard_weight(&self) -> (ShardId, f64) {
         (ShardId(self.id), self.weight)
     }
@@ -43,7 +42,7 @@
     data: &'a str,
 }
 
-/// The body of the answer with these rows.
+/// Serializes the body of an answer.
 pub(super) fn answer_body(is_complete: bool, rows: &[Row]) -> serde_json::Result<Vec<u8>> {
     let rows = rows.iter().map(|row| AnswerRow { id: row.shard.0, data: &row.data }).collect();
     serde_json::to_vec(&AnswerBody { is_complete, rows })
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -1,5 +1,5 @@
-//! What the features and aggregation frontends share: problem documents, the replies to queries without an answer, and
-//! the deadlines of queries.
+//! Shared by the features and aggregation frontends: problem documents, replies to queries without an answer, and query
+//! deadlines.
 
 use std::time::{Duration, SystemTime};
 
@@ -15,10 +15,10 @@
 
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
-/// The media type of RFC 9457, section 3.
+/// The media type of problem documents (RFC 9457, section 3).
 pub const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
 
-/// A problem document of RFC 9457.
+/// Creates a reply with a problem document (RFC 9457).
 pub fn problem(status: u16, detail: &str) -> Reply {
     let body =
         json!({"type": "about:blank", "title": http::reason(status), "status": status, "detail": detail});
@@ -30,13 +30,13 @@
     }
 }
 
-/// Adds `Retry-After`, rounded up to the whole seconds that HTTP has.
+/// Adds a `Retry-After` header, rounded up to full seconds and at least 1, as HTTP has no smaller unit.
 pub fn with_retry_after(reply: Reply, retry_after: Nanos) -> Reply {
     let seconds = retry_after.div_ceil(NANOS_PER_SECOND).max(1);
     reply.with_header("Retry-After", &seconds.to_string())
 }
 
-/// The reply to a query that was not answered; `None` if it was.
+/// The reply to a query that was not answered, or `None` if it was answered.
 pub fn unanswered_reply(
     ended: &Result<QueryOutcome, RejectReason>,
     queue_full_retry_after: Nanos,
@@ -57,13 +57,13 @@
     }
 }
 
-/// Seconds of Unix time, by which cursors expire.
+/// The current Unix time in seconds. Cursors expire by this clock.
 pub fn unix_now() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_secs())
 }
 
-/// The deadline of a query that was received at `received_at`: by its class or its client's timeout, whichever is less,
-/// and early enough for the answer to reach the client.
+/// The deadline of a query that was received at `received_at`. The timeout is the smaller of its class's and its
+/// client's, less `answer_margin`, which leaves time for the answer to reach the client.
 pub fn query_deadline(
     core: &CoreHandle,
     limits: &Limits,
