--- a/src/config/aggregation.rs
+++ b/src/config/aggregation.rs
@@ -1,4 +1,4 @@
-//! The section `[desk]`: the frontend of rankings, sums and listings over all shards.
+//! The section `[desk]`: the frontend for rankings, sums and listings over all shards.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,53 +14,53 @@
 use crate::net::http;
 use crate::settings::Deployment;
 
-/// What the edge's file says of the aggregation frontend. Messages on a malformed section name this type.
+/// The aggregation frontend's configuration. Error messages about a malformed section contain this type's name.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeskConfig {
-    /// Where it listens.
+    /// The TCP address on which the frontend accepts HTTP clients.
     pub listen: SocketAddr,
-    /// The file of the keys that seal cursors, the first one for new ones; without it a key is generated at the start,
-    /// and cursors end with the process.
+    /// The file with the keys that authenticate cursors. New cursors use the first key. `None` means that a key is
+    /// generated at startup, so that cursors become invalid when the process exits.
     #[serde(default)]
     pub cursor_keys: Option<PathBuf>,
     /// The lifetime of a cursor, in seconds.
     #[serde(default = "default_cursor_lifetime_s")]
     pub cursor_life_s: u64,
-    /// The sets of data.
+    /// The data sets that the frontend serves, each with a unique id.
     pub sets: Vec<SetConfig>,
 }
 
-/// One set of data.
+/// A data set.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SetConfig {
-    /// Its id, as paths name it.
+    /// The id, used as a segment of request paths.
     pub id: String,
-    /// Its title.
+    /// The title shown to clients, in plain text.
     pub title: String,
-    /// The class of its queries.
+    /// The name of the class of the set's queries.
     pub class: String,
-    /// Its measures.
+    /// The measures of the set, at least one, each with a unique name.
     pub measures: Vec<MeasureConfig>,
 }
 
-/// One measure.
+/// A numeric value of a data set that can be ranked and summed.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MeasureConfig {
-    /// Its name.
+    /// The name, unique within its set and not empty.
     pub name: String,
-    /// Its decimals, 0 to 18.
+    /// The number of decimal places, 0 to 18.
     #[serde(default)]
     pub scale: u8,
 }
 
 impl DeskConfig {
-    /// The class of each set.
+    /// Validates the section and returns the class of each set.
     ///
     /// # Errors
-    /// Names the set and what is wrong with it.
+    /// The settings define no shards, the cursor lifetime is 0, or a set is invalid. The error contains the set's id.
     pub fn check(&self, deployment: &Deployment) -> Result<Vec<ClassId>, AggregationConfigError> {
         if deployment.shards == 0 {
             return Err(AggregationConfigError::NoShards);
@@ -78,17 +78,17 @@
         self.sets.iter().map(class_of).collect()
     }
 
-    /// The keys that seal cursors.
+    /// The keys that authenticate cursors, read from the file or generated.
     ///
     /// # Errors
-    /// Names the file and the fault.
+    /// The file is unreadable, accessible to others, or has no valid keys. The error contains its path.
     pub fn keys(&self) -> Result<Keys, SecretError> {
         read_cursor_keys(self.cursor_keys.as_deref())
     }
 }
 
 impl SetConfig {
-    /// The class of the set.
+    /// Validates the set and returns its class.
     fn check(&self, deployment: &Deployment) -> Result<ClassId, SetConfigError> {
         if self.id.is_empty() || http::encode(&self.id) != self.id || self.id.contains(',') {
             return Err(SetConfigError::InvalidId);
--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -1,4 +1,5 @@
-//! The edge's file: what an operator turns on beside the platform's own protocol. A section that is not there is off.
+//! The edge file, in which an operator enables features beyond the platform's protocol. A feature without a section is
+//! disabled.
 
 use std::path::Path;
 
@@ -12,18 +13,18 @@
 use crate::settings::Deployment;
 use crate::snapshot_store::StateConfig;
 
-/// The protocol of the data nodes.
+/// The protocol between the coordinator and the data nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeProtocol {
-    /// The platform's frames.
+    /// The platform's length-prefixed frames.
     #[default]
     Frames,
-    /// OGC API - Features: the data nodes are feature servers.
+    /// OGC API - Features over HTTP: the data nodes are feature servers.
     Features,
 }
 
-/// The edge's file.
+/// The contents of the edge file.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edge {
@@ -36,7 +37,7 @@
     /// The section `[desk]`: the frontend for aggregations.
     #[serde(rename = "desk")]
     pub aggregation: Option<AggregationConfig>,
-    /// The section `[state]`: the folder of what outlives the process.
+    /// The section `[state]`: the folder of state that is kept across restarts.
     pub state: Option<StateConfig>,
     /// The section `[snmp]`: the management agent.
     pub snmp: Option<SnmpConfig>,
@@ -44,18 +45,18 @@
     pub group: Option<GroupConfig>,
 }
 
-/// The section `[nodes]`. Messages on a malformed one name this type.
+/// The section `[nodes]`. Error messages about a malformed section contain this type's name.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
-    /// The protocol of the data nodes.
+    /// The protocol of all data nodes; frames by default.
     #[serde(default)]
     pub protocol: NodeProtocol,
-    /// The query parameter that names a tag range to feature servers.
+    /// The query parameter in which feature servers expect a tag range.
     #[serde(default = "default_range_parameter")]
     pub range_parameter: String,
-    /// The query parameter by which feature servers give features in the order of their ids, beginning behind the id in
-    /// it; none where they have no such parameter.
+    /// The query parameter that makes feature servers return features in the order of their ids, starting after the
+    /// given id. `None` if they have no such parameter.
     #[serde(default)]
     pub after_parameter: Option<String>,
 }
@@ -75,10 +76,10 @@
 }
 
 impl Edge {
-    /// Reads the file.
+    /// Reads and parses the file.
     ///
     /// # Errors
-    /// Names the file and what is wrong with it.
+    /// The file is unreadable or malformed. The error contains its path.
     pub fn load(path: &Path) -> Result<Self, EdgeError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| EdgeError::Unreadable { path: path.to_path_buf(), source })?;
@@ -86,18 +87,18 @@
             .map_err(|error| EdgeError::InFile { path: path.to_path_buf(), source: Box::new(error) })
     }
 
-    /// Reads the file's text.
+    /// Parses the file's text.
     ///
     /// # Errors
-    /// It is not TOML, or a key is missing, unknown or of another type.
+    /// The text is not TOML, or a key is missing, unknown or of the wrong type.
     pub fn read(text: &str) -> Result<Self, EdgeError> {
         toml::from_str(text).map_err(EdgeError::Malformed)
     }
 
-    /// Whether all of it can be used with these settings, the files that it names included.
+    /// Validates all sections with these settings, including the files that they refer to.
     ///
     /// # Errors
-    /// Names the section and the fault.
+    /// A section is invalid. The error contains its name and the reason.
     pub fn check(&self, deployment: &Deployment) -> Result<(), EdgeError> {
         self.check_settings(deployment)?;
         self.check_features()?;
@@ -107,11 +108,11 @@
         self.check_snmp()
     }
 
-    /// Whether its frontends can be used with these settings. Reads no file: at a reload, what the frontends read at the
-    /// start still holds.
+    /// Validates the frontends' sections with these settings. Reads no files: a reload keeps what the frontends read at
+    /// startup.
     ///
     /// # Errors
-    /// Names the section and the fault.
+    /// A section is invalid. The error contains its name and the reason.
     pub fn check_settings(&self, deployment: &Deployment) -> Result<(), EdgeError> {
         if let Some(features) = &self.features {
             features.check(deployment)?;
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used. No text repeats what stands in a file of secrets.
+//! Configuration errors. No message contains anything from a secret file.
 
 use std::io;
 use std::path::PathBuf;
@@ -11,51 +11,51 @@
 use crate::replication::config::GroupConfigError;
 use crate::settings::ReadError;
 
-/// Why the platform's configuration file cannot be used.
+/// An error in the platform's configuration file, or in an environment variable that overrides it.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file could not be read.
     #[error("{0}")]
     Unreadable(#[source] io::Error),
-    /// Its bytes are not text.
+    /// The file is not valid UTF-8.
     #[error("{0}")]
     NotUtf8(#[source] FromUtf8Error),
-    /// It is not a complete JSON value: empty, cut short, or read while it was being written.
+    /// The file is not a complete JSON value: it is empty, truncated, or was read while it was being written.
     #[error("not as expected: {0}")]
     Incomplete(#[source] serde_json::Error),
-    /// It is JSON, and a key is missing or of another type.
+    /// The file is JSON, but a key is missing or has the wrong type.
     #[error("not as expected: {0}")]
-    Unexpected(#[source] serde_json::Error),
-    /// Its settings cannot be read.
+    InvalidStructure(#[source] serde_json::Error),
+    /// The settings cannot be parsed.
     #[error(transparent)]
     Settings(#[from] ReadError),
-    /// Its settings cannot be used.
+    /// The settings were parsed, but a value is out of range or contradicts another.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// A variable of the environment is not an address.
+    /// An environment variable is not a socket address.
     #[error("{variable}: '{text}' is no address")]
     Address {
-        /// The variable.
+        /// The name of the environment variable.
         variable: String,
-        /// Its value.
+        /// The rejected value.
         text: String,
     },
-    /// A key that the configuration in use has is missing, at this path.
+    /// A key of the configuration in use is missing from the new one. Contains the key's dotted path.
     #[error("the key '{0}' is missing")]
     MissingKey(String),
-    /// A frontend of this process cannot be used with its settings.
+    /// A frontend of this process cannot work with the new settings.
     #[error(transparent)]
     Frontend(#[from] EdgeError),
 }
 
 impl ConfigError {
-    /// Whether the same file may turn out good when it is read again a moment later.
+    /// Whether a later read of the same file may succeed: it may be unreadable or incomplete while it is replaced.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::Unreadable(_) | Self::NotUtf8(_) | Self::Incomplete(_))
     }
 }
 
-/// Why the edge's file cannot be used.
+/// An error in the edge file.
 #[derive(Debug, Error)]
 pub enum EdgeError {
     /// The file could not be read.
@@ -66,10 +66,10 @@
         /// The cause.
         source: io::Error,
     },
-    /// It is not TOML, or a key is missing, unknown or of another type.
+    /// The text is not TOML, or a key is missing, unknown or of the wrong type.
     #[error("{}", .0.message())]
     Malformed(#[source] toml::de::Error),
-    /// The same, in this file.
+    /// Adds the path of the file to an error.
     #[error("{}: {source}", .path.display())]
     InFile {
         /// The file.
@@ -77,44 +77,44 @@
         /// The cause.
         source: Box<EdgeError>,
     },
-    /// The section `[ogc]`.
+    /// The section `[ogc]` is invalid.
     #[error(transparent)]
     Features(#[from] FeaturesConfigError),
-    /// The section `[desk]`.
+    /// The section `[desk]` is invalid.
     #[error(transparent)]
     Aggregation(#[from] AggregationConfigError),
-    /// The section `[snmp]`.
+    /// The section `[snmp]` is invalid.
     #[error(transparent)]
     Snmp(#[from] SnmpConfigError),
-    /// The section `[group]`.
+    /// The section `[group]` is invalid.
     #[error(transparent)]
     Replication(#[from] GroupConfigError),
-    /// The section `[state]` names a folder that is not there, or a period of 0.
-    #[error("state: {}: a folder that is there, and every_s above 0", .folder.display())]
+    /// The folder of the section `[state]` does not exist, or its write interval is 0.
+    #[error("state: {}: the folder must exist, and every_s must be above 0", .folder.display())]
     State {
-        /// The folder.
+        /// The configured folder.
         folder: PathBuf,
     },
-    /// The state is to be copied to a replication group, and there is no section `[group]`.
-    #[error("state.copied: there is no group to copy it to")]
+    /// The state is to be replicated, but the section `[group]` is missing.
+    #[error("state.copied: the section [group] is missing")]
     NoReplicationGroup,
 }
 
-/// Why the section `[ogc]` cannot be used.
+/// An error in the section `[ogc]`.
 #[derive(Debug, Error)]
 pub enum FeaturesConfigError {
-    /// Two collections have the same id, or the settings have no shards.
-    #[error("ogc: each collection needs an id of its own, and the settings tag ranges")]
+    /// Two collections have the same id, or the settings define no shards.
+    #[error("ogc: collection ids must be unique, and the settings must define tag ranges")]
     AmbiguousCollections,
-    /// A collection's id cannot be a segment of a path.
-    #[error("ogc: the collection id '{0}' cannot stand in a path")]
+    /// A collection's id is not a valid path segment.
+    #[error("ogc: the collection id '{0}' is not a valid path segment")]
     InvalidCollectionId(String),
-    /// The settings do not have a collection's class.
-    #[error("ogc: {collection}: there is no class '{class}'")]
+    /// A collection's class is not in the settings.
+    #[error("ogc: {collection}: unknown class '{class}'")]
     UnknownClass {
         /// The collection's id.
         collection: String,
-        /// The class that it names.
+        /// The unknown class.
         class: String,
     },
     /// A collection's class has a second phase.
@@ -122,38 +122,38 @@
     TwoPhaseClass {
         /// The collection's id.
         collection: String,
-        /// Its class.
+        /// The class, whose second phase cannot answer feature queries.
         class: String,
     },
-    /// Pages go on by id, and feature servers have no parameter for that.
-    #[error("ogc: by_id needs nodes.after_parameter, by which servers go on behind an id")]
+    /// Pages by id are enabled, but no query parameter is configured by which feature servers continue after an id.
+    #[error("ogc: by_id needs nodes.after_parameter, by which servers continue after an id")]
     NoAfterParameter,
     /// The keys that seal cursors.
     #[error(transparent)]
     CursorKeys(#[from] SecretError),
 }
 
-/// Why the section `[desk]` cannot be used.
+/// An error in the section `[desk]`.
 #[derive(Debug, Error)]
 pub enum AggregationConfigError {
-    /// The settings have no shards.
-    #[error("desk: the settings name no tag ranges")]
+    /// The settings define no shards.
+    #[error("desk: the settings define no tag ranges")]
     NoShards,
-    /// Cursors would end at once.
+    /// The cursor lifetime is 0, so that cursors would expire at once.
     #[error("desk: cursor_life_s must be above 0")]
     ZeroCursorLifetime,
-    /// There is no set, or two have the same id.
+    /// No set is configured, or two sets have the same id.
     #[error("desk: at least one set is needed, each with an id of its own")]
     AmbiguousSets,
-    /// A set cannot be used.
+    /// A set is invalid.
     #[error("desk: set '{id}': {source}")]
     Set {
         /// The set's id.
         id: String,
-        /// What is wrong with it.
+        /// The cause.
         source: SetConfigError,
     },
-    /// The data nodes are feature servers, which give no values.
+    /// The data nodes are feature servers, which return no values to merge.
     #[error("desk: its values come in frames, and the data nodes are feature servers")]
     FeatureServers,
     /// The keys that seal cursors.
@@ -161,64 +161,64 @@
     CursorKeys(#[from] SecretError),
 }
 
-/// Why a set of the section `[desk]` cannot be used.
+/// An error in a set of the section `[desk]`.
 #[derive(Debug, Error)]
 pub enum SetConfigError {
-    /// Its id cannot be a segment of a path.
+    /// The set's id is not a valid path segment.
     #[error("its id cannot stand in a path")]
     InvalidId,
-    /// It has no measure, or two have the same name.
+    /// The set has no measure, one has an empty name, or two have the same name.
     #[error("at least one measure is needed, each with a name of its own")]
     AmbiguousMeasures,
-    /// A measure has too many decimals.
+    /// A measure has too many decimal places.
     #[error("measure '{measure}': the scale is at most {MAX_SCALE}")]
     ScaleTooLarge {
         /// The measure's name.
         measure: String,
     },
-    /// The settings do not have its class.
+    /// The set's class is not in the settings.
     #[error("there is no class '{0}'")]
     UnknownClass(String),
-    /// Its class has a second phase, whose values cannot be merged.
-    #[error("the class '{0}' has a second step, whose answer is not mergeable")]
+    /// The set's class has a second phase, whose values cannot be merged.
+    #[error("the class '{0}' has a second step, whose answers cannot be merged")]
     TwoPhaseClass(String),
 }
 
-/// Why the section `[snmp]` cannot be used.
+/// An error in the section `[snmp]`.
 #[derive(Debug, Error)]
 pub enum SnmpConfigError {
-    /// A view names a subtree that is not an object identifier.
+    /// A subtree of a view is not an object identifier.
     #[error("snmp: '{0}' is no name in dots")]
     InvalidOid(String),
-    /// The system gave no random numbers.
-    #[error("snmp: no random numbers: {0}")]
+    /// The operating system's random number generator failed.
+    #[error("snmp: cannot generate random numbers: {0}")]
     NoRandomNumbers(getrandom::Error),
     /// The engine id is not 5 to 32 bytes in hexadecimal digits.
     #[error("snmp: engine_id '{0}': 5 to 32 bytes in hexadecimal digits are expected")]
     InvalidEngineId(String),
-    /// There is neither a community nor a file of users.
+    /// Neither a community nor a file of users is configured.
     #[error("snmp: nobody may ask: a community or a file of users is needed")]
-    NobodyAdmitted,
+    NoCommunityOrUsers,
     /// The file of users could not be read.
     #[error(transparent)]
     UsersUnreadable(#[from] SecretError),
-    /// The file of users has a line that cannot be used.
+    /// The file of users has an invalid line.
     #[error("{}: {reason}", .path.display())]
     InvalidUsers {
         /// The file.
         path: PathBuf,
-        /// The line and the fault, without any secret.
+        /// The line number and the error, without any secret.
         reason: String,
     },
-    /// A view is of somebody who is not admitted.
-    #[error("snmp: a view is of '{0}', which is no user and not the community")]
-    UnknownViewer(String),
+    /// A view belongs to a name that is neither a user nor the community.
+    #[error("snmp: a view is of '{0}', which is neither a user nor the community")]
+    UnknownViewOwner(String),
 }
 
-/// Why a file of secrets cannot be used.
+/// An error in a secret file, or in generating a key in place of one.
 #[derive(Debug, Error)]
 pub enum SecretError {
-    /// It could not be read.
+    /// The file could not be read.
     #[error("{}: {source}", .path.display())]
     Unreadable {
         /// The file.
@@ -226,23 +226,23 @@
         /// The cause.
         source: io::Error,
     },
-    /// Others than its owner may use it.
-    #[error("{}: others than its owner may use it (mode {mode:o}); chmod 600 it", .path.display())]
-    OpenPermissions {
+    /// The file is accessible to others than its owner.
+    #[error("{}: the file is accessible to others (mode {mode:o}); run chmod 600 on it", .path.display())]
+    InsecurePermissions {
         /// The file.
         path: PathBuf,
-        /// Its permission bits.
+        /// The permission bits of the file.
         mode: u32,
     },
-    /// The system gave no random numbers.
-    #[error("no random numbers for a key: {0}")]
+    /// The operating system's random number generator failed.
+    #[error("cannot generate a key: {0}")]
     NoRandomNumbers(getrandom::Error),
-    /// The keys in it cannot be used.
+    /// The keys in the file are invalid.
     #[error("{}: {reason}", .path.display())]
     InvalidKeys {
         /// The file.
         path: PathBuf,
-        /// The line and the fault, without the key.
+        /// The line number and the error, without the key.
         reason: String,
     },
 }
--- a/src/config/features.rs
+++ b/src/config/features.rs
@@ -1,4 +1,4 @@
-//! The section `[ogc]`: the frontend of OGC API - Features.
+//! The section `[ogc]`: the frontend for OGC API - Features.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,53 +12,54 @@
 use crate::net::http;
 use crate::settings::Deployment;
 
-/// What the edge's file says of the features frontend. Messages on a malformed section name this type.
+/// The features frontend's configuration. Error messages about a malformed section contain this type's name.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OgcConfig {
-    /// Where it listens.
+    /// The TCP address on which the frontend accepts HTTP clients.
     pub listen: SocketAddr,
-    /// What the pages' links begin with; `http://` and the request's host where it is not given.
+    /// The base URL of links in responses. `None` means `http://` and the request's host.
     #[serde(default)]
     pub base: Option<String>,
-    /// Whether pages go on behind the id that was given last, in the order of the ids' bytes: the data nodes must give
-    /// features in that order.
+    /// Whether the next page starts after the last id of the current one, in the byte order of ids. The data nodes must
+    /// return features in that order.
     #[serde(default)]
     pub by_id: bool,
-    /// The file of the keys that seal the cursors of such pages, the first one for new ones; without it a key is
-    /// generated at the start, and cursors end with the process.
+    /// The file with the keys that authenticate the cursors of pages by id. New cursors use the first key. `None` means
+    /// that a key is generated at startup, so that cursors become invalid when the process exits.
     #[serde(default)]
     pub cursor_keys: Option<PathBuf>,
-    /// The lifetime of such a cursor, in seconds.
+    /// The lifetime of a cursor, in seconds.
     #[serde(default = "default_cursor_lifetime_s")]
     pub cursor_life_s: u64,
-    /// The collections.
+    /// The collections that the frontend serves, each with a unique id.
     pub collections: Vec<CollectionConfig>,
 }
 
-/// One collection.
+/// A collection of features.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CollectionConfig {
-    /// Its id, as paths name it.
+    /// The id, used as a segment of request paths.
     pub id: String,
-    /// Its title.
+    /// The title shown to clients, in plain text.
     pub title: String,
-    /// What it holds.
+    /// A description for clients; empty if not configured.
     #[serde(default)]
     pub description: String,
-    /// The class of its queries.
+    /// The name of the class of the collection's queries.
     pub class: String,
-    /// Where its features lie: west, south, east, north.
+    /// The bounding box of the features: west, south, east, north.
     #[serde(default)]
     pub bbox: Option<[f64; 4]>,
 }
 
 impl OgcConfig {
-    /// The collections with their classes.
+    /// Validates the section and returns the collections with their classes.
     ///
     /// # Errors
-    /// A collection's class is not in the settings, or has a second phase; or an id cannot stand in a path.
+    /// Two collections have the same id, the settings define no shards, an id is not a valid path segment, or a class
+    /// is unknown or has a second phase.
     pub fn check(
         &self,
         deployment: &Deployment,
--- a/src/config/missing_key.rs
+++ b/src/config/missing_key.rs
@@ -1,9 +1,9 @@
-//! Finds a key that a new configuration lacks.
+//! Finds a key of the current configuration that is missing from a new one.
 
 use serde_json::{Map, Value};
 
-/// The path of the first key of `before` that is missing in `now`, with dots between its steps. The objects of an array
-/// may have changed: of these, only keys that all objects of the array had before are required.
+/// The dotted path of the first key of `before` that is missing from `now`. Arrays may have different elements: their
+/// objects must have only those keys that all objects of the array had before.
 pub(super) fn first_missing_key(before: &Value, now: &Value) -> Option<String> {
     match (before, now) {
         (Value::Object(before), Value::Object(now)) => missing_in_object(before, now),
@@ -31,7 +31,7 @@
     array.iter().filter_map(Value::as_object)
 }
 
-/// The keys that all objects of the array have.
+/// The keys that all objects of the array have in common.
 fn common_keys(array: &[Value]) -> Vec<&String> {
     let Some(first) = objects(array).next() else { return Vec::new() };
     first.keys().filter(|key| objects(array).all(|object| object.contains_key(*key))).collect()
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,10 +1,10 @@
-//! The configuration: the file that the platform gives a coordinator, and the operator's own file of the edge.
+//! The configuration: the file that the platform provides to a coordinator, and the operator's edge file.
 //!
-//! Each section of the edge's file has its type here; the frontends and the management agent read theirs from this
-//! module, and this module reads nothing of theirs.
+//! Each section of the edge file has its type here. The frontends and the management agent depend on this module; it
+//! does not depend on them.
 //!
-//! Messages on malformed files name the type of a section. Three keep the name that those messages have always given, and
-//! are known under a clearer one outside this module.
+//! Error messages about malformed files contain the type names of sections. Three types keep their names for the sake
+//! of these messages and are re-exported under clearer ones.
 
 mod aggregation;
 mod edge;
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file, together with the environment's variables that take precedence over it.
+//! The platform's configuration file and the environment variables that override it.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,16 +19,16 @@
 const CONTROL_VARIABLE: &str = "LB_CONTROL";
 const LISTEN_FD_VARIABLE: &str = "LB_LISTEN_FD";
 
-/// The file's key of the endpoint list, which changes without the configuration changing.
+/// The key of the endpoint list, which may change without a change of the configuration.
 const KNOWN_KEY: &str = "known";
 
 const DEFAULT_SOCKETS: usize = 1024;
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// The radix of the file's seed.
+/// The file has the seed in hexadecimal digits.
 const SEED_RADIX: u32 = 16;
 
-/// The file's JSON object.
+/// The top-level JSON object of the file.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     #[serde(default)]
@@ -44,7 +44,7 @@
     settings: &'a RawValue,
 }
 
-/// The file's object `limits`.
+/// The object `limits` of the file.
 #[derive(Deserialize)]
 struct PlatformLimits {
     #[serde(default = "default_sockets")]
@@ -64,55 +64,55 @@
 /// The configuration of one coordinator process.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The coordinator's name, the same after a restart.
+    /// The coordinator's name, which stays the same across restarts.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address on which the coordinator accepts the platform's clients.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of discovery, from the environment or else from the file.
     pub discovery: SocketAddr,
-    /// The address of discovery that the file gives, whatever the environment says.
+    /// The address of discovery in the file, even if the environment overrides it.
     pub discovery_in_file: SocketAddr,
-    /// The seed of random numbers.
+    /// The seed of the random number generators. Random if the file has none or an invalid one.
     pub seed: u64,
-    /// File descriptors that all its processes may hold together.
+    /// The maximum number of file descriptors of all the coordinator's processes together.
     pub sockets: usize,
-    /// Memory that all its processes may take together, in megabytes.
+    /// The maximum memory of all the coordinator's processes together, in megabytes.
     pub memory_mb: usize,
-    /// The second address, at which operators call.
+    /// The second address, for operators' calls; `None` turns it off.
     pub control: Option<SocketAddr>,
-    /// The number of the inherited descriptor that listens for clients.
+    /// The number of an inherited descriptor that listens for clients; `None` means that the process opens its own.
     pub listen_fd: Option<String>,
-    /// The file's JSON without the endpoint list: a later configuration may lack none of its keys.
+    /// The file's JSON without the endpoint list. A later configuration must have all of its keys.
     pub document: Value,
-    /// The endpoint list as this coordinator last held it.
+    /// The endpoint list that this coordinator last had, if the file contains one.
     pub known_endpoints: Option<DiscoveryUpdate>,
-    /// The settings.
+    /// The validated settings with the names that they refer to.
     pub deployment: Deployment,
 }
 
 impl Config {
-    /// Reads a file, with the variables of this process's environment.
+    /// Reads a file and applies the environment variables of this process.
     ///
     /// # Errors
-    /// What is missing or wrong, without the file's name.
+    /// The file is unreadable or invalid. The error does not contain its path.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let bytes = std::fs::read(path).map_err(ConfigError::Unreadable)?;
         let text = String::from_utf8(bytes).map_err(ConfigError::NotUtf8)?;
         Self::read(&text, |name| std::env::var(name).ok().filter(|value| !value.is_empty()))
     }
 
-    /// Reads the file's text. The environment's variables take precedence where `variable` gives them.
+    /// Parses the file's text. Environment variables that `variable` returns override the file.
     ///
     /// # Errors
-    /// What is missing or wrong.
+    /// The text is not complete JSON, a key is missing or has the wrong type, or a value is invalid.
     pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        // The complete text first: one that is cut short is not a JSON value, whatever else may be wrong in it.
+        // Checks for complete JSON first: a truncated file is reported as incomplete, whatever other errors it has.
         let mut document: Value = serde_json::from_str(text).map_err(ConfigError::Incomplete)?;
-        let file: ConfigFile = serde_json::from_str(text).map_err(ConfigError::Unexpected)?;
+        let file: ConfigFile = serde_json::from_str(text).map_err(ConfigError::InvalidStructure)?;
         if let Some(object) = document.as_object_mut() {
             object.remove(KNOWN_KEY);
         }
-        let info = read_settings(file.settings.get())?;
+        let deployment = read_settings(file.settings.get())?;
         let address = |name: &str| address_variable(name, &variable);
         Ok(Self {
             listen: address(LISTEN_VARIABLE)?.unwrap_or(file.listen),
@@ -126,20 +126,20 @@
             listen_fd: variable(LISTEN_FD_VARIABLE),
             document,
             known_endpoints: file.known,
-            deployment: info,
+            deployment,
         })
     }
 
-    /// What the platform allows this process, beside so many others of the same coordinator.
+    /// The platform's bounds for this process, which shares them with `others` processes of the same coordinator.
     pub fn platform(&self, others: usize) -> Platform {
         let nodes = self.known_endpoints.as_ref().map_or(0, |known| known.lines.len());
         Platform { sockets: self.sockets, memory_mb: self.memory_mb, others, nodes }
     }
 
-    /// Whether this configuration may replace `before` while the process runs: it lacks none of its keys.
+    /// Checks that this configuration may replace `before` while the process runs: it must have all of its keys.
     ///
     /// # Errors
-    /// Names the first key that is missing.
+    /// A key is missing. The error contains the path of the first one.
     pub fn can_replace(&self, before: &Self) -> Result<(), ConfigError> {
         match first_missing_key(&before.document, &self.document) {
             None => Ok(()),
@@ -154,7 +154,7 @@
     Ok(deployment)
 }
 
-/// The address in a variable of the environment, if there is one.
+/// Parses the address in an environment variable; `None` if the variable is not set.
 fn address_variable(
     name: &str,
     variable: impl Fn(&str) -> Option<String>,
--- a/src/config/secrets.rs
+++ b/src/config/secrets.rs
@@ -1,4 +1,4 @@
-//! Files of secrets: read only where nobody but their owner may use them.
+//! Reads secret files, which must be accessible only to their owner.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -7,38 +7,41 @@
 
 use super::SecretError;
 
-/// The permission bits of the owner's group and of all others.
+/// The permission bits of the group and of others.
 const NON_OWNER_BITS: u32 = 0o077;
 const PERMISSION_BITS: u32 = 0o777;
 
-/// The length of a generated cursor key.
 const GENERATED_KEY_BYTES: usize = 32;
 
-/// The lifetime of a cursor where the file gives none.
+/// The lifetime of a cursor if the section does not set one.
 const DEFAULT_CURSOR_LIFETIME_S: u64 = 3600;
 
-/// Serde's default for the lifetime of cursors, in seconds.
+/// Default value of `cursor_life_s` for serde.
 pub(super) fn default_cursor_lifetime_s() -> u64 {
     DEFAULT_CURSOR_LIFETIME_S
 }
 
-/// Reads a file of secrets, which nobody but its owner may use.
+/// Reads a secret file, which must be accessible only to its owner.
 ///
 /// # Errors
-/// Names the file and the fault, and nothing that stands in it.
+/// The file is unreadable or accessible to others. The error contains its path, but nothing of its contents.
 pub fn read_secret(path: &Path) -> Result<String, SecretError> {
     let unreadable = |source| SecretError::Unreadable { path: path.to_path_buf(), source };
     let mode = std::fs::metadata(path).map_err(unreadable)?.permissions().mode();
     if mode & NON_OWNER_BITS != 0 {
-        return Err(SecretError::OpenPermissions { path: path.to_path_buf(), mode: mode & PERMISSION_BITS });
+        return Err(SecretError::InsecurePermissions {
+            path: path.to_path_buf(),
+            mode: mode & PERMISSION_BITS,
+        });
     }
     std::fs::read_to_string(path).map_err(unreadable)
 }
 
-/// The keys that seal cursors: read from a file, or without one generated now, to end with the process.
+/// Reads the keys that authenticate cursors from a file. Without a file, generates a key, which is lost when the
+/// process exits.
 ///
 /// # Errors
-/// Names the file and the fault, never the key.
+/// The file is unreadable, accessible to others, or has no valid keys. The error contains its path, but no key.
 pub fn read_cursor_keys(path: Option<&Path>) -> Result<Keys, SecretError> {
     let Some(path) = path else { return generate_cursor_keys() };
     Keys::read(&read_secret(path)?)
--- a/src/config/snmp.rs
+++ b/src/config/snmp.rs
@@ -1,4 +1,4 @@
-//! The section `[snmp]`: who may read the management agent's objects, and who is notified.
+//! The section `[snmp]`: access control of the management agent and receivers of notifications.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,28 +10,28 @@
 
 use super::{read_secret, SnmpConfigError};
 
-/// What the edge's file says of the management agent.
+/// The management agent's configuration.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnmpConfig {
-    /// Where it listens (UDP).
+    /// The UDP address on which the agent receives requests.
     pub listen: SocketAddr,
-    /// The community that may read with version 2c, in clear text; without it nobody may.
+    /// The community for read access by SNMPv2c, in clear text. `None` disables SNMPv2c.
     #[serde(default)]
     pub community: Option<String>,
-    /// The file of the users of version 3, readable by its owner only.
+    /// The file of the SNMPv3 users, accessible only to its owner. `None` disables SNMPv3.
     #[serde(default)]
     pub users: Option<PathBuf>,
-    /// What users, or with their name the community, may see; all objects where nothing is said.
+    /// Views that restrict users or the community. Without a view, all objects are visible.
     #[serde(default)]
     pub views: Vec<ViewConfig>,
-    /// Who is sent notifications.
+    /// The receivers of notifications; none if empty.
     #[serde(default)]
     pub notify: Vec<NotifyConfig>,
-    /// A notification is sent where more than this share of the queries of ten seconds is rejected.
+    /// A notification is sent when more than this share of the queries within ten seconds is rejected.
     #[serde(default = "default_refusal_share")]
     pub refusal_share: f64,
-    /// The agent's engine id in hexadecimal digits, for localised keys; without it one is generated at the start.
+    /// The agent's engine id in hexadecimal digits, for localized keys. `None` means that one is generated at startup.
     #[serde(default)]
     pub engine_id: Option<String>,
 }
@@ -40,86 +40,87 @@
     0.1
 }
 
-/// A receiver of notifications of version 2c.
+/// A receiver of SNMPv2c notifications.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NotifyConfig {
-    /// Its address.
+    /// The receiver's UDP address.
     pub to: SocketAddr,
-    /// The community.
+    /// The community string sent with each notification.
     pub community: String,
-    /// Whether it acknowledges notifications, which are repeated until then.
+    /// Whether to send informs, which are retried until the receiver acknowledges them, in place of traps.
     #[serde(default)]
     pub inform: bool,
 }
 
-/// One view.
+/// The subtrees that a user or the community may read.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ViewConfig {
-    /// Whose view it is: a user's name, or the community.
+    /// The owner of the view: the name of a user, or the community.
     pub of: String,
-    /// Subtrees that are seen, as names in dots.
+    /// Visible subtrees, as object identifiers in dotted notation.
     #[serde(default)]
     pub include: Vec<String>,
-    /// Subtrees that are not.
+    /// Hidden subtrees, in the same notation.
     #[serde(default)]
     pub exclude: Vec<String>,
 }
 
-/// Who may read the agent's objects, and which of them.
+/// The validated access control of the agent.
 pub struct SnmpAccess {
-    /// The community of version 2c.
+    /// The SNMPv2c community and its view; `None` if SNMPv2c is disabled.
     pub community: Option<(String, View)>,
-    /// The users of version 3, each with its view.
+    /// The SNMPv3 users, each with its view; empty if SNMPv3 is disabled.
     pub users: Vec<SnmpUser>,
 }
 
-/// A user of version 3, and the random number from which the salts of its messages count on.
+/// An SNMPv3 user with the random start value of the salts of its messages.
 pub struct SnmpUser {
-    /// The user.
+    /// The user with its keys and view.
     pub user: User,
-    /// The first salt.
+    /// The salt of the first message; each further message uses the next number.
     pub salt: u64,
 }
 
-/// An engine id begins as in RFC 3411, section 5: the enterprise number with its first bit set, and the format of
-/// octets of our own.
+/// The start of a generated engine id (RFC 3411, section 5): the enterprise number with its first bit set, then format
+/// 5, octets defined by the enterprise.
 const ENGINE_ID_PREFIX: [u8; 5] = [0x80, 0x00, 0x7e, 0xd9, 5];
 const ENGINE_ID_RANDOM_BYTES: usize = 8;
 const ENGINE_ID_BYTES: std::ops::RangeInclusive<usize> = 5..=32;
 
 impl SnmpConfig {
-    /// Whether the section can be used, the file of users included.
+    /// Validates the section, including the file of users.
     ///
     /// # Errors
-    /// Names what is wrong, and never a secret.
+    /// The engine id, the users or a view is invalid. The error contains no secret.
     pub fn check(&self) -> Result<(), SnmpConfigError> {
         self.engine_id()?;
         self.access()?;
         Ok(())
     }
 
-    /// The engine id that the file gives, or a generated one.
+    /// The configured engine id, or a generated one.
     ///
     /// # Errors
-    /// What the file gives is not an engine id.
+    /// The configured engine id is invalid, or no random numbers are available.
     pub fn engine_id(&self) -> Result<Vec<u8>, SnmpConfigError> {
         let Some(text) = &self.engine_id else {
-            let own = random_bytes::<ENGINE_ID_RANDOM_BYTES>()?;
-            return Ok([&ENGINE_ID_PREFIX[..], &own].concat());
+            let suffix = random_bytes::<ENGINE_ID_RANDOM_BYTES>()?;
+            return Ok([&ENGINE_ID_PREFIX[..], &suffix].concat());
         };
         let id = hex::decode(text).ok().filter(|id| ENGINE_ID_BYTES.contains(&id.len()));
         id.ok_or_else(|| SnmpConfigError::InvalidEngineId(text.clone()))
     }
 
-    /// The community and the users with their views.
+    /// Reads the users and returns them and the community with their views.
     ///
     /// # Errors
-    /// Names what is wrong, and never a secret.
+    /// Neither a community nor users are configured, the file of users is invalid, or a view has an unknown owner or an
+    /// invalid subtree. The error contains no secret.
     pub fn access(&self) -> Result<SnmpAccess, SnmpConfigError> {
         if self.community.is_none() && self.users.is_none() {
-            return Err(SnmpConfigError::NobodyAdmitted);
+            return Err(SnmpConfigError::NoCommunityOrUsers);
         }
         let community = match &self.community {
             Some(community) => Some((community.clone(), self.view_of(community)?)),
@@ -129,11 +130,11 @@
             Some(path) => self.read_users(path)?,
             None => Vec::new(),
         };
-        let is_admitted = |name: &String| {
-            self.community.as_ref() == Some(name) || users.iter().any(|admitted| admitted.user.name == *name)
+        let has_access = |name: &String| {
+            self.community.as_ref() == Some(name) || users.iter().any(|known| known.user.name == *name)
         };
-        match self.views.iter().find(|view| !is_admitted(&view.of)) {
-            Some(view) => Err(SnmpConfigError::UnknownViewer(view.of.clone())),
+        match self.views.iter().find(|view| !has_access(&view.of)) {
+            Some(view) => Err(SnmpConfigError::UnknownViewOwner(view.of.clone())),
             None => Ok(SnmpAccess { community, users }),
         }
     }
@@ -143,10 +144,10 @@
             path: path.to_path_buf(),
             reason: reason.to_string(),
         })?;
-        users.into_iter().map(|user| self.admit(user)).collect()
+        users.into_iter().map(|user| self.with_view_and_salt(user)).collect()
     }
 
-    fn admit(&self, user: User) -> Result<SnmpUser, SnmpConfigError> {
+    fn with_view_and_salt(&self, user: User) -> Result<SnmpUser, SnmpConfigError> {
         let salt = u64::from_be_bytes(random_bytes()?);
         let view = self.view_of(&user.name)?;
         Ok(SnmpUser { user: User { view, ..user }, salt })
