--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! curlewdeck coordinates queries over many shards: it takes them from clients, sends their parts to the
-//! data nodes that hold the shards, and answers.
+//! curlewdeck coordinates queries over many shards: it accepts them from clients, sends their parts to the
+//! data nodes that hold the shards, and answers the clients.
 //!
-//! What is decided stands in [`policy`], behind [`api`]; [`engine`] is the core that knows no wire and owns
-//! the guarantees; [`net`] and [`frontend`] are the adapters round it.
+//! [`policy`] makes the decisions behind the interface [`api`]. [`engine`] is the core: it enforces the
+//! guarantees and is independent of wire protocols. [`net`] and [`frontend`] are the adapters around it.
 #![doc = include_str!("../README.md")]
 
 pub mod alerts;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: `serve`, `check`, `version`, `help`, and the tools of managers and operators.
+//! The command line: `serve`, `check`, `version`, `help`, and the tools for SNMP managers and operators.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -35,41 +35,41 @@
 file turns the feature front and the management agent on; without --edge it is deploy/edge.toml, if that
 is there. RUST_LOG sets the log's level.";
 
-/// The edge's file, from the folder that the platform starts programs in.
+/// The default path of the edge file, relative to the folder in which the platform starts programs.
 const DEFAULT_EDGE_FILE: &str = "deploy/edge.toml";
 
-/// The variable of the environment that names the configuration file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 
-/// What is logged where RUST_LOG says nothing. Each signal interrupts the poller, which may logs as an error of its own
-/// each time.
+/// The log filter if RUST_LOG is not set. The event loop of `may` is excluded, since it logs an error whenever a signal
+/// interrupts its poller.
 const DEFAULT_LOG_FILTER: &str = "info,may=warn,may::io::event_loop=off";
 
-/// Whatever ends a command, printed in one line.
+/// An error that ends a command; its message is printed in a single line.
 type CommandError = Box<dyn Error>;
 
-/// What is wrong with the command line.
+/// An error in the command line.
 #[derive(Debug, Error)]
 enum UsageError {
-    /// A word is not a command, or not an option of its command.
+    /// An argument is neither a command nor an option of the command.
     #[error("'{0}' is not known, see 'curlewdeck help'")]
-    UnknownWord(String),
-    /// Nothing names the configuration file.
+    UnknownArgument(String),
+    /// Neither `--config` nor `LB_CONFIG` names a configuration file.
     #[error("no configuration: give --config FILE or set LB_CONFIG")]
     NoConfiguration,
 }
 
-/// Why a coordinator does not serve.
+/// An error that prevents a coordinator from serving.
 #[derive(Debug, Error)]
 enum ServeError {
-    /// The configuration file cannot be used.
+    /// The configuration file is unreadable or invalid.
     #[error("{}: {source}", .file.display())]
     Config { file: PathBuf, source: ConfigError },
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
+    /// The signal handlers could not be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] std::io::Error),
-    /// The thread that reads the configuration again did not start.
-    #[error("no thread to read the configuration: {0}")]
+    /// The thread that reloads the configuration could not be started.
+    #[error("cannot start the reload thread: {0}")]
     ReloadThread(#[source] std::io::Error),
 }
 
@@ -108,10 +108,10 @@
     .map(|()| 0)
 }
 
-/// The commands of a manager: those that query an agent, and the one that listens for notifications.
+/// Runs a command of the SNMP manager: a query to an agent, or `listen` for notifications.
 fn run_snmp(mut args: pico_args::Arguments) -> Result<(), CommandError> {
     if args.clone().finish().iter().any(|word| word == "listen") {
-        // The word itself; then its own options.
+        // Consumes the word `listen`; its options follow.
         args.free_from_str::<String>()?;
         let listen = snmp_tool::listen(&mut args)?;
         expect_no_more(args)?;
@@ -122,7 +122,7 @@
     Ok(manager.run()?)
 }
 
-/// The commands that take the coordinator's own files.
+/// Runs a command that uses the coordinator's configuration files, or prints static text.
 fn run_coordinator(command: Option<&str>, mut args: pico_args::Arguments) -> Result<(), CommandError> {
     let config: Option<PathBuf> = args.opt_value_from_str("--config")?;
     let edge: Option<PathBuf> = args.opt_value_from_str("--edge")?;
@@ -145,11 +145,11 @@
             println!("{}", help());
             Ok(())
         }
-        Some(other) => Err(UsageError::UnknownWord(other.to_string()).into()),
+        Some(other) => Err(UsageError::UnknownArgument(other.to_string()).into()),
     }
 }
 
-/// Says whether the files can be used.
+/// Validates both files and prints a summary.
 fn check(config: &Config, edge: &Edge) -> Result<(), CommandError> {
     edge.check(&config.deployment)?;
     Limits::within(config.platform(0))?;
@@ -171,7 +171,7 @@
 fn expect_no_more(args: pico_args::Arguments) -> Result<(), UsageError> {
     match args.finish().first() {
         None => Ok(()),
-        Some(extra) => Err(UsageError::UnknownWord(extra.to_string_lossy().into_owned())),
+        Some(extra) => Err(UsageError::UnknownArgument(extra.to_string_lossy().into_owned())),
     }
 }
 
@@ -195,7 +195,7 @@
 /// Serves until SIGTERM.
 fn serve(file: &Path, config: Config, edge: Edge) -> Result<(), CommandError> {
     start_logging();
-    // Before anything else, so that no signal finds the process unprepared.
+    // Installs the handlers first, so that no early signal terminates the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).map_err(ServeError::Signals)?;
     startup::set_up_workers(&Limits::within(config.platform(0))?);
     let coordinator = Arc::new(startup::start(config, edge)?);
@@ -211,8 +211,8 @@
     env_logger::Builder::from_env(filter).format_timestamp_micros().init();
 }
 
-/// Handles signals until the coordinator has finished after SIGTERM. They are handled to the end: discovery may move
-/// while the last queries are finished.
+/// Handles signals until the coordinator has finished after SIGTERM. A reload is still possible until then, since the
+/// address of discovery may change while the last queries are in flight.
 fn handle_signals(mut signals: Signals, coordinator: &Coordinator, reloader: &Reloader) {
     let handle = signals.handle();
     thread::scope(|scope| {
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -1,4 +1,4 @@
-//! A running coordinator: what the process does with it on signals.
+//! A running coordinator and its reactions to signals.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -19,69 +19,69 @@
 use crate::runtime::{lock, nanos};
 use crate::snapshot_store::SnapshotStore;
 
-/// The core answers within this, or is so busy that the report does without the request ledger.
+/// A core that does not answer within this is overloaded, and the report omits the request ledger.
 const LEDGER_SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The number of looks in a row that find every client connection closed, before the process ends: a connection that
-/// came while others were closed is seen by the second.
-const IDLE_CHECKS_BEFORE_END: u32 = 2;
+/// The number of consecutive checks that must find all client connections closed before the process exits. The second
+/// one catches a connection that was accepted while the first one closed others.
+const CLOSED_CHECKS_BEFORE_EXIT: u32 = 2;
 
-/// The state's replica is waited for at least this long at the end: a group with a leader answers sooner.
-const LAST_REPLICATION_MIN: Duration = Duration::from_millis(200);
+/// The shortest time to wait for the last replication of the state at exit. A group with a leader answers sooner.
+const MIN_LAST_REPLICATION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The key of the configuration file under which the settings stand.
+/// The configuration file's key of the settings.
 const SETTINGS_KEY: &str = "settings";
 
-/// A coordinator that serves.
+/// A running coordinator.
 pub struct Coordinator {
-    /// Where clients connect.
+    /// The address on which the platform's clients are accepted.
     pub listen: SocketAddr,
-    /// The second address, if there is one.
+    /// The second address, for operators, if configured.
     pub control: Option<SocketAddr>,
-    /// Where the features frontend listens, if it is on.
+    /// The address of the features frontend, if enabled.
     pub features: Option<SocketAddr>,
-    /// Where the aggregation frontend listens, if it is on.
+    /// The address of the aggregation frontend, if enabled.
     pub aggregation: Option<SocketAddr>,
-    /// Where the management agent listens, if it is on.
+    /// The UDP address of the management agent, if enabled.
     pub snmp: Option<SocketAddr>,
-    /// Where clients of the replication group are answered, if this process is a member of one.
+    /// The address for clients of the replication group, if this process is a member of one.
     pub group: Option<SocketAddr>,
-    /// The core.
+    /// The handle for queries, statistics and settings of the core.
     pub core: CoreHandle,
     pub(super) service: Arc<Service>,
     pub(super) limits: Arc<Limits>,
     pub(super) discovery: Sender<DiscoveryMessage>,
     pub(super) snapshot_store: Option<Arc<SnapshotStore>>,
-    /// Has the notification sent that the process ends.
+    /// Triggers the notification that the process is shutting down; `None` if there are no receivers.
     pub(super) stopping: Option<ShutdownSignal>,
     /// The configuration that was applied last.
     pub(super) applied_config: Mutex<Config>,
     pub(super) edge: Edge,
-    /// Other processes that may serve from the same socket.
+    /// The number of other processes that may serve from the same socket.
     pub(super) other_processes: u32,
 }
 
-/// What an applied configuration changed.
+/// Whether an applied configuration changed anything.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigChange {
-    /// It differs from the one before.
+    /// The configuration differs from the previous one.
     Changed,
-    /// It says the same.
+    /// The configuration equals the previous one.
     Unchanged,
 }
 
 impl Coordinator {
-    /// After SIGHUP: applies what a new configuration says of discovery and of the settings, or nothing of it. All else
-    /// that it says is read at the next start. Not called from a coroutine, since it waits for a lock.
+    /// Applies the discovery address and the settings of a new configuration after SIGHUP, or neither on an error. All
+    /// other values take effect at the next start. Must not be called from a coroutine, since it waits for a lock.
     ///
     /// # Errors
-    /// A key is missing, or a frontend cannot be used with the new settings; the configuration in use stays.
+    /// A key is missing, or a frontend cannot work with the new settings. The previous configuration stays in use.
     pub fn apply_config(&self, config: Config) -> Result<ConfigChange, ConfigError> {
         let mut applied = lock(&self.applied_config);
         config.can_replace(&applied)?;
         self.edge.check_settings(&config.deployment)?;
         if applied.discovery_in_file != config.discovery_in_file {
-            self.tell_discovery(DiscoveryMessage::Moved(config.discovery_in_file));
+            self.send_to_discovery(DiscoveryMessage::Moved(config.discovery_in_file));
         }
         if applied.document[SETTINGS_KEY] != config.document[SETTINGS_KEY] {
             self.core.update_settings(config.deployment.clone().sharing_with(self.other_processes));
@@ -93,35 +93,37 @@
         Ok(change)
     }
 
-    /// SIGHUP has come, and the configuration is read again from now on.
+    /// Notifies discovery that a reload has begun after SIGHUP.
     pub fn reload_begins(&self) {
-        self.tell_discovery(DiscoveryMessage::ReloadBegins);
+        self.send_to_discovery(DiscoveryMessage::ReloadBegins);
     }
 
-    /// The reload has ended: the configuration is applied, or rejected for good.
+    /// Notifies discovery that the reload has ended: the configuration was applied or permanently rejected.
     pub fn reload_settled(&self) {
-        self.tell_discovery(DiscoveryMessage::ReloadSettled);
+        self.send_to_discovery(DiscoveryMessage::ReloadSettled);
     }
 
-    fn tell_discovery(&self, message: DiscoveryMessage) {
+    fn send_to_discovery(&self, message: DiscoveryMessage) {
         if self.discovery.send(message).is_err() {
             log::error!("the actor of discovery has ended");
         }
     }
 
-    /// A snapshot of the request ledger; none if the core does not answer in time. Not called from a coroutine.
+    /// Takes a snapshot of the request ledger. Returns `None` if the core does not answer in time. Must not be called
+    /// from a coroutine.
     pub fn ledger_snapshot(&self) -> Option<LedgerSnapshot> {
         self.core.ledger_snapshot_within(LEDGER_SNAPSHOT_TIMEOUT)
     }
 
-    /// The counters, and the request ledger by class and by data node, a line each. Not called from a coroutine.
+    /// Formats the counters, and the request ledger by class and by data node, a line each. Must not be called from a
+    /// coroutine.
     pub fn report(&self) -> String {
         let ledger = self.ledger_snapshot().map_or_else(String::new, |snapshot| ledger_report(&snapshot));
         format!("{}{ledger}", self.core.counters.text())
     }
 
-    /// After SIGTERM: serves on for a while, then finishes the requests in flight and closes idle connections. Returns
-    /// once all requests are answered, or the time for that is over.
+    /// Shuts down after SIGTERM: accepts requests for a limited time, then completes those in flight and closes idle
+    /// connections. Returns once all requests are answered, or at the deadline for that.
     pub fn finish(&self) {
         let finish = self.finish_times();
         let replicate_by = Instant::now() + Duration::from_nanos(finish.answered);
@@ -139,12 +141,12 @@
         }
         self.close_connections();
         if let Some(store) = &self.snapshot_store {
-            let replicate_by = replicate_by.max(Instant::now() + LAST_REPLICATION_MIN);
+            let replicate_by = replicate_by.max(Instant::now() + MIN_LAST_REPLICATION_TIMEOUT);
             store.write_last(&self.core, replicate_by);
         }
     }
 
-    /// How long after SIGTERM requests are accepted, and until when all are answered.
+    /// The times after SIGTERM until which requests are accepted and answered.
     fn finish_times(&self) -> Finish {
         let deployment = self.core.deployment();
         let deadlines = deployment.settings.classes.iter().map(|class| class.deadline);
@@ -153,14 +155,14 @@
         Finish { accept: nanos(accept), answered: nanos(answered) }
     }
 
-    /// Closes client connections as they become idle, until none is left or the time for that is over.
+    /// Closes client connections as they become idle, until all are closed or `Limits::term_finish` has passed.
     fn close_connections(&self) {
         let start = Instant::now();
-        let mut idle_checks = 0;
-        while idle_checks < IDLE_CHECKS_BEFORE_END && start.elapsed() < self.limits.term_finish {
+        let mut closed_checks = 0;
+        while closed_checks < CLOSED_CHECKS_BEFORE_EXIT && start.elapsed() < self.limits.term_finish {
             let all_closed =
                 self.service.close_idle(self.limits.client_evictable_silence, self.limits.linger);
-            idle_checks = if all_closed { idle_checks + 1 } else { 0 };
+            closed_checks = if all_closed { closed_checks + 1 } else { 0 };
             std::thread::sleep(CLOSING_CHECK_INTERVAL);
         }
     }
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -1,4 +1,4 @@
-//! The frontends: one for each protocol by which clients, managers and operators reach the coordinator.
+//! Starts the frontends: one for each protocol of clients, SNMP managers and operators.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::Arc;
@@ -22,25 +22,25 @@
 use crate::snapshot_store::SnapshotContents;
 use crate::snmp::{self, SnmpStartError};
 
-/// Starts frontends that share the bounds on client connections and the lifecycle of the process.
+/// Starts frontends that share the limits on client connections and the lifecycle of the process.
 pub(super) struct Frontends {
     shared: FrontendContext,
 }
 
-/// Where the frontends listen: none where one is not turned on.
+/// The addresses of the frontends; `None` for one that is disabled.
 pub(super) struct StartedFrontends {
-    /// The platform's clients.
+    /// The address for the platform's clients.
     pub(super) listen: SocketAddr,
     pub(super) control: Option<SocketAddr>,
     pub(super) features: Option<SocketAddr>,
     pub(super) aggregation: Option<SocketAddr>,
     pub(super) snmp: Option<SocketAddr>,
-    /// Has the notification sent that the process ends.
+    /// Triggers the notification that the process is shutting down; `None` if there are no receivers.
     pub(super) stopping: Option<ShutdownSignal>,
 }
 
-/// Checks that the addresses of all frontends, and of the group's clients, can be listened at, without serving at any of them. They may still be taken
-/// by another process before the frontends start.
+/// Checks that the process can listen at the addresses of all frontends and of the group's clients, and closes the
+/// sockets again. Another process may still take an address before its frontend starts.
 pub(super) fn check_addresses(config: &Config, edge: &Edge) -> Result<(), StartError> {
     let clients = config.listen_fd.is_none().then_some(config.listen);
     let features = edge.features.as_ref().map(|features| features.listen);
@@ -72,24 +72,16 @@
         };
         let service = Service::new(process.clock, Lifecycle::new(spans), nanos(limits.client_log_interval));
         let permits = Permits::new(limits.clients);
-        let turned_away = Permits::new(limits.rejected_clients);
-        Self {
-            shared: FrontendContext {
-                core,
-                limits,
-                service: Arc::new(service),
-                permits,
-                rejected: turned_away,
-            },
-        }
+        let rejected = Permits::new(limits.rejected_clients);
+        Self { shared: FrontendContext { core, limits, service: Arc::new(service), permits, rejected } }
     }
 
-    /// The client connections and the lifecycle of the process.
+    /// The open client connections and the lifecycle of the process.
     pub(super) fn service(&self) -> Arc<Service> {
         self.shared.service.clone()
     }
 
-    /// Starts all frontends, the one for the platform's clients last.
+    /// Starts all enabled frontends, the one for the platform's clients last.
     pub(super) fn start_all(
         &self,
         config: &Config,
@@ -119,7 +111,7 @@
         self.listen(config.listen, Arc::new(frontend)).map(Some)
     }
 
-    /// Starts the aggregation frontend, with its memory of ranges: both are there where its section is.
+    /// Starts the aggregation frontend with its memory of ranges. Both are `None` if its section is missing.
     fn start_aggregation(
         &self,
         config: Option<&AggregationConfig>,
@@ -132,7 +124,7 @@
         self.listen(config.listen, Arc::new(frontend)).map(Some)
     }
 
-    /// Starts to send notifications, if there is a receiver of them.
+    /// Starts the sender of notifications, if any receivers are configured.
     fn start_alerts(
         &self,
         config: Option<&SnmpConfig>,
@@ -142,7 +134,7 @@
         Ok(alerts::start(config, self.shared.core.clone(), &self.shared.limits, sockets)?)
     }
 
-    /// Starts the management agent, with the engine id and boots that were restored.
+    /// Starts the management agent with the restored engine id and boot count, if there are any.
     fn start_snmp(
         &self,
         config: Option<&SnmpConfig>,
@@ -154,12 +146,12 @@
         let engine = restored
             .filter(|restored| !restored.engine_id.is_empty())
             .map(|restored| (restored.engine_id, restored.boots));
-        let standings = group.map(|group| group.status.clone());
+        let group_status = group.map(|group| group.status.clone());
         let counters = core.counters.clone();
-        Ok(Some(snmp::start(config, core, counters, standings, limits, engine)?))
+        Ok(Some(snmp::start(config, core, counters, group_status, limits, engine)?))
     }
 
-    /// Starts to answer operators at the second address, if there is one.
+    /// Starts to answer operators at the second address, if configured.
     fn start_control(&self, address: Option<SocketAddr>) -> Result<Option<SocketAddr>, StartError> {
         let Some(address) = address else { return Ok(None) };
         let FrontendContext { core, limits, service, .. } = self.shared.clone();
@@ -169,7 +161,7 @@
         started.map(Some).map_err(|source| StartError::ListenControl { address, source })
     }
 
-    /// Starts to serve the platform's clients, at the inherited socket or at the address.
+    /// Starts to serve the platform's clients from the inherited socket, or else at the address.
     fn listen_for_clients(
         &self,
         address: SocketAddr,
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -1,7 +1,7 @@
-//! Starts a coordinator process: each subsystem by a function of its own, in the order in which they need each other.
+//! Starts a coordinator process. Subsystems start in the order of their dependencies.
 //!
-//! Discovery's actor and the core come first, then the frontends, and the address for the platform's clients last, so
-//! that nobody is accepted before all of it runs.
+//! The discovery actor and the core start first, then the frontends. The listener for the platform's clients starts
+//! last, so that no client is accepted before the whole process is running.
 
 mod coordinator;
 mod error;
@@ -23,27 +23,27 @@
 use frontends::{Frontends, StartedFrontends};
 use subsystems::{ProcessContext, Subsystems};
 
-/// How often a process that drains or ends looks for client connections that can be closed.
+/// The interval at which a draining or finishing process checks for client connections to close.
 const CLOSING_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Configures the workers that run coroutines; once in a process, before anything else.
+/// Configures the worker threads that run coroutines. Must be called once per process, before anything else.
 pub fn set_up_workers(limits: &Limits) {
     may::config().set_workers(limits.workers).set_stack_size(limits.stack_words).set_worker_pin(false);
 }
 
-/// Starts a coordinator.
+/// Starts a coordinator that serves clients when this returns.
 ///
 /// # Errors
-/// The first step that failed, in one line.
+/// The first step that failed.
 pub fn start(mut config: Config, edge: Edge) -> Result<Coordinator, StartError> {
     edge.check(&config.deployment)?;
     let applied_config = config.clone();
     let inherited = take_inherited_listener(&config)?;
-    // Another version may serve beside this one from the same socket, within the same bounds.
+    // Another version of the program may still serve from the inherited socket; both share the platform's bounds.
     let other_processes = u32::from(inherited.is_some());
     let process = ProcessContext::new(&config, other_processes)?;
     if edge.group.is_some() {
-        // A member whose process ends again is a vote that the others lose.
+        // Fails before the member starts: one that joins and exits again costs the group a vote.
         frontends::check_addresses(&config, &edge)?;
     }
     let mut subsystems = Subsystems::start(&process, &mut config, &edge)?;
@@ -81,7 +81,7 @@
     log::info!(name = name, address:% = started.listen; "listening for clients");
 }
 
-/// The listening socket that another process handed over, if the environment names one.
+/// Takes over the listening socket of another process, if `LB_LISTEN_FD` names one.
 fn take_inherited_listener(config: &Config) -> Result<Option<Inherited>, StartError> {
     let inherited = config.listen_fd.as_deref().map(Inherited::take).transpose();
     inherited.map_err(StartError::InheritedListener)
--- a/src/startup/report.rs
+++ b/src/startup/report.rs
@@ -1,15 +1,15 @@
-//! The report that SIGUSR1 and the process's end write to the log. Its words are an interface: scripts read them.
+//! The report that the process logs on SIGUSR1 and at exit. Scripts parse it, so its words are an interface.
 
 use curlewdeck_accounting::node_table::NodeRow;
 use curlewdeck_accounting::{query_value, ClassRow, LedgerSnapshot, QueryEnd, ATTEMPT_OUTCOMES};
 
 use crate::api::EndpointState;
 
-/// Where the median and the 99th percentile stand among a class's latencies.
-const MEDIAN: usize = 0;
-const P99: usize = 3;
+/// The indexes of the median and the 99th percentile in a class's latency quantiles.
+const MEDIAN_INDEX: usize = 0;
+const P99_INDEX: usize = 3;
 
-/// A snapshot of the request ledger as text: a line for each class, then one for each data node.
+/// Formats a snapshot of the request ledger: a line for each class, then a line for each data node.
 pub(super) fn ledger_report(snapshot: &LedgerSnapshot) -> String {
     let classes = snapshot.classes.iter().map(class_line);
     let nodes = snapshot.nodes.iter().map(node_line);
@@ -17,11 +17,11 @@
 }
 
 fn class_line(class: &ClassRow) -> String {
-    let ends: Vec<String> =
+    let query_ends: Vec<String> =
         QueryEnd::ALL.iter().zip(class.ended).map(|(end, count)| format!("{}={count}", end.name())).collect();
     let latency = class
         .latency_ms
-        .map(|quantiles| format!(" p50_ms={} p99_ms={}", quantiles[MEDIAN], quantiles[P99]))
+        .map(|quantiles| format!(" p50_ms={} p99_ms={}", quantiles[MEDIAN_INDEX], quantiles[P99_INDEX]))
         .unwrap_or_default();
     format!(
         "class {} taken={} open={} full={} {} asked={} earned={}{latency}",
@@ -29,7 +29,7 @@
         class.accepted,
         class.open(),
         class.queue_full,
-        ends.join(" "),
+        query_ends.join(" "),
         class.value_requested as f64 / query_value::MILLIONTHS,
         class.value_served as f64 / query_value::MILLIONTHS,
     )
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -1,4 +1,4 @@
-//! The subsystems that no client sees: the engine, discovery, the data nodes' actors, the replication group, the stored
+//! Starts the internal subsystems: the engine, discovery, the data nodes' actors, the replication group, the stored
 //! state and the core.
 
 use std::sync::{Arc, Mutex};
@@ -29,7 +29,7 @@
 use crate::settings::Deployment;
 use crate::snapshot_store::{SnapshotContents, SnapshotReplica, SnapshotStore};
 
-/// What all subsystems of the process share.
+/// The objects that all subsystems of the process share.
 pub(super) struct ProcessContext {
     pub(super) limits: Arc<Limits>,
     pub(super) clock: Clock,
@@ -37,19 +37,19 @@
     pub(super) deployment: Arc<Deployment>,
 }
 
-/// The subsystems that have started, and what the frontends need of them.
+/// The started subsystems, and the data that the frontends need from them.
 pub(super) struct Subsystems {
     pub(super) core: CoreHandle,
     pub(super) discovery: Sender<DiscoveryMessage>,
     pub(super) group: Option<Group>,
     pub(super) snapshot_store: Option<Arc<SnapshotStore>>,
-    /// What an earlier process stored.
+    /// The state that an earlier process stored.
     pub(super) restored: Option<SnapshotContents>,
-    /// What the aggregation frontend remembers of ranges, where that is turned on.
+    /// The aggregation frontend's memory of ranges, if the frontend is enabled.
     pub(super) range_memory: Option<Memory>,
 }
 
-/// What discovery, the core and the data nodes' actors share.
+/// The handles that discovery, the core and the data nodes' actors share.
 #[derive(Clone)]
 struct EndpointListState {
     core: CoreMailbox,
@@ -58,7 +58,7 @@
 }
 
 impl Subsystems {
-    /// Starts them. The endpoint list from before the start is taken out of the configuration.
+    /// Starts all subsystems. Moves the known endpoint list out of the configuration.
     pub(super) fn start(
         process: &ProcessContext,
         config: &mut Config,
@@ -77,7 +77,7 @@
             edge.aggregation.as_ref().map(|_| Memory::new(&process.limits, process.deployment.shards));
         let open_state = edge.state.as_ref().map(SnapshotStore::open).transpose()?;
         let engine_id = edge.snmp.as_ref().map_or(Ok(Vec::new()), SnmpConfig::engine_id)?;
-        // After what can fail without the group: a member whose process ends again is a vote that the others lose.
+        // Started after all steps that may fail without it: a member that joins and exits again costs the group a vote.
         let group = process.start_replication(edge.group.as_ref())?;
         let replica = snapshot_replica(edge, &config.name, group.as_ref());
         let snapshot_store =
@@ -117,7 +117,7 @@
         Ok(Engine::new(deployment, seed, nanos(limits.backstop), nanos(limits.query_name_quarantine))?)
     }
 
-    /// Starts the actor of discovery; returns its mailbox, and the endpoint list from before the start.
+    /// Starts the discovery actor. Returns its mailbox and the endpoint list that was known before the start.
     fn start_discovery(
         &self,
         config: &mut Config,
@@ -141,14 +141,14 @@
         discovery::start(plan, context).map_err(StartError::Discovery)
     }
 
-    /// What the actor of each data node needs of the process.
+    /// The context for the actor of each data node.
     fn node_context(&self, list_state: &EndpointListState) -> NodeContext {
-        let shortest = self.deployment.settings.shortest_latency_objective();
+        let shortest_latency_objective = self.deployment.settings.shortest_latency_objective();
         NodeContext {
             core: list_state.core.clone(),
             limits: self.limits.clone(),
             connections: self.deployment.connections,
-            shortest_latency_objective: Duration::from_nanos(shortest),
+            shortest_latency_objective: Duration::from_nanos(shortest_latency_objective),
             permits: Permits::new(self.limits.node_sockets),
             no_socket_log: Arc::new(Mutex::new(LogRateLimit::new(nanos(self.limits.no_socket_log_interval)))),
             counters: self.counters.clone(),
@@ -162,7 +162,7 @@
         Ok(Some(replication::start(group, &self.limits)?))
     }
 
-    /// The core's configuration, with nothing restored and nobody to hear of data nodes that started anew.
+    /// The core's configuration without a restored ledger and without a callback for new and restarted data nodes.
     fn core_config(&self, engine: Engine, lease: EndpointListLease, has_control: bool) -> CoreConfig {
         let limits = &self.limits;
         CoreConfig {
@@ -184,7 +184,7 @@
     }
 }
 
-/// Starts the actor of a data node, by the protocol that data nodes speak.
+/// Returns the function that starts a data node's actor for the configured protocol.
 fn node_starter(nodes: &NodesConfig, context: NodeContext) -> StartNode {
     match nodes.protocol {
         NodeProtocol::Frames => Box::new(move |id, gate| node::start(id, gate, context.clone())),
@@ -198,7 +198,7 @@
     }
 }
 
-/// The replica of the coordinator's state in the group, if the edge's file asks for one.
+/// The replica of the coordinator's state in the group, if the edge file enables it.
 fn snapshot_replica(edge: &Edge, name: &str, group: Option<&Group>) -> Option<Box<dyn SnapshotReplica>> {
     let is_replicated = edge.state.as_ref().is_some_and(|state| state.replicated);
     group.filter(|_| is_replicated).map(|group| group.snapshot_replica(name))
