--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -1,5 +1,5 @@
-//! Alerts to a network operations room: the process is observed at intervals, and what has changed is sent as SNMP
-//! notifications. How often one may be sent is decided in `curlewdeck-snmp`.
+//! Alerts for network operations: observes the process at intervals and sends changes as SNMP notifications.
+//! `curlewdeck-snmp` limits their rate.
 
 mod detector;
 
@@ -19,32 +19,32 @@
 use crate::runtime::nanos;
 use detector::{AlertDetector, DescriptorUse, Observation};
 
-/// Between two checks whether something is due or the process is shutting down.
+/// The interval of checks for due notifications and for a shutdown of the process.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two observations of the process.
+/// The interval of observations of the process.
 const OBSERVATION_INTERVAL: Duration = Duration::from_secs(1);
-/// If the coordinator does not answer within this, the observation is left out.
+/// The observation is skipped if the core does not return its ledger within this.
 const LEDGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest acknowledgement that is read.
+/// The maximum size of an acknowledgement.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Why alerts cannot be sent.
+/// An error at the start of the notification thread.
 #[derive(Debug, thiserror::Error)]
 pub enum AlertStartError {
-    /// There is no socket.
-    #[error("no socket for notifications: {0}")]
+    /// The UDP socket could not be opened.
+    #[error("cannot open a socket for notifications: {0}")]
     Socket(#[source] io::Error),
-    /// There is no thread.
-    #[error("cannot start to tell: {0}")]
+    /// The thread could not be started.
+    #[error("cannot start the notification thread: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// Has the alert on the process's shutdown sent.
+/// Triggers the notification that the process is shutting down.
 #[derive(Debug, Clone, Default)]
 pub struct ShutdownSignal(Arc<AtomicBool>);
 
 impl ShutdownSignal {
-    /// The process has begun to shut down.
+    /// Requests the notification. The notification thread sends it at its next check, and only once.
     pub fn send(&self) {
         self.0.store(true, Ordering::Release);
     }
@@ -54,11 +54,11 @@
     }
 }
 
-/// Starts the thread that sends alerts, if anybody is to receive them. `max_descriptors` is how many descriptors the
-/// process may have.
+/// Starts the thread that sends alerts, or returns `None` if no receivers are configured. `max_descriptors` is the
+/// maximum number of descriptors of the process.
 ///
 /// # Errors
-/// There is no socket or no thread.
+/// The socket could not be opened, or the thread could not be started.
 pub fn start(
     config: &SnmpConfig,
     core: CoreHandle,
@@ -82,7 +82,7 @@
     };
     let shutdown = ShutdownSignal::default();
     let signal = shutdown.clone();
-    // A thread of the system: a coroutine's read with a timeout misses the coordinator's answers.
+    // An OS thread, since a coroutine that receives with a timeout misses the core's answers.
     let thread = std::thread::Builder::new().name("notices".into());
     thread.spawn(move || notifier.run(&signal)).map_err(AlertStartError::Thread)?;
     Ok(Some(shutdown))
@@ -94,12 +94,12 @@
 
 fn rate_limits(limits: &Limits) -> Bounds {
     Bounds {
-        min_interval: nanos(limits.notify_gap),
+        min_interval: nanos(limits.notify_min_interval),
         burst: limits.notify_burst,
-        refill_interval: nanos(limits.notify_refill),
-        max_pending_informs: limits.notify_waiting,
+        refill_interval: nanos(limits.notify_refill_interval),
+        max_pending_informs: limits.notify_max_pending_informs,
         retry_delay: nanos(limits.notify_retry_delay),
-        max_attempts: limits.notify_attempts,
+        max_attempts: limits.notify_max_attempts,
         max_subjects: limits.node_rows,
     }
 }
@@ -116,7 +116,7 @@
 
 impl AlertNotifier {
     fn run(mut self, shutdown: &ShutdownSignal) {
-        // What is observed at the start is no alert.
+        // The first observation is the baseline and raises no alerts.
         if let Some(observation) = self.observe() {
             self.detector.detect(&observation);
         }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The process as it is now; none if the coordinator does not answer in time.
+    /// Observes the process; `None` if the core does not answer in time.
     fn observe(&self) -> Option<Observation> {
         let counters = &self.core.counters;
         Some(Observation {
@@ -176,7 +176,7 @@
     }
 }
 
-/// Descriptors that the process has open; 0 where that cannot be seen.
+/// The number of descriptors that the process has open; 0 if `/proc` is not available.
 fn open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count)
 }
--- a/src/alerts/detector.rs
+++ b/src/alerts/detector.rs
@@ -1,4 +1,4 @@
-//! Decides which changes between two observations of the process are worth an alert. No I/O.
+//! Detects changes between two observations of the process that raise an alert. Performs no I/O.
 
 use std::collections::BTreeMap;
 
@@ -11,27 +11,25 @@
 use crate::api::{EndpointState, Nanos};
 use crate::mib;
 
-/// The ratio of rejected queries is taken over this long...
+/// The ratio of rejected queries is computed over this time...
 const REJECTION_WINDOW_NS: Nanos = 10_000_000_000;
-/// ...and of no fewer queries than this.
+/// ...and raises an alert only if at least this many queries were received in it.
 const REJECTION_MIN_QUERIES: u64 = 20;
-/// Descriptors are low above this many tenths of the limit.
+/// The alert on low descriptors is raised when more than this many tenths of the limit are in use.
 const LOW_DESCRIPTORS_TENTHS: usize = 9;
 
-/// The process at one moment.
+/// The state of the process at one point in time.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Observation {
-    /// The request ledger.
     pub(super) ledger: LedgerSnapshot,
-    /// How often the lease of the endpoint list has expired.
+    /// How often updates of the endpoint list were overdue.
     pub(super) list_overdue: u64,
-    /// SNMP requests that were denied for their security.
+    /// The number of SNMP requests that were denied for security reasons.
     pub(super) snmp_denied: u64,
-    /// The use of descriptors.
     pub(super) descriptors: DescriptorUse,
 }
 
-/// How many descriptors the process has open, and how many it may have.
+/// The number of open descriptors of the process, and their limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct DescriptorUse {
     pub(super) open: usize,
@@ -44,7 +42,7 @@
     }
 }
 
-/// The state of a node when it was observed last.
+/// The state of a data node in the last observation.
 #[derive(Debug, Clone, Copy)]
 struct ObservedNode {
     state: EndpointState,
@@ -52,7 +50,7 @@
 }
 
 impl ObservedNode {
-    /// A node that was added since the last observation counts as one that was active.
+    /// A data node that was added since the last observation counts as previously active.
     const ADDED: Self = Self { state: EndpointState::Active, drains: 0 };
 
     fn of(row: &NodeRow) -> Self {
@@ -60,7 +58,7 @@
     }
 }
 
-/// Queries at the beginning of the window over which the ratio of rejected ones is taken.
+/// The query counts at the beginning of the window over which the ratio of rejected queries is computed.
 #[derive(Debug, Clone, Copy)]
 struct RejectionWindow {
     since: Nanos,
@@ -68,11 +66,11 @@
     received: u64,
 }
 
-/// Compares each observation with the one before.
+/// Compares each observation with the previous one.
 pub(super) struct AlertDetector {
     module: Module,
     max_rejection_ratio: f64,
-    /// By node index. None before the first observation, which gives no alert on a node.
+    /// Data nodes by index. `None` before the first observation, which raises no alerts about data nodes.
     nodes: Option<BTreeMap<u32, ObservedNode>>,
     rejections: Option<RejectionWindow>,
     list_overdue: u64,
@@ -81,7 +79,8 @@
 }
 
 impl AlertDetector {
-    /// A detector that has observed nothing. It alerts on rejections above this ratio of all queries.
+    /// Creates a detector without observations. It raises an alert when the ratio of rejected queries exceeds the given
+    /// one.
     pub(super) fn new(max_rejection_ratio: f64) -> Self {
         Self {
             module: mib::module(),
@@ -94,7 +93,7 @@
         }
     }
 
-    /// The notification of this name, with objects by their names, instances and values.
+    /// Builds the notification of this name. Objects are given as name, instance and value.
     pub(super) fn notice(&self, name: &str, subject: &str, objects: &[(&str, u32, Value)]) -> Notice {
         let object = |(name, instance, value): &(&str, u32, Value)| {
             let oid = self.module.name_of(name).unwrap_or_default();
@@ -104,12 +103,12 @@
         Notice { oid, subject: subject.to_string(), objects: objects.iter().map(object).collect() }
     }
 
-    /// The name of a notification; empty if the module has none.
+    /// The name of a notification; empty if the MIB module does not define it.
     pub(super) fn notification_name(&self, notice: &Notice) -> &'static str {
         self.module.notification_of(&notice.oid).map_or("", |notification| notification.name)
     }
 
-    /// The alerts on what has changed since the last observation.
+    /// Returns the alerts about changes since the last observation.
     pub(super) fn detect(&mut self, observation: &Observation) -> Vec<Notice> {
         let mut notices = self.detect_node_changes(&observation.ledger);
         notices.extend(self.detect_rejections(&observation.ledger));
--- a/src/alerts/detector/tests.rs
+++ b/src/alerts/detector/tests.rs
@@ -15,7 +15,7 @@
     )
 }
 
-/// The names of the alerts at one moment, by the counters that the ledger does not have.
+/// The names of the alerts for an observation with the given counters, which the ledger does not contain.
 fn alerts(
     detector: &mut AlertDetector,
     ledger: &mut RequestLedger,
@@ -29,25 +29,28 @@
 }
 
 #[test]
-fn each_drain_and_each_removal_is_one_alert() {
+fn each_drain_and_each_removal_raises_one_alert() {
     let (mut detector, mut ledger) = (AlertDetector::new(0.1), ledger());
     ledger.node_state(0, ServerId(0), "s", EndpointState::Draining);
-    assert!(alerts(&mut detector, &mut ledger, 0, (0, 0, 0)).is_empty(), "the first observation is no alert");
+    assert!(
+        alerts(&mut detector, &mut ledger, 0, (0, 0, 0)).is_empty(),
+        "the first observation raises no alert"
+    );
     ledger.node_state(0, ServerId(0), "s", EndpointState::Active);
     ledger.node_state(0, ServerId(0), "s", EndpointState::Draining);
     assert_eq!(alerts(&mut detector, &mut ledger, 0, (0, 0, 0)), ["cdNodeDraining"]);
     assert!(alerts(&mut detector, &mut ledger, 0, (0, 0, 0)).is_empty());
     ledger.node_removed(0, ServerId(0));
     assert_eq!(alerts(&mut detector, &mut ledger, 0, (0, 0, 0)), ["cdNodeLost"]);
-    assert!(alerts(&mut detector, &mut ledger, 9 * S, (0, 0, 0)).is_empty(), "its row has gone");
+    assert!(alerts(&mut detector, &mut ledger, 9 * S, (0, 0, 0)).is_empty(), "its row was removed");
     assert!(detector.nodes.as_ref().is_some_and(BTreeMap::is_empty));
-    // One that is added and drains between two observations.
+    // A data node that is added and starts to drain between two observations.
     ledger.node_state(9 * S, ServerId(1), "t", EndpointState::Draining);
     assert_eq!(alerts(&mut detector, &mut ledger, 9 * S, (0, 0, 0)), ["cdNodeDraining"]);
 }
 
 #[test]
-fn rejections_above_the_ratio_are_an_alert() {
+fn rejections_above_the_ratio_raise_an_alert() {
     let (mut detector, mut ledger) = (AlertDetector::new(0.1), ledger());
     alerts(&mut detector, &mut ledger, 0, (0, 0, 0));
     for n in 0..100 {
@@ -66,7 +69,7 @@
 }
 
 #[test]
-fn other_counters_are_an_alert_when_they_grow() {
+fn increases_of_other_counters_raise_alerts() {
     let (mut detector, mut ledger) = (AlertDetector::new(0.1), ledger());
     assert_eq!(alerts(&mut detector, &mut ledger, 0, (1, 0, 90)), ["cdListSilent"]);
     assert_eq!(alerts(&mut detector, &mut ledger, 0, (1, 2, 91)), ["cdSecurityFailure", "cdDescriptorsLow"]);
@@ -75,9 +78,9 @@
     assert_eq!(alerts(&mut detector, &mut ledger, 0, (1, 2, 95)), ["cdDescriptorsLow"]);
 }
 
-/// Each notification carries the objects that the management information base names.
+/// Managers decode notifications by the MIB, so each must contain exactly the objects that the MIB defines for it.
 #[test]
-fn alerts_carry_the_objects_that_the_mib_names() {
+fn alerts_contain_the_objects_defined_in_the_mib() {
     let (mut detector, mut ledger) = (AlertDetector::new(0.1), ledger());
     ledger.node_state(0, ServerId(0), "s", EndpointState::Active);
     alerts(&mut detector, &mut ledger, 0, (0, 0, 0));
@@ -87,9 +90,9 @@
     let descriptors = DescriptorUse { open: 99, limit: 100 };
     let observation = Observation { ledger, list_overdue: 1, snmp_denied: 1, descriptors };
     for notice in detector.detect(&observation) {
-        let named = detector.module.notification_of(&notice.oid).unwrap();
-        let carried: Vec<String> =
+        let defined = detector.module.notification_of(&notice.oid).unwrap();
+        let contained: Vec<String> =
             notice.objects.iter().map(|o| detector.module.object_of(&o.0).unwrap().0).collect();
-        assert_eq!(carried, named.objects, "{}", named.name);
+        assert_eq!(contained, defined.objects, "{}", defined.name);
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,8 @@
-//! The second address, for operators: readiness, figures, draining and resuming.
+//! The second address, for operators' calls: readiness, statistics, draining and resuming.
 //!
-//! One call to a connection, each in a thread of its own with a small stack: nothing here waits for the worker that
-//! serves clients, for the core's mailbox or for another caller. Callers that send nothing are bounded in count and
-//! time; the oldest connection is closed for a new one.
+//! Each connection carries one call and is served by a separate thread with a small stack. No call waits for the worker
+//! that serves clients, for the core's mailbox or for another caller. The number and the duration of connections are
+//! limited, which bounds silent callers; the oldest connection is closed for a new one.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -16,25 +16,25 @@
 use crate::net::http::{self, Request, RequestReader};
 use crate::runtime::{lock, nanos, thread, Clock, SMALL_STACK};
 
-/// The commands of operators.
+/// The commands that operators can call. They are called from threads that may block.
 pub trait OperatorCommands: Send + Sync + 'static {
-    /// Whether clients are accepted; else the reason, in a few words.
+    /// Returns `Ok` if clients are accepted, or else the reason in a few words.
     fn ready(&self) -> Result<(), &'static str>;
-    /// The figures of one moment, a line each.
-    fn figures(&self) -> String;
-    /// Drains the coordinator; else the reason why not, in a few words.
+    /// The current statistics, one a line.
+    fn statistics(&self) -> String;
+    /// Drains the coordinator. The error is the reason why it cannot, in a few words.
     fn drain(&self) -> Result<(), &'static str>;
-    /// Accepts clients again; else the reason why not, in a few words.
+    /// Ends the drain and accepts clients again. The error is the reason why it cannot, in a few words.
     fn resume(&self) -> Result<(), &'static str>;
 }
 
-/// Answers the calls at an address.
+/// The handler of all calls at an address.
 pub trait Calls: Send + Sync + 'static {
-    /// The answer to one call, in a thread that may wait for it.
+    /// Answers a call. Runs in a separate thread, which may block.
     fn answer(&self, request: &Request) -> Reply;
 }
 
-/// Answers operators' calls by HTTP.
+/// Translates operators' HTTP calls into commands.
 pub struct Operations<T>(pub T);
 
 const STATUS_OK: u16 = 200;
@@ -52,7 +52,7 @@
     type Call = fn(&dyn OperatorCommands) -> Result<String, &'static str>;
     let (allowed, call): (&str, Call) = match path {
         "/ops/readiness" => ("GET", |commands| commands.ready().map(|()| "yes\n".into())),
-        "/ops/stats" => ("GET", |commands| Ok(commands.figures())),
+        "/ops/stats" => ("GET", |commands| Ok(commands.statistics())),
         "/ops/drain/start" => ("POST", |commands| commands.drain().map(|()| "yes\n".into())),
         "/ops/drain/stop" => ("POST", |commands| commands.resume().map(|()| "yes\n".into())),
         _ => return Reply::text(STATUS_NOT_FOUND, "no such call"),
@@ -67,14 +67,14 @@
     }
 }
 
-/// The open connections of an address, bounded in count.
+/// The open connections of an address, up to a maximum number.
 #[derive(Clone)]
 struct Callers {
     open: Arc<Mutex<OpenCalls>>,
     max_open: usize,
 }
 
-/// The open connections, the oldest first.
+/// The open connections with their ids, the oldest first.
 #[derive(Default)]
 struct OpenCalls {
     next_id: u64,
@@ -86,12 +86,12 @@
         lock(&self.open)
     }
 
-    /// Adds a new connection; where there are too many, the oldest is shut, and its thread ends.
+    /// Adds a connection. If there are too many, shuts down the oldest one, whose thread then ends.
     fn add(&self, stream: &Arc<TcpStream>) -> Caller {
         let mut open = self.open();
         while open.connections.len() >= self.max_open {
             let Some((_, oldest)) = open.connections.pop_front() else { break };
-            // One that its peer has closed needs no shutting.
+            // Fails if the peer has already closed the connection.
             let _ = oldest.shutdown(Shutdown::Both);
         }
         let id = open.next_id;
@@ -101,7 +101,7 @@
     }
 }
 
-/// A caller's entry, removed when its thread ends or was never started.
+/// Removes the connection's entry when its thread ends or could not be started.
 struct Caller {
     callers: Callers,
     id: u64,
@@ -115,10 +115,10 @@
 
 const READ_BYTES: usize = 1024;
 
-/// Listens, and starts to answer, `max_calls` callers at once at most.
+/// Listens at the address and answers up to `max_calls` concurrent calls. Returns the local address.
 ///
 /// # Errors
-/// The address cannot be listened at, or there is no thread.
+/// Listening failed, or the accepting thread could not be started.
 pub fn start(
     address: SocketAddr,
     calls: Arc<dyn Calls>,
@@ -142,7 +142,7 @@
     Ok(local)
 }
 
-/// Answers a call in a thread of its own.
+/// Starts the thread that answers a call.
 fn start_call(
     stream: TcpStream,
     callers: &Callers,
@@ -152,17 +152,17 @@
     let stream = Arc::new(stream);
     let caller = callers.add(&stream);
     thread("call", SMALL_STACK, move || {
-        // A caller that has disconnected or is too slow needs no answer.
+        // Fails if the caller has disconnected or is too slow; neither gets an answer.
         let _ = serve_call(&stream, &*calls, &limits);
         drop(caller);
     })
 }
 
-/// Reads one call and answers it.
+/// Reads a call, writes its answer and waits for the caller to close the connection.
 fn serve_call(stream: &TcpStream, calls: &dyn Calls, limits: &Limits) -> io::Result<()> {
-    let deadline = Instant::now() + limits.control_read;
+    let deadline = Instant::now() + limits.control_timeout;
     stream.set_nodelay(true)?;
-    stream.set_write_timeout(Some(limits.control_read))?;
+    stream.set_write_timeout(Some(limits.control_timeout))?;
     let Some((reply, is_head)) = read_and_answer(stream, calls, limits, deadline)? else { return Ok(()) };
     let bytes =
         http::response(reply.status, reply.content_type, &reply.extra_headers, &reply.body, false, is_head);
@@ -171,7 +171,7 @@
     drain_input(stream, Instant::now() + limits.control_linger)
 }
 
-/// The answer to the call, and whether only its head is wanted; none where the caller has closed the connection.
+/// Returns the answer to the call and whether it is a HEAD request; `None` if the caller has closed the connection.
 fn read_and_answer(
     stream: &TcpStream,
     calls: &dyn Calls,
@@ -196,15 +196,16 @@
     }
 }
 
-/// Reads and drops what the caller still sends: closing with bytes unread would reset the connection, and the caller
-/// might lose the answer.
+/// Reads and drops further input. Closing a socket with unread input resets the connection, which may destroy the
+/// answer before the caller has read it.
 fn drain_input(stream: &TcpStream, deadline: Instant) -> io::Result<()> {
     let mut buffer = [0; READ_BYTES];
     while read_until(stream, &mut buffer, deadline)? > 0 {}
     Ok(())
 }
 
-/// Reads what comes before the deadline. A wait with a time-out is interrupted where the process is stopped and goes on.
+/// Reads available input, waiting until the deadline at most. Retries interrupted reads: stopping and resuming the
+/// process interrupts a read with a timeout.
 fn read_until(stream: &TcpStream, buf: &mut [u8], deadline: Instant) -> io::Result<usize> {
     loop {
         let left = deadline.saturating_duration_since(Instant::now());
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,7 +1,7 @@
-//! Counters of what is received, sent and answered: printed on request and at exit, served by SNMP.
+//! Counters of connections, requests, queries and attempts. They are logged on SIGUSR1 and at exit, and served by SNMP.
 //!
-//! A counter's name in quotes and its doc comment are the object's name and description in the MIB: they are an
-//! interface, and stay as they are when the code's own name changes.
+//! A counter's quoted name and its doc comment are the object's name and description in the published MIB. Both are an
+//! interface and do not change when the field is renamed.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,7 +12,7 @@
 
 macro_rules! counters {
     ($($(#[doc = $doc:literal])* $name:ident $shown:literal,)*) => {
-        /// All counters of one process. Their order is that of the MIB, and is only ever added to.
+        /// All counters of one process, in the order of the MIB. New counters are only appended.
         #[derive(Debug, Default)]
         pub struct Counters { $($(#[doc = $doc])* pub $name: AtomicU64,)* }
 
@@ -22,7 +22,7 @@
                 vec![$(($shown, self.$name.load(Ordering::Relaxed)),)*]
             }
 
-            /// Names and what they count, in the same order.
+            /// Names and descriptions, in the same order.
             pub fn described() -> Vec<(&'static str, &'static str)> {
                 vec![$(($shown, concat!($($doc),*)),)*]
             }
@@ -106,17 +106,17 @@
 }
 
 impl Counters {
-    /// Counts one more.
+    /// Increments a counter by one.
     pub fn add(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes over a count that is made elsewhere and never falls.
+    /// Raises a counter to a count that is maintained elsewhere and never decreases.
     pub fn set(counter: &AtomicU64, count: u64) {
         counter.fetch_max(count, Ordering::Relaxed);
     }
 
-    /// Takes over the request ledger's counts: each of these counters is written here alone.
+    /// Copies the request ledger's counts. These counters are written nowhere else.
     pub fn record_ledger(&self, ledger: &RequestLedger) {
         let queries = |end: QueryEnd| ledger.sum(|class| class.ended_with(end));
         let attempts = ledger.attempts();
@@ -141,7 +141,7 @@
         }
     }
 
-    /// One line a counter.
+    /// Formats the counters as `name value`, one a line.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (name, value) in self.all() {
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time that bounds the program, in one type: filled at the start and handed down.
+//! All limits on sizes, counts and times of the process, in one type that is created at startup and passed down.
 
 use std::time::Duration;
 
@@ -7,169 +7,169 @@
 /// The limits of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Worker threads: the platform provides one core.
+    /// Worker threads for coroutines; one, since the platform provides one core.
     pub workers: usize,
-    /// Stack of a coroutine that serves one connection, in machine words.
+    /// Stack size of a coroutine that serves one connection, in machine words.
     pub stack_words: usize,
-    /// Stack of the coroutine that runs the core, and of a call to discovery, in machine words.
+    /// Stack size of the coroutine that runs the core, and of a call to discovery, in machine words.
     pub core_stack_words: usize,
-    /// Client connections that may be open at once.
+    /// Maximum number of open client connections.
     pub clients: usize,
-    /// Connections to data nodes that may be open or being opened at once.
+    /// Maximum number of connections to data nodes, including those that are being opened.
     pub node_sockets: usize,
-    /// Bytes of a request's head, or of an answer's.
+    /// Maximum size of the head of an HTTP request or response, in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of the body of an HTTP request, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes of a frame from a data node.
+    /// Maximum size of a frame from a data node, in bytes.
     pub max_frame_bytes: usize,
-    /// Bytes of the line that begins an answer in a frame.
+    /// Maximum size of the first line of an answer in a frame, in bytes.
     pub max_frame_line_bytes: usize,
-    /// A frame that has begun to come must be complete within this, or within the silence that the latency objectives
-    /// allow where that is longer.
+    /// Time within which a partially received frame must be complete. `connection_silence_for` replaces it if longer.
     pub frame_read_timeout: Duration,
-    /// Cancelled parts, and answered parts, that one connection remembers: their answers may come late or twice.
+    /// Cancelled and answered parts that a connection remembers, to recognize late and duplicate answers.
     pub remembered_parts: usize,
-    /// Nothing new is sent on a connection that has been silent for this long with parts in flight, or for one in
-    /// `link_silence_part` of the shortest latency objective if that is longer: a machine that has vanished, and a
-    /// connection that has died unseen, say nothing.
+    /// Minimum time without data, while parts are in flight, after which nothing new is sent on a connection: a machine
+    /// that has failed, or a connection that was lost, may give no other sign.
     pub connection_silence: Duration,
-    /// The divisor of the shortest latency objective, see `link_silence`.
+    /// The shortest latency objective divided by this replaces `connection_silence` if it is longer.
     pub connection_silence_divisor: u32,
-    /// Where no socket was left for a connection to a data node, its actor does not dial again for so long.
+    /// Time for which a data node's actor does not dial again after no socket was left for a connection.
     pub no_socket_backoff: Duration,
-    /// The shortest time between two log lines that say so, for all data nodes together.
+    /// Minimum interval between log lines about missing sockets, for all data nodes together.
     pub no_socket_log_interval: Duration,
-    /// The name of a query is not used again for so long after its end: late answers carry it.
+    /// Time for which the name of a finished query is not reused, since late answers still contain it.
     pub query_name_quarantine: Duration,
-    /// Bytes of an endpoint list, or of a change to it.
+    /// Maximum size of an endpoint list or of an update to it, in bytes.
     pub max_update_bytes: usize,
-    /// Header lines of a request or an answer.
+    /// Maximum number of header fields of an HTTP request or response.
     pub headers: usize,
-    /// Messages that may wait for the core before new queries are rejected.
+    /// Messages in the core's mailbox above which new queries are rejected.
     pub core_backlog: usize,
-    /// Calls that may wait at one data node's actor.
+    /// Maximum number of calls that may be queued at one data node's actor.
     pub queued_parts_per_node: usize,
-    /// A client connection that has been answered is closed once it has been idle for this long.
+    /// Idle time after which a client connection that has been answered is closed.
     pub client_idle: Duration,
-    /// One that has been idle for this long is closed earlier where a new one needs its place.
+    /// Idle time after which such a connection may be closed to make room for a new one.
     pub client_evictable_idle: Duration,
-    /// After this long one without a complete request yet may be closed for a new one, since what a client sends
-    /// at once has come by then; and, where there is none, one that has been idle for less than `client_rest`.
+    /// Time after which a connection without a complete request may be closed to make room for a new one, since the
+    /// data that a client sends at once has arrived by then. If there is none, this applies to connections that have
+    /// been idle for less than `client_evictable_idle`.
     pub client_evictable_silence: Duration,
-    /// A new connection waits so long for a place before it is rejected.
+    /// Time for which a new connection waits for another one to be closed before it is rejected.
     pub client_place_timeout: Duration,
-    /// The first request on a connection must be complete this long after it was accepted, a further one this long
-    /// after its first byte.
+    /// Time within which a request must be complete: the first one since the connection was accepted, further ones
+    /// since their first byte.
     pub request_read_timeout: Duration,
-    /// While a request is open, so many bytes may be sent ahead of its answer: what comes after them is dropped, and the
-    /// connection ends with the last answer to them.
+    /// Bytes that a client may send ahead while a request is pending. Further bytes are dropped, and the connection is
+    /// closed after the last answer to the accepted ones.
     pub read_ahead: usize,
-    /// Connections that are rejected with an answer at once: any further ones may be reset.
+    /// Maximum number of connections that are being rejected with an answer; further ones may be reset.
     pub rejected_clients: usize,
-    /// After a connection's last answer, what its client still sends is read and dropped for this long, so
-    /// that the answer is not lost to a reset.
+    /// Time for which input is read and dropped after the last answer on a connection, so that a reset does not destroy
+    /// the answer.
     pub linger: Duration,
-    /// And no more bytes than this are read then.
+    /// Maximum number of bytes that are read and dropped in that time.
     pub linger_bytes: usize,
-    /// The longest time that a client may say it waits.
+    /// Maximum timeout that a client may request.
     pub max_client_timeout: Duration,
-    /// An answer must be taken by its client's socket within this.
+    /// Timeout for writing an answer to a client's socket.
     pub client_write_timeout: Duration,
-    /// A frame must be taken by the data node's socket within this.
+    /// Timeout for writing a frame to a data node's socket.
     pub node_write_timeout: Duration,
-    /// A health check unanswered for this long has failed.
+    /// Time after which an unanswered health check has failed.
     pub health_check_timeout: Duration,
-    /// Connections are not used this close to the end of the idle time after which their data node closes them, or
-    /// within the last quarter of it where that is short.
+    /// Safety margin before the idle timeout at which a data node closes a connection. The connection is not used
+    /// within it, or within the last quarter of the timeout if that is shorter.
     pub idle_margin: Duration,
-    /// A connection to discovery must be up within this; a service that answers within it is heard in time.
+    /// Timeout for connecting to discovery. An answer within this time is received in time for the notification rule.
     pub discovery_call_timeout: Duration,
-    /// A call to discovery that has not been answered within this is hedged by another one.
+    /// Time after which an unanswered call to discovery is hedged by a second one.
     pub discovery_hedge_delay: Duration,
-    /// A watch without a complete line for this long is broken: heartbeats come every 2 s at the latest.
+    /// Time without a complete line after which a watch counts as broken. Heartbeats arrive every 2 s at the latest.
     pub discovery_silence: Duration,
-    /// The shortest time between two log lines on failed calls, and between two on unreadable lines of an update.
+    /// Minimum interval between log lines about failed calls, and between those about unreadable lines of an update.
     pub discovery_log_interval: Duration,
-    /// The shortest time between two log lines on updates of the endpoint list.
+    /// Minimum interval between log lines about updates of the endpoint list.
     pub update_log_interval: Duration,
-    /// The shortest time between two log lines on clients that disconnect without their answer.
+    /// Minimum interval between log lines about clients that disconnect before their answer.
     pub client_log_interval: Duration,
-    /// Taken off the time that the client waits, for the answer's way back.
+    /// Subtracted from a client's timeout to leave time for sending the answer.
     pub answer_margin: Duration,
-    /// A query that the policy leaves open is ended this long after its deadline, margin included.
+    /// Time after its deadline, margin included, at which a query is ended if the policy has not ended it.
     pub backstop: Duration,
-    /// SIGKILL follows SIGTERM no sooner than the longest deadline, or this if it is shorter...
-    pub term_longest: Duration,
-    /// ...and this.
-    pub term_kill: Duration,
-    /// Open requests are answered this long before that.
+    /// Maximum query deadline that counts towards the time between SIGTERM and SIGKILL.
+    pub term_deadline_max: Duration,
+    /// SIGKILL follows SIGTERM no sooner than after the longest deadline, up to `term_deadline_max`, plus this.
+    pub term_kill_delay: Duration,
+    /// Time between the answer to the last open request and the earliest SIGKILL.
     pub term_margin: Duration,
-    /// New requests are accepted until this long before open requests are answered...
-    pub term_last: Duration,
-    /// ...or for this long after SIGTERM, if that is more.
-    pub term_accept: Duration,
-    /// Connections may take this long to close after that.
+    /// Time reserved for open requests: new ones are accepted until this long before all must be answered...
+    pub term_completion: Duration,
+    /// ...or for this long after SIGTERM, if that is later.
+    pub term_accept_min: Duration,
+    /// Maximum time for closing connections after that.
     pub term_finish: Duration,
-    /// Callers at the second address at once: the oldest is closed for a new one.
+    /// Maximum number of open connections at the second address. The oldest is closed for a new one.
     pub control_calls: usize,
-    /// The same of clients of a replication group, each of which may wait for the log.
+    /// The same for clients of a replication group, each of which may wait for the replicated log.
     pub group_calls: usize,
-    /// A call there must be complete within this, and its answer be taken.
-    pub control_read: Duration,
-    /// After the answer, what its caller still sends is read and dropped for this long.
+    /// Timeout for reading a call at either of these addresses, and for writing its answer.
+    pub control_timeout: Duration,
+    /// Time for which further input of a caller is read and dropped after the answer.
     pub control_linger: Duration,
-    /// Drained by an operator: connections stay open for so long, since the platform still sends clients...
+    /// Time after the start of a drain by an operator for which connections stay open, since the platform still sends
+    /// clients.
     pub drain_notice: Duration,
-    /// ...and after so long, idle connections are closed, and those without a complete request.
+    /// Time after the start of such a drain at which idle connections are closed, and those without a complete request.
     pub drain_rest: Duration,
-    /// The shortest time between two updates of the figures at the second address.
+    /// Minimum interval between updates of the statistics at the second address.
     pub stats_interval: Duration,
-    /// Pages that one part of a feature query may fetch.
+    /// Maximum number of pages that one part of a feature query may fetch.
     pub pages: usize,
-    /// Most features on one page of an answer.
+    /// Maximum number of features on a page of an answer.
     pub page_features: usize,
-    /// How long a client of the features frontend waits.
+    /// Timeout of requests to the features frontend.
     pub features_timeout: Duration,
-    /// Most rows of an answer of the aggregation frontend, or of a page.
+    /// Maximum number of rows in an answer or a page of the aggregation frontend.
     pub max_aggregation_rows: usize,
-    /// Bytes of a piece in which a longer answer of the aggregation frontend is sent.
+    /// Size of the chunks in which the aggregation frontend sends longer answers, in bytes.
     pub aggregation_chunk_bytes: usize,
-    /// How long a client of the aggregation frontend waits at most.
+    /// Maximum timeout of requests to the aggregation frontend.
     pub aggregation_timeout: Duration,
-    /// Entries of the cache of ranges from earlier answers.
+    /// Maximum number of entries in the cache of ranges from earlier answers.
     pub range_cache_entries: usize,
-    /// How long such an entry may be used.
+    /// Maximum age at which such an entry may be used.
     pub range_cache_age: Duration,
-    /// Rows of the request ledger's table of data nodes: 1,024 that are listed, and as many that were replaced lately.
+    /// Maximum number of rows in the request ledger's table of data nodes: 1,024 listed and as many recently replaced.
     pub node_rows: usize,
-    /// How long a data node that was removed keeps its row.
+    /// Time for which a removed data node keeps its row.
     pub node_row_retention: Duration,
-    /// Walks of managers whose figures are kept.
+    /// Maximum number of SNMP walks for which snapshots are kept.
     pub snmp_walkers: usize,
-    /// Objects of all walks together: four walks of 1,024 data nodes, or more of fewer.
+    /// Maximum number of objects of all snapshots together: four walks over 1,024 data nodes, or more over fewer.
     pub snmp_objects: usize,
-    /// How long a walk may be silent before its figures are dropped.
+    /// Idle time after which a walk's snapshot is dropped.
     pub snmp_walk_idle: Duration,
-    /// How long a walk may last.
+    /// Maximum duration of a walk.
     pub snmp_walk: Duration,
-    /// How long a walk's figures are shared with walks that begin after it.
+    /// Age up to which a snapshot is shared with walks that begin later.
     pub snmp_fresh: Duration,
-    /// The shortest time between two notifications of the same kind and subject.
-    pub notify_gap: Duration,
-    /// Notifications that may be sent at once.
+    /// Minimum interval between notifications of the same kind and subject.
+    pub notify_min_interval: Duration,
+    /// Maximum number of notifications in a burst.
     pub notify_burst: u32,
-    /// How long until one more may be sent.
-    pub notify_refill: Duration,
-    /// Informs that may wait for their acknowledgement.
-    pub notify_waiting: usize,
-    /// After how long an inform is first repeated.
+    /// Interval at which one more notification is allowed after a burst.
+    pub notify_refill_interval: Duration,
+    /// Maximum number of informs that wait for their acknowledgement.
+    pub notify_max_pending_informs: usize,
+    /// Time after which an unacknowledged inform is first retried.
     pub notify_retry_delay: Duration,
-    /// How often an inform is sent in all.
-    pub notify_attempts: u32,
-    /// Variables in one management request or answer.
+    /// Maximum number of times that an inform is sent, the first one included.
+    pub notify_max_attempts: u32,
+    /// Maximum number of variable bindings in an SNMP request or response.
     pub snmp_bindings: usize,
-    /// Bytes of the same.
+    /// Maximum size of an SNMP request or response, in bytes.
     pub snmp_bytes: usize,
 }
 
@@ -218,15 +218,15 @@
             client_log_interval: Duration::from_millis(100),
             answer_margin: Duration::from_millis(12),
             backstop: Duration::from_millis(6),
-            term_longest: Duration::from_secs(3),
-            term_kill: Duration::from_millis(700),
+            term_deadline_max: Duration::from_secs(3),
+            term_kill_delay: Duration::from_millis(700),
             term_margin: Duration::from_millis(300),
-            term_last: Duration::from_millis(900),
-            term_accept: Duration::from_millis(500),
+            term_completion: Duration::from_millis(900),
+            term_accept_min: Duration::from_millis(500),
             term_finish: Duration::from_secs(10),
             control_calls: 12,
             group_calls: 64,
-            control_read: Duration::from_secs(2),
+            control_timeout: Duration::from_secs(2),
             control_linger: Duration::from_millis(200),
             drain_notice: Duration::from_millis(400),
             drain_rest: Duration::from_millis(1500),
@@ -246,94 +246,96 @@
             snmp_walk_idle: Duration::from_secs(2),
             snmp_walk: Duration::from_secs(30),
             snmp_fresh: Duration::from_millis(100),
-            notify_gap: Duration::from_secs(60),
+            notify_min_interval: Duration::from_secs(60),
             notify_burst: 20,
-            notify_refill: Duration::from_secs(5),
-            notify_waiting: 64,
+            notify_refill_interval: Duration::from_secs(5),
+            notify_max_pending_informs: 64,
             notify_retry_delay: Duration::from_secs(2),
-            notify_attempts: 4,
+            notify_max_attempts: 4,
             snmp_bindings: 64,
             snmp_bytes: 4096,
         }
     }
 }
 
-/// The share of a short idle time at whose end a connection is not used any more: one in so many.
+/// The idle margin is at most the idle timeout divided by this.
 const IDLE_MARGIN_DIVISOR: u32 = 4;
 
-/// Descriptors for standard streams, the poller, the listeners and discovery.
+/// Descriptors reserved for standard streams, the poller, the listeners and discovery.
 const RESERVED_SOCKETS: usize = 32;
 const MIN_SOCKETS: usize = 128;
 
 const KB_PER_MB: usize = 1024;
-/// The memory of a process without a client.
+/// Memory of a process without clients.
 const PROCESS_KB: usize = 11 * KB_PER_MB;
-/// The memory of a client's connection with its two coroutines, its buffers and a query in flight.
+/// Memory of a client connection with its two coroutines, its buffers and a query in flight.
 const CLIENT_KB: usize = 48;
 const MIN_CLIENTS: usize = 32;
 
-/// The most of the descriptors that data nodes get: one in so many, so that clients' requests are not left without...
+/// Connections to data nodes get at most the descriptors divided by this, so that enough are left for clients...
 const NODE_SOCKETS_DIVISOR: usize = 3;
-/// ...and where there are more data nodes than that, one in so many.
+/// ...or divided by this, if there are more data nodes than that.
 const LARGE_FLEET_NODE_SOCKETS_DIVISOR: usize = 2;
-/// Connections to data nodes beyond one to each, one in so many: some are opened anew before the old one has ended.
+/// The number of data nodes divided by this is the number of spare connections: a new connection may be opened before
+/// the old one is closed.
 const SPARE_NODE_SOCKETS_DIVISOR: usize = 4;
 
-/// Why a process cannot serve within what the platform allows.
+/// The platform's bounds are too low for a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LimitsError {
-    /// Too few descriptors.
+    /// The process gets too few file descriptors.
     #[error("limits.sockets is {allowed}, at least {MIN_SOCKETS} are needed")]
     TooFewSockets {
-        /// Descriptors of this process.
+        /// File descriptors that this process gets.
         allowed: usize,
     },
-    /// Too little memory.
+    /// The processes get too little memory.
     #[error("limits.memory_mb is {allowed}, at least {needed} are needed")]
     TooLittleMemory {
-        /// Megabytes that the platform allows all processes together.
+        /// Memory that the platform allows all processes together, in megabytes.
         allowed: usize,
-        /// Megabytes that they need together.
+        /// Memory that they need together, in megabytes.
         needed: usize,
     },
 }
 
-/// What the platform allows all processes of a coordinator together.
+/// The platform's bounds for all processes of a coordinator together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Platform {
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory in megabytes.
+    /// Maximum memory, in megabytes.
     pub memory_mb: usize,
-    /// Other processes that may serve at the same address within the same bounds.
+    /// Other processes that may serve at the same address and share the bounds.
     pub others: usize,
-    /// Data nodes of the endpoint list from before the start.
+    /// Data nodes in the endpoint list that was known before the start.
     pub nodes: usize,
 }
 
 impl Limits {
-    /// How long a connection may have been idle and still be used, if its data node closes it after `idle`.
+    /// The maximum idle time at which a connection is still used, if its data node closes it after `idle`.
     pub fn usable_idle(&self, idle: Duration) -> Duration {
         idle.saturating_sub(self.idle_margin.min(idle / IDLE_MARGIN_DIVISOR))
     }
 
-    /// After SIGTERM: how long new requests are accepted, and by when all are answered, with a margin before SIGKILL may
-    /// come.
+    /// The times after SIGTERM until which new requests are accepted, and by which all are answered. The second leaves
+    /// a margin before the earliest SIGKILL.
     pub fn term(&self, longest_deadline: Duration) -> (Duration, Duration) {
-        let kill = longest_deadline.min(self.term_longest) + self.term_kill;
+        let kill = longest_deadline.min(self.term_deadline_max) + self.term_kill_delay;
         let answered = kill.saturating_sub(self.term_margin);
-        (answered.saturating_sub(self.term_last).max(self.term_accept), answered)
+        (answered.saturating_sub(self.term_completion).max(self.term_accept_min), answered)
     }
 
-    /// After how long a silence a connection with parts in flight is sent nothing new.
+    /// The time without data after which a connection with parts in flight is not used for new ones.
     pub fn connection_silence_for(&self, shortest_latency_objective: Duration) -> Duration {
         self.connection_silence.max(shortest_latency_objective / self.connection_silence_divisor)
     }
 
-    /// The limits under the platform's bounds: clients get what data nodes and the process leave.
+    /// Derives the limits from the platform's bounds. Clients get the resources that data nodes and the process itself
+    /// do not need.
     ///
     /// # Errors
-    /// Too few descriptors, or too little memory, to serve at all.
+    /// The descriptors or the memory are too little for the minimum number of clients.
     pub fn within(platform: Platform) -> Result<Self, LimitsError> {
         let processes = platform.others + 1;
         let sockets = platform.sockets / processes;
@@ -353,12 +355,12 @@
     }
 }
 
-/// Client connections for which there is memory.
+/// The number of client connections that fit into this memory of a process.
 fn clients_in_memory(kilobytes: usize) -> usize {
     kilobytes.saturating_sub(PROCESS_KB) / CLIENT_KB
 }
 
-/// Descriptors for connections to so many data nodes: a query of many parts may need each of them at once.
+/// The number of connections to data nodes. A query of many parts may need one to each of them at once.
 fn node_sockets(default: usize, sockets: usize, nodes: usize) -> usize {
     let for_each_node = nodes + nodes / SPARE_NODE_SOCKETS_DIVISOR;
     let wanted = default.min(sockets / NODE_SOCKETS_DIVISOR).max(for_each_node);
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
 use curlewdeck_membership::{CALL_GAP, NOTIFIED_AFTER};
 
-/// Guards against never using a connection twice where idle ones are closed early.
+/// With the full idle margin, a short idle timeout would leave no time in which a connection can be reused.
 #[test]
-fn a_short_idle_limit_leaves_most_of_it() {
+fn short_idle_timeout_leaves_most_of_it_usable() {
     let usable = |ms| Limits::default().usable_idle(Duration::from_millis(ms)).as_millis();
     assert_eq!((usable(30_000), usable(1000), usable(0)), (28_000, 750, 0));
 }
 
-/// Guards against ending long before one has to, and against holding a request when SIGKILL comes.
+/// The process must not finish much earlier than necessary, and no request may be open at SIGKILL.
 #[test]
-fn a_planned_restart_leaves_time_to_answer() {
+fn shutdown_answers_all_requests_before_sigkill() {
     let term = |ms| Limits::default().term(Duration::from_millis(ms));
     assert_eq!(term(2000), (Duration::from_millis(1500), Duration::from_millis(2400)));
     assert_eq!(term(8000), (Duration::from_millis(2500), Duration::from_millis(3400)));
     assert_eq!(term(100), (Duration::from_millis(500), Duration::from_millis(500)));
 }
 
-/// Guards against taking connections for dead where parts take long.
+/// A fixed timeout would treat connections as lost when parts of slow classes take long.
 #[test]
-fn silence_is_measured_by_the_aim() {
+fn connection_silence_scales_with_the_latency_objective() {
     let silence = |ms| Limits::default().connection_silence_for(Duration::from_millis(ms)).as_millis();
     assert_eq!((silence(2000), silence(500), silence(10)), (400, 100, 100));
 }
 
-/// Guards against running out of descriptors: all kinds together stay below the bound.
+/// The process must not run out of descriptors when every kind of socket reaches its limit.
 #[test]
-fn sockets_of_all_kinds_stay_below_the_bound() {
+fn all_kinds_of_sockets_together_stay_within_the_bound() {
     let within =
         |sockets, memory_mb, others| Limits::within(Platform { sockets, memory_mb, others, nodes: 12 });
     for sockets in [128, 256, 1024, 4096] {
@@ -37,10 +37,10 @@
     assert!(within(MIN_SOCKETS - 1, 192, 0).is_err());
 }
 
-/// Guards against a fleet in which some data nodes can never be reached, since others hold all connections at rest;
-/// and against few data nodes taking places from clients.
+/// If idle connections to some data nodes use up all sockets, the others cannot be reached. Few data nodes must not
+/// reduce the number of clients.
 #[test]
-fn each_data_node_of_a_large_fleet_may_have_a_connection() {
+fn each_data_node_of_a_large_fleet_can_have_a_connection() {
     let of = |sockets, nodes| {
         let limits = Limits::within(Platform { sockets, memory_mb: 192, others: 0, nodes }).unwrap();
         assert!(limits.clients >= sockets / 3 - RESERVED_SOCKETS, "{limits:?}");
@@ -50,9 +50,9 @@
     assert!(of(512, 200) >= 200 && of(672, 200) >= 200 && of(256, 200) == 128);
 }
 
-/// Guards against two processes that each keep the bounds and break them together, in memory as in descriptors.
+/// Two processes that each stay within the bounds on memory and descriptors must not exceed them together.
 #[test]
-fn two_processes_share_one_budget() {
+fn two_processes_share_the_bounds() {
     for (sockets, memory_mb) in [(256, 32), (1024, 32), (384, 48), (1024, 192)] {
         let of = |others| Limits::within(Platform { sockets, memory_mb, others, nodes: 12 }).unwrap();
         for (processes, limits) in [(1, of(0)), (2, of(1))] {
@@ -61,19 +61,19 @@
             assert!(processes * (limits.clients + limits.node_sockets + RESERVED_SOCKETS) <= sockets);
         }
     }
-    let why = Limits::within(Platform { sockets: 1024, memory_mb: 24, others: 1, nodes: 12 }).unwrap_err();
-    assert_eq!(why.to_string(), "limits.memory_mb is 24, at least 26 are needed");
+    let error = Limits::within(Platform { sockets: 1024, memory_mb: 24, others: 1, nodes: 12 }).unwrap_err();
+    assert_eq!(error.to_string(), "limits.memory_mb is 24, at least 26 are needed");
 }
 
-/// Guards what counts as told 6 s after discovery had it: every clock of a call and of a watch together stays inside that.
+/// A change counts as notified 6 s after discovery has it. The timeouts of calls and watches must add up to less.
 #[test]
-fn the_clocks_of_discovery_stay_inside_what_counts_as_told() {
+fn discovery_timeouts_stay_within_the_notification_time() {
     let limits = Limits::default();
-    let (told, gap) = (Duration::from_nanos(NOTIFIED_AFTER), Duration::from_nanos(CALL_GAP));
-    // Waiting on sockets is rounded up, by less than this in all.
-    let coarse = Duration::from_millis(150);
-    assert!(limits.discovery_silence + limits.discovery_call_timeout + coarse <= told);
+    let (notified, gap) = (Duration::from_nanos(NOTIFIED_AFTER), Duration::from_nanos(CALL_GAP));
+    // Socket timeouts are rounded up, by less than this in total.
+    let rounding = Duration::from_millis(150);
+    assert!(limits.discovery_silence + limits.discovery_call_timeout + rounding <= notified);
     assert!(limits.discovery_hedge_delay <= gap);
-    assert!(gap + limits.discovery_call_timeout + coarse <= told);
-    assert!(limits.discovery_silence < gap, "a watch that falls silent is asked for anew within the gap");
+    assert!(gap + limits.discovery_call_timeout + rounding <= notified);
+    assert!(limits.discovery_silence < gap, "a silent watch is replaced within the gap");
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,9 +1,9 @@
-//! Reads the configuration file again after SIGHUP. When it is read is decided by the state machine of
-//! [`curlewdeck_lifecycle::reload`]; here are the threads that carry its steps out.
+//! Reloads the configuration file after SIGHUP. The state machine of [`curlewdeck_lifecycle::reload`] decides when to
+//! read it; the threads of this module execute its steps.
 //!
-//! One thread receives signals and results, and applies configurations. Each read runs on a thread of its own, since a
-//! read may last as long as it likes (a pipe without a writer, a file system that hangs) and cannot be cancelled:
-//! signals, newer ones included, are received all the same.
+//! One thread receives signals and results, and applies configurations. Each read runs on a separate thread, since it
+//! may block indefinitely (a pipe without a writer, a file system that hangs) and cannot be cancelled. The first thread
+//! receives newer signals in the meantime.
 
 use std::io;
 use std::path::PathBuf;
@@ -18,47 +18,47 @@
 use crate::runtime::{nanos, thread};
 use crate::startup::{ConfigChange, Coordinator};
 
-/// Discovery's changes count as notified so long after SIGHUP: a read that failed is retried within it.
+/// The time after SIGHUP within which a failed read is retried. Changes of discovery count as notified after this time.
 const RETRY_WINDOW: Duration = Duration::from_secs(4);
-/// The backoff before the first retry; it doubles with each...
+/// The delay before the first retry. It doubles with each further retry...
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 /// ...up to this.
-const BACKOFF_MAX: Duration = Duration::from_millis(800);
-/// A newer signal waits so long for a read under way. With a call to discovery after it (2.2 s at most), that is still
-/// within the window.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// The time for which a newer signal waits for a read in progress. Together with a following call to discovery (2.2 s
+/// at most) it is within the retry window.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The most abandoned reads that still hold their threads.
+/// The maximum number of abandoned reads whose threads are still blocked.
 const MAX_ABANDONED_READS: usize = 4;
-/// Events that may wait for the thread: more than reads can run at once, so that a full queue has a signal in it.
+/// The capacity of the event queue. It exceeds the number of concurrent reads, so that a full queue contains a signal.
 const EVENT_QUEUE_LENGTH: usize = 2 * (MAX_ABANDONED_READS + 1);
-/// Stack of each of the threads, in bytes: the file is parsed on one and compared on the other.
+/// Stack size of the threads. Reading threads parse the file, and the reloading thread compares configurations.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// How a read ended.
+/// The result of reading and parsing the file.
 type ReadResult = Result<Config, ConfigError>;
 
 enum Event {
-    /// SIGHUP has come.
+    /// SIGHUP was received.
     Signal,
-    /// A read has ended.
+    /// A reading thread has finished, possibly after its read was abandoned.
     ReadEnded(ReadId, Box<ReadResult>),
 }
 
-/// Hands signals on to the reloading thread.
+/// Forwards signals to the reloading thread.
 #[derive(Clone)]
 pub struct Reloader(SyncSender<Event>);
 
 impl Reloader {
-    /// Starts the thread that reads `file` again for this coordinator.
+    /// Starts the thread that reloads `file` for this coordinator.
     ///
     /// # Errors
-    /// There is no thread to be had.
+    /// The thread could not be started.
     pub fn start(coordinator: Arc<Coordinator>, file: PathBuf) -> io::Result<Self> {
         let (events, inbox) = sync_channel(EVENT_QUEUE_LENGTH);
         let policy = RetryPolicy {
             window: nanos(RETRY_WINDOW),
             first_pause: nanos(FIRST_BACKOFF),
-            longest_pause: nanos(BACKOFF_MAX),
+            longest_pause: nanos(MAX_BACKOFF),
             abandon_after: nanos(READ_TIMEOUT),
             max_abandoned_reads: MAX_ABANDONED_READS,
         };
@@ -74,8 +74,8 @@
         Ok(Self(events))
     }
 
-    /// SIGHUP has come. Returns at once: where the queue is full, a signal waits already, and the file is read as it is by
-    /// then.
+    /// Requests a reload after SIGHUP without blocking. If the queue is full, it already contains a signal, and the
+    /// file is read after this call.
     pub fn signal(&self) {
         let _ = self.0.try_send(Event::Signal);
     }
@@ -86,11 +86,11 @@
     coordinator: Arc<Coordinator>,
     file: PathBuf,
     reloads: Reloads,
-    /// The state machine's times count from here.
+    /// The zero point of the state machine's times.
     started: Instant,
-    /// A signal has come, and its reload has not settled.
+    /// A signal was received, and its reload has not ended.
     is_reloading: bool,
-    /// For the threads that read.
+    /// The sender for reading threads.
     events: SyncSender<Event>,
 }
 
@@ -105,13 +105,13 @@
                 Ok(Event::Signal) => self.begin_reload(),
                 Ok(Event::ReadEnded(id, result)) => self.read_ended(id, *result),
                 Err(RecvTimeoutError::Timeout) => {}
-                // Impossible: this thread holds a sender itself.
+                // Unreachable, since this thread holds a sender.
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    /// The next event, or a time-out when the next step is due.
+    /// Waits for the next event, or until the next step is due.
     fn next_event(&self, inbox: &Receiver<Event>, due: Option<u64>) -> Result<Event, RecvTimeoutError> {
         match due {
             Some(due) => inbox.recv_timeout(Duration::from_nanos(due.saturating_sub(self.now()))),
@@ -125,13 +125,13 @@
         self.reloads.signal(self.now());
     }
 
-    /// Carries out the steps that are due; returns when the next one is, if there is one.
+    /// Executes all due steps. Returns the time of the next one, if there is one.
     fn execute_steps(&mut self) -> Option<u64> {
         loop {
             match self.reloads.next_step(self.now()) {
                 Step::Read(id) => self.start_read(id),
                 Step::Abandon(verdict) => {
-                    let error = io::Error::new(io::ErrorKind::TimedOut, "it takes too long to read");
+                    let error = io::Error::new(io::ErrorKind::TimedOut, "reading takes too long");
                     self.record_failure(verdict, &ConfigError::Unreadable(error));
                 }
                 Step::Wait(until) => return until,
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Reads the file on a thread of its own, which may never end.
+    /// Reads the file on a separate thread, which may block forever.
     fn start_read(&mut self, id: ReadId) {
         let (file, events) = (self.file.clone(), self.events.clone());
         let read = move || {
             let result = Config::load(&file);
-            // The receiver lives as long as the process.
+            // Cannot fail: the receiver exists until the process exits.
             let _ = events.send(Event::ReadEnded(id, Box::new(result)));
         };
         if let Err(error) = thread("config reader", STACK_BYTES, read) {
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Applies what was read, unless the read was abandoned.
+    /// Applies the result of a read, unless the read was abandoned.
     fn read_ended(&mut self, id: ReadId, result: ReadResult) {
         if let Some(returned) = self.reloads.returned(id) {
             self.apply(returned, result);
         }
     }
 
-    /// Applies what was read, if it can be, and counts the reload by that.
+    /// Applies a configuration that was read, and counts and logs the outcome.
     fn apply(&mut self, returned: Returned, result: ReadResult) {
         let result = result.and_then(|config| self.coordinator.apply_config(config));
         let outcome = match &result {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Counts and logs a reload that failed for good.
+    /// Counts and logs a failure, as its verdict requires.
     fn record_failure(&self, verdict: Verdict, error: &ConfigError) {
         let file = self.file.display();
         match verdict {
--- a/src/startup/operations.rs
+++ b/src/startup/operations.rs
@@ -1,4 +1,4 @@
-//! What operators command at the second address: readiness, figures, draining this coordinator and resuming.
+//! The commands that operators send to the second address: readiness, statistics, draining and resuming.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::net::coordinator::CoreHandle;
 use crate::runtime::{thread, SMALL_STACK};
 
-/// The operator's commands to one coordinator.
+/// Executes operators' commands on this coordinator.
 pub(super) struct CoordinatorOperations {
     pub(super) core: CoreHandle,
     pub(super) service: Arc<Service>,
@@ -23,16 +23,16 @@
         self.service.not_ready_reason(&self.core).map_or(Ok(()), Err)
     }
 
-    fn figures(&self) -> String {
+    fn statistics(&self) -> String {
         self.core.process_stats().text()
     }
 
     fn drain(&self) -> Result<(), &'static str> {
-        let (called, change) = {
+        let (result, change) = {
             let mut lifecycle = self.service.lifecycle();
             (lifecycle.drain_start(self.service.now()), lifecycle.changes())
         };
-        if called == TransitionResult::Changed {
+        if result == TransitionResult::Changed {
             log::info!("drained by an operator");
             self.close_idle_connections_until_changed(change);
         }
@@ -50,7 +50,7 @@
 }
 
 impl CoordinatorOperations {
-    /// Closes idle client connections in a thread that ends with this drain: at the next change of the lifecycle.
+    /// Closes idle client connections in a thread until the next change of the lifecycle, which ends this drain.
     fn close_idle_connections_until_changed(&self, change: u64) {
         let (service, limits) = (self.service.clone(), self.limits.clone());
         let close = move || {
@@ -62,7 +62,7 @@
             }
         };
         if let Err(e) = thread("drain", SMALL_STACK, close) {
-            log::error!(error:% = e; "no thread to close idle connections");
+            log::error!(error:% = e; "cannot start the thread that closes idle connections");
         }
     }
 }
