--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,12 +1,13 @@
 //! A key-value map replicated to several coordinators by raft.
 //!
 //! A group of 3 or 5 members keeps a replicated log with raft-rs (`raft`, of TiKV), and every member applies the same
-//! commands to its own [`ReplicatedMap`]. A command is reported as committed only once a majority has it on disk; reads go
-//! by read index, so that a member cut off from most of the group never answers with a stale value. This crate does no
-//! I/O and reads no clock: a [`Member`] is ticked and fed bytes, and returns what is to be written, sent and completed.
-//! The driver in the root package carries that out over TCP and an embedded store.
+//! commands to its own [`ReplicatedMap`]. A command is reported as committed only once a majority has it on disk. Reads
+//! use a read index, so that a member on the minority side of a partition never returns a stale value. This crate does
+//! no I/O and reads no clock: the driver passes ticks and received bytes to a [`Member`], which returns the records to
+//! write, the messages to send and the requests that have completed. The driver in the root package performs these over
+//! TCP and an embedded store.
 //!
-//! `docs/design/replication.md` weighs the options; `docs/replication.md` is for operators.
+//! `docs/design/replication.md` compares the design options; `docs/replication.md` is for operators.
 
 mod command;
 pub mod disk_format;
--- a/crates/replication/src/limits.rs
+++ b/crates/replication/src/limits.rs
@@ -1,34 +1,34 @@
 //! The limits and the timing of a group.
 
-/// The limits of a group, and its timing in ticks, with the operator's defaults.
+/// The limits of a group, and its timing in ticks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicationLimits {
-    /// Keys of the map.
+    /// Maximum number of keys in the map; a command that would add another one is rejected.
     pub max_keys: usize,
-    /// Bytes of a key.
+    /// Maximum length of a key in bytes; a command with a longer key is rejected.
     pub max_key_bytes: usize,
-    /// Bytes of a value.
+    /// Maximum length of a value in bytes; a command with a longer value is rejected.
     pub max_value_bytes: usize,
-    /// Requests of this member that wait for the log; one more is rejected at once.
+    /// Maximum number of pending requests at this member; further requests are rejected at once.
     pub max_pending_requests: usize,
-    /// Entries applied between two snapshots. The log before a snapshot is dropped, so that the log on disk holds about
-    /// this many entries beyond one snapshot.
+    /// Entries applied between two snapshots. The entries that a snapshot covers are dropped, so the log on disk holds
+    /// about this many entries in addition to one snapshot.
     pub snapshot_interval_entries: u64,
-    /// Ticks without a message from the leader after which a follower campaigns. raft-rs draws the actual timeout at
-    /// random between once and twice this, which spreads the candidates.
+    /// Ticks without a message from the leader after which a follower campaigns. raft-rs randomizes the actual timeout
+    /// between one and two times this value, which makes split votes less likely.
     pub election_timeout_ticks: usize,
-    /// Replaces the random part of the election timeout, so that a scripted run is the same each time. Members of one
-    /// group need different ones.
+    /// Replaces the random part of the election timeout, so that a scripted run is reproducible. Members of one group
+    /// need different values. None keeps the random part.
     pub fixed_election_delay_ticks: Option<usize>,
-    /// Ticks between two heartbeats of a leader.
+    /// Ticks between two heartbeats of the leader.
     pub heartbeat_interval_ticks: usize,
     /// Ticks after which a pending request completes as [unknown](crate::RequestOutcome::Unknown).
     pub request_timeout_ticks: u64,
-    /// Ticks after which the leader is asked again for a read index that it has not confirmed.
+    /// Ticks after which a read index request that the leader has not confirmed is repeated.
     pub read_retry_ticks: u64,
-    /// Append messages in flight to one follower: back-pressure on a follower that lags.
+    /// Maximum number of append messages in flight to one follower, which limits the load on a slow follower.
     pub max_inflight_messages: usize,
-    /// Bytes of one append message.
+    /// Maximum size of one append message in bytes.
     pub max_message_bytes: u64,
 }
 
--- a/crates/replication/src/member.rs
+++ b/crates/replication/src/member.rs
@@ -1,10 +1,11 @@
-//! One member of a group: a raft-rs `RawNode` over a [`RaftLog`], the [`ReplicatedMap`] that it builds, and the pending
-//! requests of its own clients.
+//! One member of a group: a raft-rs `RawNode` over a [`RaftLog`], the [`ReplicatedMap`] that its log produces, and the
+//! pending requests of the clients connected to it.
 //!
-//! A member does no I/O and reads no clock. The driver ticks it and hands it the bytes that other members sent, and
-//! carries out each [`MemberOutput`] in its order: it writes to disk, then sends, then completes requests. So a client
-//! learns that a command is committed only after a majority has it on disk: the leader counts itself only once the driver
-//! has written what it returned, since nothing of a step leaves the process before its writes.
+//! A member does no I/O and reads no clock. The driver passes it ticks and messages from other members, and processes
+//! each [`MemberOutput`] in order: it writes to disk, then sends, then completes requests. No message or completion of
+//! a step leaves the process before the writes of that step are synced. A leader's own log therefore counts towards the
+//! majority only once it is on disk, and a client learns that a command is committed only after a majority has it on
+//! disk.
 
 mod error;
 mod ready;
@@ -38,7 +39,7 @@
     next_request: RequestHandle,
     /// Ticks since the start.
     ticks: u64,
-    /// It was removed from the group, or raft-rs has panicked.
+    /// Set once the member was removed from the group, or raft-rs has panicked.
     stopped: bool,
 }
 
@@ -50,11 +51,11 @@
 }
 
 impl Member {
-    /// A founding member of a new group of `voters`, with nothing on disk yet. The output holds the snapshot from which
-    /// the group begins.
+    /// Creates a founding member of a new group of `voters`, with an empty disk. The output holds the group's initial
+    /// snapshot.
     ///
     /// # Errors
-    /// The id is 0 or not among the voters, or the limits make no valid raft configuration.
+    /// The id is 0 or not among the voters, or the limits do not form a valid raft configuration.
     pub fn bootstrap(
         id: u64,
         voters: &[u64],
@@ -73,20 +74,20 @@
         Ok((member, MemberOutput { writes, ..MemberOutput::default() }))
     }
 
-    /// A member that joins a running group. It has no log, and waits for a snapshot from the leader once another member
-    /// has proposed to add it.
+    /// Creates a member that joins a running group. Its log is empty: it waits for a snapshot from the leader, after
+    /// another member has proposed to add it.
     ///
     /// # Errors
-    /// The id is 0, or the limits make no valid raft configuration.
+    /// The id is 0, or the limits do not form a valid raft configuration.
     pub fn join(id: u64, limits: ReplicationLimits) -> Result<Self, StartError> {
         Self::new(id, RaftLog::default(), ReplicatedMap::default(), limits)
     }
 
-    /// A member that starts again with the log that the driver has found on disk.
+    /// Restores a member from the log that the driver has read from disk.
     ///
     /// # Errors
-    /// The snapshot is torn or changed, in which case the driver quarantines the log and joins as a new member; or the
-    /// limits make no valid raft configuration.
+    /// The snapshot is corrupt, in which case the driver quarantines the log and joins as a new member; or the limits
+    /// do not form a valid raft configuration.
     pub fn recover(id: u64, log: RaftLog, limits: ReplicationLimits) -> Result<Self, StartError> {
         let map = if log.snapshot_index() == 0 {
             ReplicatedMap::default()
@@ -113,60 +114,61 @@
         })
     }
 
-    /// Gives the member the number of its start, which grows from start to start: entries of earlier starts may still be
-    /// in the log, and its requests must differ from theirs.
+    /// Sets the number of this process start, which must be greater than at any earlier start of the member. It keeps
+    /// request handles unique: the log may still hold entries proposed before the restart.
     #[must_use]
     pub fn with_start_number(mut self, start: u32) -> Self {
         self.next_request = RequestHandle::first_of_start(start);
         self
     }
 
-    /// Its id.
+    /// The member's raft id, which is never 0.
     pub fn id(&self) -> u64 {
         self.node.raft.id
     }
 
-    /// The leader that it knows, if any.
+    /// The id of the current leader, or none while the member knows of no leader.
     pub fn leader(&self) -> Option<u64> {
         Some(self.node.raft.leader_id).filter(|&id| id != raft::INVALID_ID)
     }
 
-    /// Whether it is the leader.
+    /// Whether this member is the leader of its current term.
     pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// Its term.
+    /// The raft term that this member is in.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// The voters as of the last change of membership applied.
+    /// The ids of the voters as of the last applied membership change.
     pub fn voters(&self) -> Vec<u64> {
         self.log().conf_state().voters.clone()
     }
 
-    /// The replicated map as this member has applied it.
+    /// The replicated map as of this member's applied index, which may be behind the leader's.
     pub fn map(&self) -> &ReplicatedMap {
         &self.map
     }
 
-    /// Its log in memory.
+    /// The in-memory log, including entries that are not committed.
     pub fn log(&self) -> &RaftLog {
         self.node.store()
     }
 
-    /// Whether it was removed from the group, or has stopped after an error.
+    /// Whether the member was removed from the group, or has stopped after an error. It then rejects all messages and
+    /// requests.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// How many requests are pending.
+    /// The number of requests that have not completed.
     pub fn pending_requests(&self) -> usize {
         self.pending.len()
     }
 
-    /// Takes note that one tick has passed.
+    /// Advances the member's clock by one tick: drives elections, heartbeats, retries and request timeouts.
     pub fn tick(&mut self) -> MemberOutput {
         let mut output = MemberOutput::default();
         if self.stopped {
@@ -182,10 +184,10 @@
         output
     }
 
-    /// Takes a message from another member.
+    /// Processes a message from another member.
     ///
     /// # Errors
-    /// Why the message was not taken. Nothing has changed then, unless raft-rs panicked, which stops the member.
+    /// The message was rejected. The member's state is unchanged then, unless raft-rs panicked, which stops the member.
     pub fn step(&mut self, bytes: &[u8]) -> Result<MemberOutput, MessageError> {
         if self.stopped {
             return Err(MessageError::Stopped);
@@ -205,7 +207,7 @@
         Ok(output)
     }
 
-    /// Makes a snapshot now, if anything was applied since the last one.
+    /// Creates a snapshot now, if any entry was applied since the last one.
     pub fn create_snapshot(&mut self) -> MemberOutput {
         let mut output = MemberOutput::default();
         if !self.stopped {
@@ -214,7 +216,8 @@
         output
     }
 
-    /// Reports that a member could not be reached: raft-rs sends it less until it answers.
+    /// Reports that a member could not be reached: raft-rs reduces the messages that it sends to that member until it
+    /// responds.
     pub fn report_unreachable(&mut self, member: u64) {
         self.with_raft(|node| node.report_unreachable(member));
     }
@@ -225,8 +228,8 @@
         self.with_raft(|node| node.report_snapshot(member, status));
     }
 
-    /// Calls raft-rs, which panics on what it takes for a broken invariant. A panic stops the member, which must come back
-    /// as a new one; returns none then.
+    /// Calls raft-rs, which panics when it detects a violated invariant. A panic stops the member, which must rejoin as
+    /// a new member; returns none then.
     fn with_raft<T>(&mut self, call: impl FnOnce(&mut RawNode<RaftLog>) -> T) -> Option<T> {
         if self.stopped {
             return None;
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Stops the member: pending requests are not completed by it any more.
+    /// Stops the member and discards its pending requests without completing them.
     fn stop(&mut self) {
         self.stopped = true;
         self.pending.clear();
@@ -249,7 +252,7 @@
 }
 
 fn raft_config(id: u64, applied: u64, limits: &ReplicationLimits) -> Config {
-    // 0 makes raft-rs draw the timeout at random.
+    // With 0, raft-rs randomizes the timeout.
     let fixed_timeout =
         limits.fixed_election_delay_ticks.map_or(0, |delay| limits.election_timeout_ticks + delay);
     Config {
--- a/crates/replication/src/member/error.rs
+++ b/crates/replication/src/member/error.rs
@@ -1,42 +1,42 @@
-//! Why a member cannot start, and why it does not take a message.
+//! Errors of starting a member, and of messages that a member rejects.
 
 use curlewdeck_snapshot::RecordError;
 
-/// Why a member cannot start.
+/// A member could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A founding member must be among the founders.
+    /// The id of a founding member is not one of the founders' ids.
     #[error("the member cannot start: member {id} is not among the founders {founders:?}")]
     NotAFounder {
-        /// The member.
+        /// The rejected id.
         id: u64,
-        /// The founders.
+        /// The ids of all founders, from the configuration.
         founders: Vec<u64>,
     },
-    /// The snapshot on disk is torn or changed.
-    #[error("the member cannot start: the snapshot on disk is not believed: {0}")]
+    /// The snapshot on disk is corrupt.
+    #[error("the member cannot start: the snapshot on disk is corrupt: {0}")]
     UnusableSnapshot(#[source] RecordError),
-    /// raft-rs does not accept the configuration or the log.
+    /// raft-rs rejected the configuration or the log.
     #[error("the member cannot start: {0}")]
     Raft(#[source] raft::Error),
 }
 
-/// Why a member does not take a message from another one.
+/// A member rejected a message from another member.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// It is no raft message.
-    #[error("the bytes are no raft message")]
+    /// The bytes cannot be decoded as a raft message.
+    #[error("cannot decode the raft message")]
     Undecodable,
-    /// It is for another member.
-    #[error("the message is for member {0}")]
+    /// The message is addressed to another member, whose id this holds.
+    #[error("the message is addressed to member {0}")]
     WrongReceiver(u64),
-    /// It carries a snapshot that is torn or changed.
-    #[error("the snapshot in it is not believed: {0}")]
+    /// The message carries a corrupt snapshot.
+    #[error("the snapshot in the message is corrupt: {0}")]
     UnusableSnapshot(#[source] RecordError),
-    /// raft-rs rejects it: a local message type, a member that it does not know, and so on.
-    #[error("raft refused it: {0}")]
+    /// raft-rs rejected the message, for example because it is of a local type or from an unknown member.
+    #[error("raft rejected the message: {0}")]
     Raft(#[source] raft::Error),
-    /// raft-rs panicked on it, or the member had stopped before.
-    #[error("raft stopped on it; this member has stopped")]
+    /// raft-rs panicked on this message, or the member was already stopped.
+    #[error("this member has stopped")]
     Stopped,
 }
--- a/crates/replication/src/member/ready.rs
+++ b/crates/replication/src/member/ready.rs
@@ -1,4 +1,5 @@
-//! What raft-rs has ready: messages to send, records to write, committed entries to apply, snapshots to install.
+//! Processing of raft-rs's ready states: messages to send, records to write, committed entries to apply, and snapshots
+//! to install.
 
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry, EntryType, Message, MessageType, Snapshot};
@@ -11,11 +12,11 @@
 use crate::replicated_map::ReplicatedMap;
 use crate::request::{RejectReason, RequestHandle, RequestOutcome};
 
-/// A step processes at most this many ready states, so that it ends in any case.
+/// Ready states processed in one step at most, so that a step always terminates.
 const MAX_READY_ROUNDS: usize = 64;
 
 impl Member {
-    /// Processes what raft-rs has ready, and completes the reads that can be answered after it.
+    /// Processes the ready states of raft-rs, and then completes the reads whose read index is applied.
     pub(super) fn process_ready(&mut self, output: &mut MemberOutput) {
         let mut rounds = 0;
         while !self.stopped && self.node.has_ready() && rounds < MAX_READY_ROUNDS {
@@ -30,7 +31,7 @@
         self.complete_reads(output);
     }
 
-    /// One round in the order that raft-rs requires. None if raft-rs has panicked.
+    /// Processes one ready state in the order that raft-rs requires. Returns none if raft-rs panicked.
     fn process_ready_round(&mut self, output: &mut MemberOutput) -> Option<()> {
         let mut ready = self.with_raft(|node| node.ready())?;
         output.messages.extend(encode_messages(ready.take_messages()));
@@ -68,11 +69,11 @@
         self.apply_entries(light_ready.take_committed_entries(), output);
     }
 
-    /// Replaces the map and the log by a leader's snapshot.
+    /// Replaces the map and the log with a snapshot from the leader.
     fn install_snapshot(&mut self, snapshot: Snapshot, output: &mut MemberOutput) {
         match ReplicatedMap::from_snapshot_data(snapshot.get_data()) {
             Ok(map) => self.map = map,
-            // Checked in `step`: a snapshot of this member itself cannot be torn.
+            // Not expected: `step` verifies the snapshot in a message before raft-rs sees it.
             Err(e) => {
                 log::error!(target: "group", member = self.id(), error:% = e; "snapshot not applied")
             }
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Applies an empty entry: a new leader's first one, or the one into which raft-rs turns a change of membership while
-    /// another one is pending.
+    /// Applies an empty entry. A new leader begins its term with one, and raft-rs substitutes one for a membership
+    /// change that is proposed while another membership change is pending.
     fn apply_empty_entry(
         &mut self,
         entry: &Entry,
@@ -125,7 +126,7 @@
     ) {
         let outcome = match Command::from_entry_data(entry.get_data()) {
             Ok(command) => self.map.apply(entry.index, &command, &self.limits),
-            // Sealed by the proposer and checked on every read from disk: a newer version wrote it.
+            // The checksum was verified on every read from disk, so this entry was written by a newer version.
             Err(e) => {
                 log::error!(
                     target: "group", member = self.id(), index = entry.index, error:% = e;
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Makes a snapshot and compacts the log, if at least so many entries were applied since the last snapshot.
+    /// Creates a snapshot and compacts the log if at least `min_entries` were applied since the last snapshot.
     pub(super) fn create_snapshot_after(&mut self, min_entries: u64, output: &mut MemberOutput) {
         let applied = self.map.applied_index();
         let log = self.log();
--- a/crates/replication/src/member/requests.rs
+++ b/crates/replication/src/member/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of a member's own clients: proposals and reads that wait for the log.
+//! Client requests of a member: proposals and reads, which complete once the log is applied far enough.
 
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry};
 use raft::{RawNode, ReadState};
@@ -12,7 +12,7 @@
 use crate::request::{ProposalTag, RejectReason, RequestHandle, RequestOutcome};
 use crate::value_kind;
 
-/// A change of the group's voters, by the id of one member.
+/// A change of the group's voters; holds the id of the member that is added or removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipChange {
     /// Adds a voter.
@@ -25,41 +25,42 @@
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) kind: RequestKind,
-    /// The tick at which it completes as unknown.
+    /// The tick at which the request completes as unknown.
     deadline: u64,
-    /// The tick at which it is handed to raft-rs again; none if that is done once only.
+    /// The tick at which the request is passed to raft-rs again; none if it is not retried.
     retry_at: Option<u64>,
 }
 
-/// What a pending request waits for.
+/// The kind of a pending request, which determines when it completes.
 #[derive(Debug)]
 pub(super) enum RequestKind {
-    /// That its command is applied.
+    /// Completes once its command is applied.
     Command,
-    /// The same; the command is proposed again and again, always with the tag of its request.
+    /// Completes once its command is applied. The command is proposed repeatedly, each time with the same tag.
     RetriedCommand { entry_data: Vec<u8> },
-    /// That its change of membership is applied.
+    /// Completes once its membership change is applied.
     MembershipChange,
-    /// That the member has applied the log up to the read index, once the leader has confirmed it.
+    /// Completes once the leader has confirmed the read index and this member has applied the log up to it.
     Read { key: String, read_index: Option<u64> },
 }
 
 impl Member {
-    /// Proposes a command.
+    /// Proposes a command once: if the proposal is lost, the request completes as unknown after its timeout.
     pub fn propose(&mut self, command: &Command) -> (RequestHandle, MemberOutput) {
         let data = command.to_entry_data();
         self.submit(RequestKind::Command, |node, tag| node.propose(tag, data).is_ok())
     }
 
-    /// Sets a key if it is still at `version`, and proposes that again until it is applied, over changes of the leader and
+    /// Sets a key if it is still at `version`, and repeats the proposal until it is applied, despite leader changes and
     /// lost messages; completes as unknown if it is not applied within `timeout_ticks`.
     ///
-    /// The outcome is that of the first proposal that this member applies. Once one has written the key, all later ones
-    /// find another version and change nothing. Three things follow from that:
-    /// - The key must not be removed meanwhile, which would take its version back to 0.
-    /// - A member that catches up by a snapshot may not see the proposal that has written; it then completes with
-    ///   [`VersionMismatch`](crate::CommandOutcome::VersionMismatch) although the key holds this value.
-    /// - After [`Rejected`](crate::CommandOutcome::Rejected), or as unknown, another proposal may still take effect.
+    /// The outcome is that of the first proposal that this member applies. Once one proposal has written the key, all
+    /// later ones fail the version check and change nothing. This has three consequences:
+    /// - The key must not be removed while the request is pending, since removal resets its version to 0.
+    /// - A member that catches up from a snapshot may never apply the entry that wrote the key. The request then
+    ///   completes with [`VersionMismatch`](crate::CommandOutcome::VersionMismatch) although the key holds this value.
+    /// - After [`Rejected`](crate::CommandOutcome::Rejected) or [`Unknown`](RequestOutcome::Unknown), another
+    ///   proposal of the same request may still take effect.
     pub fn compare_and_set_until_applied(
         &mut self,
         key: String,
@@ -70,7 +71,7 @@
         let mut output = MemberOutput::default();
         let request = self.take_handle();
         match self.reject_reason() {
-            // It waits for a leader.
+            // Without a leader the request stays pending, and is proposed once there is one.
             None | Some(RejectReason::NoLeader) => {}
             Some(reason) => {
                 output.complete(request, RequestOutcome::Rejected(reason));
@@ -86,7 +87,7 @@
         (request, output)
     }
 
-    /// Hands the requests that are due to raft-rs again, if a leader is known.
+    /// Passes the requests whose retry is due to raft-rs again, if a leader is known.
     pub(super) fn retry_requests(&mut self) {
         if self.leader().is_none() {
             return;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Hands a pending request to raft-rs again, under the same tag.
+    /// Passes a pending request to raft-rs again with its original tag.
     fn retry(&mut self, request: RequestHandle) {
         let tag = self.proposal_tag(request);
         let Some(pending) = self.pending.get(&request) else { return };
@@ -115,9 +116,9 @@
                 self.with_raft(|node| node.read_index(tag));
                 Some(self.ticks + self.limits.read_retry_ticks)
             }
-            // Its read index is confirmed.
+            // The read index is confirmed; the read completes once this member has applied the log up to it.
             RequestKind::Read { .. } => None,
-            // Another one might take effect beside the first.
+            // Not retried: both proposals might take effect.
             RequestKind::Command | RequestKind::MembershipChange => None,
         };
         if let Some(pending) = self.pending.get_mut(&request) {
@@ -125,9 +126,10 @@
         }
     }
 
-    /// Reads a key linearizably, by read index: completes once the leader has confirmed with a majority that it still
-    /// leads, and this member has applied the log up to the commit index that the leader had then. The leader is asked
-    /// again until then: raft-rs drops what a new leader is asked before it has committed an entry of its term.
+    /// Reads a key linearizably, by read index: completes once the leader has confirmed with a majority that it is
+    /// still the leader, and this member has applied the log up to the commit index that the leader had at that time.
+    /// The read index request is repeated until the leader confirms it, because raft-rs drops requests to a leader that
+    /// has not committed an entry of its own term yet.
     pub fn read(&mut self, key: &str) -> (RequestHandle, MemberOutput) {
         let kind = RequestKind::Read { key: key.to_owned(), read_index: None };
         self.submit(kind, |node, tag| {
@@ -136,7 +138,7 @@
         })
     }
 
-    /// Proposes a change of membership; only one can be pending in the group.
+    /// Proposes a membership change. Only one can be pending in the group; another one is rejected.
     pub fn change_membership(&mut self, change: MembershipChange) -> (RequestHandle, MemberOutput) {
         let (change_type, member) = match change {
             MembershipChange::Add(member) => (ConfChangeType::AddNode, member),
@@ -148,12 +150,12 @@
         self.submit(RequestKind::MembershipChange, propose)
     }
 
-    /// Hands a request to raft-rs under a new handle, or rejects it at once. `hand_over` returns whether raft-rs has
-    /// taken it.
+    /// Passes a request to raft-rs under a new handle, or rejects it at once. `start` returns whether raft-rs accepted
+    /// it.
     fn submit(
         &mut self,
         kind: RequestKind,
-        hand_over: impl FnOnce(&mut RawNode<RaftLog>, Vec<u8>) -> bool,
+        start: impl FnOnce(&mut RawNode<RaftLog>, Vec<u8>) -> bool,
     ) -> (RequestHandle, MemberOutput) {
         let mut output = MemberOutput::default();
         let request = self.take_handle();
@@ -162,7 +164,7 @@
             return (request, output);
         }
         let tag = self.proposal_tag(request);
-        match self.with_raft(|node| hand_over(node, tag)) {
+        match self.with_raft(|node| start(node, tag)) {
             Some(true) => {
                 let deadline = self.ticks + self.limits.request_timeout_ticks;
                 let is_read = matches!(kind, RequestKind::Read { .. });
@@ -176,14 +178,13 @@
         (request, output)
     }
 
-    /// The handle of the next request.
     fn take_handle(&mut self) -> RequestHandle {
         let request = self.next_request;
         self.next_request = request.next();
         request
     }
 
-    /// What stands beside a request in the log.
+    /// The context of a request's log entry, by which this member recognises its own proposal.
     fn proposal_tag(&self, request: RequestHandle) -> Vec<u8> {
         tagged::seal(value_kind::PROPOSAL_TAG, &ProposalTag { member: self.id(), request })
     }
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Completes the requests whose deadline has passed.
+    /// Completes the requests whose deadline has passed as unknown.
     pub(super) fn complete_overdue_requests(&mut self, output: &mut MemberOutput) {
         let ticks = self.ticks;
         self.pending.retain(|request, pending| {
@@ -212,7 +213,7 @@
         });
     }
 
-    /// The pending request of this member that proposed an entry, if any; it is pending no longer.
+    /// Removes and returns the pending request of this member that proposed an entry, if there is one.
     pub(super) fn take_proposer(&mut self, entry: &Entry) -> Option<(RequestHandle, RequestKind)> {
         let tag = tagged::open::<ProposalTag>(value_kind::PROPOSAL_TAG, entry.get_context()).ok()?;
         if tag.member != self.id() {
@@ -221,7 +222,7 @@
         self.pending.remove(&tag.request).map(|pending| (tag.request, pending.kind))
     }
 
-    /// Takes note of the read indices that the leader has confirmed.
+    /// Records the read indices that the leader has confirmed.
     pub(super) fn record_read_indices(&mut self, confirmed: Vec<ReadState>) {
         for state in confirmed {
             let tag = tagged::open::<ProposalTag>(value_kind::PROPOSAL_TAG, &state.request_ctx);
--- a/crates/replication/src/output.rs
+++ b/crates/replication/src/output.rs
@@ -1,17 +1,17 @@
-//! What a step of a member returns to its driver.
+//! The output of one step of a member: writes, messages and completions for the driver.
 
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
 use crate::request::{RequestHandle, RequestOutcome};
 
-/// What a step of a member returns, to be carried out in the order of the fields.
+/// The output of one step of a member. The driver must process the fields in their order.
 #[derive(Debug, Default)]
 pub struct MemberOutput {
-    /// First: what is to be on disk.
+    /// Records to write and sync first.
     pub writes: DurableWrites,
-    /// Then: messages to other members.
+    /// Messages to send to other members after the writes are synced.
     pub messages: Vec<OutboundMessage>,
-    /// Last: requests that have completed.
+    /// Requests to complete last.
     pub completions: Vec<Completion>,
 }
 
@@ -21,21 +21,22 @@
     }
 }
 
-/// What is to be on disk before any message or completion of the same step leaves the process.
+/// Records that must be on disk before any message or completion of the same step leaves the process.
 #[derive(Debug, Default)]
 pub struct DurableWrites {
-    /// A snapshot. Once it is written, the entries up to its index may be dropped.
+    /// A new snapshot. Once it is written, the entries up to its index may be dropped.
     pub snapshot: Option<Snapshot>,
-    /// Whether the snapshot is the leader's: it then replaces the whole log, not only the entries that it covers.
+    /// Whether the snapshot was received from the leader: it then replaces the entire log instead of only the entries
+    /// that it covers.
     pub replaces_log: bool,
-    /// Entries in order. The first one replaces the entry at its index and all after it.
+    /// Entries in ascending index order. The first one replaces the entry at its index and all after it.
     pub entries: Vec<Entry>,
-    /// The hard state.
+    /// The term, the vote and the commit index; none if they have not changed.
     pub hard_state: Option<HardState>,
 }
 
 impl DurableWrites {
-    /// Adds the writes of a later step, so that both are written at once.
+    /// Merges in the writes of a later step, so that one transaction covers both.
     pub fn extend(&mut self, later: Self) {
         if let Some(snapshot) = later.snapshot {
             let covered = snapshot.get_metadata().index;
@@ -50,7 +51,7 @@
         self.hard_state = later.hard_state.or(self.hard_state.take());
     }
 
-    /// Whether there is nothing to write.
+    /// Whether the step needs no write.
     pub fn is_empty(&self) -> bool {
         self.snapshot.is_none() && self.entries.is_empty() && self.hard_state.is_none()
     }
@@ -59,20 +60,20 @@
 /// A message to another member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutboundMessage {
-    /// The other member's id.
+    /// The id of the receiving member.
     pub to: u64,
-    /// The message, in protobuf's encoding.
+    /// The raft message, encoded as protobuf.
     pub bytes: Vec<u8>,
-    /// Whether it carries a snapshot. Whether that was delivered must be reported by
-    /// [`Member::report_snapshot`](crate::Member::report_snapshot), or raft-rs waits for ever.
+    /// Whether the message carries a snapshot. The driver must then report success or failure of the delivery to
+    /// [`Member::report_snapshot`](crate::Member::report_snapshot); raft-rs waits for that report without a timeout.
     pub has_snapshot: bool,
 }
 
 /// A request that has completed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Completion {
-    /// The request.
+    /// The handle that the member returned when the request was made.
     pub request: RequestHandle,
-    /// Its outcome.
+    /// The final outcome; a request completes once.
     pub outcome: RequestOutcome,
 }
--- a/crates/replication/src/raft_log.rs
+++ b/crates/replication/src/raft_log.rs
@@ -1,6 +1,6 @@
-//! The log as raft-rs reads it, in memory: the last snapshot, the entries after it, the hard state and the membership.
-//! The driver fills it from disk at the start, and writes to disk what each step adds before any message of that step
-//! leaves the process.
+//! The in-memory log that raft-rs reads: the last snapshot, the entries after it, the hard state and the membership.
+//! The driver loads it from disk at the start, and writes the additions of each step to disk before any message of that
+//! step leaves the process.
 
 use std::cell::Cell;
 
@@ -14,13 +14,13 @@
     conf_state: ConfState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// raft-rs has asked for a snapshot that the last one cannot serve.
+    /// Set when raft-rs needs a newer snapshot than the last one.
     snapshot_requested: Cell<bool>,
 }
 
 impl RaftLog {
-    /// The log of a founding member: a snapshot at index 1 of term 1 that names the founders. A member that joins later
-    /// can therefore not be sent entry 1, and is sent a snapshot, from which it learns the membership.
+    /// Creates the log of a founding member: a snapshot at index 1 of term 1 that lists the founders as voters. Since
+    /// the log has no entry 1, a member that joins later always receives a snapshot, which contains the membership.
     pub fn bootstrap(voters: &[u64], map_snapshot: Vec<u8>) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.set_data(map_snapshot.into());
@@ -33,12 +33,13 @@
         log
     }
 
-    /// The log from what was stored: the last snapshot, the hard state, and the entries after the snapshot in order.
+    /// Restores the log from stored records: the last snapshot, the hard state, and the entries after the snapshot in
+    /// index order.
     pub fn recovered(snapshot: Snapshot, hard_state: HardState, entries: Vec<Entry>) -> Self {
         let mut log = Self::default();
         log.install_snapshot(snapshot);
         log.append(&entries);
-        // Changes of membership after the snapshot are applied again from the log by the member itself.
+        // Membership changes after the snapshot need no handling here: the member applies them again from the log.
         let (term, commit) = (log.hard_state.term, log.hard_state.commit);
         log.hard_state = hard_state;
         log.hard_state.term = log.hard_state.term.max(term);
@@ -51,12 +52,12 @@
         self.snapshot.get_metadata().index
     }
 
-    /// The last snapshot.
+    /// The snapshot that precedes the entries; the default one, with index 0, if none was created or received.
     pub fn last_snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The membership as of the last change applied.
+    /// The membership as of the last applied change.
     pub fn conf_state(&self) -> &ConfState {
         &self.conf_state
     }
@@ -66,12 +67,12 @@
         &self.hard_state
     }
 
-    /// The entries after the snapshot.
+    /// The entries with indices above [`snapshot_index`](Self::snapshot_index), in index order.
     pub fn entries_after_snapshot(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Whether raft-rs has asked for a newer snapshot since the last call.
+    /// Returns whether raft-rs has requested a newer snapshot since the last call.
     pub(crate) fn take_snapshot_request(&self) -> bool {
         self.snapshot_requested.replace(false)
     }
@@ -106,7 +107,7 @@
         self.entries.extend(entries.into_iter().cloned());
     }
 
-    /// Replaces the whole log by a leader's snapshot, and the membership by the one that it names.
+    /// Replaces the entire log with a snapshot from the leader, and the membership with that of the snapshot.
     pub(crate) fn install_snapshot(&mut self, snapshot: Snapshot) {
         let metadata = snapshot.get_metadata();
         self.hard_state.term = self.hard_state.term.max(metadata.term);
@@ -116,7 +117,7 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces the snapshot by a newer one of this member, and drops the entries that it covers.
+    /// Replaces the snapshot with a newer one that this member created, and drops the entries that it covers.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         let index = snapshot.get_metadata().index;
         self.entries.retain(|e| e.index > index);
@@ -172,10 +173,10 @@
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
-        // A member rejects a snapshot that does not name it, such as one made before it was added.
+        // A member rejects a snapshot whose membership does not include it, such as one created before it was added.
         let members = self.snapshot.get_metadata().get_conf_state();
-        let names_receiver = members.voters.contains(&to) || members.learners.contains(&to);
-        if self.snapshot_index() < request_index || !names_receiver {
+        let includes_receiver = members.voters.contains(&to) || members.learners.contains(&to);
+        if self.snapshot_index() < request_index || !includes_receiver {
             self.snapshot_requested.set(true);
             return Err(raft::Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
--- a/crates/replication/src/raft_log/tests.rs
+++ b/crates/replication/src/raft_log/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_conflicting_tail_is_replaced_and_compacted_entries_are_gone() {
+fn conflicting_tail_is_replaced_and_compacted_entries_are_dropped() {
     let mut log = RaftLog::bootstrap(&[1, 2, 3], Vec::new());
     log.append(&[entry(2, 1), entry(3, 1), entry(4, 1)]);
     log.append(&[entry(3, 2)]);
--- a/crates/replication/src/replicated_map.rs
+++ b/crates/replication/src/replicated_map.rs
@@ -1,7 +1,7 @@
-//! The state machine: a map of keys, each with a value and the log index that wrote it.
+//! The state machine: a map of keys, each with a value and the log index at which it was written.
 //!
-//! Every member applies the same commands in the same order, so that every member holds the same map at the same index.
-//! The outcome of a command is a function of the map and the command alone: no clock, no randomness.
+//! Every member applies the same commands in the same order, so all members hold the same map at the same index. The
+//! outcome of a command depends only on the map, the command and the limits, never on a clock or on randomness.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// The value of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedValue {
-    /// The value.
+    /// The bytes as the client wrote them.
     pub value: Vec<u8>,
     /// The log index of the command that wrote it.
     pub version: u64,
@@ -36,27 +36,28 @@
         self.applied_index
     }
 
-    /// The value of a key.
+    /// The value of a key, or none if the key is absent.
     pub fn get(&self, key: &str) -> Option<&VersionedValue> {
         self.values.get(key)
     }
 
-    /// How many keys there are.
+    /// The number of keys.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// Whether there is no key.
+    /// Whether the map has no keys.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
 
-    /// Takes note of an entry without a command: a leader's empty entry, or a change of membership.
+    /// Advances the applied index past an entry that does not change the map, such as a leader's empty entry or a
+    /// membership change.
     pub fn skip(&mut self, index: u64) {
         self.applied_index = self.applied_index.max(index);
     }
 
-    /// Applies the command at `index`. An entry that was applied before changes nothing.
+    /// Applies the command at `index`. Has no effect if `index` was already applied.
     pub fn apply(&mut self, index: u64, command: &Command, limits: &ReplicationLimits) -> CommandOutcome {
         if index <= self.applied_index {
             return CommandOutcome::NoEffect;
@@ -107,15 +108,15 @@
         Ok(())
     }
 
-    /// The map as the data of a snapshot.
+    /// Encodes the map as the data of a snapshot.
     pub fn to_snapshot_data(&self) -> Vec<u8> {
         tagged::seal(value_kind::MAP_SNAPSHOT, self)
     }
 
-    /// The map from the data of a snapshot.
+    /// Decodes the map from the data of a snapshot.
     ///
     /// # Errors
-    /// Says why the bytes are not used.
+    /// The bytes are corrupt, or are not a map that this version can decode.
     pub fn from_snapshot_data(bytes: &[u8]) -> Result<Self, RecordError> {
         tagged::open(value_kind::MAP_SNAPSHOT, bytes)
     }
--- a/crates/replication/src/request.rs
+++ b/crates/replication/src/request.rs
@@ -1,59 +1,61 @@
-//! Requests of a member's own clients: their handles and their outcomes.
+//! Client requests of a member: handles and outcomes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::command::CommandOutcome;
 use crate::replicated_map::VersionedValue;
 
-/// Identifies one proposal or read of a member. No two requests of a member have the same, over all its starts.
+/// Identifies one proposal or read of a member. Handles of a member are unique, also across restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestHandle(u64);
 
-/// The lower bits of a handle number the requests of one start; the upper ones are the number of that start.
+/// The lower bits of a handle number the requests since a start; the upper bits hold the number of that start.
 const REQUEST_NUMBER_BITS: u32 = 32;
 
 impl RequestHandle {
-    /// The first request of a start.
+    /// The handle of the first request after a start.
     pub(crate) fn first_of_start(start: u32) -> Self {
         Self((u64::from(start) << REQUEST_NUMBER_BITS) | 1)
     }
 
-    /// The request after this one.
     pub(crate) fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A proposal was committed, which means that a majority has it on disk, and applied.
+    /// The proposal was committed, which means that a majority has it on disk, and applied.
     Committed(CommandOutcome),
-    /// A linearizable read: the key's value as of a moment between the request and this outcome.
+    /// The result of a linearizable read: the key's value at some moment between the request and its completion; none
+    /// if the key was absent.
     Read(Option<VersionedValue>),
-    /// Rejected at once: nothing was done, and nothing will be. One election timeout later it may be retried.
+    /// The request was rejected: it had no effect and never will. The client may retry it after an election timeout.
     Rejected(RejectReason),
-    /// The request was pending for its timeout, which is
-    /// [`request_timeout_ticks`](crate::ReplicationLimits::request_timeout_ticks) unless its caller gave one: the command
-    /// may still be applied, or never.
+    /// The request timed out, after [`request_timeout_ticks`](crate::ReplicationLimits::request_timeout_ticks) or the
+    /// caller's own timeout. The command may still be applied later, or never.
     Unknown,
 }
 
-/// Why a member rejects a request at once.
+/// The reason for which a member rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RejectReason {
-    /// No leader is known: an election is on, or this member is on a minority side.
-    #[error("no leader is known: an election is on or this member is cut off from most of the group")]
+    /// No leader is known: an election is in progress, or this member is on the minority side of a partition.
+    #[error(
+        "no leader is known: an election is in progress, or this member cannot reach a majority of the group"
+    )]
     NoLeader,
-    /// [`max_pending_requests`](crate::ReplicationLimits::max_pending_requests) are pending already.
-    #[error("too many proposals wait for the log")]
+    /// The number of pending requests has reached
+    /// [`max_pending_requests`](crate::ReplicationLimits::max_pending_requests).
+    #[error("too many requests are pending")]
     TooManyPending,
     /// The member was removed from the group, or has stopped after an error.
     #[error("this member is no longer in the group")]
     Stopped,
 }
 
-/// What a proposer puts beside its command in the log, to recognise it once it is committed.
+/// The context of a log entry, by which its proposer recognises it once it is committed.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct ProposalTag {
     pub(crate) member: u64,
--- a/crates/replication/tests/cluster.rs
+++ b/crates/replication/tests/cluster.rs
@@ -1,8 +1,9 @@
-//! Groups of members over a scripted network and scripted time: messages lost, duplicated, delayed and reordered, cuts one
-//! way and partitions, members stopped with their disk kept or wiped. Every run is fixed by its seed.
+//! Groups of members over a simulated network with a simulated clock. The faults are lost, duplicated, delayed and
+//! reordered messages, one-way link failures, partitions, and members killed with their disk kept or wiped. A seed
+//! makes each run reproducible.
 //!
-//! What is checked after each: every command that a client was told is committed is in the map of every member that
-//! still belongs to the group, and the history of puts and reads is linearizable (`curlewdeck_testkit::history`).
+//! Each run ends with two checks: every command reported as committed is in the map of every current member of the
+//! group, and the history of puts and reads is linearizable (`curlewdeck_testkit::history`).
 
 mod scripted_group;
 
@@ -19,84 +20,88 @@
 #[test]
 fn three_members_commit_under_loss_duplication_and_reordering() {
     for seed in 1..=4 {
-        let mut g = Group::new(seed, &[1, 2, 3], small_limits());
-        (g.drop, g.twice, g.delay) = (100, 50, 6);
-        g.settle();
+        let mut group = Group::new(seed, &[1, 2, 3], small_limits());
+        (group.drop_per_mille, group.duplicate_per_mille, group.max_delay_steps) = (100, 50, 6);
+        group.settle();
         for n in 0..300 {
             let member = 1 + (n as u64 % 3);
-            put(&mut g, member, n);
+            put(&mut group, member, n);
             if n % 7 == 0 {
-                g.submit(member, Request::Read(format!("k{:05}", n / 2)));
+                group.submit(member, Request::Read(format!("k{:05}", n / 2)));
             }
-            g.run(1);
+            group.run(1);
         }
-        (g.drop, g.twice) = (0, 0);
-        g.run(100);
-        let checked = g.check_committed();
-        let reads = g.count_outcomes(|a| matches!(a, RequestOutcome::Read(_)));
+        (group.drop_per_mille, group.duplicate_per_mille) = (0, 0);
+        group.run(100);
+        let checked = group.check_committed();
+        let reads = group.count_outcomes(|a| matches!(a, RequestOutcome::Read(_)));
         assert!(checked > 150, "seed {seed}: only {checked} of 300 committed");
         assert!(reads > 10, "seed {seed}: only {reads} reads answered");
         assert!(
-            g.members.values().all(|m| m.log().snapshot_index() > 1),
+            group.members.values().all(|m| m.log().snapshot_index() > 1),
             "seed {seed}: the log was never compacted"
         );
     }
 }
 
 #[test]
-fn a_leader_killed_in_a_burst_recovers_from_its_disk_and_nothing_committed_is_lost() {
+fn leader_killed_during_writes_recovers_from_disk_without_losing_commits() {
     for seed in 1..=4 {
-        let mut g = Group::new(seed, &[1, 2, 3], small_limits());
-        let leader = g.settle();
+        let mut group = Group::new(seed, &[1, 2, 3], small_limits());
+        let leader = group.settle();
         for n in 0..60 {
-            put(&mut g, leader, n);
+            put(&mut group, leader, n);
             if n == 40 {
-                g.kill(leader);
+                group.kill(leader);
             }
-            g.run(1);
+            group.run(1);
         }
-        let next = g.settle();
+        let next = group.settle();
         assert_ne!(next, leader);
         for n in 60..120 {
-            put(&mut g, next, n);
-            g.run(1);
+            put(&mut group, next, n);
+            group.run(1);
         }
-        g.restart(leader);
-        g.run(100);
-        let checked = g.check_committed();
+        group.restart(leader);
+        group.run(100);
+        let checked = group.check_committed();
         assert!(checked >= 80, "seed {seed}: only {checked} committed");
     }
 }
 
 #[test]
-fn a_minority_side_rejects_and_never_reads_stale_and_the_majority_continues() {
+fn minority_side_rejects_requests_and_never_reads_stale_values_while_the_majority_continues() {
     for seed in 1..=4 {
-        let mut g = Group::new(seed, &[1, 2, 3, 4, 5], small_limits());
-        let leader = g.settle();
+        let mut group = Group::new(seed, &[1, 2, 3, 4, 5], small_limits());
+        let leader = group.settle();
         for n in 0..20 {
-            put(&mut g, leader, n);
-            g.run(1);
+            put(&mut group, leader, n);
+            group.run(1);
         }
         let others: Vec<u64> = (1..=5).filter(|&i| i != leader).collect();
         let minority = [leader, others[0]];
         let majority = [others[1], others[2], others[3]];
-        g.partition(&[&minority, &majority]);
-        g.run(40);
-        let new = g.leader().filter(|l| majority.contains(l)).expect("the majority elects a leader");
+        group.partition(&[&minority, &majority]);
+        group.run(40);
+        let new = group.leader().filter(|l| majority.contains(l)).expect("the majority elects a leader");
         for n in 20..60 {
-            put(&mut g, new, n);
-            put(&mut g, leader, 1000 + n);
-            g.submit(minority[1], Request::Read(format!("k{n:05}")));
-            g.run(1);
+            put(&mut group, new, n);
+            put(&mut group, leader, 1000 + n);
+            group.submit(minority[1], Request::Read(format!("k{n:05}")));
+            group.run(1);
         }
-        // The old leader has stepped down: what it is request now is refused at once.
-        let before = g.count_outcomes(|a| matches!(a, RequestOutcome::Rejected(_)));
-        put(&mut g, leader, 2000);
-        assert_eq!(g.count_outcomes(|a| matches!(a, RequestOutcome::Rejected(_))), before + 1, "seed {seed}");
-        g.cut.clear();
-        g.run(120);
-        g.check_committed();
-        let committed = g.committed();
+        // The old leader has stepped down, so it rejects new requests at once.
+        let before = group.count_outcomes(|a| matches!(a, RequestOutcome::Rejected(_)));
+        put(&mut group, leader, 2000);
+        assert_eq!(
+            group.count_outcomes(|a| matches!(a, RequestOutcome::Rejected(_))),
+            before + 1,
+            "seed {seed}"
+        );
+        group.blocked_links.clear();
+        group.run(120);
+        group.check_committed();
+        let committed = group.committed();
         assert!(
             (1020..1060).all(|n| !committed.contains_key(&format!("k{n:05}"))),
             "seed {seed}: a minority committed"
@@ -109,90 +114,91 @@
 }
 
 #[test]
-fn one_way_cuts_and_a_paused_member_do_not_stall_the_rest() {
+fn one_way_link_failures_and_a_paused_member_do_not_stall_the_group() {
     for seed in 1..=3 {
-        let mut g = Group::new(seed, &[1, 2, 3], small_limits());
-        let leader = g.settle();
+        let mut group = Group::new(seed, &[1, 2, 3], small_limits());
+        let leader = group.settle();
         let follower = if leader == 1 { 2 } else { 1 };
-        // The leader hears nobody, while all hear it: check-quorum makes it step down, and pre-vote lets a new one in.
+        // The leader can send but receives nothing: check-quorum makes it step down, and pre-vote allows a new
+        // election.
         for other in [1, 2, 3].into_iter().filter(|&o| o != leader) {
-            g.cut.insert((other, leader));
+            group.blocked_links.insert((other, leader));
         }
-        g.run(60);
-        let next = g.settle();
-        assert_ne!(next, leader, "seed {seed}: a leader that hears nobody stayed");
-        g.cut.clear();
-        g.paused.insert(follower);
+        group.run(60);
+        let next = group.settle();
+        assert_ne!(next, leader, "seed {seed}: a leader that receives no messages did not step down");
+        group.blocked_links.clear();
+        group.paused.insert(follower);
         for n in 0..40 {
-            let at = g.settle();
-            put(&mut g, at, n);
-            g.run(1);
+            let at = group.settle();
+            put(&mut group, at, n);
+            group.run(1);
         }
-        g.paused.clear();
-        g.run(100);
-        assert!(g.check_committed() >= 30, "seed {seed}");
+        group.paused.clear();
+        group.run(100);
+        assert!(group.check_committed() >= 30, "seed {seed}");
     }
 }
 
 #[test]
-fn two_members_lost_with_their_disks_are_replaced_by_new_ones_from_a_snapshot() {
-    let mut g = Group::new(7, &[1, 2, 3, 4, 5], small_limits());
-    let leader = g.settle();
+fn two_members_lost_with_their_disks_are_replaced_by_new_members_from_a_snapshot() {
+    let mut group = Group::new(7, &[1, 2, 3, 4, 5], small_limits());
+    let leader = group.settle();
     for n in 0..100 {
-        put(&mut g, leader, n);
-        g.run(1);
+        put(&mut group, leader, n);
+        group.run(1);
     }
     let lost: Vec<u64> = (1..=5).filter(|&i| i != leader).take(2).collect();
     for &id in &lost {
-        g.kill(id);
-        g.disks.remove(&id);
+        group.kill(id);
+        group.disks.remove(&id);
     }
-    // A wiped member never comes back under its old id: it could vote twice and lose what was committed.
+    // A wiped member never rejoins under its old id: it could vote twice in a term and lose committed entries.
     for (&old, new) in lost.iter().zip([6, 7]) {
-        let at = g.settle();
-        g.change_membership(at, MembershipChange::Remove(old));
-        g.run(20);
-        let at = g.settle();
-        g.members.insert(new, Member::join(new, g.limits_of(new)).unwrap());
-        g.change_membership(at, MembershipChange::Add(new));
-        g.run(40);
+        let at = group.settle();
+        group.change_membership(at, MembershipChange::Remove(old));
+        group.run(20);
+        let at = group.settle();
+        group.members.insert(new, Member::join(new, group.limits_of(new)).unwrap());
+        group.change_membership(at, MembershipChange::Add(new));
+        group.run(40);
     }
     for n in 100..140 {
-        let at = g.settle();
-        put(&mut g, at, n);
-        g.run(1);
+        let at = group.settle();
+        put(&mut group, at, n);
+        group.run(1);
     }
-    g.run(100);
-    let leader = g.settle();
-    let voters: BTreeSet<u64> = g.members[&leader].voters().into_iter().collect();
+    group.run(100);
+    let leader = group.settle();
+    let voters: BTreeSet<u64> = group.members[&leader].voters().into_iter().collect();
     let want: BTreeSet<u64> = (1..=5).filter(|i| !lost.contains(i)).chain([6, 7]).collect();
     assert_eq!(voters, want);
-    assert!(g.check_committed() >= 130);
+    assert!(group.check_committed() >= 130);
 }
 
 #[test]
 fn compare_and_sets_on_one_key_grant_each_version_once() {
     for seed in 1..=4 {
-        let mut g = Group::new(seed, &[1, 2, 3], small_limits());
-        (g.drop, g.delay) = (50, 5);
-        g.settle();
+        let mut group = Group::new(seed, &[1, 2, 3], small_limits());
+        (group.drop_per_mille, group.max_delay_steps) = (50, 5);
+        group.settle();
         for round in 0..60 {
-            let version = g.members.values().next().unwrap().map().get("lease").map_or(0, |s| s.version);
+            let version = group.members.values().next().unwrap().map().get("lease").map_or(0, |s| s.version);
             for member in 1..=3 {
-                g.submit(member, Request::CompareAndSet("lease".into(), version));
+                group.submit(member, Request::CompareAndSet("lease".into(), version));
             }
             if round % 10 == 5 {
-                let leader = g.settle();
-                g.kill(leader);
-                g.run(2);
-                g.restart(leader);
+                let leader = group.settle();
+                group.kill(leader);
+                group.run(2);
+                group.restart(leader);
             }
-            g.run(3);
+            group.run(3);
         }
-        g.drop = 0;
-        g.run(60);
+        group.drop_per_mille = 0;
+        group.run(60);
         let mut granted: BTreeMap<u64, usize> = BTreeMap::new();
-        for call in g.calls.values() {
+        for call in group.calls.values() {
             if let (
                 Request::CompareAndSet(_, version),
                 Some((_, RequestOutcome::Committed(CommandOutcome::Written { .. }))),
@@ -207,7 +213,7 @@
 }
 
 #[test]
-fn a_changed_snapshot_or_garbage_from_a_peer_is_rejected_and_nothing_panics() {
+fn corrupt_snapshot_or_garbage_from_a_peer_is_rejected_without_a_panic() {
     let (mut member, _) = Member::bootstrap(1, &[1, 2, 3], ReplicationLimits::default()).unwrap();
     let (other, _) = Member::bootstrap(2, &[1, 2, 3], ReplicationLimits::default()).unwrap();
     let mut message = Message::default();
@@ -234,7 +240,7 @@
             let at = rng.below(bytes.len() as u64) as usize;
             bytes[at] = rng.next() as u8;
         }
-        // Refused, taken, or (where raft-rs meets a broken invariant) the member stops: never a panic out of `step`.
+        // The message may be rejected or accepted, or stop the member if raft-rs panics; `step` itself never panics.
         let _ = member.step(&bytes);
     }
 }
--- a/crates/replication/tests/compare_and_set_until_applied.rs
+++ b/crates/replication/tests/compare_and_set_until_applied.rs
@@ -1,5 +1,5 @@
-//! A compare-and-set that is proposed until it is applied: its outcome is exact over lost messages and lost leaders, and
-//! it takes effect once.
+//! A compare-and-set that is proposed until it is applied reports its exact outcome despite lost messages and leader
+//! failures, and takes effect once.
 
 mod scripted_group;
 
@@ -11,7 +11,7 @@
 
 const KEY: &str = "state";
 const MEMBERS: [u64; 3] = [1, 2, 3];
-/// Longer than a request may be pending, and than an election takes.
+/// Longer than the default request timeout and than an election.
 const OUTAGE_TICKS: u64 = 60;
 const TIMEOUT_TICKS: u64 = 2_000;
 
@@ -20,7 +20,7 @@
     group.submit(member, request).expect("the member runs")
 }
 
-/// The version that a request has written, if that is its outcome.
+/// The version that a request wrote; none for any other outcome.
 fn written(outcome: Option<&RequestOutcome>) -> Option<u64> {
     match outcome {
         Some(RequestOutcome::Committed(CommandOutcome::Written { version })) => Some(*version),
@@ -32,7 +32,7 @@
     group.members[&member].map().get(KEY).map_or(0, |value| value.version)
 }
 
-/// Runs until the request has an outcome, for no longer than it may be pending.
+/// Runs until the request completes; fails after its timeout.
 fn run_until_complete(group: &mut Group, member: u64, request: RequestHandle) -> RequestOutcome {
     for _ in 0..=TIMEOUT_TICKS {
         if let Some(outcome) = group.outcome(member, request) {
@@ -40,10 +40,10 @@
         }
         group.run(1);
     }
-    panic!("seed {}: not completed after its deadline", group.seed);
+    panic!("seed {}: the request is still pending after its deadline", group.seed);
 }
 
-/// A group with a leader, the leader, and one that follows it.
+/// A group with an elected leader, the leader's id, and a follower's id.
 fn settled(seed: u64) -> (Group, u64, u64) {
     let mut group = Group::new(seed, &MEMBERS, ReplicationLimits::default());
     let leader = group.settle();
@@ -52,34 +52,36 @@
     (group, leader, follower)
 }
 
-/// Guards against a command that is given up because its one proposal was lost.
+/// Fails if a command is proposed only once: all messages from the follower to the leader are lost until the link
+/// recovers.
 #[test]
-fn a_lost_proposal_is_proposed_again() {
+fn lost_proposal_is_repeated() {
     for seed in 1..=4 {
         let (mut group, leader, follower) = settled(seed);
-        group.cut.insert((follower, leader));
+        group.blocked_links.insert((follower, leader));
         let request = compare_and_set(&mut group, follower, 0);
         group.run(OUTAGE_TICKS);
         assert_eq!(group.outcome(follower, request), None, "seed {seed}");
-        group.cut.clear();
+        group.blocked_links.clear();
         let outcome = run_until_complete(&mut group, follower, request);
         assert_eq!(written(Some(&outcome)), Some(version_at(&group, follower)), "seed {seed}: {outcome:?}");
     }
 }
 
-/// Guards against a writer that takes its own write, of which it has not heard, for another one's.
+/// Fails if a writer takes its own write for that of another writer: the write is committed while the writer receives
+/// no messages.
 #[test]
-fn a_write_whose_answer_was_lost_is_known_as_the_writers_own() {
+fn write_committed_while_the_writer_is_unreachable_is_reported_as_written() {
     for seed in 1..=4 {
         let (mut group, leader, follower) = settled(seed);
         for other in MEMBERS.into_iter().filter(|&id| id != follower) {
-            group.cut.insert((other, follower));
+            group.blocked_links.insert((other, follower));
         }
         let request = compare_and_set(&mut group, follower, 0);
         group.run(OUTAGE_TICKS);
         let committed = version_at(&group, leader);
         assert!(committed > 0 && group.outcome(follower, request).is_none(), "seed {seed}");
-        group.cut.clear();
+        group.blocked_links.clear();
         let outcome = run_until_complete(&mut group, follower, request);
         assert_eq!(written(Some(&outcome)), Some(committed), "seed {seed}: {outcome:?}");
         group.run(OUTAGE_TICKS);
@@ -87,9 +89,9 @@
     }
 }
 
-/// Guards a member that starts before its group has a leader.
+/// Fails if a request is rejected because the member started before its group elected a leader.
 #[test]
-fn a_request_without_a_leader_waits_for_one() {
+fn request_made_before_the_first_election_completes_after_it() {
     for seed in 1..=4 {
         let mut group = Group::new(seed, &MEMBERS, ReplicationLimits::default());
         let request = compare_and_set(&mut group, 1, 0);
@@ -100,9 +102,9 @@
 }
 
 #[test]
-fn a_request_that_is_not_applied_in_time_completes_as_unknown() {
+fn request_not_applied_before_its_timeout_completes_as_unknown() {
     let (mut group, leader, follower) = settled(1);
-    group.cut.insert((follower, leader));
+    group.blocked_links.insert((follower, leader));
     let request = Request::CompareAndSetUntilApplied(KEY.into(), 0, OUTAGE_TICKS);
     let request = group.submit(follower, request).unwrap();
     group.run(OUTAGE_TICKS - 1);
@@ -112,13 +114,13 @@
     assert_eq!(group.members[&follower].pending_requests(), 0);
 }
 
-/// What happens to the group while some of its members write: `writer` is cut off, or a leader that does not write is
-/// started again.
+/// Injects a fault while `writers` write: isolates `writer` in one or both directions, or restarts the leader if it is
+/// not one of the writers.
 fn disturb(group: &mut Group, writer: u64, writers: &[u64], round: u64) {
     let others: Vec<u64> = MEMBERS.into_iter().filter(|&id| id != writer).collect();
     match round % 4 {
         0 => group.partition(&[&[writer], &others]),
-        1 => group.cut.extend(others.iter().map(|&other| (other, writer))),
+        1 => group.blocked_links.extend(others.iter().map(|&other| (other, writer))),
         2 => {
             if let Some(leader) = group.leader().filter(|leader| !writers.contains(leader)) {
                 group.kill(leader);
@@ -126,18 +128,18 @@
                 group.restart(leader);
             }
         }
-        _ => group.cut.extend(others.iter().map(|&other| (writer, other))),
+        _ => group.blocked_links.extend(others.iter().map(|&other| (writer, other))),
     }
     group.run(round % 50);
-    group.cut.clear();
+    group.blocked_links.clear();
 }
 
-/// Guards against a single writer that is told of another one, or writes twice, whatever its network and its leaders do.
+/// Fails if a sole writer gets a version mismatch, or writes twice, under message loss, partitions and leader restarts.
 #[test]
-fn the_only_writer_is_never_told_of_another_one() {
+fn sole_writer_never_gets_a_version_mismatch() {
     for seed in 1..=16 {
         let mut group = Group::new(seed, &MEMBERS, ReplicationLimits::default());
-        (group.drop, group.twice, group.delay) = (100, 100, 6);
+        (group.drop_per_mille, group.duplicate_per_mille, group.max_delay_steps) = (100, 100, 6);
         let writer = 1 + seed % 3;
         let mut version = 0;
         for round in 0..24 {
@@ -149,22 +151,19 @@
             assert!(next > Some(version), "seed {seed}, round {round}: {outcome:?} after {version}");
             version = next.unwrap();
         }
-        (group.drop, group.twice) = (0, 0);
+        (group.drop_per_mille, group.duplicate_per_mille) = (0, 0);
         group.settle();
         group.run(100);
-        assert!(
-            MEMBERS.iter().all(|&id| version_at(&group, id) == version),
-            "seed {seed}: written once more"
-        );
+        assert!(MEMBERS.iter().all(|&id| version_at(&group, id) == version), "seed {seed}: written twice");
     }
 }
 
-/// Guards against two writers of one version that both take it for theirs, and against none that does.
+/// Fails if both or neither of two writers that compare against the same version report it as written.
 #[test]
-fn of_two_writers_of_one_version_one_writes_it_and_the_other_is_told() {
+fn one_of_two_concurrent_writers_writes_and_the_other_gets_a_version_mismatch() {
     for seed in 1..=16 {
         let mut group = Group::new(seed, &MEMBERS, ReplicationLimits::default());
-        (group.drop, group.twice, group.delay) = (100, 100, 6);
+        (group.drop_per_mille, group.duplicate_per_mille, group.max_delay_steps) = (100, 100, 6);
         let mut version = 0;
         for round in 0..12 {
             let writers = [1, 2];
@@ -180,16 +179,16 @@
     }
 }
 
-/// Guards the one case in which a writer is not told that it has written: it catches up by a snapshot that holds its
-/// write. It must not be told that its later proposal has written, either.
+/// A writer that catches up from a snapshot holding its own write gets a version mismatch, since it never applies the
+/// entry. Fails if it reports a repeated proposal as written instead.
 #[test]
-fn a_writer_that_catches_up_by_a_snapshot_is_told_of_a_later_version() {
+fn writer_that_catches_up_from_a_snapshot_gets_a_version_mismatch() {
     let mut group = Group::new(3, &MEMBERS, small_limits());
     let leader = group.settle();
     let follower = MEMBERS.into_iter().find(|&id| id != leader).unwrap();
     group.run(5);
     for other in MEMBERS.into_iter().filter(|&id| id != follower) {
-        group.cut.insert((other, follower));
+        group.blocked_links.insert((other, follower));
     }
     let request = compare_and_set(&mut group, follower, 0);
     group.run(5);
@@ -198,15 +197,15 @@
         put(&mut group, leader, n);
         group.run(1);
     }
-    group.cut.clear();
+    group.blocked_links.clear();
     let outcome = run_until_complete(&mut group, follower, request);
     assert_eq!(outcome, RequestOutcome::Committed(CommandOutcome::VersionMismatch { current }));
     assert_eq!(version_at(&group, follower), current);
 }
 
-/// Guards the log against a proposal at each tick while a leader waits for its followers.
+/// Fails if an isolated leader fills its log by proposing the command again at each tick.
 #[test]
-fn a_proposal_is_repeated_no_more_often_than_a_leader_is_elected() {
+fn proposal_is_repeated_at_most_once_per_election_timeout() {
     let (mut group, leader, _) = settled(2);
     let last_index = |group: &Group| group.members[&leader].log().entries_after_snapshot().len();
     let before = last_index(&group);
@@ -217,7 +216,7 @@
 }
 
 #[test]
-fn requests_that_wait_for_a_leader_count_among_the_pending_ones() {
+fn requests_waiting_for_a_leader_count_as_pending() {
     let limits = ReplicationLimits { max_pending_requests: 1, ..ReplicationLimits::default() };
     let mut group = Group::new(1, &MEMBERS, limits);
     compare_and_set(&mut group, 1, 0);
--- a/crates/replication/tests/membership_changes.rs
+++ b/crates/replication/tests/membership_changes.rs
@@ -1,34 +1,35 @@
-//! A model check of membership changes, over every order of elections, replication of the log, proposals, commits and a
-//! lost disk in small groups: one change at a time, as raft-rs has it (a configuration holds once it is committed, and a
-//! leader proposes one only after an entry of its own term is). A member whose disk is lost never comes back under its id.
+//! A model check of membership changes in small groups, over every order of elections, log replication, proposals,
+//! commits and a disk loss. The model follows raft-rs: only one change is pending at a time, a configuration takes
+//! effect once it is committed, and a leader proposes a change only after it has committed an entry of its own term. A
+//! member whose disk is lost never rejoins under its old id.
 //!
-//! Steps are atomic: an election takes all its votes at once, a replication all of the leader's log. The tests over
-//! scripted networks and over TCP cover what comes between.
+//! Steps are atomic: an election collects all its votes at once, and a replication copies the leader's entire log. The
+//! tests over simulated networks and over TCP cover the intermediate states.
 
 use stateright::{Checker, Model, Property};
 
-/// Members as bits.
+/// A set of members as a bit mask.
 type Members = u8;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Node {
     term: u8,
-    /// Leads in its term.
-    leads: bool,
-    /// Each entry: its term, and the members from it on.
+    /// Whether it is the leader of its term.
+    is_leader: bool,
+    /// The entries: the term of each, and the membership that applies after it.
     log: Vec<(u8, Members)>,
     commit: usize,
-    lost: bool,
+    disk_lost: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     nodes: Vec<Node>,
     disks_lost: u8,
-    /// What was ever committed, by any.
+    /// The longest log that any member has committed.
     committed: Vec<(u8, Members)>,
-    /// Somebody committed another entry at a place where one was committed.
-    broken: bool,
+    /// Set once a member has committed a different entry at an index that was already committed.
+    conflicting_commit: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -40,15 +41,16 @@
     LoseDisk(usize),
 }
 
-/// A group of founders, which further ones may join, up to these bounds.
+/// The bounds of the model.
 struct Group {
     founders: usize,
-    all: usize,
-    terms: u8,
-    entries: usize,
-    /// One whose disk is lost is another member from then on.
-    gets_new_id: bool,
-    losses: u8,
+    /// The founders and the members that may join later.
+    max_members: usize,
+    max_terms: u8,
+    max_entries: usize,
+    /// Whether a member whose disk is lost rejoins under a new id, as a new member.
+    rejoins_with_new_id: bool,
+    max_disk_losses: u8,
 }
 
 fn has(members: Members, node: usize) -> bool {
@@ -74,37 +76,44 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let node = Node { term: 0, leads: false, log: Vec::new(), commit: 0, lost: false };
-        vec![State { nodes: vec![node; self.all], disks_lost: 0, committed: Vec::new(), broken: false }]
+        let node = Node { term: 0, is_leader: false, log: Vec::new(), commit: 0, disk_lost: false };
+        vec![State {
+            nodes: vec![node; self.max_members],
+            disks_lost: 0,
+            committed: Vec::new(),
+            conflicting_commit: false,
+        }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        for (n, node) in state.nodes.iter().enumerate().filter(|(_, node)| !node.lost) {
+        for (n, node) in state.nodes.iter().enumerate().filter(|(_, node)| !node.disk_lost) {
             let members = self.members(node);
             let term = node.term + 1;
-            if term <= self.terms && has(members, n) {
-                // The least that elects it: more votes only raise more terms.
+            if term <= self.max_terms && has(members, n) {
+                // Only minimal majorities: additional votes would only raise the terms of more members.
                 let votes = |v: usize| {
                     let voter = &state.nodes[v];
                     v == n || voter.term < term && Self::newest(&voter.log) <= Self::newest(&node.log)
                 };
-                let sets = (0..1_u8 << self.all)
+                let sets = (0..1_u8 << self.max_members)
                     .filter(|&of| of & !members == 0 && has(of, n) && is_majority(of, members));
                 let least = |of: &Members| 2 * (of.count_ones() - 1) <= members.count_ones();
                 let given = |of: &Members| {
-                    (0..self.all).filter(|&v| has(*of, v)).all(|v| votes(v) && !state.nodes[v].lost)
+                    (0..self.max_members)
+                        .filter(|&v| has(*of, v))
+                        .all(|v| votes(v) && !state.nodes[v].disk_lost)
                 };
                 steps.extend(sets.filter(least).filter(given).map(|of| Step::Elect(n, of)));
             }
-            if !node.leads {
+            if !node.is_leader {
                 continue;
             }
             steps.extend(
-                (0..self.all)
+                (0..self.max_members)
                     .filter(|&to| {
                         let other = &state.nodes[to];
                         to != n
-                            && !other.lost
+                            && !other.disk_lost
                             && other.term <= node.term
                             && (other.log != node.log || other.term < node.term || other.commit < node.commit)
                     })
@@ -115,15 +124,17 @@
                 i > 0 && node.log[i].1 != node.log[i - 1].1
                     || i == 0 && node.log[0].1 != (1 << self.founders) - 1
             });
-            let settled = last_change.is_none_or(|i| node.commit > i);
-            let own = node.log[..node.commit].iter().any(|e| e.0 == node.term);
-            if node.log.len() < self.entries && settled && own {
-                let one = (0..self.all).map(|m| members ^ 1 << m).filter(|m| m.count_ones() > 1);
+            let change_is_committed = last_change.is_none_or(|i| node.commit > i);
+            let own_term_is_committed = node.log[..node.commit].iter().any(|e| e.0 == node.term);
+            if node.log.len() < self.max_entries && change_is_committed && own_term_is_committed {
+                let one = (0..self.max_members).map(|m| members ^ 1 << m).filter(|m| m.count_ones() > 1);
                 steps.extend(one.map(|to| Step::Propose(n, to)));
             }
         }
-        if state.disks_lost < self.losses {
-            steps.extend((0..self.all).filter(|&n| !state.nodes[n].log.is_empty()).map(Step::LoseDisk));
+        if state.disks_lost < self.max_disk_losses {
+            steps.extend(
+                (0..self.max_members).filter(|&n| !state.nodes[n].log.is_empty()).map(Step::LoseDisk),
+            );
         }
     }
 
@@ -132,21 +143,21 @@
         match step {
             Step::Elect(n, of) => {
                 let term = state.nodes[n].term + 1;
-                for v in (0..self.all).filter(|&v| has(of, v)) {
-                    (state.nodes[v].term, state.nodes[v].leads) = (term, false);
+                for v in (0..self.max_members).filter(|&v| has(of, v)) {
+                    (state.nodes[v].term, state.nodes[v].is_leader) = (term, false);
                 }
                 let members = state.nodes[n].log.last().map_or((1 << self.founders) - 1, |e| e.1);
-                if state.nodes[n].log.len() >= self.entries {
+                if state.nodes[n].log.len() >= self.max_entries {
                     return None;
                 }
-                state.nodes[n].leads = true;
+                state.nodes[n].is_leader = true;
                 state.nodes[n].log.push((term, members));
             }
             Step::Replicate(n, to) => {
                 let leader = state.nodes[n].clone();
                 let other = &mut state.nodes[to];
                 let commit = leader.commit.max(other.commit).min(leader.log.len());
-                *other = Node { leads: false, commit, ..leader };
+                *other = Node { is_leader: false, commit, ..leader };
             }
             Step::Propose(n, members) => {
                 let term = state.nodes[n].term;
@@ -155,35 +166,42 @@
             Step::Commit(n) => {
                 let leader = &state.nodes[n];
                 let members = self.members(leader);
-                let held = |upto: usize| {
+                let holders = |upto: usize| {
                     let holds = |o: &Node| {
-                        !o.lost
+                        !o.disk_lost
                             && o.term == leader.term
                             && o.log.len() >= upto
                             && o.log[..upto] == leader.log[..upto]
                     };
-                    (0..self.all).filter(|&o| holds(&state.nodes[o])).fold(0, |all: Members, o| all | 1 << o)
+                    (0..self.max_members)
+                        .filter(|&o| holds(&state.nodes[o]))
+                        .fold(0, |all: Members, o| all | 1 << o)
                 };
-                // One entry at a time: a change holds for all that is committed after it.
+                // Stops at the first membership change, which determines the majority for all later entries.
                 let next = leader.commit + 1;
                 let upto = (next..=leader.log.len()).find(|&i| leader.log[i - 1].0 == leader.term)?;
                 let first_change = (next..=upto).find(|&i| leader.log[i - 1].1 != members).unwrap_or(upto);
-                if !is_majority(held(upto), members) {
+                if !is_majority(holders(upto), members) {
                     return None;
                 }
                 let commit = first_change.max(next);
                 state.nodes[n].commit = commit;
                 let log = state.nodes[n].log[..commit].to_vec();
                 let common = log.len().min(state.committed.len());
-                state.broken |= log[..common] != state.committed[..common];
+                state.conflicting_commit |= log[..common] != state.committed[..common];
                 if log.len() > state.committed.len() {
                     state.committed = log;
                 }
             }
             Step::LoseDisk(n) => {
                 state.disks_lost += 1;
-                state.nodes[n] =
-                    Node { term: 0, leads: false, log: Vec::new(), commit: 0, lost: self.gets_new_id };
+                state.nodes[n] = Node {
+                    term: 0,
+                    is_leader: false,
+                    log: Vec::new(),
+                    commit: 0,
+                    disk_lost: self.rejoins_with_new_id,
+                };
             }
         }
         Some(state)
@@ -191,12 +209,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what was committed stays", |_: &Self, state: &State| !state.broken),
-            Property::always("one leader a term", |_: &Self, state: &State| {
-                let leads = |term: u8| state.nodes.iter().filter(|n| n.leads && n.term == term).count();
+            Property::always("committed entries are never replaced", |_: &Self, state: &State| {
+                !state.conflicting_commit
+            }),
+            Property::always("at most one leader per term", |_: &Self, state: &State| {
+                let leads = |term: u8| state.nodes.iter().filter(|n| n.is_leader && n.term == term).count();
                 state.nodes.iter().all(|n| leads(n.term) <= 1)
             }),
-            Property::sometimes("a change is committed", |group: &Self, state: &State| {
+            Property::sometimes("a membership change is committed", |group: &Self, state: &State| {
                 state.committed.iter().any(|e| e.1 != (1 << group.founders) - 1)
             }),
         ]
@@ -210,17 +230,28 @@
     found
 }
 
-const SMALL: Group = Group { founders: 3, all: 4, terms: 3, entries: 3, gets_new_id: true, losses: 1 };
+const SMALL: Group = Group {
+    founders: 3,
+    max_members: 4,
+    max_terms: 3,
+    max_entries: 3,
+    rejoins_with_new_id: true,
+    max_disk_losses: 1,
+};
 
-/// Every order of steps: nothing committed is lost, and a change is committed in some.
+/// In every order of steps no committed entry is replaced, and in some order a membership change is committed.
 #[test]
-fn one_change_at_a_time_loses_nothing_that_was_committed() {
-    assert_eq!(check(SMALL), ["a change is committed"]);
+fn single_membership_changes_never_lose_committed_entries() {
+    assert_eq!(check(SMALL), ["a membership change is committed"]);
 }
 
-/// The model finds what the rules are there for: a member that comes back under its id without its disk.
+/// Checks the model itself: it finds a violation if a member rejoins under its old id after losing its disk.
 #[test]
-fn a_lost_disk_under_the_same_id_would_be_found() {
-    let found = check(Group { gets_new_id: false, ..SMALL });
-    assert!(found.contains(&"what was committed stays") || found.contains(&"one leader a term"), "{found:?}");
+fn model_detects_a_member_rejoining_under_its_old_id_without_its_disk() {
+    let found = check(Group { rejoins_with_new_id: false, ..SMALL });
+    assert!(
+        found.contains(&"committed entries are never replaced")
+            || found.contains(&"at most one leader per term"),
+        "{found:?}"
+    );
 }
--- a/crates/replication/tests/reads_after_an_election.rs
+++ b/crates/replication/tests/reads_after_an_election.rs
@@ -1,4 +1,4 @@
-//! Reads at members whose leader was elected just then.
+//! Reads shortly after an election.
 
 mod scripted_group;
 
@@ -6,12 +6,12 @@
 
 use scripted_group::{Group, Request};
 
-/// By then a request is pending no longer, and its outcome unknown.
+/// Ticks after which a pending request completes as unknown.
 const REQUEST_TIMEOUT_TICKS: u64 = 30;
 
-/// Guards against a read that is answered by nobody because its leader had committed nothing of its term yet.
+/// Fails if a read is not repeated: raft-rs drops it while the new leader has not committed an entry of its term.
 #[test]
-fn a_read_right_after_an_election_is_answered() {
+fn read_right_after_an_election_completes() {
     for seed in 1..=12 {
         let mut group = Group::new(seed, &[1, 2, 3], ReplicationLimits::default());
         while group.leader().is_none() {
@@ -24,18 +24,18 @@
     }
 }
 
-/// Guards against a read that waits in vain because its one message was lost.
+/// Fails if a read is not repeated after its only message to the leader was lost.
 #[test]
-fn a_read_whose_message_was_lost_is_answered() {
+fn read_whose_message_was_lost_completes() {
     for seed in 1..=4 {
         let mut group = Group::new(seed, &[1, 2, 3], ReplicationLimits::default());
         let leader = group.settle();
         let follower = (1..=3).find(|&id| id != leader).unwrap();
         group.run(5);
-        group.cut.insert((follower, leader));
+        group.blocked_links.insert((follower, leader));
         let read = group.submit(follower, Request::Read("k".into())).unwrap();
         group.run(2);
-        group.cut.clear();
+        group.blocked_links.clear();
         group.run(REQUEST_TIMEOUT_TICKS - 3);
         assert_eq!(group.outcome(follower, read), Some(&RequestOutcome::Read(None)), "seed {seed}");
     }
--- a/crates/replication/tests/replicated_map.rs
+++ b/crates/replication/tests/replicated_map.rs
@@ -1,4 +1,4 @@
-//! Commands and snapshots of the map: their stored form, and what a command does.
+//! Commands and snapshots of the map: their stored form and the effect of each command.
 
 use curlewdeck_replication::{
     Command, CommandOutcome, CommandRejection, ReplicatedMap, ReplicationLimits, VersionedValue,
@@ -10,24 +10,27 @@
 }
 
 #[test]
-fn every_flipped_bit_of_a_command_is_found() {
+fn flipped_bit_or_truncation_of_a_command_is_detected() {
     let command = put("lease/zone-a", b"holder 7");
     let bytes = command.to_entry_data();
     assert_eq!(Command::from_entry_data(&bytes), Ok(command));
     for at in 0..bytes.len() * 8 {
         let mut changed = bytes.clone();
         changed[at / 8] ^= 1 << (at % 8);
-        assert!(Command::from_entry_data(&changed).is_err(), "bit {at} flipped and not found");
+        assert!(Command::from_entry_data(&changed).is_err(), "flipped bit {at} was not detected");
     }
     for len in 0..bytes.len() {
-        assert!(Command::from_entry_data(&bytes[..len]).is_err(), "torn at {len} and not found");
+        assert!(
+            Command::from_entry_data(&bytes[..len]).is_err(),
+            "truncation to {len} bytes was not detected"
+        );
     }
     assert_eq!(ReplicatedMap::from_snapshot_data(&bytes), Err(RecordError::WrongTag(1)));
 }
 
-/// Guards the stored form of commands and snapshots, which other versions read and write.
+/// Fails if the stored form of commands or snapshots changes: other versions read and write it.
 #[test]
-fn the_stored_form_is_fixed() {
+fn stored_form_is_stable() {
     let body = |bytes: Vec<u8>| bytes[..bytes.len() - 4].to_vec();
     assert_eq!(body(put("k", b"v").to_entry_data()), b"\x01\x00\x01k\x01v");
     let command = Command::CompareAndSet { key: "k".into(), version: 3, value: None };
@@ -40,7 +43,7 @@
 }
 
 #[test]
-fn a_command_beyond_a_limit_changes_nothing() {
+fn command_over_a_limit_is_rejected_without_effect() {
     let limits = ReplicationLimits {
         max_keys: 1,
         max_key_bytes: 2,
--- a/crates/replication/tests/scripted_group/mod.rs
+++ b/crates/replication/tests/scripted_group/mod.rs
@@ -1,4 +1,4 @@
-//! A group of members over a scripted network and scripted time, fixed by a seed.
+//! A group of members over a simulated network with a simulated clock. A seed makes each run reproducible.
 #![allow(dead_code, unreachable_pub)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,14 +10,14 @@
 use curlewdeck_testkit::history::{self, Action, Operation};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 
-/// A tick is this many steps of the scripted clock; a message takes 1 to `delay` steps.
-pub const STEPS_A_TICK: u64 = 4;
+/// Steps of the simulated clock in one tick of the members; a message takes 1 to `max_delay_steps` steps.
+pub const STEPS_PER_TICK: u64 = 4;
 
 pub struct Rng(pub u64);
 
 impl Rng {
     pub fn next(&mut self) -> u64 {
-        // xorshift64*: enough for scripted faults, and the same on every machine.
+        // xorshift64*: sufficient for injecting faults, and identical on every machine.
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
         self.0 ^= self.0 >> 27;
@@ -71,7 +71,7 @@
 pub enum Request {
     Put(String, Vec<u8>),
     CompareAndSet(String, u64),
-    /// Proposed again until it is applied, for so many ticks.
+    /// The key, the expected version, and the timeout in ticks until which it is proposed repeatedly.
     CompareAndSetUntilApplied(String, u64, u64),
     Read(String),
 }
@@ -90,12 +90,15 @@
     pub limits: ReplicationLimits,
     pub members: BTreeMap<u64, Member>,
     pub disks: BTreeMap<u64, Disk>,
-    pub flight: Vec<(u64, u64, u64, Vec<u8>)>,
-    pub cut: BTreeSet<(u64, u64)>,
+    /// Messages under way: the step at which each is delivered, its sender, its receiver and its bytes.
+    pub in_flight: Vec<(u64, u64, u64, Vec<u8>)>,
+    /// Sender and receiver of each link that drops all messages.
+    pub blocked_links: BTreeSet<(u64, u64)>,
     pub paused: BTreeSet<u64>,
-    pub drop: u64,
-    pub twice: u64,
-    pub delay: u64,
+    pub drop_per_mille: u64,
+    pub duplicate_per_mille: u64,
+    pub max_delay_steps: u64,
+    /// Requests by the member that received them and their handle.
     pub calls: BTreeMap<(u64, RequestHandle), Call>,
     pub rejected: usize,
 }
@@ -109,12 +112,12 @@
             limits,
             members: BTreeMap::new(),
             disks: BTreeMap::new(),
-            flight: Vec::new(),
-            cut: BTreeSet::new(),
+            in_flight: Vec::new(),
+            blocked_links: BTreeSet::new(),
             paused: BTreeSet::new(),
-            drop: 0,
-            twice: 0,
-            delay: 3,
+            drop_per_mille: 0,
+            duplicate_per_mille: 0,
+            max_delay_steps: 3,
             calls: BTreeMap::new(),
             rejected: 0,
         };
@@ -126,8 +129,8 @@
         group
     }
 
-    /// Different waits for all members of a group, moved round by the seed: raft-rs would draw them from outside the
-    /// script, and a vote that is split again and again would be a test that fails now and then.
+    /// Limits with a fixed election delay, different for each member and rotated by the seed. Random delays of raft-rs
+    /// would not be reproducible, and repeated split votes would make a test flaky.
     pub fn limits_of(&self, id: u64) -> ReplicationLimits {
         let delay = (3 * id + self.seed) % 10;
         let fixed_election_delay_ticks = usize::try_from(delay).ok();
@@ -138,8 +141,8 @@
         // In the driver's order: disk, then messages, then completions.
         self.disks.entry(id).or_default().write(&output.writes);
         for OutboundMessage { to, bytes, has_snapshot } in output.messages {
-            // As the driver does: raft-rs would wait for ever to learn whether a snapshot was delivered.
-            let lost = self.rng.chance(self.drop) || self.cut.contains(&(id, to));
+            // As in the driver: raft-rs waits for the report on a snapshot without a timeout.
+            let lost = self.rng.chance(self.drop_per_mille) || self.blocked_links.contains(&(id, to));
             if has_snapshot {
                 if let Some(member) = self.members.get_mut(&id) {
                     member.report_snapshot(to, !lost);
@@ -148,10 +151,10 @@
             if lost {
                 continue;
             }
-            let copies = if self.rng.chance(self.twice) { 2 } else { 1 };
+            let copies = if self.rng.chance(self.duplicate_per_mille) { 2 } else { 1 };
             for _ in 0..copies {
-                let at = self.now + 1 + self.rng.below(self.delay);
-                self.flight.push((at, id, to, bytes.clone()));
+                let at = self.now + 1 + self.rng.below(self.max_delay_steps);
+                self.in_flight.push((at, id, to, bytes.clone()));
             }
         }
         for Completion { request, outcome } in output.completions {
@@ -166,10 +169,10 @@
         self.now += 1;
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.flight).into_iter().partition(|m| m.0 <= now);
-        self.flight = later;
+            std::mem::take(&mut self.in_flight).into_iter().partition(|m| m.0 <= now);
+        self.in_flight = later;
         for (_, from, to, bytes) in due {
-            if self.cut.contains(&(from, to)) || self.paused.contains(&to) {
+            if self.blocked_links.contains(&(from, to)) || self.paused.contains(&to) {
                 continue;
             }
             let Some(member) = self.members.get_mut(&to) else { continue };
@@ -178,7 +181,7 @@
                 Err(_) => self.rejected += 1,
             }
         }
-        if now.is_multiple_of(STEPS_A_TICK) {
+        if now.is_multiple_of(STEPS_PER_TICK) {
             let ids: Vec<u64> = self.members.keys().copied().filter(|id| !self.paused.contains(id)).collect();
             for id in ids {
                 let out = self.members.get_mut(&id).unwrap().tick();
@@ -188,7 +191,7 @@
     }
 
     pub fn run(&mut self, ticks: u64) {
-        for _ in 0..ticks * STEPS_A_TICK {
+        for _ in 0..ticks * STEPS_PER_TICK {
             self.step();
         }
     }
@@ -211,7 +214,7 @@
         panic!("no leader after 200 ticks");
     }
 
-    /// Makes a request of a member, if that runs; returns its handle.
+    /// Makes a request at a member, if it is running; returns its handle.
     pub fn submit(&mut self, member: u64, request: Request) -> Option<RequestHandle> {
         let m = self.members.get_mut(&member)?;
         let (handle, output) = match &request {
@@ -233,14 +236,14 @@
         Some(handle)
     }
 
-    /// The outcome of a request, once it has one.
+    /// The outcome of a request, or none while it is pending.
     pub fn outcome(&self, member: u64, request: RequestHandle) -> Option<&RequestOutcome> {
         self.calls[&(member, request)].outcome.as_ref().map(|(_, outcome)| outcome)
     }
 
     pub fn kill(&mut self, id: u64) {
         self.members.remove(&id);
-        self.flight.retain(|m| m.2 != id);
+        self.in_flight.retain(|m| m.2 != id);
     }
 
     pub fn restart(&mut self, id: u64) {
@@ -251,13 +254,13 @@
     }
 
     pub fn partition(&mut self, sides: &[&[u64]]) {
-        self.cut.clear();
+        self.blocked_links.clear();
         for a in sides {
             for b in sides {
                 if a != b {
                     for &x in *a {
                         for &y in *b {
-                            self.cut.insert((x, y));
+                            self.blocked_links.insert((x, y));
                         }
                     }
                 }
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Writes that were committed, by key: each key is put once, so that it has one value.
+    /// The step and the value of each committed write by key. Each key is put once, so it has one value.
     pub fn committed(&self) -> BTreeMap<String, (u64, Vec<u8>)> {
         let mut committed = BTreeMap::new();
         for call in self.calls.values() {
@@ -280,8 +283,8 @@
         committed
     }
 
-    /// Every committed write is in every member of the group, every member of the group holds the same map, and the history
-    /// is linearizable.
+    /// Checks that every voter holds every committed write, that all voters hold the same map, and that the history is
+    /// linearizable. Returns the number of committed writes.
     pub fn check_committed(&self) -> usize {
         self.check_history();
         let committed = self.committed();
@@ -291,17 +294,17 @@
         for id in &voters {
             let map = self.members[id].map();
             assert_eq!(map.applied_index(), reference.applied_index(), "member {id} has not caught up");
-            assert_eq!(map, reference, "member {id} holds another map than the leader at the same index");
+            assert_eq!(map, reference, "member {id} and the leader differ at the same index");
             for (key, (_, value)) in &committed {
                 let held =
-                    map.get(key).unwrap_or_else(|| panic!("committed {key} is missing at member {id}"));
-                assert_eq!(&held.value, value, "committed {key} holds another value at member {id}");
+                    map.get(key).unwrap_or_else(|| panic!("member {id} lacks the committed key {key}"));
+                assert_eq!(&held.value, value, "member {id} has another value for the committed key {key}");
             }
         }
         committed.len()
     }
 
-    /// The history of puts and reads judged for linearizability, key by key.
+    /// Checks the history of puts and reads for linearizability, key by key.
     pub fn check_history(&self) -> usize {
         let mut operations = Vec::new();
         for call in self.calls.values() {
