--- a/crates/snapshot/src/atomic_write.rs
+++ b/crates/snapshot/src/atomic_write.rs
@@ -1,32 +1,32 @@
-//! The steps in which a file is replaced, and the names beside it.
+//! The steps of atomically replacing a file, and the names of its temporary and quarantined files.
 
-/// One step of replacing a file.
+/// One step of replacing a file. The caller performs the I/O.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteStep {
-    /// Write all bytes to the [temporary file](temporary_name), over whatever it holds.
+    /// Write all bytes to the [temporary file](temporary_name), truncating it first if it exists.
     WriteTemporary,
     /// Sync the temporary file.
     SyncTemporary,
-    /// Rename it over the file.
+    /// Rename the temporary file over the file.
     Rename,
-    /// Sync the directory.
+    /// Sync the directory, so that the rename survives a machine crash.
     SyncDirectory,
 }
 
-/// The steps in their order. Stopped between any two of them, or in the middle of one, the file is the old one or the
-/// new one.
+/// The steps in order. If the process or the machine stops between two steps or during one, the file has either its old
+/// or its new contents.
 pub const WRITE_STEPS: [WriteStep; 4] =
     [WriteStep::WriteTemporary, WriteStep::SyncTemporary, WriteStep::Rename, WriteStep::SyncDirectory];
 
-/// Files that can be quarantined; after them an operator has to look before the program goes on.
+/// Further quarantines fail, so that an operator investigates before the program can start again.
 const MAX_QUARANTINED_FILES: u32 = 9;
 
-/// The name under which the new contents are written first.
+/// The name of the file to which the new contents are written before the rename.
 pub fn temporary_name(name: &str) -> String {
     format!("{name}.new")
 }
 
-/// The names under which a file that cannot be used is quarantined; the first one that is free is taken.
+/// The names for an unusable file in quarantine, in the order in which the caller must try them.
 pub fn quarantine_names(name: &str) -> impl Iterator<Item = String> + '_ {
     (1..=MAX_QUARANTINED_FILES).map(move |n| format!("{name}.bad-{n}"))
 }
--- a/crates/snapshot/src/error.rs
+++ b/crates/snapshot/src/error.rs
@@ -1,26 +1,26 @@
-//! Why stored bytes are not used.
+//! The error of opening stored bytes.
 
 use crate::record::RecordKind;
 
-/// Why a stored record is not used.
+/// A stored record cannot be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It ends early, or goes on beyond its end.
-    #[error("it is torn")]
-    Truncated,
-    /// It does not begin as a file of this program does.
-    #[error("it is no file of this program")]
+    /// The record is shorter or longer than its header requires.
+    #[error("its length is wrong")]
+    WrongLength,
+    /// The file does not begin with the magic bytes of this program.
+    #[error("it is not a file of this program")]
     Foreign,
-    /// A file holds something else, or another version of it.
-    #[error("it holds kind {} in form {}", .0.content, .0.version)]
+    /// The file holds a record of another kind, or of another version.
+    #[error("it holds a record of kind {} in version {}", .0.content, .0.version)]
     WrongKind(RecordKind),
-    /// A log entry holds a value with another tag.
-    #[error("it holds kind {0}")]
+    /// The log entry holds a value with another tag.
+    #[error("it holds a value with tag {0}")]
     WrongTag(u8),
-    /// A byte has changed.
+    /// At least one byte has changed.
     #[error("its checksum does not match")]
     ChecksumMismatch,
     /// The checksum matches, but the value cannot be decoded: a newer version wrote it.
-    #[error("its value cannot be read")]
+    #[error("its value cannot be decoded")]
     Undecodable,
 }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small state that outlives a process: how it is encoded, when it is written, and in which steps a file is replaced.
+//! Persistence of small state across restarts: the encoding, the write schedule, and the steps of replacing a file.
 //!
-//! [`record`] seals a value for a file of its own, [`tagged`] seals one for an entry of a log; both end in a
-//! [`checksum`], so that torn or changed bytes are found before they are used. [`atomic_write`] names the steps in
-//! which a file is replaced: whenever the process or the machine stops, the file is the old one or the new one.
-//! [`write_schedule`] bounds how often it is replaced. The crate does no I/O.
+//! [`record`] seals a value that occupies an entire file, [`tagged`] seals a value in an entry of a log. Both end in a
+//! [`checksum`], so that corruption is detected before the value is used. [`atomic_write`] lists the steps of replacing
+//! a file: whenever the process or the machine stops, the file has either its old or its new contents.
+//! [`write_schedule`] limits how often the file is replaced. The crate does no I/O.
 
 pub mod atomic_write;
 pub mod checksum;
--- a/crates/snapshot/src/write_schedule.rs
+++ b/crates/snapshot/src/write_schedule.rs
@@ -1,12 +1,12 @@
-//! When a file is replaced: at a bounded rate, only if its contents have changed, and with exponential backoff after a
-//! failure.
+//! Scheduling of file writes: at a bounded rate, only if the contents have changed, and with exponential backoff after
+//! failures.
 
 use std::time::Duration;
 
-/// Each failure in a row doubles the wait for the next attempt, up to this many doublings.
+/// Each consecutive failure doubles the delay before the next attempt, up to this number of doublings.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// Decides when a file is replaced. Times are counted from one moment by a clock that never runs backwards.
+/// Decides when a file is replaced. All times are measured from a common origin by a monotonic clock.
 #[derive(Debug, Clone)]
 pub struct WriteSchedule {
     interval: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl WriteSchedule {
-    /// Allows a write at once, and from then on one every `interval`.
+    /// Creates a schedule that allows a write at once, and then one every `interval`.
     pub fn new(interval: Duration) -> Self {
         Self {
             interval: interval.max(Duration::from_nanos(1)),
@@ -26,12 +26,13 @@
         }
     }
 
-    /// The time of the next attempt.
+    /// The earliest time of the next attempt.
     pub fn next_attempt(&self) -> Duration {
         self.next_attempt
     }
 
-    /// Whether these bytes are to be written now. Takes the attempt if one is due.
+    /// Returns whether these bytes must be written now. If an attempt is due, this consumes it, even when the bytes are
+    /// unchanged.
     pub fn should_write(&mut self, now: Duration, bytes: &[u8]) -> bool {
         if now < self.next_attempt {
             return false;
@@ -40,7 +41,7 @@
         self.written_checksum != Some(crc32fast::hash(bytes))
     }
 
-    /// Records whether these bytes could be written.
+    /// Records the result of writing these bytes.
     pub fn record_write(&mut self, now: Duration, bytes: &[u8], succeeded: bool) {
         if succeeded {
             self.consecutive_failures = 0;
--- a/crates/snapshot/tests/record.rs
+++ b/crates/snapshot/tests/record.rs
@@ -1,4 +1,4 @@
-//! Sealed records: what is sealed opens again, and anything else is told apart.
+//! Sealed records can be opened again, and any other bytes are rejected with the matching error.
 
 use curlewdeck_snapshot::record::{open, seal, RecordKind};
 use curlewdeck_snapshot::{tagged, RecordError};
@@ -8,20 +8,20 @@
 const TAG: u8 = 1;
 
 #[test]
-fn a_record_that_is_not_ours_is_told_apart() {
+fn foreign_or_mismatched_record_is_rejected() {
     let bytes = seal(KIND, &(7u64, "a".to_string())).unwrap();
     assert_eq!(open(KIND, &bytes), Ok((7u64, "a".to_string())));
     let other = RecordKind { content: 2, version: 1 };
     assert_eq!(open::<(u64, String)>(other, &bytes), Err(RecordError::WrongKind(KIND)));
     assert_eq!(open::<u64>(KIND, b"{\"v\":1}"), Err(RecordError::Foreign));
-    assert_eq!(open::<u64>(KIND, b""), Err(RecordError::Truncated));
+    assert_eq!(open::<u64>(KIND, b""), Err(RecordError::WrongLength));
     let short = seal(KIND, &()).unwrap();
     assert_eq!(open::<String>(KIND, &short), Err(RecordError::Undecodable));
 }
 
-/// Guards the layout: files of earlier versions must be read.
+/// Fails if the stored layout changes: files of earlier versions must remain readable.
 #[test]
-fn the_layout_of_a_record_is_fixed() {
+fn record_layout_is_stable() {
     let body = b"curlkeep\x01\x01\x03\x00\x00\x00\x07\x01a";
     let checksum = crc32fast::hash(body).to_le_bytes();
     let expected = [&body[..], &checksum[..]].concat();
@@ -31,16 +31,19 @@
     assert_eq!(tagged::seal(TAG, &(7u64, "a".to_string())), [&body[..], &checksum[..]].concat());
 }
 
-/// Guards the texts that operators see at the start.
+/// The error texts, which operators see in the log at the start of a process.
 #[test]
-fn errors_say_what_is_wrong() {
+fn error_texts_describe_the_fault() {
     for (error, text) in [
-        (RecordError::Truncated, "it is torn"),
-        (RecordError::Foreign, "it is no file of this program"),
-        (RecordError::WrongKind(RecordKind { content: 2, version: 3 }), "it holds kind 2 in form 3"),
-        (RecordError::WrongTag(4), "it holds kind 4"),
+        (RecordError::WrongLength, "its length is wrong"),
+        (RecordError::Foreign, "it is not a file of this program"),
+        (
+            RecordError::WrongKind(RecordKind { content: 2, version: 3 }),
+            "it holds a record of kind 2 in version 3",
+        ),
+        (RecordError::WrongTag(4), "it holds a value with tag 4"),
         (RecordError::ChecksumMismatch, "its checksum does not match"),
-        (RecordError::Undecodable, "its value cannot be read"),
+        (RecordError::Undecodable, "its value cannot be decoded"),
     ] {
         assert_eq!(error.to_string(), text);
     }
@@ -49,22 +52,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Cut off anywhere, added to, or changed in one bit, a record is never used.
+    /// A record that is truncated at any byte, extended, or changed in one bit is rejected.
     #[test]
-    fn a_torn_or_changed_record_is_not_used(value in any::<(u64, String)>(), at in any::<usize>(), bit in 0..8u8) {
+    fn corrupt_record_is_rejected(value in any::<(u64, String)>(), at in any::<usize>(), bit in 0..8u8) {
         let bytes = seal(KIND, &value).unwrap();
         prop_assert_eq!(open(KIND, &bytes), Ok(value));
         prop_assert!(open::<(u64, String)>(KIND, &bytes[..at % bytes.len()]).is_err());
         let longer = [&bytes[..], &[0]].concat();
-        prop_assert_eq!(open::<(u64, String)>(KIND, &longer), Err(RecordError::Truncated));
+        prop_assert_eq!(open::<(u64, String)>(KIND, &longer), Err(RecordError::WrongLength));
         let mut changed = bytes.clone();
         changed[at % bytes.len()] ^= 1 << bit;
         prop_assert!(open::<(u64, String)>(KIND, &changed).is_err());
     }
 
-    /// The same for a value in a log.
+    /// A log value that is truncated at any byte or changed in one bit is rejected.
     #[test]
-    fn a_torn_or_changed_value_of_a_log_is_not_used(value in any::<(u64, String)>(), at in any::<usize>(), bit in 0..8u8) {
+    fn corrupt_log_value_is_rejected(value in any::<(u64, String)>(), at in any::<usize>(), bit in 0..8u8) {
         let bytes = tagged::seal(TAG, &value);
         prop_assert_eq!(tagged::open::<(u64, String)>(TAG + 1, &bytes), Err(RecordError::WrongTag(TAG)));
         prop_assert_eq!(tagged::open(TAG, &bytes), Ok(value));
--- a/crates/snapshot/tests/replacing_a_file.rs
+++ b/crates/snapshot/tests/replacing_a_file.rs
@@ -1,4 +1,4 @@
-//! Replacing a file: stopped anywhere it holds the old value or the new one, and it is replaced at a bounded rate.
+//! Replacing a file: after a stop at any point it holds the old or the new value, and the write rate is bounded.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const KIND: RecordKind = RecordKind { content: 1, version: 1 };
 
-/// A directory as a machine that stops leaves it: bytes that were not synced may be there in part or not at all.
+/// A directory after a machine crash: bytes that were not synced may be missing in part or entirely.
 #[derive(Clone, Default)]
 struct Directory(BTreeMap<&'static str, Vec<u8>>);
 
@@ -19,10 +19,10 @@
     }
 }
 
-/// Stopped in the middle of any step, at any byte: the value is the old or the new one, and the next process writes over
-/// what is left of the temporary file. A thousand values, each stopped at a place of its own.
+/// Replaces a file a thousand times, each time stopped at a different byte of a step. Fails if the file then holds
+/// neither the old nor the new value. A leftover temporary file is overwritten by the next write.
 #[test]
-fn stopped_anywhere_the_value_is_the_old_or_the_new_one() {
+fn file_holds_the_old_or_the_new_value_after_a_stop_at_any_point() {
     let mut directory = Directory::default();
     let mut before = None;
     for value in 0..1000u64 {
@@ -52,11 +52,11 @@
     assert!(before > Some(900));
 }
 
-/// The same check finds steps that write over the file itself.
+/// Checks the test above: it would detect an implementation that writes to the file in place.
 #[test]
-fn writing_in_place_would_be_found() {
+fn partial_write_in_place_is_detected() {
     let (old, new) = (seal(KIND, &1u64).unwrap(), seal(KIND, &2u64).unwrap());
-    // The new value is there, and its checksum is not yet.
+    // The new value is written, but its checksum is not.
     let at = new.len() - 4;
     let torn = [&new[..at], &old[at..]].concat();
     let directory = Directory([("file", torn)].into());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_rate_is_bounded_and_a_failure_slows_it() {
+fn write_rate_is_bounded_and_reduced_after_a_failure() {
     let at = Duration::from_nanos;
     let mut schedule = WriteSchedule::new(at(100));
     assert!(schedule.should_write(at(0), b"a"));
--- a/src/replication/snapshot_replica.rs
+++ b/src/replication/snapshot_replica.rs
@@ -1,4 +1,4 @@
-//! The state of a coordinator as a key of the group.
+//! The replica of a coordinator's state, stored under a key of the replicated map.
 
 use std::time::{Duration, Instant};
 
@@ -9,11 +9,11 @@
 
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A replica of a state that is a key of the group.
+/// A coordinator's state under a key of the replicated map.
 #[derive(Debug)]
 pub(super) struct ReplicatedSnapshot {
     member: MemberHandle,
-    /// How long one read may be pending.
+    /// Timeout of a single read.
     request_timeout: Duration,
     key: String,
 }
@@ -60,7 +60,7 @@
                 RequestOutcome::Committed(CommandOutcome::Rejected(why)) => {
                     return Err(ReplicaError::Rejected(why.to_string()))
                 }
-                // Nothing was done.
+                // The write had no effect, so it is safe to repeat it.
                 outcome @ RequestOutcome::Rejected(RejectReason::TooManyPending)
                     if retries_before(deadline) =>
                 {
@@ -81,12 +81,12 @@
     deadline.saturating_duration_since(Instant::now())
 }
 
-/// Whether there is time for another attempt.
+/// Whether another attempt can be made before the deadline.
 fn retries_before(deadline: Instant) -> bool {
     remaining(deadline) > RETRY_INTERVAL
 }
 
-/// Logs why a request is retried, once for each reason in a row.
+/// Logs the reason for each retry, omitting consecutive repetitions of the same reason.
 #[derive(Debug, Default)]
 struct RetryLog(Option<RequestOutcome>);
 
@@ -94,13 +94,13 @@
     fn log(&mut self, action: &str, outcome: RequestOutcome) {
         if self.0.as_ref() != Some(&outcome) {
             let text = describe(&outcome);
-            log::info!(target: "group", action, outcome = text.as_str(); "state's replica not reached: retried");
+            log::info!(target: "group", action, outcome = text.as_str(); "state replica unavailable; retrying");
             self.0 = Some(outcome);
         }
     }
 }
 
-/// An outcome in the words that operators know from earlier versions.
+/// Formats an outcome as in earlier versions, whose texts operators know.
 fn describe(outcome: &RequestOutcome) -> String {
     match outcome {
         RequestOutcome::Committed(CommandOutcome::Written { version }) => {
--- a/src/replication/snapshot_replica/tests.rs
+++ b/src/replication/snapshot_replica/tests.rs
@@ -3,9 +3,9 @@
 use super::super::member_handle::MemberMessage;
 use super::*;
 
-/// Guards the texts that an operator sees if a process cannot start or its state is not replicated.
+/// The texts of outcomes, which operators see if a process cannot start or its state is not replicated.
 #[test]
-fn outcomes_keep_their_words() {
+fn outcome_texts_are_stable() {
     let committed = RequestOutcome::Committed;
     for (outcome, text) in [
         (committed(CommandOutcome::Written { version: 3 }), "Promised(Written { version: 3 })"),
@@ -20,25 +20,25 @@
     }
 }
 
-/// Guards the texts of the errors in which those words stand.
+/// The texts of the errors that contain an outcome.
 #[test]
-fn errors_keep_their_words() {
+fn error_texts_are_stable() {
     for (error, text) in [
-        (ReplicaError::Unreadable("Unknown".into()), "the group does not say what it holds: Unknown"),
+        (ReplicaError::Unreadable("Unknown".into()), "cannot read the state from the group: Unknown"),
         (ReplicaError::NotCommitted("Unknown".into()), "not promised: Unknown"),
         (ReplicaError::Rejected("the value is too long".into()), "the value is too long"),
         (ReplicaError::VersionMismatch { current: 2 }, "not promised: Promised(Stale { current: 2 })"),
-        (ReplicaError::Superseded, "another process has taken over under this name"),
+        (ReplicaError::Superseded, "another process with this name has started later"),
     ] {
         assert_eq!(error.to_string(), text);
     }
 }
 
-/// Far longer than the scripted member takes.
+/// Much longer than the scripted member takes to respond.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether a request is one of those by which the replica is read and written: a write is proposed until it is applied, for
-/// as long as the caller waits.
+/// Whether a request is a read of the replica, or a write that is proposed until it is applied or the caller's deadline
+/// passes.
 fn is_expected(request: &ClientRequest) -> bool {
     match request {
         ClientRequest::Read(key) => key == "state/n1",
@@ -49,7 +49,7 @@
     }
 }
 
-/// A replica whose member gives these outcomes, one a request, and the thread that does so and counts the requests.
+/// A replica whose member returns these outcomes in order, and its thread, which returns the number of requests.
 fn scripted(outcomes: Vec<RequestOutcome>) -> (ReplicatedSnapshot, JoinHandle<usize>) {
     let (member, messages) = MemberHandle::with_capacity(1);
     let serve = move || {
@@ -70,9 +70,9 @@
     Instant::now() + TIMEOUT
 }
 
-/// Guards against a start that ends because an election is on while it reads, or too much is pending while it writes.
+/// Fails if the start of a process is aborted because its read meets an election, or its write a full queue.
 #[test]
-fn what_was_rejected_is_tried_again() {
+fn rejected_requests_are_retried() {
     let rejected = RequestOutcome::Rejected;
     let reads = vec![rejected(RejectReason::NoLeader), RequestOutcome::Unknown, RequestOutcome::Read(None)];
     let (mut replica, served) = scripted(reads);
@@ -84,9 +84,9 @@
     assert_eq!(served.join().unwrap(), 2);
 }
 
-/// Guards against a write that is taken for done, or done again, after an outcome that says nothing of the kind.
+/// Fails if a write that was not confirmed is reported as done, or repeated although it may still take effect.
 #[test]
-fn a_write_that_was_not_done_is_not_done_again() {
+fn unconfirmed_write_fails_without_a_retry() {
     let committed = RequestOutcome::Committed;
     for (outcome, error) in [
         (
@@ -102,9 +102,9 @@
     }
 }
 
-/// Guards the bound on a wait for a group that does not answer.
+/// Fails if a read or a write waits longer than its deadline for a group that does not respond.
 #[test]
-fn a_deadline_bounds_reads_and_writes() {
+fn reads_and_writes_end_at_their_deadline() {
     let (member, _messages) = MemberHandle::with_capacity(4);
     let mut replica = ReplicatedSnapshot::new(member, TIMEOUT, "n1");
     let begun = Instant::now();
--- a/src/snapshot_store.rs
+++ b/src/snapshot_store.rs
@@ -1,9 +1,9 @@
-//! The state that outlives a process: how often it has started, the management agent's engine id, and the totals of the
-//! request ledger.
+//! The state that persists across restarts: the number of starts, the management agent's engine id, and the totals of
+//! the request ledger.
 //!
-//! It is written to a file of the state folder, by a thread of its own since files block, and optionally to a replica.
-//! How a file is sealed, when it is replaced and in which steps is decided in `curlewdeck-snapshot`. On the platform
-//! there is no state folder, and nothing is written.
+//! A dedicated thread writes it to a file in the state folder, since file I/O blocks, and optionally to a replica. The
+//! crate `curlewdeck-snapshot` defines the encoding of the file, the write schedule and the steps of replacing the
+//! file. On the platform no state folder is configured, and nothing is written.
 
 mod directory;
 mod error;
@@ -27,19 +27,19 @@
 use replica::TrackedReplica;
 pub use replica::{ReplicaError, ReplicaValue, SnapshotReplica};
 
-/// How long a start waits for the replica. A member that came back with an empty folder must be added to its group first.
+/// Long enough for an operator to add a member that has restarted with an empty folder to its group.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The section `[state]` of the edge's file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateConfig {
-    /// The state folder; it must exist, and belong to this instance alone.
+    /// The state folder. It must exist, and no other instance may use it.
     pub folder: PathBuf,
-    /// Seconds between two writes of a state that has changed.
+    /// Seconds between two writes; unchanged state is not written.
     #[serde(rename = "every_s", default = "default_write_interval_s")]
     pub write_interval_s: u64,
-    /// Whether the state is replicated to the group too, under the coordinator's name.
+    /// Whether the state is also replicated to the group, under the coordinator's name.
     #[serde(rename = "copied", default)]
     pub replicated: bool,
 }
@@ -51,12 +51,12 @@
 /// The kind of record that holds [`SnapshotContents`].
 pub const STATE_RECORD: RecordKind = RecordKind { content: 1, version: 1 };
 
-/// The state. The words by which serde knows its fields are those of the stored form.
+/// The persisted state. The serde names of its fields are those of the first version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SnapshotContents {
-    /// How often a process has started with this state.
+    /// The number of process starts with this state.
     pub boots: u32,
-    /// The management agent's engine id.
+    /// The management agent's engine id, fixed at the first start.
     #[serde(rename = "engine")]
     pub engine_id: Vec<u8>,
     /// The totals of the request ledger.
@@ -64,7 +64,7 @@
     pub ledger: SavedLedger,
 }
 
-/// The state of this process, and where it is stored.
+/// The persisted state of this process, with its state folder and its replica.
 #[derive(Debug)]
 pub struct SnapshotStore {
     directory: SnapshotDirectory,
@@ -72,20 +72,18 @@
     /// Locked while the file is written.
     state: Mutex<State>,
     replica: Mutex<Option<TrackedReplica>>,
-    /// The schedule's times are counted from here.
+    /// The origin of the write schedule's times.
     started: Instant,
 }
 
-/// Why the state is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WriteReason {
-    /// Its write interval has passed.
+    /// The write interval has elapsed.
     Due,
-    /// The process ends.
-    ProcessEnds,
+    /// The process is shutting down, so the write schedule does not apply.
+    Shutdown,
 }
 
-/// The state as it was restored, with the number of this start, and when it is written next.
 #[derive(Debug)]
 struct State {
     contents: SnapshotContents,
@@ -93,10 +91,11 @@
 }
 
 impl SnapshotStore {
-    /// Restores the state and counts this start: [`open`](Self::open), and then [`count_start`](OpenState::count_start).
+    /// Restores the state and counts this start: [`open`](Self::open) followed by
+    /// [`count_start`](OpenState::count_start).
     ///
     /// # Errors
-    /// The folder cannot be used, or the replica cannot be read or written in time.
+    /// The folder cannot be used, or the replica cannot be read or written before the start timeout.
     pub fn load(
         config: &StateConfig,
         engine_id: Vec<u8>,
@@ -105,7 +104,7 @@
         Self::open(config)?.count_start(engine_id, replica)
     }
 
-    /// Locks the folder and reads its state. A file that cannot be used is quarantined, and the state begins anew.
+    /// Locks the folder and reads its state. An unusable file is quarantined, and the default state is used instead.
     ///
     /// # Errors
     /// The folder cannot be used.
@@ -124,12 +123,12 @@
         lock(&self.state)
     }
 
-    /// The state as it was restored, with the number of this start.
+    /// The state as restored at this start, with the ledger as of the last write.
     pub fn contents(&self) -> SnapshotContents {
         self.state().contents.clone()
     }
 
-    /// Starts the thread that writes the state.
+    /// Starts the thread that writes the state periodically.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -142,17 +141,18 @@
         Ok(())
     }
 
-    /// Writes the state, if its schedule allows it. Blocks.
+    /// Writes the state if its schedule allows it. Blocks.
     fn write_if_due(&self, core: &CoreHandle) {
         self.write(core, WriteReason::Due, None);
     }
 
-    /// Writes the state once more before the process ends; waits for the replica no longer than until then.
+    /// Writes the state before the process exits; waits for the replica until `replicate_by` at the latest.
     pub fn write_last(&self, core: &CoreHandle, replicate_by: Instant) {
-        self.write(core, WriteReason::ProcessEnds, Some(replicate_by));
+        self.write(core, WriteReason::Shutdown, Some(replicate_by));
     }
 
-    /// Writes the folder, and then the replica: by that time, or else within the time of a request.
+    /// Writes the file, and then the replica: until `replicate_by`, or within the replica's request timeout if that is
+    /// none.
     fn write(&self, core: &CoreHandle, reason: WriteReason, replicate_by: Option<Instant>) {
         let Some(ledger) = core.saved_ledger() else {
             log::warn!("state not written: the coordinator did not answer in time");
@@ -161,7 +161,7 @@
         let mut state = self.state();
         state.contents.ledger = ledger;
         let Some(bytes) = record::seal(STATE_RECORD, &state.contents) else {
-            log::error!("state not written: it is too large");
+            log::error!("state not written: it exceeds the maximum record size");
             return;
         };
         let now = self.started.elapsed();
@@ -180,7 +180,8 @@
         }
     }
 
-    /// Writes the replica, if there is one: by the deadline, or else within the time of a request.
+    /// Writes the replica, if there is one: until the deadline, or within the replica's request timeout if that is
+    /// none.
     fn replicate(&self, bytes: &[u8], boots: u32, deadline: Option<Instant>) -> Result<(), ReplicaError> {
         let mut replica = match deadline {
             Some(deadline) => lock_until(&self.replica, deadline).ok_or(ReplicaError::WriteInProgress)?,
@@ -192,7 +193,7 @@
     }
 }
 
-/// A state folder that is locked and read, of which no start is counted yet.
+/// A state folder that is locked and read, before this start is counted.
 #[derive(Debug)]
 pub struct OpenState {
     directory: SnapshotDirectory,
@@ -201,12 +202,12 @@
 }
 
 impl OpenState {
-    /// Counts this start in the folder, and then in the replica. The count is on the disk, and in the replica, before this
-    /// returns, so that no two processes ever have the same one. Where another process of this name has counted one
-    /// meanwhile, this one counts on from there.
+    /// Counts this start in the folder, and then in the replica. The count is on disk and in the replica before this
+    /// returns, so that no two processes use the same start number. If another process with this name counts a start at
+    /// the same time, this start gets the next number.
     ///
     /// # Errors
-    /// The folder cannot be written, or the replica cannot be read or written in time.
+    /// The folder cannot be written, or the replica cannot be read or written before the start timeout.
     pub fn count_start(
         mut self,
         engine_id: Vec<u8>,
@@ -214,7 +215,7 @@
     ) -> Result<SnapshotStore, SnapshotError> {
         let deadline = Instant::now() + START_TIMEOUT;
         let mut replica = replica.map(TrackedReplica::new);
-        // Of a file at the replica's count: it is written before the replica, and so the newer one of the two.
+        // If the file and the replica have the same count, the file is newer, since it is written before the replica.
         let mut file_is_newer = true;
         loop {
             if let Some(replica) = &mut replica {
@@ -226,18 +227,19 @@
                 Some(Err(ReplicaError::VersionMismatch { current })) if Instant::now() < deadline => {
                     log::warn!(
                         start = self.contents.boots, version = current;
-                        "state's replica was written meanwhile: start counted anew"
+                        "state replica was written concurrently; counting this start again"
                     )
                 }
                 Some(Err(e)) => return Err(SnapshotError::ReplicaWrite(e)),
             }
-            // What another process has written at the count of this file has totals that this file lacks.
+            // Another process has written the replica, possibly with the same count but with totals that this file
+            // lacks.
             file_is_newer = false;
         }
     }
 
-    /// Reads the replica, and takes what it holds if it is of a later start than the file, or of the same one and the
-    /// newer of the two.
+    /// Reads the replica, and adopts its state if that is of a later start than the file, or of the same start and
+    /// newer.
     fn restore(
         &mut self,
         replica: &mut TrackedReplica,
@@ -248,14 +250,14 @@
             directory: self.directory.path().to_owned(),
             source,
         })?;
-        let oldest_taken = self.contents.boots.saturating_add(u32::from(file_is_newer));
-        if let Some(replicated) = replicated.filter(|replicated| replicated.boots >= oldest_taken) {
+        let min_adopted_boots = self.contents.boots.saturating_add(u32::from(file_is_newer));
+        if let Some(replicated) = replicated.filter(|replicated| replicated.boots >= min_adopted_boots) {
             self.contents = replicated;
         }
         Ok(())
     }
 
-    /// Counts the next start in the folder; returns the bytes written.
+    /// Increments the start count in the folder; returns the bytes written.
     fn write_next_start(&mut self, engine_id: &[u8]) -> Result<Vec<u8>, SnapshotError> {
         self.contents.boots = self.contents.boots.saturating_add(1);
         if self.contents.engine_id.is_empty() {
@@ -284,7 +286,7 @@
     }
 }
 
-/// The state of the file. One that is torn, changed or foreign is quarantined, and the state begins anew.
+/// Reads the state file. A corrupt or foreign file is quarantined, and the default state is returned.
 fn read_or_quarantine(directory: &SnapshotDirectory) -> Result<SnapshotContents, DirectoryError> {
     let Some(bytes) = directory.read()? else { return Ok(SnapshotContents::default()) };
     match record::open(STATE_RECORD, &bytes) {
--- a/src/snapshot_store/directory.rs
+++ b/src/snapshot_store/directory.rs
@@ -1,4 +1,4 @@
-//! The state folder: its lock, and its one file, which is replaced in the steps of
+//! The state folder: its lock, and the state file, which is replaced atomically by the steps of
 //! [`curlewdeck_snapshot::atomic_write`].
 
 use std::fs::{self, File, TryLockError};
@@ -10,14 +10,13 @@
 
 use super::error::DirectoryError;
 
-/// The file that holds the state.
 pub(super) const STATE_FILE: &str = "books";
 const LOCK_FILE: &str = "lock";
 
 /// A state folder that this process has locked.
 ///
-/// The lock is held until this is dropped: two processes that count in one folder would overwrite each other's totals,
-/// and use the same number of a start twice.
+/// The lock is held until this value is dropped. Two processes that share a folder would overwrite each other's totals,
+/// and use the same start number twice.
 #[derive(Debug)]
 pub(super) struct SnapshotDirectory {
     path: PathBuf,
@@ -35,13 +34,12 @@
         Ok(Self { path: path.to_owned(), _lock: lock })
     }
 
-    /// Where it is.
     pub(super) fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The bytes of the state file; none if there is none. A file that is too long for a record is read as an empty one,
-    /// which is no record either.
+    /// Reads the state file; none if it does not exist. A file that exceeds the maximum record size is returned as
+    /// empty bytes, which are not a valid record either.
     pub(super) fn read(&self) -> io::Result<Option<Vec<u8>>> {
         let file = self.path.join(STATE_FILE);
         match fs::metadata(&file) {
@@ -52,7 +50,7 @@
         }
     }
 
-    /// Replaces the state file, synced.
+    /// Replaces the state file atomically, and syncs it.
     pub(super) fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let (file, temporary) = (self.path.join(STATE_FILE), self.path.join(temporary_name(STATE_FILE)));
         for step in WRITE_STEPS {
@@ -66,7 +64,7 @@
         Ok(())
     }
 
-    /// Moves a state file that cannot be used out of the way, never over another file; returns its new name.
+    /// Renames an unusable state file without overwriting an earlier one; returns the new name.
     pub(super) fn quarantine(&self) -> Result<String, DirectoryError> {
         let name = quarantine_names(STATE_FILE)
             .find(|name| !self.path.join(name).exists())
--- a/src/snapshot_store/error.rs
+++ b/src/snapshot_store/error.rs
@@ -1,48 +1,48 @@
-//! Why the state of a process cannot be restored or stored.
+//! Errors of restoring and storing the state of a process.
 
 use std::io;
 use std::path::PathBuf;
 
 use super::replica::ReplicaError;
 
-/// Why the state cannot be restored or stored.
+/// The state cannot be restored or stored.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// The state folder cannot be used.
     #[error("state folder {}: {source}", .directory.display())]
     Directory {
-        /// The folder.
+        /// The folder from the configuration.
         directory: PathBuf,
-        /// What is wrong with it.
+        /// The cause.
         source: DirectoryError,
     },
     /// The replica cannot be read at the start.
     #[error("state folder {}: {source}", .directory.display())]
     ReplicaRead {
-        /// The folder whose replica it is.
+        /// The state folder whose contents are replicated.
         directory: PathBuf,
-        /// Why it cannot be read.
+        /// The cause.
         source: ReplicaError,
     },
     /// The replica cannot be written at the start.
-    #[error("the state's copy: {0}")]
+    #[error("cannot write the state replica: {0}")]
     ReplicaWrite(#[source] ReplicaError),
-    /// The state is larger than a file may be.
+    /// The state exceeds the maximum size of a record.
     #[error("the state is too large")]
     TooLarge,
 }
 
-/// What is wrong with a state folder.
+/// The state folder cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DirectoryError {
-    /// The configuration asks for a write at no interval.
+    /// The configured write interval is 0.
     #[error("every_s must be above 0")]
     ZeroWriteInterval,
     /// Another process holds the folder's lock.
     #[error("another process uses it: end that one first")]
     InUse,
-    /// No name is free for one more file that cannot be used.
-    #[error("too many files were put aside: look at them")]
+    /// All quarantine names are in use, so that an unusable state file cannot be quarantined.
+    #[error("too many files are in quarantine: inspect them")]
     TooManyQuarantined,
     /// A file cannot be read or written.
     #[error(transparent)]
--- a/src/snapshot_store/replica.rs
+++ b/src/snapshot_store/replica.rs
@@ -1,4 +1,4 @@
-//! A replica of the state, which outlives the machine with its disk.
+//! A replica of the state, which survives the loss of the machine and its disk.
 
 use std::fmt::Debug;
 use std::time::{Duration, Instant};
@@ -7,69 +7,69 @@
 
 use super::{SnapshotContents, STATE_RECORD};
 
-/// What a replica holds.
+/// The value of a replica, with its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaValue {
-    /// The sealed state; none if there is none yet.
+    /// The sealed state; none if the replica was never written.
     pub bytes: Option<Vec<u8>>,
-    /// Its version; 0 if there is none.
+    /// The version for the next compare-and-set; 0 if the replica was never written.
     pub version: u64,
 }
 
 /// A replica of the state, written by compare-and-set.
 pub trait SnapshotReplica: Send + Debug {
-    /// Reads the replica; blocks until it is known what it holds, or until the deadline.
+    /// Reads the replica; blocks until the value is read or the deadline passes.
     ///
     /// # Errors
-    /// Why that is not known.
+    /// The value could not be read before the deadline.
     fn read(&mut self, deadline: Instant) -> Result<ReplicaValue, ReplicaError>;
 
-    /// Writes the replica if it is still at `version`; returns the new version. Blocks until it is known whether that was
-    /// done, or until the deadline.
+    /// Writes the replica if it is still at `version`; returns the new version. Blocks until the outcome is known or
+    /// the deadline passes.
     ///
     /// # Errors
-    /// Why it is not known to be written.
+    /// The write was rejected, or its outcome is unknown.
     fn write(&mut self, bytes: &[u8], version: u64, deadline: Instant) -> Result<u64, ReplicaError>;
 
-    /// How long a process that serves waits for a request.
+    /// The timeout of a write while the process is serving queries.
     fn request_timeout(&self) -> Duration;
 }
 
-/// Why a replica cannot be read or written.
+/// The replica cannot be read or written.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaError {
-    /// It is not known what it holds.
-    #[error("the group does not say what it holds: {0}")]
+    /// The group did not return the value; holds the outcome of the last attempt.
+    #[error("cannot read the state from the group: {0}")]
     Unreadable(String),
-    /// What it holds is not used.
-    #[error("what the group holds is not believed, {0}")]
+    /// The value cannot be opened as a record of the state.
+    #[error("the state in the group is corrupt: {0}")]
     Corrupt(#[source] RecordError),
-    /// The replica does not take the value.
+    /// The group rejected the value, because of one of its limits.
     #[error("{0}")]
     Rejected(String),
-    /// It is not known whether the value was written.
+    /// The write was not confirmed; it may still take effect.
     #[error("not promised: {0}")]
     NotCommitted(String),
-    /// A value was written since the replica was read: another process's, or this one's if its outcome was not heard. The
-    /// text is that of the group's outcome, which operators know.
+    /// The replica was written after it was read: by another process, or by an earlier write of this process whose
+    /// outcome was lost. The text is that of the group's outcome, which operators know from earlier versions.
     #[error("not promised: Promised(Stale {{ current: {current} }})")]
     VersionMismatch {
-        /// The version of that value.
+        /// The version that the replica has now.
         current: u64,
     },
-    /// An earlier write of this process still waits for the replica.
-    #[error("not promised: an earlier write still waits")]
+    /// An earlier write of this process to the replica is still in progress.
+    #[error("not promised: an earlier write is still in progress")]
     WriteInProgress,
-    /// A process that started later writes under the same name.
-    #[error("another process has taken over under this name")]
+    /// A process that started later under the same name has written the replica.
+    #[error("another process with this name has started later")]
     Superseded,
 }
 
-/// The replica with the version that this process wrote or read last.
+/// A replica, and the version that this process last read or wrote.
 #[derive(Debug)]
 pub(super) struct TrackedReplica {
     replica: Box<dyn SnapshotReplica>,
-    /// None after a write whose outcome is not known.
+    /// None after a write whose outcome is unknown.
     version: Option<u64>,
 }
 
@@ -78,12 +78,11 @@
         Self { replica, version: None }
     }
 
-    /// How long a process that serves waits for a request.
     pub(super) fn request_timeout(&self) -> Duration {
         self.replica.request_timeout()
     }
 
-    /// Reads the state and takes note of its version.
+    /// Reads the state and records its version.
     pub(super) fn read(&mut self, deadline: Instant) -> Result<Option<SnapshotContents>, ReplicaError> {
         let value = self.replica.read(deadline)?;
         self.version = Some(value.version);
@@ -91,8 +90,8 @@
         value.bytes.map(open).transpose().map_err(ReplicaError::Corrupt)
     }
 
-    /// Writes the state. After a write whose outcome is not known it is read first: what it holds then must not be of a
-    /// later start than this one.
+    /// Writes the state. If the outcome of the previous write is unknown, reads the replica first, and fails if its
+    /// state is of a later start than this one.
     pub(super) fn write(&mut self, bytes: &[u8], boots: u32, deadline: Instant) -> Result<(), ReplicaError> {
         if self.version.is_none() && self.read(deadline)?.is_some_and(|contents| contents.boots > boots) {
             return Err(ReplicaError::Superseded);
--- a/src/snapshot_store/tests.rs
+++ b/src/snapshot_store/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use std::fs;
 
-/// A state folder that is removed with it.
+/// A temporary state folder, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn boots_never_come_twice_and_the_engine_stays() {
+fn each_start_gets_a_new_number_and_the_engine_id_is_stable() {
     let folder = Folder::new("boots");
     for boots in 1..5 {
         let contents = folder.load().unwrap().contents();
@@ -37,7 +37,7 @@
     }
 }
 
-/// A replica in memory, whose answer to a write may be lost.
+/// An in-memory replica that can lose the responses to writes.
 #[derive(Debug, Clone, Default)]
 struct MemoryReplica(Arc<Mutex<MemoryReplicaState>>);
 
@@ -45,9 +45,9 @@
 struct MemoryReplicaState {
     bytes: Option<Vec<u8>>,
     version: u64,
-    answers_are_lost: bool,
-    /// What another process of the same name writes right before the next write.
-    written_meanwhile: Option<Vec<u8>>,
+    responses_are_lost: bool,
+    /// The value that another process with the same name writes right before the next write.
+    concurrent_write: Option<Vec<u8>>,
 }
 
 impl SnapshotReplica for MemoryReplica {
@@ -58,14 +58,14 @@
 
     fn write(&mut self, bytes: &[u8], version: u64, _deadline: Instant) -> Result<u64, ReplicaError> {
         let mut state = self.0.lock().unwrap();
-        if let Some(other) = state.written_meanwhile.take() {
+        if let Some(other) = state.concurrent_write.take() {
             (state.bytes, state.version) = (Some(other), version + 1);
         }
         if state.version != version {
             return Err(ReplicaError::VersionMismatch { current: state.version });
         }
         (state.bytes, state.version) = (Some(bytes.to_vec()), version + 1);
-        if state.answers_are_lost {
+        if state.responses_are_lost {
             Err(ReplicaError::NotCommitted("not known".into()))
         } else {
             Ok(version + 1)
@@ -77,10 +77,10 @@
     }
 }
 
-/// Guards against boots that go back with the disk, and against two that count under one name. After a write whose
-/// outcome is not known it goes on.
+/// Fails if the start count is lost with the disk, if a process overwrites the state of a later one with the same name,
+/// or if a write with an unknown outcome makes all later writes fail.
 #[test]
-fn the_replica_outlives_the_folder() {
+fn replica_preserves_the_start_count_when_the_folder_is_lost() {
     let replica = MemoryReplica::default();
     let load =
         |folder: &Folder| SnapshotStore::load(&folder.config(), vec![7], Some(Box::new(replica.clone())));
@@ -90,32 +90,32 @@
     assert_eq!(lost.contents().boots, 2);
     let contents = SnapshotContents { boots: 2, ..SnapshotContents::default() };
     let bytes = record::seal(STATE_RECORD, &contents).unwrap();
-    replica.0.lock().unwrap().answers_are_lost = true;
+    replica.0.lock().unwrap().responses_are_lost = true;
     assert!(lost.replicate(&bytes, 2, None).is_err());
-    replica.0.lock().unwrap().answers_are_lost = false;
+    replica.0.lock().unwrap().responses_are_lost = false;
     lost.replicate(&bytes, 2, None).unwrap();
     let other = Folder::new("replaced");
     assert_eq!(load(&other).unwrap().contents().boots, 3);
-    assert!(lost.replicate(&bytes, 2, None).is_err(), "it wrote over the one that took its place");
+    assert!(lost.replicate(&bytes, 2, None).is_err(), "it overwrote the state of a later process");
     assert_eq!(lost.replicate(&bytes, 2, None), Err(ReplicaError::Superseded));
     assert!(ReplicaError::Superseded.to_string().contains("another process"));
 }
 
-/// Guards against two processes of one name that count the same start, where the other one counts between this one's
-/// read and its write; this one goes on, from the other one's totals.
+/// Fails if two processes with one name get the same start number, because the other one counts a start between this
+/// process's read and write. This process must then use the next number, and the totals of the other process.
 #[test]
-fn a_start_that_another_process_counted_meanwhile_is_counted_after_it() {
+fn start_counted_concurrently_by_another_process_gets_the_next_number() {
     let folder = Folder::new("meanwhile");
     for other_boots in [1, 4] {
         let replica = MemoryReplica::default();
         let ledger = SavedLedger { retries: 77, ..SavedLedger::default() };
         let other = SnapshotContents { boots: other_boots, engine_id: Vec::new(), ledger };
-        replica.0.lock().unwrap().written_meanwhile = Some(record::seal(STATE_RECORD, &other).unwrap());
+        replica.0.lock().unwrap().concurrent_write = Some(record::seal(STATE_RECORD, &other).unwrap());
         let _ = fs::remove_file(folder.0.join(STATE_FILE));
         let loaded = SnapshotStore::load(&folder.config(), vec![7], Some(Box::new(replica.clone()))).unwrap();
         assert_eq!(loaded.contents().boots, other_boots + 1);
         assert_eq!(loaded.contents().engine_id, [7]);
-        assert_eq!(loaded.contents().ledger.retries, 77, "totals went back");
+        assert_eq!(loaded.contents().ledger.retries, 77, "the other process's totals were lost");
         let held =
             record::open::<SnapshotContents>(STATE_RECORD, replica.0.lock().unwrap().bytes.as_ref().unwrap());
         assert_eq!(held.unwrap(), loaded.contents());
@@ -124,9 +124,9 @@
     }
 }
 
-/// Guards against an old and a new version that write over each other's totals.
+/// Fails if two processes share a folder, such as an old and a new version that would overwrite each other's totals.
 #[test]
-fn a_folder_serves_one_process_at_a_time() {
+fn folder_is_locked_by_one_process_at_a_time() {
     let folder = Folder::new("lock");
     let first = folder.load().unwrap();
     assert!(folder.load().unwrap_err().to_string().contains("another process uses it"));
@@ -134,9 +134,10 @@
     assert_eq!(folder.load().unwrap().contents().boots, 2);
 }
 
-/// A torn or foreign file is quarantined, never overwritten; what is left of a write that was cut off is not read.
+/// A corrupt or foreign file is quarantined and never overwritten. The temporary file of an interrupted write is
+/// ignored.
 #[test]
-fn a_file_that_cannot_be_used_is_quarantined() {
+fn unusable_file_is_quarantined() {
     let folder = Folder::new("quarantine");
     folder.load().unwrap();
     let good = fs::read(folder.0.join(STATE_FILE)).unwrap();
@@ -157,9 +158,9 @@
     assert_eq!(fs::read(folder.0.join(STATE_FILE)).unwrap(), b"x", "it was overwritten");
 }
 
-/// Guards the texts that an operator sees at the start.
+/// The error texts, which operators see if a process cannot start.
 #[test]
-fn errors_name_the_folder_and_what_is_wrong_with_it() {
+fn errors_contain_the_folder_and_the_cause() {
     let config = StateConfig { folder: "/nowhere/at/all".into(), write_interval_s: 1, replicated: false };
     let error = SnapshotStore::load(&config, Vec::new(), None).unwrap_err().to_string();
     assert!(error.starts_with("state folder /nowhere/at/all: "), "{error}");
@@ -168,9 +169,9 @@
     assert_eq!(error, "state folder /nowhere/at/all: every_s must be above 0");
 }
 
-/// Guards the end of a process against an earlier write that still waits for its group.
+/// Fails if the write at shutdown waits past its deadline for an earlier write that is blocked on the group.
 #[test]
-fn a_write_waits_no_longer_than_its_deadline_for_an_earlier_one() {
+fn write_waits_for_an_earlier_one_until_its_deadline_at_the_latest() {
     let folder = Folder::new("waits");
     let store = folder.load().unwrap();
     let earlier = store.replica.lock().unwrap();
