--- a/crates/replication/src/command.rs
+++ b/crates/replication/src/command.rs
@@ -71,7 +71,8 @@
     },
     /// Nothing changed: the command exceeds a limit.
     Rejected(CommandRejection),
-    /// The entry changes nothing: a no-op command, a membership change, or an entry that was already applied.
+    /// The map is unchanged: a no-op command, a membership change, or an entry that was already applied or cannot be
+    /// decoded.
     NoEffect,
 }
 
--- a/crates/replication/src/limits.rs
+++ b/crates/replication/src/limits.rs
@@ -1,6 +1,6 @@
 //! The limits and the timing of a group.
 
-/// The limits of a group, and its timing in ticks.
+/// The limits of a group, and its timing in ticks. The defaults are the values of an operator's group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicationLimits {
     /// Maximum number of keys in the map; a command that would add another one is rejected.
--- a/src/replication/api.rs
+++ b/src/replication/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 calls of a group's clients and operators, one call a connection.
+//! The HTTP/1.1 calls for clients and operators of a group, with one call per connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,22 +11,20 @@
 use crate::frontend::http_server::Reply;
 use crate::net::http::Request;
 
-/// The calls of one member.
+/// Serves the calls to one member.
 pub(super) struct ClientApi {
-    /// Sends requests to the member.
     pub(super) member: MemberHandle,
-    /// The member's status.
     pub(super) status: SharedStatus,
-    /// How long a call may wait for the member.
+    /// The maximum time for which a call waits for the member.
     pub(super) request_timeout: Duration,
-    /// When a client that was rejected should retry.
+    /// The delay after which a rejected client should retry.
     pub(super) retry_after: Duration,
 }
 
 const KEYS_PATH: &str = "/group/keys/";
 const MEMBERS_PATH: &str = "/group/members/";
 const KEY_METHODS: &str = "GET, PUT, DELETE";
-/// Keys that the group itself writes: where members listen, and the replicas of coordinators' states.
+/// Prefixes of the keys that only the group itself writes: addresses of members, and replicas of coordinators' states.
 const INTERNAL_KEY_PREFIXES: [&str; 2] = ["member/", "state/"];
 
 impl ClientApi {
@@ -44,7 +42,7 @@
                 Reply::text(200, "promised").with_header("Version", &version.to_string())
             }
             RequestOutcome::Committed(CommandOutcome::VersionMismatch { current }) => {
-                Reply::text(412, &format!("it is at version {current}"))
+                Reply::text(412, &format!("the key is at version {current}"))
                     .with_header("Version", &current.to_string())
             }
             RequestOutcome::Committed(CommandOutcome::Rejected(why @ CommandRejection::TooManyKeys)) => {
@@ -56,23 +54,30 @@
                 let reply = Reply { body: value.value, ..Reply::text(200, "") };
                 reply.with_header("Version", &value.version.to_string())
             }
-            RequestOutcome::Read(None) => Reply::text(404, "there is no such key"),
+            RequestOutcome::Read(None) => Reply::text(404, "key not found"),
             RequestOutcome::Rejected(why @ RejectReason::Stopped) => Reply::text(410, &why.to_string()),
             RequestOutcome::Rejected(why) => unavailable(&why.to_string()),
-            RequestOutcome::Unknown => Reply::text(504, "not known: it may be done yet, or never"),
+            RequestOutcome::Unknown => {
+                Reply::text(504, "outcome unknown: the request may still take effect, or never")
+            }
         }
     }
 
     fn key(&self, key: &str, request: &Request) -> Reply {
         let is_internal = INTERNAL_KEY_PREFIXES.iter().any(|prefix| key.starts_with(prefix));
         if key.is_empty() || is_internal && request.method != "GET" {
-            return Reply::text(400, "this is no key that clients may write");
+            return Reply::text(400, "clients must not write this key");
         }
         let (key, value) = (key.to_string(), request.body.clone());
         let version = match request.headers.get("if-version").map(str::parse::<u64>) {
             None => None,
             Some(Ok(version)) => Some(version),
-            Some(Err(_)) => return Reply::text(400, "If-Version: a number, 0 where the key must be absent"),
+            Some(Err(_)) => {
+                return Reply::text(
+                    400,
+                    "If-Version must be a number: the key's version, or 0 if it must be absent",
+                )
+            }
         };
         match (request.method.as_str(), version) {
             ("GET", _) => self.request(ClientRequest::Read(key)),
@@ -85,7 +90,7 @@
             ("DELETE", Some(version)) => {
                 self.request(ClientRequest::Propose(Command::CompareAndSet { key, version, value: None }))
             }
-            ("DELETE", None) => Reply::text(400, "If-Version is needed: the version that is to go"),
+            ("DELETE", None) => Reply::text(400, "If-Version is required: the version to remove"),
             _ => Reply::text(405, "keys are read by GET, and changed by PUT and DELETE")
                 .with_header("Allow", KEY_METHODS),
         }
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -8,20 +8,20 @@
 use curlewdeck_replication::ReplicationLimits;
 use serde::Deserialize;
 
-/// The section `[group]`.
+/// The settings of a member of a replication group.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupConfig {
-    /// The member's own folder, on a lasting disk; it is made if it is missing.
+    /// The member's folder, which must be on a persistent disk; created if it does not exist.
     pub folder: PathBuf,
-    /// Where it listens for other members.
+    /// The address at which the member listens for other members.
     pub listen: SocketAddr,
-    /// Where it listens for clients and operators of the group.
+    /// The address at which the member listens for clients and operators of the group.
     pub control: SocketAddr,
-    /// Where members listen, by id: the founders, or for a member that joins those that it can reach. Where others listen
-    /// is in the replicated map.
+    /// Addresses of members by id: the founders, or for a joining member those that it can reach initially. The
+    /// replicated map holds the addresses of further members.
     pub members: BTreeMap<String, SocketAddr>,
-    /// Milliseconds of a tick, by which elections and heartbeats are timed.
+    /// Milliseconds in a tick, the unit of election timeouts and heartbeat intervals.
     #[serde(default = "default_tick_ms")]
     pub tick_ms: u64,
 }
@@ -30,35 +30,35 @@
     100
 }
 
-/// A shorter tick is lost in the system's own timers, and a longer one leaves the group without a leader for long.
+/// Shorter ticks are below the accuracy of system timers, and longer ones delay the election of a leader too much.
 const TICK_RANGE_MS: std::ops::RangeInclusive<u64> = 10..=10_000;
 
-/// Why the section `[group]` is not usable.
+/// The section `[group]` is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum GroupConfigError {
-    /// A member's id is no number above 0.
-    #[error("group.members: '{0}' is no number above 0")]
+    /// A member's id is not a positive integer.
+    #[error("group.members: '{0}' is not a number above 0")]
     InvalidId(String),
-    /// There are no members.
-    #[error("group.members: it names nobody")]
+    /// The table of members is empty.
+    #[error("group.members: no members are listed")]
     NoMembers,
-    /// The tick is too short or too long (milliseconds).
+    /// The tick is out of range.
     #[error(
-        "group.tick_ms is {tick_ms}, from {min} to {max} are possible",
+        "group.tick_ms is {tick_ms}, but must be from {min} to {max}",
         min = TICK_RANGE_MS.start(),
         max = TICK_RANGE_MS.end()
     )]
     InvalidTick {
-        /// The tick.
+        /// The configured length of a tick in milliseconds.
         tick_ms: u64,
     },
 }
 
 impl GroupConfig {
-    /// The members that the file names, by id.
+    /// Parses the ids in [`members`](Self#structfield.members).
     ///
     /// # Errors
-    /// An id is no number above 0.
+    /// An id is not a positive integer.
     pub fn members(&self) -> Result<BTreeMap<u64, SocketAddr>, GroupConfigError> {
         let id = |text: &String| match text.parse() {
             Ok(0) | Err(_) => Err(GroupConfigError::InvalidId(text.clone())),
@@ -67,10 +67,10 @@
         self.members.iter().map(|(text, &addr)| Ok((id(text)?, addr))).collect()
     }
 
-    /// Checks whether it is usable.
+    /// Validates the settings that deserialization does not check.
     ///
     /// # Errors
-    /// Names the key and what is wrong with it.
+    /// A setting is invalid; the error names its key.
     pub fn check(&self) -> Result<(), GroupConfigError> {
         if self.members()?.is_empty() {
             return Err(GroupConfigError::NoMembers);
@@ -86,12 +86,13 @@
         Duration::from_millis(self.tick_ms)
     }
 
-    /// When a client that was rejected should retry: by then a leader is elected in most cases.
+    /// The delay after which a rejected client should retry: an election timeout, since a leader is elected by then in
+    /// most cases.
     pub fn retry_after(&self, limits: &ReplicationLimits) -> Duration {
         self.tick() * u32::try_from(limits.election_timeout_ticks).unwrap_or(u32::MAX)
     }
 
-    /// How long a request may be pending before its outcome is unknown.
+    /// The time after which a pending request completes with an unknown outcome.
     pub fn request_timeout(&self, limits: &ReplicationLimits) -> Duration {
         self.tick() * u32::try_from(limits.request_timeout_ticks).unwrap_or(u32::MAX)
     }
--- a/src/replication/config/tests.rs
+++ b/src/replication/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_configuration_that_is_not_usable_is_named() {
+fn invalid_configuration_is_rejected_with_its_cause() {
     let config = |members: &str, tick: &str| {
         let text = format!(
             "folder = \"f\"\nlisten = \"127.0.0.1:1\"\ncontrol = \"127.0.0.1:2\"\n{tick}\n[members]\n{members}\n"
@@ -12,7 +12,7 @@
     assert_eq!(good.check(), Ok(()));
     assert_eq!(good.members().unwrap().into_keys().collect::<Vec<_>>(), [1, 22]);
     for (members, tick, fault) in [
-        ("", "", "names nobody"),
+        ("", "", "no members are listed"),
         ("0 = \"127.0.0.1:1\"", "", "'0'"),
         ("one = \"127.0.0.1:1\"", "", "'one'"),
         ("1 = \"127.0.0.1:1\"", "tick_ms = 0", "tick_ms"),
--- a/src/replication/disk.rs
+++ b/src/replication/disk.rs
@@ -1,10 +1,10 @@
-//! A member's log on disk, in one `redb` file: the entries by index, the hard state, the last snapshot, the member's id and
-//! the number of its starts.
+//! A member's log on disk, in one `redb` file: the entries by index, the hard state, the last snapshot, the member's id
+//! and the number of its starts.
 //!
-//! The [`DurableWrites`] of a step are one transaction, which is synced before [`LogStorage::write`] returns, so that the
-//! messages and completions of the step leave the process only after it. Each record carries a checksum of its own beside
-//! those of redb. If anything is torn or changed the whole folder is [quarantined](quarantine), and the member comes back as a
-//! new one.
+//! The [`DurableWrites`] of a step form one transaction, which is synced before [`LogStorage::write`] returns, so that
+//! the messages and completions of the step leave the process only after the sync. Each record has its own checksum in
+//! addition to those of redb. If any record is corrupt, the entire folder is [quarantined](quarantine), and the member
+//! rejoins as a new member.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -23,69 +23,68 @@
 const START_COUNT_KEY: &str = "boot";
 const SNAPSHOT_KEY: &str = "image";
 const HARD_STATE_KEY: &str = "hard";
-/// The file in a member's folder.
 const LOG_FILE: &str = "group.redb";
 const MAX_QUARANTINED_FOLDERS: u32 = 999;
 
-/// Why a member's folder cannot be used.
+/// A member's folder cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// redb finds its file torn or changed.
+    /// redb reports its file as corrupt.
     #[error("the group's disk: {operation}: {source}")]
     CorruptStore {
-        /// What was done.
+        /// The operation that failed.
         operation: &'static str,
-        /// What redb found.
+        /// The error of redb.
         source: redb::Error,
     },
-    /// redb cannot read or write its file now, or another process uses it. What it holds may be sound.
+    /// redb cannot read or write its file now, or another process uses it. The file may be intact.
     #[error("the group's disk: {operation}: {source}")]
     StoreUnavailable {
-        /// What was done.
+        /// The operation that failed.
         operation: &'static str,
-        /// Why it failed.
+        /// The error of redb.
         source: redb::Error,
     },
-    /// A record is torn or changed.
-    #[error("the group's disk: the {record} is not believed: {source}")]
+    /// A record is corrupt.
+    #[error("the group's disk: the {record} is corrupt: {source}")]
     CorruptRecord {
-        /// Which one.
+        /// The kind of record.
         record: &'static str,
-        /// What is wrong with it.
+        /// The error of decoding it.
         source: RecordError,
     },
-    /// A number has another length than it should have.
-    #[error("the group's disk: {0} is torn")]
+    /// A stored number does not have the length of its type.
+    #[error("the group's disk: {0} has the wrong length")]
     CorruptNumber(&'static str),
-    /// An entry is missing.
-    #[error("the group's disk: the log has a gap at {0}")]
+    /// The log lacks the entry at this index.
+    #[error("the group's disk: the log has no entry at index {0}")]
     LogGap(u64),
-    /// The member cannot start with the log.
+    /// The log is readable, but a member cannot start from it.
     #[error("the group's disk: {0}")]
     Unrecoverable(#[from] StartError),
-    /// The folder cannot be made.
-    #[error("the group's disk: cannot make {}: {source}", .folder.display())]
+    /// The folder cannot be created.
+    #[error("the group's disk: cannot create {}: {source}", .folder.display())]
     CannotCreate {
-        /// The folder.
+        /// The folder from the configuration.
         folder: PathBuf,
-        /// Why not.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// The folder cannot be quarantined.
-    #[error("the group's disk: cannot set {} aside: {source}", .folder.display())]
+    /// The folder cannot be renamed to quarantine it.
+    #[error("the group's disk: cannot quarantine {}: {source}", .folder.display())]
     CannotQuarantine {
-        /// The folder.
+        /// The folder from the configuration.
         folder: PathBuf,
-        /// Why not.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// No name is free for one more folder.
-    #[error("the group's disk: {} has been set aside {} times", .0.display(), MAX_QUARANTINED_FOLDERS)]
+    /// All quarantine names of the folder are in use.
+    #[error("the group's disk: {} has been quarantined {} times", .0.display(), MAX_QUARANTINED_FOLDERS)]
     TooManyQuarantined(PathBuf),
 }
 
 impl DiskError {
-    /// Whether what is on the disk is torn or changed. If it is not, it may be sound, and must stay as it is.
+    /// Whether the stored data is corrupt. Otherwise it may be intact, and the folder must not be quarantined.
     pub fn is_corrupt(&self) -> bool {
         match self {
             Self::CorruptStore { .. }
@@ -103,7 +102,7 @@
     fn of_store(operation: &'static str, error: impl Into<redb::Error>) -> Self {
         let source = error.into();
         let is_unavailable = match &source {
-            // A file that ends too soon, or is none of redb's.
+            // These kinds mean a truncated file, or one that is not of redb.
             redb::Error::Io(e) => !matches!(e.kind(), ErrorKind::UnexpectedEof | ErrorKind::InvalidData),
             redb::Error::PreviousIo | redb::Error::DatabaseAlreadyOpen => true,
             _ => false,
@@ -135,21 +134,21 @@
     move |source| DiskError::CorruptRecord { record, source }
 }
 
-/// What a member's folder holds when it is opened.
+/// The contents of a member's folder when it is opened.
 #[derive(Debug)]
 pub enum StoredLog {
-    /// Nothing: the member is new.
+    /// The folder has no member yet.
     Empty,
-    /// A member's log.
+    /// The folder holds the log of a member.
     Member {
         /// The member's id.
         id: u64,
-        /// The log.
+        /// The snapshot, the hard state and the entries, all with matching checksums.
         log: Box<RaftLog>,
     },
 }
 
-/// A member's folder, open.
+/// An open member folder.
 pub struct LogStorage {
     database: Database,
     folder: PathBuf,
@@ -162,10 +161,10 @@
 }
 
 impl LogStorage {
-    /// Opens a folder, which is made if it is missing, and reads what it holds.
+    /// Opens a folder, and reads its log. Creates the folder if it does not exist.
     ///
     /// # Errors
-    /// The folder or the file cannot be made or opened, or a record is torn or changed.
+    /// The folder or the file cannot be created or opened, or a record is corrupt.
     pub fn open(folder: &Path) -> Result<(Self, StoredLog), DiskError> {
         std::fs::create_dir_all(folder)
             .map_err(|source| DiskError::CannotCreate { folder: folder.to_owned(), source })?;
@@ -200,18 +199,18 @@
         Ok(StoredLog::Member { id: u64::from_le_bytes(id), log })
     }
 
-    /// Begins a transaction that is committed in two phases. Otherwise redb would silently go back to the commit before
-    /// the last one if that has changed on disk, and the member would lose entries that it has acknowledged.
+    /// Begins a transaction with a two-phase commit. With a one-phase commit, redb silently falls back to the previous
+    /// commit if the last one is corrupt on disk, and the member would lose entries that it has acknowledged.
     fn begin_write(&self) -> Result<WriteTransaction, DiskError> {
         let mut transaction = self.database.begin_write().map_err(write_error)?;
         transaction.set_two_phase_commit(true);
         Ok(transaction)
     }
 
-    /// Makes the folder the one of this member.
+    /// Stores the id of the member that owns the folder.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn set_member_id(&self, id: u64) -> Result<(), DiskError> {
         let transaction = self.begin_write()?;
         {
@@ -221,10 +220,10 @@
         transaction.commit().map_err(sync_error)
     }
 
-    /// Counts a start of the member, by which its requests differ from those of earlier starts; returns its number.
+    /// Increments and returns the member's start number, which keeps its request handles unique across restarts.
     ///
     /// # Errors
-    /// It cannot be read or written.
+    /// The number cannot be read or written.
     pub fn count_start(&self) -> Result<u32, DiskError> {
         let transaction = self.begin_write()?;
         let start = {
@@ -240,10 +239,10 @@
         Ok(start)
     }
 
-    /// Writes what a step returns, in one synced transaction.
+    /// Writes the records of a step in one synced transaction.
     ///
     /// # Errors
-    /// It cannot be written. The member must then stop: what it would send next may rest on it.
+    /// The records cannot be written. The member must then stop, since its messages may depend on them.
     pub fn write(&self, writes: &DurableWrites) -> Result<(), DiskError> {
         if writes.is_empty() {
             return Ok(());
@@ -263,7 +262,7 @@
                 meta.insert(SNAPSHOT_KEY, bytes.as_slice()).map_err(write_error)?;
             }
             if let Some(first) = writes.entries.first() {
-                // It replaces the entry at its index and all after it.
+                // The first entry replaces the entry at its index and all after it.
                 entries.retain_in(first.index.., |_, _| false).map_err(write_error)?;
             }
             for entry in &writes.entries {
@@ -279,7 +278,7 @@
     }
 }
 
-/// The entries of the log, which must follow each other from `first` on.
+/// Reads the entries of the log, whose indices must be consecutive from `first`.
 fn load_entries(transaction: &ReadTransaction, first: u64) -> Result<Vec<Entry>, DiskError> {
     let table = match transaction.open_table(ENTRIES) {
         Ok(table) => table,
@@ -298,10 +297,10 @@
     Ok(entries)
 }
 
-/// Moves a folder that cannot be used out of the way, never over another one: to `NAME.aside-N`.
+/// Renames an unusable folder to `NAME.aside-N`, with the first number that is not in use; returns the new path.
 ///
 /// # Errors
-/// It cannot be moved.
+/// The folder cannot be renamed, or all numbers are in use.
 pub fn quarantine(folder: &Path) -> Result<PathBuf, DiskError> {
     for n in 1..=MAX_QUARANTINED_FOLDERS {
         let target = PathBuf::from(format!("{}.aside-{n}", folder.display()));
--- a/src/replication/disk/tests.rs
+++ b/src/replication/disk/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn what_a_member_wrote_is_read_again_and_a_flipped_byte_is_found() {
+fn written_records_are_read_back_and_a_flipped_bit_is_detected() {
     let dir = folder("back");
     let (disk, stored) = LogStorage::open(&dir).unwrap();
     assert!(matches!(stored, StoredLog::Empty));
@@ -32,11 +32,11 @@
     assert_eq!(log.entries_after_snapshot(), &[entries[0].clone(), entries[1].clone(), replaced]);
     assert_eq!(log.snapshot_index(), 1);
     drop(disk);
-    // A byte of the last entry flipped on disk: found, and the whole folder is quarantined.
-    flip(&dir.join(LOG_FILE), &disk_format::encode(&log.entries_after_snapshot()[2]));
-    let err = LogStorage::open(&dir).expect_err("a changed entry was believed");
-    let said = err.to_string();
-    assert!(["not believed", "read", "cannot open"].iter().any(|w| said.contains(w)), "{err}");
+    // A flipped bit in the last entry on disk is detected, and the folder can be quarantined.
+    flip_bit_in(&dir.join(LOG_FILE), &disk_format::encode(&log.entries_after_snapshot()[2]));
+    let err = LogStorage::open(&dir).expect_err("a corrupt entry was accepted");
+    let text = err.to_string();
+    assert!(["is corrupt", "read", "cannot open"].iter().any(|w| text.contains(w)), "{err}");
     assert!(err.is_corrupt(), "{err:?}");
     let quarantined = quarantine(&dir).unwrap();
     let (_, stored) = LogStorage::open(&dir).unwrap();
@@ -45,20 +45,20 @@
     let _ = std::fs::remove_dir_all(quarantined);
 }
 
-/// Flips a bit wherever the file has these bytes.
-fn flip(file: &Path, mark: &[u8]) {
+/// Flips a bit in each occurrence of these bytes in the file.
+fn flip_bit_in(file: &Path, pattern: &[u8]) {
     let mut bytes = std::fs::read(file).unwrap();
-    let found = |(at, bytes): (usize, &[u8])| (bytes == mark).then_some(at);
-    let places: Vec<usize> = bytes.windows(mark.len()).enumerate().filter_map(found).collect();
-    assert!(!places.is_empty(), "the entry is not on disk as written");
+    let found = |(at, bytes): (usize, &[u8])| (bytes == pattern).then_some(at);
+    let places: Vec<usize> = bytes.windows(pattern.len()).enumerate().filter_map(found).collect();
+    assert!(!places.is_empty(), "the file does not contain the entry");
     places.into_iter().for_each(|at| bytes[at + 1] ^= 0x40);
     std::fs::write(file, bytes).unwrap();
 }
 
-/// Guards against a store that silently goes back to the commit before the last one if that has changed, after a process
-/// was killed: the member has acknowledged it.
+/// Fails if the store silently falls back to the previous commit when the last one is corrupt after a process was
+/// killed: the member has acknowledged the entries of the last commit.
 #[test]
-fn a_changed_last_commit_is_not_silently_undone() {
+fn corrupt_last_commit_is_reported_and_not_rolled_back() {
     let (dir, killed) = (folder("last"), folder("killed"));
     let (disk, _) = LogStorage::open(&dir).unwrap();
     disk.set_member_id(7).unwrap();
@@ -70,12 +70,12 @@
         entry.set_data(format!("the entry at {index}").into_bytes().into());
         disk.write(&DurableWrites { entries: vec![entry], ..DurableWrites::default() }).unwrap();
     }
-    // What a process leaves that never came to close its file.
+    // The copy is the file of a killed process, which did not close it.
     std::fs::create_dir_all(&killed).unwrap();
     std::fs::copy(dir.join(LOG_FILE), killed.join(LOG_FILE)).unwrap();
-    flip(&killed.join(LOG_FILE), b"the entry at 4");
+    flip_bit_in(&killed.join(LOG_FILE), b"the entry at 4");
     let opened = LogStorage::open(&killed);
-    assert!(opened.is_err_and(|e| e.is_corrupt()), "it came back without its last entry");
+    assert!(opened.is_err_and(|e| e.is_corrupt()), "the file was opened without its last entry");
     let _ = std::fs::remove_dir_all(&dir);
     let _ = std::fs::remove_dir_all(killed);
 }
--- a/src/replication/driver.rs
+++ b/src/replication/driver.rs
@@ -1,6 +1,6 @@
-//! Carries out what a member decides, in one thread that owns the member and its disk. Whatever has arrived is processed
-//! together, so that many proposals share one sync: first all of it is written, then messages are sent, then requests are
-//! completed.
+//! Runs a member in one thread that owns the member and its disk, and processes its output. All messages in the queue
+//! are processed as a batch, so that many proposals share one sync: the driver writes the batch, then sends messages,
+//! then completes requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,21 +18,21 @@
 
 pub use super::status::{MemberStatus, Role, SharedStatus};
 
-/// Messages that are processed together before their writes are synced.
+/// Maximum number of messages that are processed after the first one before their writes are synced.
 const MAX_BATCH_MESSAGES: usize = 256;
-/// The key of the replicated map that holds where a member listens is this and the member's id.
+/// Prefix of the keys that hold the address of each member; the member's id follows it.
 const ADDRESS_KEY_PREFIX: &str = "member/";
 
-/// A client that waits for the outcome of its request.
+/// A client that is waiting for the outcome of its request.
 struct WaitingClient {
     reply: SyncSender<RequestOutcome>,
-    /// The member that is added once its address, which is what the request proposes, is committed.
+    /// The member to add once the request, which proposes that member's address, is committed.
     adds_member: Option<u64>,
 }
 
 impl WaitingClient {
     fn complete(self, outcome: RequestOutcome) {
-        // Nobody waits any more if this cannot be sent.
+        // Fails only if the client has timed out.
         let _ = self.reply.send(outcome);
     }
 }
@@ -42,10 +42,10 @@
     member: Member,
     disk: LogStorage,
     peers: Peers,
-    /// Where members listen according to the operator's file, which takes precedence over the replicated map.
+    /// Addresses of members from the operator's file, which take precedence over those in the replicated map.
     configured_addresses: BTreeMap<u64, SocketAddr>,
     waiting_clients: HashMap<RequestHandle, WaitingClient>,
-    /// Who waits for a snapshot to be written.
+    /// Clients that are waiting for a snapshot to be written.
     waiting_for_snapshot: Vec<SyncSender<RequestOutcome>>,
     status: SharedStatus,
     tick: Duration,
@@ -76,7 +76,7 @@
         self.status.clone()
     }
 
-    /// Runs until the disk fails or nobody can send messages any more.
+    /// Runs until the disk fails or all senders of messages are dropped.
     pub(super) fn run(&mut self, messages: &Receiver<MemberMessage>) {
         let mut next_tick = Instant::now() + self.tick;
         loop {
@@ -91,12 +91,13 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // One tick at a time, however long the process stood still: ticks it has missed were no silence of others.
+            // One tick at most, even if the process was suspended: while it was, it could not have received any
+            // heartbeats, so missed ticks must not count towards the election timeout.
             if Instant::now() >= next_tick {
                 outputs.push(self.member.tick());
                 next_tick = Instant::now() + self.tick;
             }
-            if let Err(e) = self.carry_out(outputs) {
+            if let Err(e) = self.process_outputs(outputs) {
                 return self.stop_after(&e);
             }
             self.status.publish_changes(MemberStatus::of(&self.member));
@@ -115,7 +116,7 @@
                 Ok(output) => outputs.push(output),
                 Err(e) => log::debug!(
                     target: "group", member = self.member.id(), error:% = e;
-                    "message from another member not taken"
+                    "message from another member rejected"
                 ),
             },
             MemberMessage::Request(request, reply) => self.handle_request(request, reply, outputs),
@@ -153,23 +154,23 @@
         outputs.push(output);
     }
 
-    /// The number of ticks that cover a span.
+    /// The number of ticks in a duration, rounded up.
     fn ticks_in(&self, span: Duration) -> u64 {
         u64::try_from(span.as_nanos().div_ceil(self.tick.as_nanos())).unwrap_or(u64::MAX)
     }
 
-    /// Writes, then sends, then completes requests. What a completion brings about is carried out in the same way.
-    fn carry_out(&mut self, mut outputs: Vec<MemberOutput>) -> Result<(), DiskError> {
+    /// Writes, then sends messages, then completes requests. Processes the output of a completion in the same way.
+    fn process_outputs(&mut self, mut outputs: Vec<MemberOutput>) -> Result<(), DiskError> {
         while !outputs.is_empty() {
             let mut writes = DurableWrites::default();
             for output in &mut outputs {
                 writes.extend(std::mem::take(&mut output.writes));
             }
             self.disk.write(&writes)?;
-            // A client that is answered finds its request's effect in the status.
+            // Published before any completion, so that a client sees the effect of its request in the status.
             self.status.publish_changes(MemberStatus::of(&self.member));
             for reply in self.waiting_for_snapshot.drain(..) {
-                // Nobody waits any more if this cannot be sent.
+                // Fails only if the client has timed out.
                 let _ = reply.send(RequestOutcome::Committed(CommandOutcome::NoEffect));
             }
             for message in outputs.iter_mut().flat_map(|output| std::mem::take(&mut output.messages)) {
@@ -182,7 +183,7 @@
             }
         }
         if self.member.is_stopped() {
-            // The commands may be in the logs of others.
+            // The outcome is unknown because the commands may be in the logs of other members.
             for (_, client) in self.waiting_clients.drain() {
                 client.complete(RequestOutcome::Unknown);
             }
@@ -190,8 +191,8 @@
         Ok(())
     }
 
-    /// Completes a request. A member whose address is committed is added now: by the time that it is one of the voters,
-    /// all others know its address.
+    /// Completes a request. If the request committed the address of a new member, proposes to add that member instead
+    /// of completing; by the time it is a voter, all other members know its address.
     fn complete(&mut self, completion: Completion) -> Option<MemberOutput> {
         let client = self.waiting_clients.remove(&completion.request)?;
         match (client.adds_member, &completion.outcome) {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Where a member listens, if that is known.
+    /// The address at which a member listens, if it is known.
     fn address(&self, id: u64) -> Option<SocketAddr> {
         let replicated = || {
             let value = self.member.map().get(&address_key(id))?;
--- a/src/replication/member_handle.rs
+++ b/src/replication/member_handle.rs
@@ -1,4 +1,4 @@
-//! How other threads reach the thread that owns the member: a bounded queue of messages.
+//! The bounded message queue through which other threads communicate with the driver thread, which owns the member.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
@@ -9,76 +9,76 @@
 /// A request of a client or an operator.
 #[derive(Debug)]
 pub enum ClientRequest {
-    /// Commits a command.
+    /// Proposes a command once.
     Propose(Command),
-    /// Sets a key if it is still at a version, over changes of the leader:
+    /// Sets a key if it is still at a version, and repeats the proposal across leader changes; see
     /// [`Member::compare_and_set_until_applied`](curlewdeck_replication::Member::compare_and_set_until_applied).
     CompareAndSetUntilApplied {
-        /// The key.
+        /// The key to compare and set.
         key: String,
-        /// The version at which it must be.
+        /// The version that the key must have; 0 if it must be absent.
         version: u64,
-        /// Its new value.
+        /// The new value.
         value: Vec<u8>,
-        /// How long it is tried.
+        /// The time after which the request completes as unknown.
         timeout: Duration,
     },
     /// Reads a key linearizably.
     Read(String),
-    /// Adds a member.
+    /// Adds a voter, after committing its address to the replicated map.
     AddMember {
-        /// Its id.
+        /// The id of the new member.
         id: u64,
-        /// Where it listens for other members.
+        /// The address at which it listens for other members.
         address: SocketAddr,
     },
-    /// Removes the member with this id.
+    /// Removes the voter with this id.
     RemoveMember(u64),
-    /// Makes a snapshot now, so that the log before it is dropped.
+    /// Creates a snapshot now, which drops the log entries that it covers.
     CreateSnapshot,
 }
 
-/// A message to the thread that owns the member.
+/// A message to the driver thread.
 #[derive(Debug)]
 pub enum MemberMessage {
-    /// A message from another member.
+    /// An encoded raft message from another member.
     Received(Vec<u8>),
-    /// A request, and where its outcome is sent.
+    /// A request, and the channel for its outcome.
     Request(ClientRequest, SyncSender<RequestOutcome>),
-    /// The member with this id could not be reached.
+    /// A message to the member with this id could not be sent.
     Unreachable(u64),
-    /// A snapshot was written to a member's connection, or could not be.
+    /// The attempt to send a snapshot to a member has ended.
     SnapshotSent {
-        /// The member's id.
+        /// The id of the receiving member.
         to: u64,
-        /// Whether it was written.
+        /// Whether the snapshot was written to the connection.
         delivered: bool,
     },
 }
 
-/// Sends messages to the thread that owns the member.
+/// Sends messages to the driver thread.
 #[derive(Debug, Clone)]
 pub struct MemberHandle(SyncSender<MemberMessage>);
 
 impl MemberHandle {
-    /// A handle to a queue of this capacity, and the other end of the queue.
+    /// Creates a queue of this capacity; returns a handle for sending and the receiving end.
     pub fn with_capacity(capacity: usize) -> (Self, Receiver<MemberMessage>) {
         let (sender, receiver) = sync_channel(capacity);
         (Self(sender), receiver)
     }
 
-    /// Sends a message, and waits while the queue is full. Returns whether the member still runs.
+    /// Sends a message, and blocks while the queue is full. Returns whether the driver thread is still running.
     pub(super) fn send(&self, message: MemberMessage) -> bool {
         self.0.send(message).is_ok()
     }
 
-    /// Sends a message that is dropped if the queue is full.
+    /// Sends a message, or drops it if the queue is full.
     pub(super) fn send_or_drop(&self, message: MemberMessage) {
-        // Raft retries, and learns of what was lost by itself.
+        // Raft detects lost messages and retries.
         let _ = self.0.try_send(message);
     }
 
-    /// Makes a request and waits for its outcome, which is [`RequestOutcome::Unknown`] after the timeout.
+    /// Makes a request and waits for its outcome. Returns [`RequestOutcome::Unknown`] after the timeout.
     pub fn request(&self, request: ClientRequest, timeout: Duration) -> RequestOutcome {
         let (reply, outcome) = sync_channel(1);
         match self.0.try_send(MemberMessage::Request(request, reply)) {
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,9 +1,9 @@
-//! A member of a replication group (`crates/replication`) as part of this process: its disk, its connections to other
+//! A member of a replication group (`crates/replication`) that runs in this process: its disk, its connections to other
 //! members, its thread, and the calls of its clients.
 //!
-//! There is one only if the operator's file names a group; on the platform, which gives no lasting disk and no connections
-//! between instances, there is none. Queries never wait for it: it has threads of its own. `docs/replication.md` is for
-//! operators.
+//! A member runs only if the operator's file has a section `[group]`. On the platform there is none, because instances
+//! have no persistent disk and no connections between each other. The member has dedicated threads, so queries never
+//! wait for it. `docs/replication.md` is for operators.
 
 mod api;
 pub mod config;
@@ -33,21 +33,21 @@
 pub use startup::GroupStartError;
 use status::SharedStatus;
 
-/// A member that runs in this process, with the calls of its clients.
+/// A running member and the server for its clients.
 #[derive(Debug)]
 pub struct Group {
-    /// Where its clients are served.
+    /// The address at which clients and operators are served.
     pub clients_address: SocketAddr,
-    /// Its status.
+    /// The member's status, updated by its thread.
     pub status: SharedStatus,
     member: MemberHandle,
     request_timeout: Duration,
 }
 
-/// Starts the member, and serves its clients.
+/// Starts the member and the server for its clients.
 ///
 /// # Errors
-/// The configuration is not usable, or the disk, an address or a thread cannot be had.
+/// The configuration is invalid, the disk or an address cannot be used, or a thread cannot be started.
 pub fn start(config: &GroupConfig, limits: &Arc<Limits>) -> Result<Group, GroupStartError> {
     let running = startup::start(config)?;
     let replication_limits = ReplicationLimits::default();
@@ -70,7 +70,7 @@
 }
 
 impl Group {
-    /// The replica of the state of the coordinator with this name.
+    /// Returns the replica of the state of the coordinator with this name.
     pub fn snapshot_replica(&self, name: &str) -> Box<dyn SnapshotReplica> {
         Box::new(ReplicatedSnapshot::new(self.member.clone(), self.request_timeout, name))
     }
--- a/src/replication/peers.rs
+++ b/src/replication/peers.rs
@@ -1,6 +1,6 @@
-//! The connections between members. Each member dials those that it sends to, and reads from those that have dialled it. Each
-//! connection has a thread of its own: a slow member must hold up neither the thread of the log nor the worker that serves
-//! queries.
+//! The connections between members. Each member connects to the members that it sends to, and reads from the
+//! connections that it accepts. Each connection has a dedicated thread, so that a slow member blocks neither the driver
+//! thread nor the worker that serves queries.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -16,40 +16,40 @@
 use super::wire::{self, FrameReader};
 use crate::runtime::thread;
 
-/// Messages that wait for one member; past them new ones are dropped, as a network drops them.
+/// Messages queued for one member; when the queue is full, new ones are dropped, which raft tolerates as packet loss.
 const PEER_QUEUE_CAPACITY: usize = 256;
-/// Members that are sent to at once, and connections that are read at once.
+/// Limits the number of members with a sending thread, and the number of accepted connections.
 const MAX_CONNECTIONS: usize = 32;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Heartbeats come far more often than this.
+/// Much longer than the heartbeat interval.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
-/// A snapshot of all keys that the limits allow is shorter.
+/// Larger than a snapshot with the maximum number of keys of maximum size.
 const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 const STACK_BYTES: usize = 256 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The members that this one sends to.
+/// The sending threads, by the id of the receiving member.
 pub(super) struct Peers {
     own_id: u64,
     member: MemberHandle,
     peers: HashMap<u64, Peer>,
 }
 
-/// The thread that sends to one member.
+/// The address of a member, and the queue of the thread that sends to it.
 struct Peer {
     address: SocketAddr,
     queue: SyncSender<OutboundMessage>,
 }
 
 impl Peers {
-    /// No connections yet. What becomes of messages is reported to `member`.
+    /// Creates an empty set. Failed messages and delivered snapshots are reported to `member`.
     pub(super) fn new(own_id: u64, member: MemberHandle) -> Self {
         Self { own_id, member, peers: HashMap::new() }
     }
 
-    /// Queues a message, or drops it: raft sends again what matters. Returns whether it is queued.
+    /// Queues a message, and returns whether it was queued. Otherwise it is dropped; raft repeats what it needs.
     pub(super) fn send(&mut self, address: SocketAddr, message: OutboundMessage) -> bool {
         let to = message.to;
         let Some(queue) = self.queue_to(to, address) else { return false };
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The queue of the thread that sends to a member at an address; starts it if there is none.
+    /// Returns the queue of the thread that sends to a member at this address, and starts the thread if needed.
     fn queue_to(&mut self, to: u64, address: SocketAddr) -> Option<&SyncSender<OutboundMessage>> {
         if self.peers.get(&to).is_none_or(|peer| peer.address != address) {
             if self.peers.len() >= MAX_CONNECTIONS {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Writes messages until no more can be queued. Reports those that could not be written, and whether each snapshot was.
+/// Writes messages until the queue's sender is dropped. Reports each failed write, and the result for each snapshot.
 fn send_messages(
     own_id: u64,
     to: u64,
@@ -111,14 +111,15 @@
             member.send_or_drop(MemberMessage::Unreachable(to));
         }
         if message.has_snapshot {
-            // Raft waits for this report: it must not be lost.
+            // Blocks while the queue is full: raft-rs waits for this report without a timeout, so it must not be
+            // dropped.
             member.send(MemberMessage::SnapshotSent { to, delivered: written });
         }
     }
 }
 
-/// Whether the other member has closed a connection: what is still written to it would be lost without an error. Members
-/// answer over connections of their own, so that nothing ever arrives on this one but its end.
+/// Whether the other member has closed the connection, in which case the next write would be lost without an error.
+/// Members reply over connections that they open themselves, so the only readable event on this one is its end.
 fn is_closed(stream: &TcpStream) -> bool {
     let peek = || {
         stream.set_nonblocking(true)?;
@@ -136,10 +137,10 @@
     Ok(stream)
 }
 
-/// Listens for other members; returns the address.
+/// Starts a thread that accepts connections from other members; returns the local address.
 ///
 /// # Errors
-/// The address cannot be used, or there is no thread.
+/// The address cannot be bound, or the thread cannot be started.
 pub(super) fn listen(address: SocketAddr, member: MemberHandle) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
     let local = listener.local_addr()?;
@@ -157,7 +158,7 @@
     Ok(local)
 }
 
-/// Starts a thread that reads a connection, if not too many are open.
+/// Starts a thread that reads a connection, unless the maximum number of connections is open.
 fn serve_connection(stream: TcpStream, from: SocketAddr, open: &Arc<AtomicUsize>, member: &MemberHandle) {
     if open.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
         open.fetch_sub(1, Ordering::AcqRel);
@@ -184,14 +185,15 @@
         let read = match stream.read(&mut buffer) {
             Ok(0) => return Ok(()),
             Ok(read) => read,
-            // A read with a timeout is interrupted when the process is stopped and continued.
+            // A read with a timeout is interrupted when the process is suspended and resumed.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
             Err(e) => return Err(e),
         };
         let frames =
             reader.feed(&buffer[..read]).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
         for frame in frames {
-            // Waits while the thread of the log is behind: the sender's socket fills, and it drops what is too much.
+            // Blocks while the driver's queue is full. The sender's socket buffer and queue then fill, and it drops
+            // messages.
             if !member.send(MemberMessage::Received(frame.message)) {
                 return Ok(());
             }
--- a/src/replication/peers/tests.rs
+++ b/src/replication/peers/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Guards against a leader that waits for ever for the report on a snapshot: it must not be lost, however many messages
-/// wait for the member's thread.
+/// Fails if the report on a snapshot is dropped when the driver's queue is full: the leader would wait for it
+/// indefinitely.
 #[test]
-fn the_report_on_a_snapshot_waits_while_the_queue_is_full() {
+fn snapshot_report_blocks_while_the_queue_is_full() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (member, received) = MemberHandle::with_capacity(1);
@@ -14,7 +14,7 @@
     let sender = std::thread::spawn(move || send_messages(1, 2, address, &messages, &member));
     let (mut stream, _) = listener.accept().unwrap();
     stream.read_exact(&mut [0; wire::HEADER_BYTES + 1]).unwrap();
-    // One that did not wait would have ended by now, and closed its connection.
+    // A sender that dropped the report would exit by now, and close its connection.
     stream.set_read_timeout(Some(RECONNECT_INTERVAL)).unwrap();
     let _ = stream.read(&mut [0]);
     let received: Vec<MemberMessage> = received.iter().collect();
--- a/src/replication/startup.rs
+++ b/src/replication/startup.rs
@@ -1,4 +1,4 @@
-//! Makes the folder of a founding member, and starts a member from its folder.
+//! Creation of a founding member's folder, and the start of a member from its folder.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,77 +15,77 @@
 use super::status::SharedStatus;
 use crate::runtime::thread;
 
-/// Messages that wait for the member; past them requests are rejected.
+/// Messages queued for the driver thread; when the queue is full, requests are rejected.
 const QUEUE_CAPACITY: usize = 1024;
-/// The log is parsed and applied on this stack.
+/// Stack of the driver thread, which decodes and applies the log.
 const STACK_BYTES: usize = 2 * 1024 * 1024;
-/// A folder that cannot be read or written at the start is tried this often.
+/// Attempts to open a folder that cannot be read or written at the start.
 const OPEN_ATTEMPTS: usize = 10;
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// The ids of members that join: drawn from far more than there will ever be members, so that none is used again.
+/// Random ids of joining members are drawn from this range, which is large enough that no id is likely to be reused.
 const JOINING_IDS: std::ops::Range<u64> = 1 << 32..1 << 53;
 
-/// Why a member cannot be founded or started.
+/// A member cannot be founded or started.
 #[derive(Debug, thiserror::Error)]
 pub enum GroupStartError {
-    /// The configuration is not usable.
+    /// The section `[group]` is invalid.
     #[error(transparent)]
     Config(#[from] GroupConfigError),
     /// The folder of a member cannot be used.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// The folder of a founding member cannot be made.
+    /// The folder of a founding member cannot be created.
     #[error("{}: {source}", .folder.display())]
     FoundingDisk {
-        /// The folder.
+        /// The folder from the configuration.
         folder: PathBuf,
-        /// Why not.
+        /// The cause.
         source: Box<DiskError>,
     },
-    /// The folder of a founding member holds a log.
-    #[error("{}: it belongs to a member already", .0.display())]
+    /// The folder for a founding member already holds a log.
+    #[error("{}: the folder already belongs to a member", .0.display())]
     FolderInUse(PathBuf),
-    /// The member cannot be founded.
+    /// The founding member is rejected, for example because its id is not one of the founders'.
     #[error(transparent)]
     Member(#[from] StartError),
-    /// The address for other members cannot be used.
+    /// The address for other members cannot be bound, or the accepting thread cannot be started.
     #[error("cannot listen for members at {address}: {source}")]
     ListenForMembers {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The address for clients cannot be used.
+    /// The address for clients cannot be bound, or the serving thread cannot be started.
     #[error("cannot listen for clients of the group at {address}: {source}")]
     ListenForClients {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The member's thread cannot be started.
-    #[error("no thread for the group: {0}")]
+    /// The driver thread cannot be started.
+    #[error("cannot start the group's thread: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// A member that runs.
+/// A member whose driver thread is running.
 #[derive(Debug)]
 pub struct RunningMember {
-    /// Its id.
+    /// The member's id, from its folder.
     pub id: u64,
-    /// Where it listens for other members.
+    /// The local address at which it listens for other members.
     pub listen: SocketAddr,
-    /// Sends requests to it.
+    /// Sends requests to the member.
     pub handle: MemberHandle,
-    /// Its status.
+    /// The member's status, updated by its thread.
     pub status: SharedStatus,
 }
 
-/// Makes the folder of a founding member: once for each founder of a new group, before it first starts.
+/// Creates the folder of a founding member. Each founder of a new group needs this once, before its first start.
 ///
 /// # Errors
-/// The configuration or the folder cannot be used. A folder that holds a log is left as it is.
+/// The configuration or the folder cannot be used. A folder that holds a log is not modified.
 pub fn found(config: &GroupConfig, id: u64) -> Result<(), GroupStartError> {
     config.check()?;
     let voters: Vec<u64> = config.members()?.into_keys().collect();
@@ -98,10 +98,10 @@
     disk.write(&output.writes).and_then(|()| disk.set_member_id(id)).map_err(in_folder)
 }
 
-/// Starts the member of a folder.
+/// Starts the member whose folder is configured.
 ///
 /// # Errors
-/// The configuration is not usable, or the disk, an address or a thread cannot be had.
+/// The configuration is invalid, the disk or an address cannot be used, or a thread cannot be started.
 pub fn start(config: &GroupConfig) -> Result<RunningMember, GroupStartError> {
     config.check()?;
     let configured_addresses = config.members()?;
@@ -117,13 +117,14 @@
     Ok(RunningMember { id, listen, handle, status })
 }
 
-/// Opens the folder of a member: with its log, or new. A log that is torn or changed is quarantined, and the member comes
-/// back as a new one: under its old id it might take back a vote, or an entry that it has acknowledged.
+/// Opens the folder of a member, and restores the member from its log or creates a new one. A corrupt log is
+/// quarantined, and the member rejoins under a new id: under its old id it could vote twice in a term, or lose an entry
+/// that it has acknowledged.
 fn open_member(config: &GroupConfig, limits: &ReplicationLimits) -> Result<(LogStorage, Member), DiskError> {
     let open = || open_log(config, limits);
     let (disk, member) = match retry_while_unavailable(open) {
         Ok(opened) => opened,
-        // The log may be sound, and a member that came back as a new one would no longer hold it.
+        // The log may be intact, and a member that rejoined as a new one would lose it.
         Err(e) if !e.is_corrupt() => return Err(e),
         Err(e) => {
             let quarantined = disk::quarantine(&config.folder)?;
@@ -142,7 +143,7 @@
     Ok((disk, member.with_start_number(start)))
 }
 
-/// The folder, and the member whose log it holds, if any.
+/// Opens the folder, and restores the member whose log it holds, if any.
 fn open_log(
     config: &GroupConfig,
     limits: &ReplicationLimits,
@@ -163,12 +164,12 @@
     Ok(Member::join(id, limits.clone())?)
 }
 
-/// Tries again while a disk fails that may recover.
+/// Retries while the disk fails with an error that may be temporary.
 fn retry_while_unavailable<T>(mut open: impl FnMut() -> Result<T, DiskError>) -> Result<T, DiskError> {
     for _ in 1..OPEN_ATTEMPTS {
         match open() {
             Err(e) if !e.is_corrupt() => {
-                log::warn!(target: "group", error:% = e; "folder cannot be used now");
+                log::warn!(target: "group", error:% = e; "member folder unavailable; retrying");
             }
             result => return result,
         }
--- a/src/replication/startup/tests.rs
+++ b/src/replication/startup/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A member's section, with a folder of its own that goes with it.
+/// A temporary folder for a member and its configuration, removed on drop.
 struct Home(PathBuf);
 
 impl Home {
@@ -39,10 +39,10 @@
     std::fs::rename(from, to).unwrap();
 }
 
-/// Guards what a member has acknowledged against a disk that fails for a while, or a second process at the same folder: the
-/// folder stays, and the member is the same once it can be read.
+/// Fails if a temporary disk error, or a second process with the same folder, causes an intact folder to be
+/// quarantined: the member would lose entries that it has acknowledged.
 #[test]
-fn a_folder_that_cannot_be_read_now_is_not_quarantined() {
+fn temporarily_unreadable_folder_is_not_quarantined() {
     let home = Home::new("fails");
     let config = home.config();
     found(&config, 1).unwrap();
@@ -50,9 +50,9 @@
     assert_eq!(member.id(), 1);
     let second = open_member(&config, &ReplicationLimits::default());
     assert!(second.is_err_and(|e| !e.is_corrupt()), "opened twice");
-    assert_eq!(home.quarantined(), 0, "taken from the process that uses it");
+    assert_eq!(home.quarantined(), 0, "a folder in use by another process was quarantined");
     drop((disk, member));
-    // Whatever stands in its place cannot be opened, for now.
+    // A directory in place of the file cannot be opened.
     let away = home.0.join("away");
     rename(&log_file(&config), &away);
     std::fs::create_dir(log_file(&config)).unwrap();
@@ -64,9 +64,9 @@
     assert_eq!(open_member(&config, &ReplicationLimits::default()).unwrap().1.id(), 1);
 }
 
-/// A disk that fails for less than the start waits costs nothing.
+/// Fails if the start does not retry while the folder is unavailable for a shorter time than all attempts take.
 #[test]
-fn a_folder_is_tried_again_at_the_start() {
+fn opening_the_folder_is_retried_at_the_start() {
     let home = Home::new("again");
     let config = home.config();
     found(&config, 1).unwrap();
@@ -79,15 +79,15 @@
     released.join().unwrap();
 }
 
-/// What is torn is still quarantined at once.
+/// Fails if a truncated log is not quarantined, or its member does not rejoin under a new id.
 #[test]
-fn a_folder_that_is_torn_is_quarantined() {
-    let home = Home::new("torn");
+fn folder_with_a_truncated_log_is_quarantined() {
+    let home = Home::new("truncated");
     let config = home.config();
     found(&config, 1).unwrap();
     let whole = std::fs::read(log_file(&config)).unwrap();
     std::fs::write(log_file(&config), &whole[..whole.len() / 2]).unwrap();
     let (_, member) = open_member(&config, &ReplicationLimits::default()).unwrap();
-    assert_ne!(member.id(), 1, "a torn log was believed");
+    assert_ne!(member.id(), 1, "a truncated log was accepted");
     assert_eq!(home.quarantined(), 1);
 }
--- a/src/replication/status.rs
+++ b/src/replication/status.rs
@@ -1,4 +1,4 @@
-//! The status of a member, published for whoever does not wait for its thread.
+//! The status of a member, published for readers that must not wait for the driver thread.
 
 use std::sync::{Arc, Mutex};
 
@@ -9,19 +9,19 @@
 /// The role of a member in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Role {
-    /// It knows no leader.
+    /// The member does not know a leader.
     #[default]
     NoLeader,
-    /// It follows a leader.
+    /// The member knows a leader and follows it.
     Follower,
-    /// It is the leader.
+    /// The member leads the group in its term.
     Leader,
-    /// It was removed from the group, or has stopped after an error.
+    /// The member was removed from the group, or has stopped after an error.
     Stopped,
 }
 
 impl Role {
-    /// Its name in the status text.
+    /// The role's name in the status text.
     pub fn word(self) -> &'static str {
         match self {
             Self::NoLeader => "without a leader",
@@ -35,27 +35,27 @@
 /// The status of a member at one moment.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct MemberStatus {
-    /// Its id.
+    /// The member's raft id.
     pub id: u64,
-    /// Its role.
+    /// The role in the current term.
     pub role: Role,
-    /// Its term.
+    /// The current raft term.
     pub term: u64,
-    /// The member for which it has voted in this term; 0 if none.
+    /// The id of the member for which this one has voted in the current term; 0 if none.
     pub vote: u64,
-    /// The leader that it knows; 0 if none.
+    /// The id of the known leader; 0 if none.
     pub leader: u64,
-    /// The voters as of the last change of membership applied.
+    /// The ids of the voters as of the last applied membership change.
     pub voters: Vec<u64>,
-    /// The index of the last entry applied.
+    /// The index of the last applied entry.
     pub applied: u64,
-    /// The index of the last entry that its snapshot covers.
+    /// The index of the last entry that the snapshot covers.
     pub snapshot: u64,
-    /// Entries after the snapshot.
+    /// The number of log entries after the snapshot.
     pub log: u64,
-    /// Keys of the replicated map.
+    /// The number of keys in the replicated map.
     pub keys: u64,
-    /// Requests that are pending.
+    /// The number of pending requests at this member.
     pub waiting: u64,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The status as text, one `NAME=VALUE` a line.
+    /// Formats the status as text, with one `NAME=VALUE` per line.
     pub fn text(&self) -> String {
         let voters: Vec<String> = self.voters.iter().map(u64::to_string).collect();
         let Self { id, term, leader, applied, snapshot, log, keys, waiting, .. } = self;
@@ -95,7 +95,7 @@
     }
 }
 
-/// The status that a member has published last.
+/// The latest status of a member; clones share it.
 #[derive(Debug, Clone)]
 pub struct SharedStatus(Arc<Mutex<Arc<MemberStatus>>>);
 
@@ -104,12 +104,13 @@
         Self(Arc::new(Mutex::new(Arc::new(status))))
     }
 
-    /// The status that was published last.
+    /// The most recently published status.
     pub fn latest(&self) -> Arc<MemberStatus> {
         lock(&self.0).clone()
     }
 
-    /// Publishes the status, and logs what has changed of the term, the vote, the membership and the snapshot.
+    /// Publishes the status if it has changed, and logs changes of the term, the leader, the vote, the membership and
+    /// the snapshot.
     pub(super) fn publish_changes(&self, status: MemberStatus) {
         let before = self.latest();
         if status != *before {
--- a/src/replication/tool.rs
+++ b/src/replication/tool.rs
@@ -1,4 +1,4 @@
-//! The command `curlewdeck group`: makes the folder of a founding member, and calls a member that runs.
+//! The command `curlewdeck group`: creates the folder of a founding member, and calls a running member.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use super::startup;
 use crate::config::Edge;
 
-/// Its part of the help page.
+/// The part of the help text for `curlewdeck group`.
 pub const HELP: &str = "\
     curlewdeck group found --id N [--edge FILE]       make the folder of a founder of a new group
     curlewdeck group status|snapshot ADDRESS          how the member at that control address stands; have
@@ -17,47 +17,47 @@
     curlewdeck group add ADDRESS N WHERE              add member N, which listens for members at WHERE
     curlewdeck group remove ADDRESS N                 remove member N";
 
-/// A member answers sooner: each of its calls has a shorter timeout.
+/// Longer than the timeout of any call at the member.
 const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Debug)]
 pub enum Command {
-    /// Make a founder's folder.
+    /// Creates the folder of a founding member.
     Found {
         /// The founder's id.
         id: u64,
-        /// The edge's file, if it is not the default one.
+        /// The path of the edge's file; none for the default path.
         edge: Option<PathBuf>,
     },
-    /// Call a member.
+    /// Calls a running member over HTTP.
     Call {
         /// The HTTP method.
         method: &'static str,
-        /// The address and the path.
+        /// The URL of the call at the member's control address.
         url: String,
-        /// The request's body.
+        /// The request body, which is empty for most calls.
         body: String,
     },
 }
 
 impl Command {
-    /// Reads the rest of a command line.
+    /// Parses the arguments after `curlewdeck group`.
     ///
     /// # Errors
-    /// Says in one line for the operator what is missing or not known.
+    /// An argument is missing or unknown; the text is one line for the operator.
     pub fn read(args: &mut Arguments) -> Result<Self, String> {
-        let word = |args: &mut Arguments, name: &str| {
+        let argument = |args: &mut Arguments, name: &str| {
             args.free_from_str::<String>()
                 .map_err(|_| format!("group: {name} is missing, see 'curlewdeck help'"))
         };
-        let action = word(args, "what to do")?;
+        let action = argument(args, "the action")?;
         if action == "found" {
             let id = args.value_from_str("--id").map_err(|e| e.to_string())?;
             let edge = args.opt_value_from_str("--edge").map_err(|e| e.to_string())?;
             return Ok(Self::Found { id, edge });
         }
-        let address = word(args, "ADDRESS")?;
+        let address = argument(args, "ADDRESS")?;
         let call = |method, path: &str, body| Self::Call {
             method,
             url: format!("http://{address}/group/{path}"),
@@ -66,16 +66,16 @@
         Ok(match action.as_str() {
             "status" => call("GET", "status", String::new()),
             "snapshot" => call("POST", "snapshot", String::new()),
-            "add" => call("PUT", &format!("members/{}", word(args, "N")?), word(args, "WHERE")?),
-            "remove" => call("DELETE", &format!("members/{}", word(args, "N")?), String::new()),
-            other => return Err(format!("group: '{other}' is not known, see 'curlewdeck help'")),
+            "add" => call("PUT", &format!("members/{}", argument(args, "N")?), argument(args, "WHERE")?),
+            "remove" => call("DELETE", &format!("members/{}", argument(args, "N")?), String::new()),
+            other => return Err(format!("group: unknown action '{other}', see 'curlewdeck help'")),
         })
     }
 
-    /// Carries the command out, and prints the answer.
+    /// Executes the command, and prints the member's response.
     ///
     /// # Errors
-    /// What was rejected or failed, in one line for the operator.
+    /// The command was rejected or failed; the text is one line for the operator.
     pub fn run(self, load_edge: impl FnOnce(Option<PathBuf>) -> Result<Edge, String>) -> Result<(), String> {
         let (method, url, body) = match self {
             Self::Call { method, url, body } => (method, url, body),
--- a/src/replication/wire.rs
+++ b/src/replication/wire.rs
@@ -1,33 +1,34 @@
-//! Frames between members over TCP: the sender's id (8 bytes), the length of the message (4), a CRC-32 of the message (4),
-//! then the message, a raft message in protobuf's encoding. All little-endian. Pure: bytes in, frames out.
+//! The frames that members exchange over TCP: the sender's id (8 bytes), the length of the message (4), a CRC-32 of the
+//! message (4), then the message, a raft message encoded as protobuf. All integers are little-endian. This module does
+//! no I/O.
 //!
-//! A frame that is longer than the limit, or whose checksum does not match, ends the connection: after it nothing on the
-//! stream can be trusted to begin a frame.
+//! A frame that exceeds the size limit or fails its checksum ends the connection, because the start of the next frame
+//! cannot be determined reliably after it.
 
-/// Bytes before the message.
+/// Length of the sender's id, the message length and the checksum before the message.
 pub const HEADER_BYTES: usize = 16;
 
-/// One frame.
+/// One decoded frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
-    /// The member that sent it.
+    /// The id of the member that sent the frame.
     pub from: u64,
-    /// The message.
+    /// The encoded raft message; its checksum matched.
     pub message: Vec<u8>,
 }
 
-/// Why a stream cannot be read on.
+/// A frame is invalid, and the connection must be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A frame's message is longer than the limit, by its header (bytes).
-    #[error("a frame of {0} bytes is longer than allowed")]
+    /// The message length in the frame's header, in bytes, exceeds the limit.
+    #[error("the frame's message of {0} bytes exceeds the limit")]
     TooLong(usize),
-    /// A message's checksum does not match.
-    #[error("a frame's checksum does not match")]
+    /// The message does not match its checksum.
+    #[error("the frame's checksum does not match")]
     ChecksumMismatch,
 }
 
-/// The bytes of a frame.
+/// Encodes a message as a frame.
 pub fn encode(from: u64, message: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + message.len());
     bytes.extend(from.to_le_bytes());
@@ -37,7 +38,6 @@
     bytes
 }
 
-/// What stands before a message.
 struct Header {
     from: u64,
     message_bytes: usize,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads frames from a stream as its bytes arrive; buffers at most one frame that is not complete.
+/// Decodes frames from a stream as its bytes arrive; buffers at most one incomplete frame between calls.
 #[derive(Debug)]
 pub struct FrameReader {
     buffer: Vec<u8>,
@@ -65,15 +65,15 @@
 }
 
 impl FrameReader {
-    /// A reader of frames with messages up to this length.
+    /// Creates a reader that rejects messages longer than `max_message_bytes`.
     pub fn new(max_message_bytes: usize) -> Self {
         Self { buffer: Vec::new(), max_message_bytes }
     }
 
-    /// Takes bytes that have arrived, and returns the frames that are complete now.
+    /// Appends received bytes, and returns the frames that are complete.
     ///
     /// # Errors
-    /// A frame is too long or has changed; the stream must then be closed.
+    /// A frame is too long or fails its checksum; the stream must then be closed.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Frame>, FrameError> {
         self.buffer.extend_from_slice(bytes);
         let mut frames = Vec::new();
--- a/src/replication/wire/tests.rs
+++ b/src/replication/wire/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #[test]
-    fn frames_are_read_as_they_were_written_however_the_bytes_are_cut(
+    fn frames_are_decoded_regardless_of_how_the_stream_is_split(
         messages in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..64), 0..8),
         cuts in proptest::collection::vec(1usize..40, 1..20),
     ) {
@@ -24,7 +24,7 @@
     }
 
     #[test]
-    fn a_flipped_bit_is_never_passed_on_and_nothing_panics(
+    fn frame_with_a_flipped_bit_is_never_returned(
         message in proptest::collection::vec(any::<u8>(), 1..64),
         bit in 0usize..512,
     ) {
@@ -32,7 +32,7 @@
         let bit = bit % ((bytes.len() - 8) * 8);
         bytes[8 + bit / 8] ^= 1 << (bit % 8);
         let mut reader = FrameReader::new(64);
-        // A flip in the length may make it wait for more, name a frame too long, or fail the checksum; never pass.
+        // A flipped bit in the length makes the frame incomplete, too long, or fail its checksum.
         if let Ok(frames) = reader.feed(&bytes) {
             prop_assert!(frames.is_empty());
         }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_frame_over_the_limit_is_rejected_before_its_bytes_arrive() {
+fn frame_over_the_limit_is_rejected_before_its_message_arrives() {
     let mut reader = FrameReader::new(8);
     let bytes = encode(1, &[0; 9]);
     assert_eq!(reader.feed(&bytes[..HEADER_BYTES]), Err(FrameError::TooLong(9)));
