--- a/src/mib.rs
+++ b/src/mib.rs
@@ -1,7 +1,7 @@
-//! CURLEWDECK-MIB: the definitions of its objects, and their values at one moment.
+//! CURLEWDECK-MIB: object definitions and snapshots of their values.
 //!
-//! The MIB stands below 32473, the enterprise number that RFC 5612 sets aside for examples; an operator with a number of
-//! its own changes [`ROOT`] and writes the MIB anew with `curlewdeck mib`.
+//! The MIB is registered under 32473, the enterprise number that RFC 5612 reserves for examples. An operator with its
+//! own enterprise number changes [`ROOT`] and regenerates the MIB file with `curlewdeck mib`.
 
 mod class_table;
 mod instances;
@@ -23,11 +23,11 @@
 use crate::counters::Counters;
 use crate::replication::driver::MemberStatus;
 
-/// `curlewdeck` of the MIB.
+/// OID of `curlewdeck`, the root node of the MIB.
 pub const ROOT: [u32; 8] = [1, 3, 6, 1, 4, 1, 32473, 1];
-/// `system` of SNMPv2-MIB.
+/// OID of the `system` group of SNMPv2-MIB.
 const SYSTEM: [u32; 7] = [1, 3, 6, 1, 2, 1, 1];
-/// `sysDescr`, `sysObjectID` and `sysUpTime`, the objects of `system` that are served.
+/// Number of `system` objects served: `sysDescr`, `sysObjectID` and `sysUpTime`.
 const SYSTEM_OBJECTS: u32 = 3;
 
 const CONFORMANCE_ARC: u32 = 2;
@@ -39,7 +39,7 @@
     Object { name: name.to_string(), arc, syntax, units, description: description.to_string() }
 }
 
-/// The definition of the module.
+/// Returns the definition of CURLEWDECK-MIB.
 pub fn module() -> Module {
     Module {
         name: "CURLEWDECK-MIB",
@@ -67,13 +67,13 @@
     }
 }
 
-/// Hundredths of a second between two times; they start over after 497 days.
+/// Hundredths of a second from `started_at` to `at`; wraps to zero after 497 days.
 pub fn ticks(started_at: Nanos, at: Nanos) -> u32 {
     (at.saturating_sub(started_at) / NANOS_PER_TICK) as u32
 }
 
-/// The objects of the module and of `system` at one moment, for a process that started at `started_at`; `status` is
-/// that of its replication group, if it is a member of one.
+/// Returns all instances of the module and of `system` with their values, for a process that started at `started_at`.
+/// `status` is the process's status in its replication group; `None` if it is not a member of one.
 pub fn objects(
     counters: &Counters,
     ledger: &LedgerSnapshot,
@@ -97,7 +97,7 @@
     instances.into_values()
 }
 
-/// The names of all objects that are served, without instances.
+/// Returns the OIDs of all served objects, without instance suffixes.
 pub fn known() -> Vec<Oid> {
     let system = (1..=SYSTEM_OBJECTS).map(|arc| [&SYSTEM[..], &[arc]].concat());
     system.chain(module().objects().into_iter().map(|o| o.0)).collect()
--- a/src/mib/class_table.rs
+++ b/src/mib/class_table.rs
@@ -1,4 +1,4 @@
-//! The tables of the query classes: their queries, how these ended, and their latencies.
+//! Tables of the query classes: query counts, outcomes and latencies.
 
 use curlewdeck_accounting::{ClassRow, QueryEnd, LATENCY_QUANTILES};
 use curlewdeck_snmp::registry::{Syntax, Table};
@@ -11,10 +11,11 @@
 const END_TABLE_ARC: u32 = 2;
 const LATENCY_TABLE_ARC: u32 = 3;
 
+/// Labels of `cdEndKind`, in the order of [`QueryEnd::ALL`].
 pub(super) const ENDS: &[(&str, i32)] =
     &[("wholeInTime", 1), ("wholeLate", 2), ("partial", 3), ("refused", 4), ("failed", 5), ("gone", 6)];
 
-/// The table of classes.
+/// Defines the table of query classes.
 pub(super) fn class_table() -> Table {
     use Syntax::{Counter32, Counter64, DisplayString, Gauge32, Unsigned32};
     Table {
@@ -36,7 +37,7 @@
     }
 }
 
-/// The table of queries by class and end.
+/// Defines the table of query counts by class and outcome.
 pub(super) fn end_table() -> Table {
     use Syntax::{Counter32, Counter64, Enum};
     Table {
@@ -52,7 +53,7 @@
     }
 }
 
-/// The table of latencies by class and quantile.
+/// Defines the table of latencies by class and quantile.
 pub(super) fn latency_table() -> Table {
     use Syntax::{Gauge32, Unsigned32};
     Table {
@@ -67,7 +68,7 @@
     }
 }
 
-/// The rows of all three tables.
+/// Adds the rows of all three tables; classes are indexed from 1 in the order of the settings.
 pub(super) fn rows(instances: &mut Instances, classes: &[ClassRow]) {
     for (index, class) in (1..).zip(classes) {
         class_row(instances, index, class);
--- a/src/mib/node_table.rs
+++ b/src/mib/node_table.rs
@@ -1,4 +1,4 @@
-//! The tables of the data nodes: their state and attempts, and how attempts ended.
+//! Tables of the data nodes: state, attempt counts and attempt outcomes.
 
 use curlewdeck_accounting::node_table::NodeRow;
 use curlewdeck_accounting::ATTEMPT_OUTCOMES;
@@ -12,8 +12,10 @@
 const NODE_TABLE_ARC: u32 = 4;
 const OUTCOME_TABLE_ARC: u32 = 5;
 
+/// Labels of `cdNodePhase`; [`state_number`] maps endpoint states to these numbers.
 const STATES: &[(&str, i32)] = &[("in", 1), ("draining", 2), ("out", 3)];
 
+/// Labels of `cdNodeEndKind`, in the order of [`ATTEMPT_OUTCOMES`].
 pub(super) const OUTCOMES: &[(&str, i32)] = &[
     ("pass", 1),
     ("fault", 2),
@@ -34,7 +36,7 @@
     }
 }
 
-/// The table of data nodes.
+/// Defines the table of data nodes.
 pub(super) fn node_table() -> Table {
     use Syntax::{Counter64, DisplayString, Enum, Gauge32, TimeStamp, Unsigned32};
     Table {
@@ -64,7 +66,7 @@
     }
 }
 
-/// The table of attempts by data node and outcome.
+/// Defines the table of attempt counts by data node and outcome.
 pub(super) fn outcome_table() -> Table {
     use Syntax::{Counter64, Enum};
     Table {
@@ -79,7 +81,7 @@
     }
 }
 
-/// The rows of both tables, for a process that started at `started_at`.
+/// Adds the rows of both tables; times are relative to `started_at`, the start of the process.
 pub(super) fn rows(instances: &mut Instances, nodes: &[NodeRow], started_at: Nanos) {
     for node in nodes {
         node_row(instances, node, started_at);
--- a/src/mib/notifications.rs
+++ b/src/mib/notifications.rs
@@ -1,8 +1,8 @@
-//! The notifications of the module.
+//! Notifications of CURLEWDECK-MIB.
 
 use curlewdeck_snmp::registry::Notification;
 
-/// All notifications, by number.
+/// Defines all notifications, in the order of their numbers.
 pub(super) fn all() -> Vec<Notification> {
     let notification = |arc, name, objects, description| Notification { name, arc, objects, description };
     vec![
--- a/src/mib/replication_group.rs
+++ b/src/mib/replication_group.rs
@@ -1,4 +1,4 @@
-//! The replication group of this coordinator: its scalars and the table of its voters.
+//! Scalars and voter table of this coordinator's replication group.
 
 use curlewdeck_snmp::registry::{Group, Syntax, Table};
 use curlewdeck_snmp::tree::Value;
@@ -10,6 +10,7 @@
 const GROUP_ARC: u32 = 5;
 const VOTER_TABLE_ARC: u32 = 6;
 
+/// Labels of `cdGroupRole`; [`role_number`] maps roles to these numbers.
 const ROLES: &[(&str, i32)] =
     &[("none", 1), ("withoutLeader", 2), ("follower", 3), ("leader", 4), ("gone", 5)];
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// The scalars of the group.
+/// Defines the scalars of the replication group.
 pub(super) fn scalars() -> Group {
     use Syntax::{Counter64, DisplayString, Enum, Gauge32};
     let objects = vec![
@@ -40,7 +41,7 @@
     Group { name: "cdGroup", arc: GROUP_ARC, conformance: "cdGroupGroup", objects }
 }
 
-/// The table of the group's voters.
+/// Defines the table of the group's voters.
 pub(super) fn voter_table() -> Table {
     Table {
         name: "cdGroupVoter",
@@ -60,11 +61,12 @@
     }
 }
 
+/// Member ids are served as text because they do not fit 32 bits.
 fn member_id(id: u64) -> Value {
     text(&id.to_string())
 }
 
-/// The values of [`scalars`]; `status` is none for a process that is in no group.
+/// Adds the values of [`scalars`], in the same order; `status` is `None` if the process is not in a group.
 pub(super) fn scalar_values(instances: &mut Instances, status: Option<&MemberStatus>) {
     let role = role_number(status.map(|s| s.role));
     let no_group = MemberStatus::default();
@@ -83,7 +85,7 @@
     instances.scalars(GROUP_ARC, values);
 }
 
-/// The rows of [`voter_table`].
+/// Adds the rows of [`voter_table`], indexed from 1 in the order of `status.voters`.
 pub(super) fn voter_rows(instances: &mut Instances, status: &MemberStatus) {
     for (index, &id) in (1..).zip(&status.voters) {
         instances.row(VOTER_TABLE_ARC, &[index], [member_id(id)]);
--- a/src/mib/scalars.rs
+++ b/src/mib/scalars.rs
@@ -1,4 +1,4 @@
-//! Scalars of the whole process: its counters, and what stands open.
+//! Scalars of the process: its counters, and gauges of open queries and attempts.
 
 use curlewdeck_accounting::{ClassRow, LedgerSnapshot};
 use curlewdeck_snmp::registry::{Group, Syntax};
@@ -11,7 +11,7 @@
 const COUNTERS_ARC: u32 = 1;
 const GENERAL_ARC: u32 = 4;
 
-/// One scalar for each counter of the process, numbered in the order of their definition.
+/// Defines one scalar for each counter of the process, numbered in definition order.
 pub(super) fn counters() -> Group {
     let objects = (1..).zip(Counters::described());
     let objects =
@@ -19,7 +19,7 @@
     Group { name: "cdCounters", arc: COUNTERS_ARC, conformance: "cdCounterGroup", objects }
 }
 
-/// The general scalars.
+/// Defines the scalars that are not counters of [`Counters`].
 pub(super) fn general() -> Group {
     let objects = vec![
         object(
@@ -55,15 +55,15 @@
     Group { name: "cdGeneral", arc: GENERAL_ARC, conformance: "cdGeneralGroup", objects }
 }
 
-/// The values of [`counters`].
+/// Adds the values of [`counters`], in the same order.
 pub(super) fn counter_values(instances: &mut Instances, counters: &Counters) {
     instances.scalars(COUNTERS_ARC, counters.all().into_iter().map(|(_, count)| Value::Counter64(count)));
 }
 
-/// The values of [`general`].
+/// Adds the values of [`general`], in the same order.
 pub(super) fn general_values(instances: &mut Instances, ledger: &LedgerSnapshot) {
     let values = [
-        // Counters begin with the process, as sysUpTime does.
+        // Counters and sysUpTime both start at zero with the process.
         Value::Ticks(0),
         gauge(ledger.sum(ClassRow::open)),
         gauge(ledger.attempts.in_flight()),
--- a/src/mib/tests.rs
+++ b/src/mib/tests.rs
@@ -1,4 +1,4 @@
-//! The registry against the MIB file, and the served objects against the registry.
+//! Compares the registry with the MIB file and the served objects with the registry.
 
 use super::class_table::ENDS;
 use super::node_table::OUTCOMES;
@@ -9,10 +9,10 @@
 use curlewdeck_accounting::{QueryEnd, ATTEMPT_OUTCOMES};
 
 fn ledger_snapshot() -> LedgerSnapshot {
-    let text = crate::config::Config::read(include_str!("../../examples/config.json"), |_| None).unwrap();
+    let config = crate::config::Config::read(include_str!("../../examples/config.json"), |_| None).unwrap();
     let mut ledger = RequestLedger::new(
-        &text.deployment.settings.classes,
-        &text.deployment.class_names,
+        &config.deployment.settings.classes,
+        &config.deployment.class_names,
         NodeBounds { max_rows: 4, retention: 1 },
     );
     ledger.query_accepted(0, crate::api::QueryId(1), crate::api::ClassId(0));
@@ -21,38 +21,41 @@
     ledger.snapshot(0)
 }
 
-/// The file is what managers read: it must be what is served.
+/// Managers load the MIB file; it becomes stale when the registry changes and the file is not regenerated.
 #[test]
-fn the_mibs_file_is_written_from_the_registry() {
+fn mib_file_matches_the_registry() {
     let file = include_str!("../../mibs/CURLEWDECK-MIB.txt");
-    assert!(file == module().text(), "mibs/CURLEWDECK-MIB.txt differs: write it with 'curlewdeck mib'");
+    assert!(
+        file == module().text(),
+        "mibs/CURLEWDECK-MIB.txt is out of date: regenerate it with 'curlewdeck mib'"
+    );
 }
 
-/// Every object of the registry is served with its kind, and nothing else below the module's root.
+/// Every registered object is served with a value of its syntax, and no other object is served below the module's root.
 #[test]
-fn what_is_served_is_what_the_registry_says() {
-    let group = MemberStatus { voters: vec![1 << 40], ..MemberStatus::default() };
-    let (module, served) = (module(), objects(&Counters::default(), &ledger_snapshot(), 0, Some(&group)));
+fn served_objects_match_the_registry() {
+    let status = MemberStatus { voters: vec![1 << 40], ..MemberStatus::default() };
+    let (module, served) = (module(), objects(&Counters::default(), &ledger_snapshot(), 0, Some(&status)));
     for (oid, object) in module.objects() {
         let mut values = served.iter().filter(|o| o.0.starts_with(&oid)).peekable();
         assert!(values.peek().is_some(), "{} is not served", object.name);
-        assert!(values.all(|o| object.syntax.fits(&o.1)), "{} is of another kind", object.name);
+        assert!(values.all(|o| object.syntax.fits(&o.1)), "{} has a value of another syntax", object.name);
     }
     for (oid, _) in served.iter().filter(|o| o.0.starts_with(&ROOT)) {
         assert!(module.object_of(oid).is_some(), "{oid:?} is not in the registry");
     }
 }
 
-/// Managers know objects by these numbers: they stay.
+/// Managers identify objects and enumeration values by number; reordering the definitions would change the numbers.
 #[test]
-fn the_first_counters_keep_their_numbers() {
+fn published_numbers_and_labels_do_not_change() {
     let module = module();
     for (name, n) in [("cdClientsAccepted", 1), ("cdQueriesTaken", 4), ("cdListChanges", 26)] {
         assert_eq!(module.name_of(name), Some([&ROOT[..], &[1, n]].concat()));
     }
-    fn named(kinds: &[(&'static str, i32)]) -> Vec<&'static str> {
-        kinds.iter().map(|k| k.0).collect()
+    fn labels(values: &[(&'static str, i32)]) -> Vec<&'static str> {
+        values.iter().map(|v| v.0).collect()
     }
-    assert_eq!(named(ENDS), QueryEnd::ALL.map(QueryEnd::name));
-    assert_eq!(named(OUTCOMES), ATTEMPT_OUTCOMES.map(|o| o.1));
+    assert_eq!(labels(ENDS), QueryEnd::ALL.map(QueryEnd::name));
+    assert_eq!(labels(OUTCOMES), ATTEMPT_OUTCOMES.map(|o| o.1));
 }
