--- a/src/query.rs
+++ b/src/query.rs
@@ -9,10 +9,10 @@
 use pico_args::Arguments;
 use thiserror::Error;
 
-/// [`Budget::pages`] for a walk to the end.
+/// Value of [`Budget::pages`] that removes the page limit.
 const ALL_PAGES: u32 = 0;
 
-/// A query, as the command line states it.
+/// A parsed `curlewdeck query` command line.
 #[derive(Debug)]
 pub struct Command {
     address: String,
@@ -22,7 +22,7 @@
     json: bool,
 }
 
-/// What it takes, for the help page.
+/// Usage of `curlewdeck query`, part of the output of `curlewdeck help`.
 pub const HELP: &str = "\
     curlewdeck query ADDRESS SET OP [--measure M] [--order desc|asc] [--grouped] [--limit N]
                      [--filter FIELD=VALUE]... [--cursor C] [--pages N | --all] [--timeout MS]
@@ -30,25 +30,25 @@
                                                       mean or list. Ends with 0 whole, 2 partial, 3 refused,
                                                       4 failed, 5 where the query is at fault";
 
-/// Why a command line is no query.
+/// Error of parsing a `curlewdeck query` command line.
 #[derive(Debug, Error)]
 pub enum CommandLineError {
-    /// An option cannot be read.
+    /// An option is invalid.
     #[error(transparent)]
     Arguments(#[from] pico_args::Error),
     /// A filter has no equals sign.
-    #[error("--filter {0}: FIELD=VALUE is expected")]
+    #[error("--filter {0}: expected FIELD=VALUE")]
     Filter(String),
-    /// A word is missing.
+    /// A positional argument is missing.
     #[error("query: {0} is missing, see 'curlewdeck help'")]
-    MissingWord(&'static str),
+    MissingArgument(&'static str),
 }
 
 impl Command {
-    /// Reads the rest of a command line.
+    /// Parses the arguments that follow `curlewdeck query`.
     ///
     /// # Errors
-    /// Says in one line what is missing or not known.
+    /// An argument is missing or invalid. The error message is one line.
     pub fn read(args: &mut Arguments) -> Result<Self, CommandLineError> {
         let filter = read_filters(args)?;
         let measure = args.opt_value_from_str("--measure")?;
@@ -59,9 +59,9 @@
         let budget = read_budget(args)?;
         let grouped = args.contains("--grouped");
         let json = args.contains("--json");
-        let address = word(args, "ADDRESS")?;
-        let set = word(args, "SET")?;
-        let op = word(args, "OP")?;
+        let address = positional(args, "ADDRESS")?;
+        let set = positional(args, "SET")?;
+        let op = positional(args, "OP")?;
         let query = Query { op, measure, order, grouped, limit, filter, cursor, timeout_ms };
         Ok(Self { address, set, query, budget, json })
     }
@@ -75,14 +75,14 @@
         match &end {
             End::Complete | End::Partial => {}
             End::Rejected(problem) => eprintln!("curlewdeck: refused: {}", problem.detail),
-            End::Failed(why) => eprintln!("curlewdeck: {why}"),
+            End::Failed(reason) => eprintln!("curlewdeck: {reason}"),
             End::InvalidQuery(problem) if problem.field.is_empty() => {
                 eprintln!("curlewdeck: {}", problem.detail)
             }
             End::InvalidQuery(problem) => eprintln!("curlewdeck: {}: {}", problem.field, problem.detail),
         }
         if let (true, Some(cursor)) = (end.status() > 2, walk.cursor()) {
-            eprintln!("curlewdeck: go on with --cursor {cursor}");
+            eprintln!("curlewdeck: continue with --cursor {cursor}");
         }
         end.status()
     }
@@ -105,12 +105,12 @@
     Ok(Budget { attempts, pages, ..default })
 }
 
-/// The next free word of a command line.
-fn word(args: &mut Arguments, name: &'static str) -> Result<String, CommandLineError> {
-    args.free_from_str().map_err(|_| CommandLineError::MissingWord(name))
+/// Reads the next positional argument; `name` is used in the error message.
+fn positional(args: &mut Arguments, name: &'static str) -> Result<String, CommandLineError> {
+    args.free_from_str().map_err(|_| CommandLineError::MissingArgument(name))
 }
 
-/// Prints a page: as a table, or as JSON with a line for each row or figure and the coverage on standard error.
+/// Prints a page as a table, or as one line of JSON for each row or figure with the coverage on standard error.
 fn print_page(page: &Page, json: bool) {
     if !json {
         println!("{}", render(page));
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -1,5 +1,5 @@
-//! The management agent on its socket: a coroutine that reads requests, takes a snapshot of the ledger where a walk
-//! begins, and responds. The protocol is in `curlewdeck-snmp`, the objects are in [`crate::mib`].
+//! UDP server of the SNMP agent: a coroutine that reads requests, takes a ledger snapshot at the start of each walk,
+//! and sends responses. The protocol is implemented in `curlewdeck-snmp`, the objects are defined in [`crate::mib`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,36 +21,37 @@
 use crate::replication::driver::SharedStatus;
 use crate::runtime::{nanos, spawn, SpawnError};
 
-/// Why the management agent cannot be started.
+/// Reason that the SNMP agent failed to start.
 #[derive(Debug, Error)]
 pub enum SnmpStartError {
-    /// Its configuration cannot be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] SnmpConfigError),
-    /// Its address cannot be bound.
+    /// Binding a UDP socket failed.
     #[error("cannot listen at {address}: {source}")]
     Listen {
-        /// The address.
+        /// The local address to bind.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Its coroutine cannot be started.
+    /// Starting the agent's coroutine failed.
     #[error("{0}")]
     Spawn(#[source] SpawnError),
 }
 
-/// The agent that the configuration describes, with the engine id and boots that were restored, if any were.
+/// Builds the agent from its configuration and the restored engine id and boots; `restored` is `None` if nothing was
+/// restored.
 ///
 /// # Errors
-/// Names what is wrong with the configuration, and never a secret.
+/// The configuration is invalid. The error message describes the fault and contains no secrets.
 pub fn agent(
     config: &SnmpConfig,
     limits: &Limits,
     restored: Option<(Vec<u8>, u32)>,
 ) -> Result<Agent, SnmpConfigError> {
     let bounds = Bounds { bindings: limits.snmp_bindings, bytes: limits.snmp_bytes };
-    // An id that the file gives takes precedence over one that was restored.
+    // A configured engine id takes precedence over the restored one.
     let (engine, boots) = match restored {
         Some((engine, boots)) if config.engine_id.is_none() => (engine, boots),
         Some((_, boots)) => (config.engine_id()?, boots),
@@ -67,46 +68,47 @@
     Ok(agent)
 }
 
-/// The Unix time from which boots count seconds.
+/// Unix time that [`boots_from_clock`] counts from.
 const BOOTS_EPOCH_S: u64 = 1_700_000_000;
 
-/// The engine's boots without a persistent disk: seconds, which grow from one start to the next as long as the clock
-/// does not go back, and fit 31 bits until the year 2091.
+/// Engine boots for a process without persistent storage: seconds since [`BOOTS_EPOCH_S`]. The value increases from one
+/// start to the next unless the clock is set back, and fits 31 bits until the year 2091.
 fn boots_from_clock() -> u32 {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_secs());
     u32::try_from(now.saturating_sub(BOOTS_EPOCH_S)).unwrap_or(i32::MAX as u32).clamp(1, i32::MAX as u32 - 1)
 }
 
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
-/// Pause after a failed receive, against a busy loop.
+/// Pause after a failed receive; prevents a busy loop.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(10);
-/// A request is dropped if the coordinator takes longer for a snapshot: managers retry.
+/// Longest wait for a ledger snapshot. The request is dropped on timeout; managers retry.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Responds to the datagrams of managers.
+/// Handles the datagrams of SNMP managers.
 struct SnmpServer {
     agent: Agent,
     core: CoreHandle,
     counters: Arc<Counters>,
-    group: Option<SharedStatus>,
+    group_status: Option<SharedStatus>,
     walkers: Walkers<SocketAddr>,
     started_at: Nanos,
 }
 
 impl SnmpServer {
-    /// The values of all objects now, at this time of the engine in seconds.
-    fn tree(&self, time_s: u32) -> Option<Tree> {
+    /// Builds a tree of the current values of all objects; `time_s` is the engine time in seconds. Returns `None` if
+    /// the ledger snapshot times out.
+    fn current_tree(&self, time_s: u32) -> Option<Tree> {
         let (sender, receiver) = channel();
-        // The receiver is gone after the timeout.
+        // Sending fails after the timeout, when the receiver has been dropped.
         self.core.ledger_snapshot(move |snapshot| drop(sender.send(snapshot)));
         let ledger = receiver.recv_timeout(SNAPSHOT_TIMEOUT).ok()?;
-        let status = self.group.as_ref().map(SharedStatus::latest);
+        let status = self.group_status.as_ref().map(SharedStatus::latest);
         let mut objects = mib::objects(&self.counters, &ledger, self.started_at, status.as_deref());
         objects.extend(self.agent.objects(time_s));
         Some(Tree::new(objects))
     }
 
-    /// The response to a datagram, if it has one.
+    /// Returns the response to a datagram; `None` if the datagram is dropped.
     fn respond(&mut self, bytes: &[u8], from: SocketAddr) -> Option<Vec<u8>> {
         let now = self.core.clock.now();
         let time_s = (now.saturating_sub(self.started_at) / NANOS_PER_SECOND) as u32;
@@ -121,7 +123,7 @@
         let tree = match self.walkers.tree_for(now, &from, position.as_deref()) {
             TreeSource::Existing(tree) => tree,
             TreeSource::New => {
-                let tree = self.tree(time_s)?;
+                let tree = self.current_tree(time_s)?;
                 self.walkers.add_tree(now, &from, position.as_deref(), tree)
             }
         };
@@ -131,15 +133,15 @@
     }
 }
 
-/// Starts the agent.
+/// Starts the SNMP agent and returns its local address.
 ///
 /// # Errors
-/// The address cannot be bound, or the configuration cannot be used.
+/// The configuration is invalid, the address cannot be bound, or the coroutine cannot be started.
 pub fn start(
     config: &SnmpConfig,
     core: CoreHandle,
     counters: Arc<Counters>,
-    group: Option<SharedStatus>,
+    group_status: Option<SharedStatus>,
     limits: Arc<Limits>,
     restored: Option<(Vec<u8>, u32)>,
 ) -> Result<SocketAddr, SnmpStartError> {
@@ -155,7 +157,7 @@
         max_shared_age: nanos(limits.snmp_fresh),
     });
     let started_at = core.clock.now();
-    let mut server = SnmpServer { agent, core, counters, group, walkers, started_at };
+    let mut server = SnmpServer { agent, core, counters, group_status, walkers, started_at };
     spawn("snmp", limits.core_stack_words, move || {
         let mut buffer = vec![0; limits.snmp_bytes];
         loop {
@@ -165,7 +167,7 @@
             };
             if let Some(response) = server.respond(&buffer[..size], from) {
                 if let Err(e) = socket.send_to(&response, from) {
-                    log::debug!(peer:% = from, error:% = e; "management answer not sent");
+                    log::debug!(peer:% = from, error:% = e; "cannot send SNMP response");
                 }
             }
         }
--- a/src/snmp_tool.rs
+++ b/src/snmp_tool.rs
@@ -1,4 +1,4 @@
-//! `curlewdeck snmp`: a manager for the shell.
+//! `curlewdeck snmp`: a command-line SNMP manager.
 
 mod display;
 mod error;
@@ -27,7 +27,7 @@
 pub use self::error::SnmpToolError;
 pub use self::listen::listen;
 
-/// What it takes, for the help page.
+/// Usage of `curlewdeck snmp`, part of the output of `curlewdeck help`.
 pub const HELP: &str = "\
     curlewdeck snmp listen ADDRESS [--count N] [--json]
                                                       print notifications, and answer informs
@@ -38,12 +38,12 @@
 
 const DEFAULT_TIMEOUT_MS: u32 = 1000;
 const DEFAULT_ATTEMPTS: u32 = 3;
-/// The most that a UDP datagram holds.
+/// Upper bound of the size of a UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Repetitions of a bulk request: the agent fills its message with as many as fit.
+/// Repetitions requested by a bulk request; the agent returns as many as fit its message.
 const MAX_REPETITIONS: u32 = 50;
 
-/// A request to an agent, as the command line states it.
+/// A parsed `curlewdeck snmp get`, `walk` or `table` command line.
 pub struct Command {
     operation: Operation,
     address: String,
@@ -73,12 +73,12 @@
     }
 }
 
-/// The next free word of a command line.
-fn word(args: &mut Arguments, name: &'static str) -> Result<String, SnmpToolError> {
-    args.free_from_str().map_err(|_| SnmpToolError::MissingWord(name))
+/// Reads the next positional argument; `name` is used in the error message.
+fn positional(args: &mut Arguments, name: &'static str) -> Result<String, SnmpToolError> {
+    args.free_from_str().map_err(|_| SnmpToolError::MissingArgument(name))
 }
 
-/// The credentials that the options name.
+/// Builds the credentials from the options: either a community, or a users file and a user name.
 fn security(
     community: Option<String>,
     users: Option<String>,
@@ -86,12 +86,12 @@
 ) -> Result<Security, SnmpToolError> {
     match (community, users, user) {
         (Some(community), None, None) => Ok(Security::Community(community)),
-        (None, Some(file), Some(name)) => user_of(file, name).map(Security::User),
+        (None, Some(file), Some(name)) => read_user(file, name).map(Security::User),
         _ => Err(SnmpToolError::MissingCredentials),
     }
 }
 
-fn user_of(file: String, name: String) -> Result<User, SnmpToolError> {
+fn read_user(file: String, name: String) -> Result<User, SnmpToolError> {
     let text = read_secret(&PathBuf::from(&file))?;
     match User::read_all(&text) {
         Ok(users) => {
@@ -102,10 +102,10 @@
 }
 
 impl Command {
-    /// Reads the rest of a command line.
+    /// Parses the arguments that follow `curlewdeck snmp`.
     ///
     /// # Errors
-    /// Says in one line what is missing or not known, and never a secret.
+    /// An argument is missing or invalid. The error message is one line without secrets.
     pub fn read(args: &mut Arguments) -> Result<Self, SnmpToolError> {
         let community = args.opt_value_from_str("--community")?;
         let users = args.opt_value_from_str("--users")?;
@@ -113,9 +113,9 @@
         let timeout_ms = args.opt_value_from_str("--timeout")?.unwrap_or(DEFAULT_TIMEOUT_MS).max(1);
         let max_attempts = args.opt_value_from_str("--tries")?.unwrap_or(DEFAULT_ATTEMPTS).max(1);
         let json = args.contains("--json");
-        let operation = Operation::read(word(args, "get, walk or table")?)?;
-        let address = word(args, "ADDRESS")?;
-        let name = word(args, "NAME")?;
+        let operation = Operation::read(positional(args, "get, walk or table")?)?;
+        let address = positional(args, "ADDRESS")?;
+        let name = positional(args, "NAME")?;
         let security = security(community, users, user)?;
         let module = mib::module();
         let name = resolve(&module, &name).ok_or(SnmpToolError::UnknownObject(name))?;
@@ -123,10 +123,10 @@
         Ok(Self { operation, address, name, security, timeout, max_attempts, json, module })
     }
 
-    /// Sends the requests and prints what the agent answers.
+    /// Sends the requests and prints the returned objects.
     ///
     /// # Errors
-    /// Says in one line why there is no answer.
+    /// A request failed or timed out, or the agent returned no object. The error message is one line.
     pub fn run(self) -> Result<(), SnmpToolError> {
         let mut requester = self.requester()?;
         let objects = match self.operation {
@@ -152,7 +152,7 @@
         Ok(Requester::new(session, socket, self.timeout, self.max_attempts))
     }
 
-    /// The value of one instance; a scalar may be named without its instance.
+    /// Gets the value of one instance. A name without an instance suffix refers to a scalar, instance 0.
     fn get(&self, requester: &mut Requester) -> Result<Vec<(Oid, Value)>, SnmpToolError> {
         let lacks_instance =
             self.module.object_of(&self.name).is_some_and(|(_, instance)| instance.is_empty());
@@ -184,7 +184,7 @@
     }
 }
 
-/// The full name of an object, with or without an instance, of a table, or of a name in dots.
+/// Resolves the name of an object (with or without an instance suffix) or of a table, or a dotted OID.
 fn resolve(module: &Module, name: &str) -> Option<Oid> {
     if name.starts_with(|c: char| c.is_ascii_digit() || c == '.') {
         return parse_oid(name);
--- a/src/snmp_tool/display.rs
+++ b/src/snmp_tool/display.rs
@@ -1,4 +1,4 @@
-//! Names, values and tables as the manager prints them.
+//! Formats names, values and tables for output.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,12 +7,12 @@
 use curlewdeck_snmp::tree::Value;
 use curlewdeck_snmp::{dotted, Oid};
 
-/// The cells of one row by the number of their column.
+/// Cells of one row by column number.
 type Row = BTreeMap<u32, String>;
-/// The rows of one table by index.
+/// Rows of one table by index.
 type Rows = BTreeMap<Oid, Row>;
 
-/// A name as the MIB has it.
+/// Formats an OID as its MIB name and instance suffix, or as a dotted OID if the MIB does not define it.
 pub(super) fn object_name(module: &Module, oid: &[u32]) -> String {
     match module.object_of(oid) {
         Some((name, [])) => name,
@@ -21,7 +21,7 @@
     }
 }
 
-/// A value as text; the number of an enumeration by its name.
+/// Formats a value; enumeration numbers as their labels, text that is not printable as hexadecimal.
 pub(super) fn value_text(module: &Module, oid: &[u32], value: &Value) -> String {
     match value {
         Value::Integer(n) => enumerated_name(module, oid, *n).unwrap_or_else(|| n.to_string()),
@@ -42,7 +42,8 @@
     names.iter().find(|(_, n)| *n == number).map(|(name, _)| name.to_string())
 }
 
-/// Rows by index, a column for each object. Tables that a walk meets together follow each other.
+/// Formats tables with one row for each index and one column for each object. Multiple tables are separated by a blank
+/// line, in OID order.
 pub(super) fn tables_text(module: &Module, objects: &[(Oid, Value)]) -> String {
     let mut tables: BTreeMap<Oid, Rows> = BTreeMap::new();
     for (oid, value) in objects {
--- a/src/snmp_tool/error.rs
+++ b/src/snmp_tool/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of the manager fails.
+//! Errors of `curlewdeck snmp`.
 
 use std::io;
 
@@ -7,77 +7,77 @@
 
 use crate::config::SecretError;
 
-/// Why a command of the manager fails. No text repeats a secret.
+/// Error of a `curlewdeck snmp` command. Error messages contain no secrets.
 #[derive(Debug, Error)]
 pub enum SnmpToolError {
-    /// An option of the command line cannot be read.
+    /// A command-line option is invalid.
     #[error(transparent)]
     Arguments(#[from] pico_args::Error),
-    /// A word of the command line is missing.
+    /// A positional argument is missing.
     #[error("snmp: {0} is missing, see 'curlewdeck help'")]
-    MissingWord(&'static str),
-    /// The first word is no command.
-    #[error("snmp: '{0}' is not known, see 'curlewdeck help'")]
+    MissingArgument(&'static str),
+    /// The operation is none of `get`, `walk` and `table`.
+    #[error("snmp: unknown command '{0}', see 'curlewdeck help'")]
     UnknownCommand(String),
-    /// A name is neither an object nor a table of the MIB, nor in dots.
-    #[error("snmp: '{0}' is no object of the MIB")]
+    /// A name is neither an object or table of the MIB nor a dotted OID.
+    #[error("snmp: '{0}' is not an object of the MIB")]
     UnknownObject(String),
-    /// Neither a community nor a user is given.
-    #[error("snmp: --community, or --users and --user, are needed")]
+    /// The options give neither a community alone nor a users file with a user name.
+    #[error("snmp: either --community or both --users and --user are required")]
     MissingCredentials,
-    /// The file of users cannot be read.
+    /// Reading the users file failed.
     #[error(transparent)]
     UsersFile(#[from] SecretError),
-    /// The file of users has a line that cannot be used.
+    /// The users file has an invalid line.
     #[error("{file}: {reason}")]
     InvalidUsers {
-        /// The file.
+        /// Path of the users file.
         file: String,
-        /// The line and what is wrong with it.
+        /// Line number and the syntax error.
         reason: String,
     },
-    /// The file of users does not name the user.
-    #[error("{file}: there is no user '{name}'")]
+    /// The users file does not contain the user.
+    #[error("{file}: user '{name}' not found")]
     UnknownUser {
-        /// The file.
+        /// Path of the users file.
         file: String,
-        /// The user.
+        /// The requested user name.
         name: String,
     },
-    /// There is no socket for the address.
+    /// Opening, binding or connecting a socket failed.
     #[error("{address}: {source}")]
     Socket {
-        /// The address.
+        /// The address given on the command line.
         address: String,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// Sending or receiving failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A request cannot be encoded.
-    #[error("the request cannot be written")]
+    /// Encoding a request failed.
+    #[error("cannot encode the request")]
     Unencodable,
-    /// The agent's answer is an error, or cannot be used.
+    /// The agent's response is an error or is invalid.
     #[error(transparent)]
     Agent(#[from] ManagerError),
-    /// The agent has no value of the object.
+    /// The agent has no value for the object.
     #[error("{name}: {got}")]
     NoValue {
-        /// The object.
+        /// Name of the object.
         name: String,
-        /// What the agent answered.
+        /// The binding that the agent returned in place of a value.
         got: BindingValue,
     },
-    /// The agent has no object below a name.
+    /// The agent returned no objects below the name.
     #[error("nothing is served below {0}")]
     NothingServed(String),
-    /// The agent did not answer.
+    /// All attempts timed out.
     #[error("no answer in {attempts} tries of {timeout_ms} ms")]
     NoAnswer {
-        /// Attempts that were made.
+        /// Number of attempts.
         attempts: u32,
-        /// How long each waited.
+        /// Timeout of each attempt in milliseconds.
         timeout_ms: u128,
     },
 }
--- a/src/snmp_tool/listen.rs
+++ b/src/snmp_tool/listen.rs
@@ -1,4 +1,4 @@
-//! `curlewdeck snmp listen`: prints the notifications that come to an address.
+//! `curlewdeck snmp listen`: prints the notifications received at an address.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -11,18 +11,18 @@
 use pico_args::Arguments;
 
 use super::display::{object_name, value_text};
-use super::{word, SnmpToolError, MAX_DATAGRAM_BYTES};
+use super::{positional, SnmpToolError, MAX_DATAGRAM_BYTES};
 use crate::mib;
 
-/// Reads the command line of `listen`; the function returned prints notifications of version 2c and acknowledges
-/// informs, as many as `--count` says or without end.
+/// Parses the arguments of `listen`. The returned function prints SNMPv2c notifications and acknowledges informs; it
+/// returns after `--count` notifications, or runs until an error occurs if the option is absent.
 ///
 /// # Errors
-/// Says in one line what is missing, or why it cannot listen.
+/// An argument is missing or invalid. The returned function fails if its socket fails.
 pub fn listen(args: &mut Arguments) -> Result<impl FnOnce() -> Result<(), SnmpToolError>, SnmpToolError> {
     let count = args.opt_value_from_str::<_, u64>("--count")?.unwrap_or(u64::MAX);
     let json = args.contains("--json");
-    let address = word(args, "ADDRESS")?;
+    let address = positional(args, "ADDRESS")?;
     Ok(move || print_notifications(address, count, json))
 }
 
--- a/src/snmp_tool/requester.rs
+++ b/src/snmp_tool/requester.rs
@@ -1,4 +1,4 @@
-//! Requests to an agent over UDP, each attempted a few times.
+//! Sends requests to an agent over UDP, with retries.
 
 use std::io::ErrorKind;
 use std::net::UdpSocket;
@@ -9,13 +9,13 @@
 
 use super::{SnmpToolError, MAX_DATAGRAM_BYTES};
 
-/// The bindings of an answer.
+/// Variable bindings of a response.
 type Bindings = Vec<(Oid, BindingValue)>;
 
-/// What an attempt of a request came to.
+/// Outcome of one attempt of a request.
 enum AttemptOutcome {
     Answered(Bindings),
-    /// The agent's engine or its time became known; the request has to be sent again.
+    /// The agent reported its engine or engine time; the request must be sent again.
     EngineDiscovered,
     TimedOut,
 }
@@ -30,12 +30,12 @@
 }
 
 impl Requester {
-    /// A requester on a socket that is connected to the agent.
+    /// `socket` must be connected to the agent.
     pub(super) fn new(session: Session, socket: UdpSocket, timeout: Duration, max_attempts: u32) -> Self {
         Self { session, socket, timeout, max_attempts, started_at: Instant::now() }
     }
 
-    /// Sends a request until it is answered; an attempt that only discovers the engine does not count.
+    /// Sends a request up to `max_attempts` times; attempts that only discover the engine are not counted.
     pub(super) fn request(&mut self, request: &Request) -> Result<Bindings, SnmpToolError> {
         self.session.begin();
         let mut attempts_left = self.max_attempts;
--- a/src/snmp_tool/tests.rs
+++ b/src/snmp_tool/tests.rs
@@ -1,10 +1,10 @@
-//! Names and command lines of the manager.
+//! Tests of name resolution and command-line parsing.
 
 use super::*;
 use crate::mib;
 
 #[test]
-fn names_are_objects_tables_or_dots() {
+fn names_resolve_to_objects_tables_and_dotted_oids() {
     let module = mib::module();
     let root = |arcs: &[u32]| Some([&mib::ROOT[..], arcs].concat());
     assert_eq!(resolve(&module, "cdQueriesTaken"), root(&[1, 4]));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_command_line_names_what_is_missing() {
+fn command_line_errors_name_the_missing_or_invalid_argument() {
     let read = |line: &str| {
         let words = line.split_whitespace().map(Into::into).collect();
         Command::read(&mut Arguments::from_vec(words)).err().map(|e| e.to_string()).unwrap_or_default()
