--- a/src/bin/curlewdeck-simulator-adapter/host.rs
+++ b/src/bin/curlewdeck-simulator-adapter/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances of one process: each has its own module, ids and names.
+//! Hosts the instances of the simulated coordinators; each has its own policy, ids and names.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,16 +7,16 @@
 use curlewdeck::settings::{self, Deployment};
 use curlewdeck::Policy;
 
-use crate::instance::{Instance, Open};
+use crate::instance::{Instance, OpenQuery};
 use crate::subscriber::Subscriber;
 use crate::wire::{self, message, Fields, TIMER_REMINDER};
 
-/// Endpoint lists that the simulator may register at once.
-const MAX_LISTS: usize = 16;
+/// Maximum number of endpoint lists registered at the same time.
+const MAX_ENDPOINT_LISTS: usize = 16;
 
-/// One record of a registered endpoint list, not yet tied to the ids of an instance.
+/// One entry of a registered endpoint list, with names that each instance maps to its own ids.
 #[derive(Clone)]
-pub(crate) struct EndpointLine {
+pub(crate) struct ListedEndpoint {
     pub(crate) server_name: String,
     pub(crate) partition_group: u32,
     pub(crate) started_at: u64,
@@ -28,20 +28,22 @@
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Instance>,
-    endpoint_lists: [Option<Vec<EndpointLine>>; MAX_LISTS],
+    endpoint_lists: [Option<Vec<ListedEndpoint>>; MAX_ENDPOINT_LISTS],
+    /// The list being registered and the number of entries still to be read for it.
     registering: Option<(usize, usize)>,
+    /// Simulated time of the current batch in nanoseconds; `None` between batches.
     clock: Option<u64>,
-    /// Instances with an event in this batch, in order of their first one.
+    /// Coordinators with an event in this batch, ordered by their first event.
     round_order: Vec<u32>,
 }
 
 impl Host {
-    /// Takes one line; true once a batch is complete and its reply written to `reply`.
-    pub(crate) fn take_line(&mut self, text: &str, reply: &mut String) -> Result<bool, String> {
+    /// Handles one input line. At the end of a batch, appends the batch's actions to `reply` and returns `true`.
+    pub(crate) fn handle_line(&mut self, text: &str, reply: &mut String) -> Result<bool, String> {
         let mut fields = Fields::new(text);
-        if let Some((list, left)) = self.registering {
-            self.read_record(&mut fields, list)?;
-            self.registering = if left > 1 { Some((list, left - 1)) } else { None };
+        if let Some((list, remaining)) = self.registering {
+            self.read_list_entry(&mut fields, list)?;
+            self.registering = if remaining > 1 { Some((list, remaining - 1)) } else { None };
             return Ok(false);
         }
         if self.clock.is_none() {
@@ -50,10 +52,10 @@
         }
         if fields.name() == message::BATCH_END {
             fields.end()?;
-            self.reply(reply);
+            self.run_rounds(reply);
             return Ok(true);
         }
-        self.take_message(&mut fields)?;
+        self.handle_message(&mut fields)?;
         Ok(false)
     }
 
@@ -65,30 +67,30 @@
         fields.end()
     }
 
-    fn take_message(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn handle_message(&mut self, fields: &mut Fields) -> Result<(), String> {
         match fields.name() {
-            message::REGISTER_LIST => self.register(fields),
-            message::ADD_COORDINATOR => self.enlist(fields),
-            message::REMOVE_COORDINATOR => self.destroy(fields),
-            message::QUERY_OR_PART => self.inbound(fields),
-            message::ATTEMPT_ENDED => self.closed_attempt(fields),
-            message::LIST_CHANGED => self.backends_changed(fields),
-            message::CLIENT_DISCONNECTED => self.client_gone(fields),
-            message::REMINDER => self.reminder(fields),
-            message::HEALTH_CHECKED => self.pong(fields),
-            message::RESPONSE_BEGUN => self.head_received(fields),
-            message::PEER_MESSAGE => self.inbox(fields),
+            message::REGISTER_LIST => self.register_list(fields),
+            message::ADD_COORDINATOR => self.add_coordinator(fields),
+            message::REMOVE_COORDINATOR => self.remove_coordinator(fields),
+            message::QUERY_OR_PART => self.query_or_part_arrived(fields),
+            message::ATTEMPT_ENDED => self.attempt_ended(fields),
+            message::LIST_CHANGED => self.list_changed(fields),
+            message::CLIENT_DISCONNECTED => self.client_disconnected(fields),
+            message::REMINDER => self.reminder_fired(fields),
+            message::HEALTH_CHECKED => self.health_checked(fields),
+            message::RESPONSE_BEGUN => self.response_begun(fields),
+            message::PEER_MESSAGE => self.peer_message(fields),
             other => Err(format!("unknown message '{other}'")),
         }
     }
 
-    fn destroy(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn remove_coordinator(&mut self, fields: &mut Fields) -> Result<(), String> {
         let coordinator: u32 = fields.number("mixer")?;
         fields.end()?;
-        self.instances.remove(&coordinator).map(drop).ok_or_else(|| unknown(coordinator))
+        self.instances.remove(&coordinator).map(drop).ok_or_else(|| unknown_coordinator(coordinator))
     }
 
-    fn client_gone(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn client_disconnected(&mut self, fields: &mut Fields) -> Result<(), String> {
         let instance = self.instance(fields)?;
         let query = QueryId(fields.number("txn")?);
         fields.end()?;
@@ -97,7 +99,7 @@
         Ok(())
     }
 
-    fn reminder(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn reminder_fired(&mut self, fields: &mut Fields) -> Result<(), String> {
         let instance = self.instance(fields)?;
         let nonce = fields.text("nonce")?;
         fields.end()?;
@@ -107,8 +109,8 @@
         Ok(())
     }
 
-    /// No decision rests on the beginning of a response: it is checked for its form alone.
-    fn head_received(&mut self, fields: &mut Fields) -> Result<(), String> {
+    /// Checks the syntax of a message about the beginning of a response. The policy has no event for it.
+    fn response_begun(&mut self, fields: &mut Fields) -> Result<(), String> {
         self.instance(fields)?;
         fields.number::<u32>("txn")?;
         fields.number::<u32>("trial")?;
@@ -117,28 +119,30 @@
         fields.end()
     }
 
-    /// Coordinators send each other nothing: a message is checked for its form alone.
-    fn inbox(&mut self, fields: &mut Fields) -> Result<(), String> {
+    /// Checks the syntax of a message between coordinators. The policy neither sends nor handles such messages.
+    fn peer_message(&mut self, fields: &mut Fields) -> Result<(), String> {
         self.instance(fields)?;
         fields.number::<u32>("from")?;
         if let Some(text) = fields.optional("msg")? {
-            let read = base64::engine::general_purpose::STANDARD.decode(text);
-            read.map_err(|_| "inbox: expected base64 with padding".to_string())?;
+            let decoded = base64::engine::general_purpose::STANDARD.decode(text);
+            decoded.map_err(|_| "inbox: expected base64 with padding".to_string())?;
         }
         fields.end()
     }
 
-    /// Checks that input ended between batches.
-    pub(crate) fn at_end(&self) -> Result<(), String> {
+    /// Fails if the input ended inside a batch.
+    pub(crate) fn check_input_end(&self) -> Result<(), String> {
         match self.clock {
             None => Ok(()),
             Some(_) => Err("input ended inside a batch, expected 'eob'".to_string()),
         }
     }
 
+    /// Reads the coordinator field and adds its instance to the rounds of this batch.
     fn instance(&mut self, fields: &mut Fields) -> Result<&mut Instance, String> {
         let coordinator: u32 = fields.number("mixer")?;
-        let instance = self.instances.get_mut(&coordinator).ok_or_else(|| unknown(coordinator))?;
+        let instance =
+            self.instances.get_mut(&coordinator).ok_or_else(|| unknown_coordinator(coordinator))?;
         if !instance.in_round {
             instance.in_round = true;
             self.round_order.push(coordinator);
@@ -146,7 +150,7 @@
         Ok(instance)
     }
 
-    fn register(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn register_list(&mut self, fields: &mut Fields) -> Result<(), String> {
         let list: usize = fields.number("set_id")?;
         let count: usize = fields.number("the number of hosts")?;
         fields.end()?;
@@ -158,7 +162,7 @@
         Ok(())
     }
 
-    fn read_record(&mut self, fields: &mut Fields, list: usize) -> Result<(), String> {
+    fn read_list_entry(&mut self, fields: &mut Fields, list: usize) -> Result<(), String> {
         if fields.name() != "m" {
             return Err(format!("expected an entry 'm', found '{}'", fields.name()));
         }
@@ -167,21 +171,21 @@
         let zone = fields.optional("area")?.map(str::to_string);
         fields.optional("type")?;
         let capacity = fields.optional_number("rating")?.unwrap_or(1.0);
-        let state = wire::phase(fields.text("phase")?)?;
+        let state = wire::endpoint_state(fields.text("phase")?)?;
         let server_name = fields.text("searcher")?.to_string();
         fields.end()?;
-        let record = EndpointLine { server_name, partition_group, started_at, capacity, state, zone };
-        if let Some(lines) = &mut self.endpoint_lists[list] {
-            lines.push(record);
+        let endpoint = ListedEndpoint { server_name, partition_group, started_at, capacity, state, zone };
+        if let Some(endpoints) = &mut self.endpoint_lists[list] {
+            endpoints.push(endpoint);
         }
         Ok(())
     }
 
-    fn enlist(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn add_coordinator(&mut self, fields: &mut Fields) -> Result<(), String> {
         let coordinator: u32 = fields.number("mixer")?;
         let salt: u64 = fields.number("salt")?;
-        let read = settings::read(fields.rest("info")?).map_err(|e| format!("enlist: {e}"))?;
-        let Deployment { settings, class_names, tenant_names, zone_names, .. } = read;
+        let deployment = settings::read(fields.rest("info")?).map_err(|e| format!("enlist: {e}"))?;
+        let Deployment { settings, class_names, tenant_names, zone_names, .. } = deployment;
         let has_second_phase = settings.classes.iter().map(|c| c.second_phase_parts > 0).collect();
         let subscriber = Subscriber::new(&settings, salt, self.clock.unwrap_or(0));
         let policy = Policy::new(settings, salt).map_err(|e| format!("enlist: {e}"))?;
@@ -195,7 +199,7 @@
             server_ids: HashMap::new(),
             server_names: Vec::new(),
             queries_by_request: HashMap::new(),
-            open: HashMap::new(),
+            open_queries: HashMap::new(),
             events: Vec::new(),
             in_round: true,
         };
@@ -205,14 +209,15 @@
         Ok(())
     }
 
-    fn backends_changed(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn list_changed(&mut self, fields: &mut Fields) -> Result<(), String> {
         let coordinator: u32 = fields.number("mixer")?;
         let change = ListChange::read(fields.text("kind")?)?;
         fields.optional_number::<u64>("stamp")?;
         let list: Option<usize> = fields.optional_number("set_id")?;
         fields.end()?;
-        let lines = registered_lines(&self.endpoint_lists, change, list)?;
-        let instance = self.instances.get_mut(&coordinator).ok_or_else(|| unknown(coordinator))?;
+        let endpoints = registered_endpoints(&self.endpoint_lists, change, list)?;
+        let instance =
+            self.instances.get_mut(&coordinator).ok_or_else(|| unknown_coordinator(coordinator))?;
         if !instance.in_round {
             instance.in_round = true;
             self.round_order.push(coordinator);
@@ -220,21 +225,21 @@
         let now = self.clock.unwrap_or(0);
         let kind = match change {
             ListChange::Failed => {
-                instance.subscriber.failed(now);
+                instance.subscriber.call_failed(now);
                 return Ok(());
             }
             ListChange::Unconfirmed => EndpointUpdateKind::Snapshot,
-            ListChange::List(kind) => {
-                instance.subscriber.heard(now);
+            ListChange::Update(kind) => {
+                instance.subscriber.update_received(now);
                 kind
             }
         };
-        let records = lines.iter().map(|line| instance.endpoint_record(line)).collect();
+        let records = endpoints.iter().map(|endpoint| instance.endpoint_record(endpoint)).collect();
         instance.events.push(Event::EndpointsUpdated { kind, records });
         Ok(())
     }
 
-    fn inbound(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn query_or_part_arrived(&mut self, fields: &mut Fields) -> Result<(), String> {
         let instance = self.instance(fields)?;
         let id: u64 = fields.number("txn")?;
         let range: f64 = fields.number("range_no")?;
@@ -254,7 +259,7 @@
             let query = QueryId(id);
             let answers_left = if instance.has_second_phase[class.0] { 2 } else { 1 };
             instance.queries_by_request.insert(request_number, query);
-            instance.open.insert(query, Open { request_number, answers_left });
+            instance.open_queries.insert(query, OpenQuery { request_number, answers_left });
             let is_retry = bitmap & 2 != 0;
             let tenant = tenant.map(TenantId);
             instance.events.push(Event::QueryArrived { id: query, class, tenant, key, is_retry, deadline });
@@ -265,33 +270,33 @@
         Ok(())
     }
 
-    fn closed_attempt(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn attempt_ended(&mut self, fields: &mut Fields) -> Result<(), String> {
         let instance = self.instance(fields)?;
         let part = PartId(fields.number("txn")?);
         let outcome = wire::outcome(fields.text("outcome")?)?;
         let latency = fields.number("latency_ns")?;
         let attempt = fields.number("trial")?;
         fields.bool("finished")?;
-        let server = instance.intern(fields.text("searcher")?);
+        let server = instance.server_id(fields.text("searcher")?);
         fields.optional("metrics")?.map_or(Ok(()), wire::check_load)?;
         fields.end()?;
         instance.events.push(Event::AttemptEnded { part, attempt, server, outcome, latency });
         Ok(())
     }
 
-    fn pong(&mut self, fields: &mut Fields) -> Result<(), String> {
+    fn health_checked(&mut self, fields: &mut Fields) -> Result<(), String> {
         let instance = self.instance(fields)?;
         let latency = fields.number("latency_ns")?;
         let outcome = wire::outcome(fields.text("outcome")?)?;
-        let server = instance.intern(fields.text("searcher")?);
+        let server = instance.server_id(fields.text("searcher")?);
         fields.optional("metrics")?.map_or(Ok(()), wire::check_load)?;
         fields.end()?;
         instance.events.push(Event::HealthChecked { server, outcome, latency });
         Ok(())
     }
 
-    /// One round for each instance with an event.
-    fn reply(&mut self, reply: &mut String) {
+    /// Ends the batch: runs one policy round for each instance with an event and appends the actions to `reply`.
+    fn run_rounds(&mut self, reply: &mut String) {
         let now = self.clock.take().unwrap_or(0);
         for coordinator in std::mem::take(&mut self.round_order) {
             let Some(instance) = self.instances.get_mut(&coordinator) else { continue };
@@ -305,22 +310,22 @@
     }
 }
 
-/// What `backends_changed` says of the endpoint list.
+/// Change of the endpoint list that a `backends_changed` message reports.
 #[derive(Debug, Clone, Copy)]
 enum ListChange {
-    /// A list or a change.
-    List(EndpointUpdateKind),
-    /// The list as it was held before the start.
+    /// A complete list or a delta received from discovery.
+    Update(EndpointUpdateKind),
+    /// The list stored before the start, not yet confirmed by discovery.
     Unconfirmed,
-    /// A call has failed, or the subscription has dropped.
+    /// A discovery call failed, or the subscription was dropped.
     Failed,
 }
 
 impl ListChange {
     fn read(kind: &str) -> Result<Self, String> {
         match kind {
-            "diff" => Ok(Self::List(EndpointUpdateKind::Delta)),
-            "snapshot" => Ok(Self::List(EndpointUpdateKind::Snapshot)),
+            "diff" => Ok(Self::Update(EndpointUpdateKind::Delta)),
+            "snapshot" => Ok(Self::Update(EndpointUpdateKind::Snapshot)),
             "disk" => Ok(Self::Unconfirmed),
             "error" => Ok(Self::Failed),
             other => Err(format!("backends_changed: unknown kind '{other}'")),
@@ -328,22 +333,22 @@
     }
 }
 
-/// The records of the registered list that a change names; none for a call that failed.
-fn registered_lines(
-    lists: &[Option<Vec<EndpointLine>>; MAX_LISTS],
+/// Returns the endpoints of the registered list that a change refers to; empty for [`ListChange::Failed`].
+fn registered_endpoints(
+    lists: &[Option<Vec<ListedEndpoint>>; MAX_ENDPOINT_LISTS],
     change: ListChange,
     list: Option<usize>,
-) -> Result<&[EndpointLine], String> {
+) -> Result<&[ListedEndpoint], String> {
     match (change, list) {
         (ListChange::Failed, _) => Ok(&[]),
         (_, Some(n)) => {
-            let lines = lists.get(n).and_then(Option::as_deref);
-            lines.ok_or_else(|| format!("backends_changed: list {n} is not registered"))
+            let endpoints = lists.get(n).and_then(Option::as_deref);
+            endpoints.ok_or_else(|| format!("backends_changed: list {n} is not registered"))
         }
         (_, None) => Err("backends_changed: expected set_id, found '-'".to_string()),
     }
 }
 
-fn unknown(coordinator: u32) -> String {
+fn unknown_coordinator(coordinator: u32) -> String {
     format!("instance {coordinator} has not been enlisted")
 }
--- a/src/bin/curlewdeck-simulator-adapter/subscriber.rs
+++ b/src/bin/curlewdeck-simulator-adapter/subscriber.rs
@@ -1,45 +1,45 @@
-//! When an instance of the simulator asks discovery for changes: by the pace of the real coordinator, one call at a time.
+//! Schedule of an instance's discovery calls: the pacing of the real coordinator, with at most one call in flight.
 
 use curlewdeck::api::{DiscoveryMode, Nanos, Settings};
 use curlewdeck_membership::{CallEnd, Pacing, Spans, CALL_LIFETIME};
 
-/// The simulator tells how each call has ended, so nothing is hedged and no silence is timed.
+/// The simulator reports the end of each call, so calls are not hedged and silent watches do not time out.
 const SPANS: Spans = Spans { hedge: CALL_LIFETIME, silence: CALL_LIFETIME };
 
-/// The calls of one instance.
+/// Discovery calls of one instance.
 #[derive(Debug)]
 pub(crate) struct Subscriber {
     pacing: Pacing,
-    /// When the next call begins; nothing while one is out, after an answer, and where lists are pushed.
+    /// Start time of the next call; `None` while a call is in flight, after an answer, and if discovery pushes lists.
     call_at: Option<Nanos>,
-    /// When discovery was last heard or called.
+    /// Time of the last call or the last update received.
     last_contact: Nanos,
-    /// The moment for which the simulator was last asked for a reminder.
-    armed: Option<Nanos>,
+    /// Time of the last requested reminder.
+    reminder_at: Option<Nanos>,
 }
 
 impl Subscriber {
-    /// The calls of an instance that starts now.
+    /// `now` is the start time of the instance.
     pub(crate) fn new(settings: &Settings, seed: u64, now: Nanos) -> Self {
         let mut pacing = Pacing::new(settings.discovery, settings.coordinators, SPANS, seed);
-        let asks = matches!(settings.discovery, DiscoveryMode::Poll { .. });
-        let call_at = asks.then(|| now + pacing.first_pause());
-        Self { pacing, call_at, last_contact: now, armed: None }
+        let polls = matches!(settings.discovery, DiscoveryMode::Poll { .. });
+        let call_at = polls.then(|| now + pacing.first_pause());
+        Self { pacing, call_at, last_contact: now, reminder_at: None }
     }
 
-    /// A list or a change has come.
-    pub(crate) fn heard(&mut self, now: Nanos) {
+    /// Records that a list or a delta was received.
+    pub(crate) fn update_received(&mut self, now: Nanos) {
         self.pacing.watch_ended(Nanos::MAX);
         self.last_contact = now;
     }
 
-    /// A call has failed, or the subscription has dropped.
-    pub(crate) fn failed(&mut self, now: Nanos) {
-        let gone = now.saturating_sub(self.last_contact);
-        self.call_at = Some(now + self.pacing.pause(gone, false, CallEnd::Busy));
+    /// Schedules the next call after a failed call or a dropped subscription.
+    pub(crate) fn call_failed(&mut self, now: Nanos) {
+        let since_contact = now.saturating_sub(self.last_contact);
+        self.call_at = Some(now + self.pacing.pause(since_contact, false, CallEnd::Busy));
     }
 
-    /// Whether a call begins now.
+    /// Returns whether a call starts now, and clears its schedule if so.
     pub(crate) fn call_due(&mut self, now: Nanos) -> bool {
         let due = self.call_at.take_if(|at| *at <= now).is_some();
         if due {
@@ -48,13 +48,14 @@
         due
     }
 
-    /// After how long a reminder is needed, if none has been asked for yet.
+    /// Returns the delay until the next call if a reminder must be requested; `None` if no call is scheduled, or if a
+    /// pending reminder fires no later than the call.
     pub(crate) fn reminder(&mut self, now: Nanos) -> Option<Nanos> {
-        let at = self.call_at?;
-        if self.armed.is_some_and(|armed| now < armed && armed <= at) {
+        let call_at = self.call_at?;
+        if self.reminder_at.is_some_and(|reminder_at| now < reminder_at && reminder_at <= call_at) {
             return None;
         }
-        self.armed = Some(at);
-        Some(at.saturating_sub(now).max(1))
+        self.reminder_at = Some(call_at);
+        Some(call_at.saturating_sub(now).max(1))
     }
 }
--- a/src/bin/curlewdeck-simulator-adapter/wire.rs
+++ b/src/bin/curlewdeck-simulator-adapter/wire.rs
@@ -1,13 +1,13 @@
-//! The simulator's line protocol: the words of its messages and the forms of their fields.
+//! The simulator's line protocol: message names and field syntax.
 
 use curlewdeck::api::{EndpointState, Outcome};
 
-/// The reminder for the policy's timer.
+/// Nonce of the reminder for the policy's timer.
 pub(crate) const TIMER_REMINDER: &str = "wake";
-/// The reminder for the next call to discovery.
+/// Nonce of the reminder for the next discovery call.
 pub(crate) const CALL_REMINDER: &str = "call";
 
-/// The words that begin the simulator's messages.
+/// Names of the simulator's messages: the first word of each line.
 pub(crate) mod message {
     pub(crate) const BATCH_BEGIN: &str = "mark";
     pub(crate) const BATCH_END: &str = "eob";
@@ -24,7 +24,7 @@
     pub(crate) const PEER_MESSAGE: &str = "inbox";
 }
 
-/// The fields of one line, taken from left to right.
+/// Fields of one line, read from left to right.
 pub(crate) struct Fields<'a> {
     name: &'a str,
     rest: Option<&'a str>,
@@ -42,9 +42,9 @@
         self.name
     }
 
-    /// The next field; `-` is an absent value.
-    pub(crate) fn optional(&mut self, what: &str) -> Result<Option<&'a str>, String> {
-        let rest = self.rest.ok_or_else(|| format!("{}: expected {what}", self.name))?;
+    /// Reads the next field; `-` denotes an absent value. `field_name` is used in error messages, here and below.
+    pub(crate) fn optional(&mut self, field_name: &str) -> Result<Option<&'a str>, String> {
+        let rest = self.rest.ok_or_else(|| format!("{}: expected {field_name}", self.name))?;
         let field = match rest.split_once(' ') {
             Some((field, rest)) => {
                 self.rest = Some(rest);
@@ -56,43 +56,47 @@
             }
         };
         match field {
-            "" => Err(format!("{}: expected {what}, found nothing", self.name)),
+            "" => Err(format!("{}: expected {field_name}, found nothing", self.name)),
             "-" => Ok(None),
             field => Ok(Some(field)),
         }
     }
 
-    pub(crate) fn text(&mut self, what: &str) -> Result<&'a str, String> {
+    pub(crate) fn text(&mut self, field_name: &str) -> Result<&'a str, String> {
         let name = self.name;
-        self.optional(what)?.ok_or_else(|| format!("{name}: expected {what}, found '-'"))
+        self.optional(field_name)?.ok_or_else(|| format!("{name}: expected {field_name}, found '-'"))
     }
 
-    pub(crate) fn number<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
+    pub(crate) fn number<T: std::str::FromStr>(&mut self, field_name: &str) -> Result<T, String> {
         let name = self.name;
-        let text = self.text(what)?;
-        text.parse().map_err(|_| format!("{name}: expected {what}, a number, found '{text}'"))
+        let text = self.text(field_name)?;
+        text.parse().map_err(|_| format!("{name}: expected {field_name}, a number, found '{text}'"))
     }
 
-    pub(crate) fn optional_number<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
+    pub(crate) fn optional_number<T: std::str::FromStr>(
+        &mut self,
+        field_name: &str,
+    ) -> Result<Option<T>, String> {
         let name = self.name;
-        let Some(text) = self.optional(what)? else { return Ok(None) };
-        let bad = |_| format!("{name}: expected {what}, a number or '-', found '{text}'");
-        text.parse().map(Some).map_err(bad)
+        let Some(text) = self.optional(field_name)? else { return Ok(None) };
+        let syntax_error = |_| format!("{name}: expected {field_name}, a number or '-', found '{text}'");
+        text.parse().map(Some).map_err(syntax_error)
     }
 
-    pub(crate) fn bool(&mut self, what: &str) -> Result<bool, String> {
-        match self.optional(what)? {
+    pub(crate) fn bool(&mut self, field_name: &str) -> Result<bool, String> {
+        match self.optional(field_name)? {
             Some("1") => Ok(true),
             Some("0") | None => Ok(false),
-            Some(other) => Err(format!("{}: expected {what}, 1 or 0, found '{other}'", self.name)),
+            Some(other) => Err(format!("{}: expected {field_name}, 1 or 0, found '{other}'", self.name)),
         }
     }
 
-    /// All that is left of the line.
-    pub(crate) fn rest(&mut self, what: &str) -> Result<&'a str, String> {
-        self.rest.take().ok_or_else(|| format!("{}: expected {what}", self.name))
+    /// Reads the remainder of the line, including blanks.
+    pub(crate) fn rest(&mut self, field_name: &str) -> Result<&'a str, String> {
+        self.rest.take().ok_or_else(|| format!("{}: expected {field_name}", self.name))
     }
 
+    /// Fails if unread fields remain.
     pub(crate) fn end(&self) -> Result<(), String> {
         match self.rest {
             None => Ok(()),
@@ -115,7 +119,7 @@
     })
 }
 
-pub(crate) fn phase(text: &str) -> Result<EndpointState, String> {
+pub(crate) fn endpoint_state(text: &str) -> Result<EndpointState, String> {
     Ok(match text {
         "IN" => EndpointState::Active,
         "LAME" => EndpointState::Draining,
@@ -124,7 +128,7 @@
     })
 }
 
-/// A load report must be well-formed; no decision uses its values.
+/// Checks the syntax of a load report. The policy does not use its values.
 pub(crate) fn check_load(text: &str) -> Result<(), String> {
     for pair in text.split(',') {
         let value = pair.split_once(':').and_then(|(_, value)| value.parse::<f64>().ok());
