--- a/tests/harness/catalog.rs
+++ b/tests/harness/catalog.rs
@@ -1,4 +1,4 @@
-//! The versioned membership behind the stand-ins of discovery: its history, and the texts of lists made of it.
+//! The versioned membership behind the faulty discovery services: its history, and the endpoint lists rendered from it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 use super::drain_check::{Change, NodeState, Said, WrittenUpdate};
 use super::stand_in::lock;
 
-/// The version of the first list.
+/// Version of the initial list.
 pub const FIRST_VERSION: u64 = 41;
-/// The first list is as old as this: longer than any time limit of the rules.
-const FIRST_AGE: Duration = Duration::from_secs(60);
+/// Age of the initial list, longer than any time limit of the rules.
+const INITIAL_LIST_AGE: Duration = Duration::from_secs(60);
 
-/// A data node's line.
+/// A data node's entry in the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Line {
     pub uid: String,
@@ -22,7 +22,7 @@
     pub boot_ms: u64,
 }
 
-/// What is wrong with a line.
+/// A defect of a rendered line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MalformedLine {
     EndpointNull,
@@ -36,7 +36,7 @@
 }
 
 impl MalformedLine {
-    /// Whether the uid and the state can be read all the same.
+    /// Reports whether the uid and the state remain readable.
     pub fn says_state(self) -> bool {
         !matches!(self, Self::StateNull | Self::UidMissing | Self::NotAnObject)
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn json(&self, spoilt: Option<MalformedLine>) -> String {
+    fn json(&self, defect: Option<MalformedLine>) -> String {
         let Self { uid, endpoint, state, boot_ms } = self;
         let state = match state {
             NodeState::Up => "up",
@@ -62,7 +62,7 @@
             r#"{{"uid":"{uid}","endpoint":"{endpoint}","az":"a","model":"m2","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
         );
         let endpoint = format!(r#""{endpoint}""#);
-        match spoilt {
+        match defect {
             None => text,
             Some(MalformedLine::EndpointNull) => text.replace(&endpoint, "null"),
             Some(MalformedLine::EndpointNoAddress) => text.replace(&endpoint, r#""nowhere""#),
@@ -80,14 +80,14 @@
     }
 }
 
-/// The text of a list or of a change to it, with what it says.
+/// A rendered list or change, together with its content for the checker.
 #[derive(Debug, Clone)]
 pub struct Text {
     pub json: String,
     pub update: WrittenUpdate,
 }
 
-/// One change of one line.
+/// A change of one line.
 #[derive(Debug, Clone)]
 struct Entry {
     version: u64,
@@ -102,9 +102,9 @@
 }
 
 impl Catalog {
-    /// A membership of nodes that have been up for long.
+    /// Creates a membership of nodes that have all been up for [`INITIAL_LIST_AGE`].
     pub fn new(nodes: &[(&str, SocketAddr)]) -> Self {
-        let at = Instant::now() - FIRST_AGE;
+        let at = Instant::now() - INITIAL_LIST_AGE;
         let line = |&(uid, endpoint): &(&str, SocketAddr)| {
             let line = Line { uid: uid.to_string(), endpoint, state: NodeState::Up, boot_ms: 0 };
             Entry { version: FIRST_VERSION, at, line }
@@ -112,24 +112,24 @@
         Self { history: Mutex::new(nodes.iter().map(line).collect()), changed: Condvar::new() }
     }
 
-    /// A node changes its state now.
+    /// Changes a node's state as of now.
     pub fn set(&self, uid: &str, state: NodeState) {
         self.set_all(&[(uid, state)], Duration::ZERO);
     }
 
-    /// Nodes have changed their states some time ago, all at once.
+    /// Changes the states of several nodes at once, as of `ago` before now.
     pub fn set_all(&self, states: &[(&str, NodeState)], ago: Duration) {
         let changes = states.iter().map(|&(uid, state)| (uid, state, None));
         self.change(&changes.collect::<Vec<_>>(), ago);
     }
 
-    /// A node has started anew: it is up, with a later start.
+    /// Records a node's restart: its state is up and its boot time is now.
     pub fn restart(&self, uid: &str) {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
         self.change(&[(uid, NodeState::Up, Some(now.as_millis() as u64))], Duration::ZERO);
     }
 
-    /// Changes lines; no reader comes between two of them.
+    /// Changes lines atomically: no reader sees a part of the changes.
     fn change(&self, changes: &[(&str, NodeState, Option<u64>)], ago: Duration) {
         let mut history = lock(&self.history);
         for &(uid, state, boot_ms) in changes {
@@ -147,15 +147,15 @@
         lock(&self.history).last().unwrap().version
     }
 
-    /// Waits for a later version than this, or until the time is over.
-    pub fn wait(&self, version: u64, longest: Duration) {
+    /// Waits for a version later than this one, for no longer than the timeout.
+    pub fn wait(&self, version: u64, timeout: Duration) {
         let history = lock(&self.history);
         if history.last().unwrap().version <= version {
-            drop(self.changed.wait_timeout(history, longest));
+            drop(self.changed.wait_timeout(history, timeout));
         }
     }
 
-    /// Each version with the moment of its change.
+    /// Each version with the time of its change.
     pub fn versions(&self) -> Vec<(u64, Instant)> {
         lock(&self.history).iter().map(|e| (e.version, e.at)).collect()
     }
@@ -167,28 +167,30 @@
         lock(&self.history).iter().map(change).collect()
     }
 
-    /// The whole list as of a version, written as `shown`; nodes that are removed are left out.
-    pub fn snapshot(&self, version: u64, shown: u64, spoilt: &BTreeMap<String, MalformedLine>) -> Text {
+    /// Renders the full list as of `version` without removed nodes. Its `rev` field is `rev`, which may differ from
+    /// `version`, and `defects` names the malformed lines by uid.
+    pub fn snapshot(&self, version: u64, rev: u64, defects: &BTreeMap<String, MalformedLine>) -> Text {
         let mut lines = self.lines(0, version);
         lines.retain(|line| line.state != NodeState::Removed);
-        let (json, said) = render(shown, true, &lines, spoilt);
+        let (json, said) = render(rev, true, &lines, defects);
         Text { json, update: WrittenUpdate::Snapshot(said) }
     }
 
-    /// What has changed after one version up to another, written as `shown`; none if nothing has.
+    /// Renders the changes after one version up to and including another, with the `rev` field `rev`. Returns `None` if
+    /// nothing changed.
     pub fn delta(
         &self,
         after: u64,
         version: u64,
-        shown: u64,
-        spoilt: &BTreeMap<String, MalformedLine>,
+        rev: u64,
+        defects: &BTreeMap<String, MalformedLine>,
     ) -> Option<Text> {
         let lines = self.lines(after, version);
-        let (json, said) = render(shown, false, &lines, spoilt);
+        let (json, said) = render(rev, false, &lines, defects);
         (!lines.is_empty()).then_some(Text { json, update: WrittenUpdate::Delta(said) })
     }
 
-    /// The latest of each line among the changes after one version up to another.
+    /// The latest state of each line changed after one version, up to and including another.
     fn lines(&self, after: u64, version: u64) -> Vec<Line> {
         let mut latest = BTreeMap::new();
         for entry in lock(&self.history).iter().filter(|e| e.version > after && e.version <= version) {
@@ -199,17 +201,17 @@
 }
 
 fn render(
-    shown: u64,
+    rev: u64,
     all: bool,
     lines: &[Line],
-    spoilt: &BTreeMap<String, MalformedLine>,
+    defects: &BTreeMap<String, MalformedLine>,
 ) -> (String, Vec<(String, Said)>) {
-    let of = |line: &Line| spoilt.get(&line.uid).copied();
-    let texts: Vec<String> = lines.iter().map(|line| line.json(of(line))).collect();
-    let said = |line: &Line| match of(line) {
-        Some(spoilt) if !spoilt.says_state() => Said::Unreadable,
+    let defect_of = |line: &Line| defects.get(&line.uid).copied();
+    let texts: Vec<String> = lines.iter().map(|line| line.json(defect_of(line))).collect();
+    let said = |line: &Line| match defect_of(line) {
+        Some(defect) if !defect.says_state() => Said::Unreadable,
         _ => line.said(),
     };
     let said = lines.iter().map(|line| (line.uid.clone(), said(line))).collect();
-    (format!(r#"{{"rev":{shown},"all":{all},"targets":[{}]}}"#, texts.join(",")), said)
+    (format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, texts.join(",")), said)
 }
--- a/tests/harness/load_generator.rs
+++ b/tests/harness/load_generator.rs
@@ -1,4 +1,5 @@
-//! Clients that ask one coordinator steadily, each query after the answer to the one before, and log the answers.
+//! Closed-loop clients of one coordinator: each sends its next query after the previous answer, and records the
+//! answers.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,42 +11,42 @@
 use super::stand_in::lock;
 use super::stand_in::read_answer;
 
-/// An answer, and when it was there.
+/// An answer's status and the moment of its arrival.
 #[derive(Debug, Clone, Copy)]
 pub struct Answered {
     pub at: Instant,
     pub status: u16,
 }
 
-/// Clients that ask until they are stopped.
+/// A set of clients that send queries until they are stopped.
 pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     answers: Arc<Mutex<Vec<Answered>>>,
     clients: Vec<thread::JoinHandle<()>>,
 }
 
-/// From one answer to the next query.
+/// Pause between an answer and the client's next query.
 const PAUSE: Duration = Duration::from_millis(10);
-/// The clients' own wait for an answer, longer than the time that they tell.
-const LONGEST: Duration = Duration::from_secs(4);
-/// Most queries of one client: the loop ends even if it is never stopped.
-const MOST: u64 = 10_000;
+/// The clients' read timeout, longer than the 2 s in the `X-Timeout` header of their queries.
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of queries of one client, so that its loop ends even if it is never stopped.
+const MAX_QUERIES: u64 = 10_000;
 const SHARDS: u64 = 4;
 
 impl LoadGenerator {
-    /// Starts clients whose queries' ids begin with this number.
+    /// Starts clients whose query ids begin with the coordinator's number.
     pub fn start(addr: SocketAddr, coordinator: usize, clients: u64) -> Self {
         let (stop, answers) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Vec<Answered>>>::default());
         let client = |client: u64| {
             let (stop, answers) = (stop.clone(), answers.clone());
             thread::spawn(move || {
                 let mut connection = None;
-                for number in (0..MOST).take_while(|_| !stop.load(Ordering::SeqCst)) {
+                for number in (0..MAX_QUERIES).take_while(|_| !stop.load(Ordering::SeqCst)) {
                     let id = query_id(coordinator, client, number);
-                    let status = ask(&mut connection, addr, &id, number);
+                    let status = send_query(&mut connection, addr, &id, number);
                     match status {
                         Ok(status) => lock(&answers).push(Answered { at: Instant::now(), status }),
-                        // The coordinator may close a connection between two queries.
+                        // The coordinator may close an idle connection between two queries.
                         Err(_) => connection = None,
                     }
                     thread::sleep(PAUSE);
@@ -61,7 +62,7 @@
         lock(&self.answers).clone()
     }
 
-    /// Stops the clients, and waits until they have ended.
+    /// Stops the clients and waits for their threads; returns all answers.
     pub fn stop(mut self) -> Vec<Answered> {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| client.join().unwrap());
@@ -75,17 +76,17 @@
     }
 }
 
-/// The coordinator that a part's id names.
+/// Parses the coordinator's number from a part's id.
 pub fn coordinator_of(part: &str) -> Option<usize> {
     usize::from_str_radix(part.get(..4)?, 16).ok()
 }
 
-/// The id of a client's query to a coordinator.
+/// Composes a query's id from the numbers of the coordinator, the client and the query.
 pub fn query_id(coordinator: usize, client: u64, number: u64) -> String {
     format!("{coordinator:04x}{client:04x}{number:08x}")
 }
 
-/// A query for two parts.
+/// Renders a query of two parts.
 pub fn query(id: &str, number: u64) -> String {
     let (first, second) = (number % SHARDS, (number + 1) % SHARDS);
     let body =
@@ -97,8 +98,8 @@
     head + &body
 }
 
-/// Asks for two parts on a connection that is kept; returns the answer's status.
-fn ask(
+/// Sends a query of two parts on a persistent connection; returns the answer's status.
+fn send_query(
     connection: &mut Option<BufReader<TcpStream>>,
     addr: SocketAddr,
     id: &str,
@@ -107,7 +108,7 @@
     if connection.is_none() {
         let stream = TcpStream::connect(addr)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LONGEST))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         *connection = Some(BufReader::new(stream));
     }
     let reader = connection.as_mut().unwrap();
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A coordinator on loopback, with stand-ins round it: the test harness of the integration tests.
+//! Harness of the integration tests: a coordinator on loopback with stand-ins for discovery and the data nodes.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod catalog;
@@ -28,7 +28,7 @@
 use curlewdeck::startup::{self, Coordinator};
 use stand_in::{exchange, Answer, DataNode, Discovery, Member, NodeReply, Part};
 
-/// What a test cluster may differ in. Deadlines are long: nothing here waits for one to pass.
+/// Parameters of a test cluster. The default deadline is so long that no test waits for it to pass.
 pub struct TestCluster {
     pub cells: u32,
     pub in_a_row: u32,
@@ -54,7 +54,7 @@
 }
 
 impl TestCluster {
-    /// The configuration's text.
+    /// Renders the configuration file.
     pub fn config(&self, discovery: SocketAddr) -> String {
         let Self { cells, in_a_row, ranges, max_open, deadline_s, discovery: how, sockets } = self;
         let class = |name: &str| {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Starts a coordinator in this process from the text of its configuration.
+/// Starts a coordinator in this process from the text of its configuration and of its edge file.
 pub fn start(config: &str, edge: &str) -> Coordinator {
     static WORKERS: Once = Once::new();
     WORKERS.call_once(|| startup::set_up_workers(&Limits::default()));
@@ -91,39 +91,41 @@
     startup::start(config, Edge::read(edge).unwrap()).unwrap()
 }
 
-/// The address in the fields of a log line.
+/// Parses the `address` field of a log line.
 pub fn logged_address(fields: &str) -> SocketAddr {
     let address = fields.split_whitespace().find_map(|field| field.strip_prefix("address="));
-    address.expect("the line has an address").parse().unwrap()
+    address.expect("the log line has no address field").parse().unwrap()
 }
 
 pub fn member(uid: &str, cell: u32, endpoint: SocketAddr) -> Member {
     Member { uid: uid.to_string(), endpoint, cell, state: "up", boot_ms: 0 }
 }
 
-/// Waits for something that is bound to happen; gives up only after far longer than that can take.
+/// Polls until the condition holds. Panics after 120 s, far longer than any awaited event takes.
 pub fn until(what: &str, mut happened: impl FnMut() -> bool) {
     let start = Instant::now();
     while !happened() {
-        assert!(start.elapsed() < Duration::from_secs(120), "waited in vain: {what}");
+        assert!(start.elapsed() < Duration::from_secs(120), "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Waits until a coordinator can serve.
+/// Waits until the coordinator's health check passes.
 pub fn ready(coordinator: &Coordinator) {
-    until("health", || stand_in::get(coordinator.listen, "/_health").is_ok_and(|a| a.status == 200));
+    until("a passing health check", || {
+        stand_in::get(coordinator.listen, "/_health").is_ok_and(|a| a.status == 200)
+    });
 }
 
-/// Changes a member's state, and waits until the coordinator has heard of it.
+/// Changes a member's state in discovery and waits until the coordinator has received an endpoint list change.
 pub fn change(coordinator: &Coordinator, discovery: &Discovery, uid: &str, state: &'static str) {
     let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
     let before = changes();
     discovery.set(uid, state);
-    until("the list's change", || changes() > before);
+    until("the endpoint list change", || changes() > before);
 }
 
-/// One query of the platform's protocol.
+/// Sends one query over the platform's protocol and returns the response.
 pub fn query(addr: SocketAddr, class: &str, shards: &[u32]) -> std::io::Result<Answer> {
     exchange(addr, &query_bytes(class, shards, "60000m"))
 }
@@ -145,33 +147,33 @@
     NodeReply::Answer(200, u64::from(part.shard), format!("v{}", part.id.split_once('.').unwrap().1))
 }
 
-/// A data node that serves once the test says so.
+/// Returns a flag and a data node's reply function that blocks until the flag is set.
 pub fn held_back() -> (Arc<AtomicBool>, impl Fn(&Part) -> NodeReply + Clone + Send + Sync + 'static) {
     let release = Arc::new(AtomicBool::new(false));
-    let held = release.clone();
+    let released = release.clone();
     let slow = move |part: &Part| {
-        until("the test to go on", || held.load(Ordering::SeqCst));
+        until("the test to release the replies", || released.load(Ordering::SeqCst));
         served(part)
     };
     (release, slow)
 }
 
-/// Two data nodes that hold every shard, and their list.
+/// Starts two data nodes that hold every shard, and a discovery service that lists them.
 pub fn two(
     first: impl Fn(&Part) -> NodeReply + Send + Sync + 'static,
     second: impl Fn(&Part) -> NodeReply + Send + Sync + 'static,
 ) -> (DataNode, DataNode, Discovery) {
     let (a, b) = (DataNode::start(first), DataNode::start(second));
-    let list = vec![member("a", 0, a.addr), member("b", 1, b.addr)];
-    let discovery = Discovery::start("127.0.0.1:0", list);
+    let members = vec![member("a", 0, a.addr), member("b", 1, b.addr)];
+    let discovery = Discovery::start("127.0.0.1:0", members);
     (a, b, discovery)
 }
 
-/// The program itself in a process of its own, with its configuration in a folder of its own.
+/// A `curlewdeck serve` process with its configuration in a temporary directory.
 pub struct Program {
     child: Child,
     pub addr: SocketAddr,
-    /// The second address, if it has one.
+    /// The control address, if the configuration has one.
     pub control: Option<SocketAddr>,
     dir: PathBuf,
     log: Option<JoinHandle<String>>,
@@ -182,17 +184,17 @@
         Self::start_with(config, None)
     }
 
-    /// The same, with a listener that it inherits as descriptor 3.
+    /// Starts the program with a listener that it inherits as descriptor 3.
     pub fn start_with(config: &str, listener: Option<&TcpListener>) -> Self {
         Self::launch(config, listener, "", |_| ())
     }
 
-    /// The same, with further files that are put in its folder before.
+    /// Starts the program after `prepare` has added files to its directory.
     pub fn start_prepared(config: &str, listener: Option<&TcpListener>, prepare: impl FnOnce(&Path)) -> Self {
         Self::launch(config, listener, "", prepare)
     }
 
-    /// The same in a process that can hold so many descriptors only, whatever its configuration says.
+    /// Starts the program with this limit on open descriptors (`ulimit -n`), whatever its configuration sets.
     pub fn start_short_of_descriptors(config: &str, descriptors: u32) -> Self {
         Self::launch(config, None, &format!("ulimit -n {descriptors}; "), |_| ())
     }
@@ -222,12 +224,15 @@
         command.args(["serve", "--config", "config.json"]).current_dir(&dir);
         command.env_remove("LB_DISCOVERY").stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
-        // The log tells which ports it was given.
+        // The program logs the ports that the kernel assigned.
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let (mut control, mut line) = (None, String::new());
         let addr = loop {
             line.clear();
-            assert!(std::io::BufRead::read_line(&mut log, &mut line).unwrap() > 0, "it ended early");
+            assert!(
+                std::io::BufRead::read_line(&mut log, &mut line).unwrap() > 0,
+                "the program ended before it listened"
+            );
             if let Some((_, fields)) = line.split_once("] listening for operators ") {
                 control = Some(logged_address(fields));
             }
@@ -239,7 +244,9 @@
         let program = Self { child, addr, control, dir, log };
         match control {
             Some(control) => until("readiness", || yes(control, "GET", "/ops/readiness")),
-            None => until("health", || stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200)),
+            None => until("a passing health check", || {
+                stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200)
+            }),
         }
         program
     }
@@ -248,96 +255,97 @@
         signal(&self.child, name);
     }
 
-    /// Stops it for a moment, and lets it go on: waits that it was in are interrupted.
+    /// Stops the process with SIGSTOP and continues it with SIGCONT, which interrupts its blocking system calls.
     pub fn interrupt(&self) {
         self.signal("STOP");
-        until("the stop", || self.state() == 'T');
+        until("the process to stop", || self.state() == 'T');
         self.signal("CONT");
-        until("its going on", || self.state() != 'T');
+        until("the process to continue", || self.state() != 'T');
     }
 
-    /// The processor time that it has taken, in ticks of the system's clock (hundredths of a second).
+    /// Processor time used by the process, in clock ticks (hundredths of a second).
     pub fn processor_ticks(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = status.rsplit(") ").next().unwrap().split(' ').collect();
-        // Of the whole line these are the 14th and the 15th, in user mode and in the kernel.
+        // Fields 14 (utime) and 15 (stime) of the whole line.
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// The letter of its state: `T` once it is stopped.
+    /// The process state letter of `/proc/PID/stat`: `T` when stopped.
     pub fn state(&self) -> char {
         let status = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         status.rsplit(") ").next().and_then(|rest| rest.chars().next()).unwrap()
     }
 
-    /// Puts a file in the place of its configuration, and has it read.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
-        self.reload_made(|path| std::fs::write(path, text).unwrap());
+        self.reload_with(|path| std::fs::write(path, text).unwrap());
     }
 
-    /// The same with whatever is made at that path; returns where it is then.
-    pub fn reload_made(&self, make: impl FnOnce(&Path)) -> PathBuf {
-        let config = self.put_made(make);
+    /// Replaces the configuration file with whatever `make` creates, such as a pipe, and sends SIGHUP. Returns the path
+    /// of the configuration file.
+    pub fn reload_with(&self, make: impl FnOnce(&Path)) -> PathBuf {
+        let config = self.replace_config_with(make);
         self.signal("HUP");
         config
     }
 
-    /// Puts a file in the place of its configuration; it is read at the next SIGHUP.
-    pub fn put(&self, text: &str) {
-        self.put_made(|path| std::fs::write(path, text).unwrap());
+    /// Replaces the configuration file without a signal; the program reads it at the next SIGHUP or retry.
+    pub fn replace_config(&self, text: &str) {
+        self.replace_config_with(|path| std::fs::write(path, text).unwrap());
     }
 
-    fn put_made(&self, make: impl FnOnce(&Path)) -> PathBuf {
+    fn replace_config_with(&self, make: impl FnOnce(&Path)) -> PathBuf {
         let (next, config) = (self.dir.join("next.json"), self.dir.join("config.json"));
         make(&next);
         std::fs::rename(next, &config).unwrap();
         config
     }
 
-    /// Its folder, in which its configuration is `config.json`.
+    /// The program's working directory, which contains `config.json`.
     pub fn folder(&self) -> &Path {
         &self.dir
     }
 
-    /// Waits for something that is bound to happen before the program ends, and no longer than until then.
+    /// Polls until the condition holds; panics at once if the program ends first.
     pub fn until(&mut self, what: &str, mut happened: impl FnMut() -> bool) {
         until(what, || {
-            // Looked at first: what has not happened after it never will.
+            // The exit status is read first: a condition that is false after the exit can never hold.
             let ended = self.child.try_wait().unwrap();
             let happened = happened();
-            assert!(happened || ended.is_none(), "the program ended ({ended:?}) before: {what}");
+            assert!(happened || ended.is_none(), "the program ended ({ended:?}) before {what}");
             happened
         });
     }
 
-    /// Waits for its end, which must be a good one; returns its log.
+    /// Waits for the program to exit with status 0; returns its log.
     pub fn ended(mut self) -> String {
         assert!(self.child.wait().unwrap().success());
         self.log.take().unwrap().join().unwrap()
     }
 
-    /// How it has ended, if it has.
+    /// The exit status, or `None` while the program runs.
     pub fn has_ended(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
-    /// Kills it with SIGKILL, and waits until it is gone; returns its log.
+    /// Kills the program with SIGKILL and waits for its exit; returns its log.
     pub fn killed(mut self) -> String {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         self.log.take().unwrap().join().unwrap()
     }
 
-    /// One figure of the second address.
-    pub fn figure(&self, name: &str) -> Option<u64> {
+    /// Reads one value of `GET /ops/stats` on the control address.
+    pub fn statistic(&self, name: &str) -> Option<u64> {
         let text = operate(self.control.unwrap(), "GET", "/ops/stats").unwrap().body;
         let line =
             text.lines().find_map(|l| l.strip_prefix("edge_lb.")?.strip_prefix(name)?.strip_prefix('='));
         line.map(|value| value.parse().unwrap())
     }
 
-    /// A call of the second address that must be a yes.
-    pub fn operate(&self, method: &str, path: &str) {
+    /// Sends a request to the control address and asserts that its status is 2xx.
+    pub fn control_request(&self, method: &str, path: &str) {
         assert!(yes(self.control.unwrap(), method, path), "{method} {path}");
     }
 }
@@ -354,16 +362,18 @@
     assert!(kill.unwrap().success());
 }
 
-/// One call of the second address, or of a group's.
+/// Renders a request to the control address or to a replication group's address.
 pub fn call_bytes(method: &str, path: &str, body: &str) -> Vec<u8> {
     format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len())
         .into_bytes()
 }
 
+/// Sends a request without a body to the control address and returns the response.
 pub fn operate(control: SocketAddr, method: &str, path: &str) -> std::io::Result<Answer> {
     exchange(control, &call_bytes(method, path, ""))
 }
 
+/// Reports whether a request to the control address gets a 2xx status.
 pub fn yes(control: SocketAddr, method: &str, path: &str) -> bool {
     operate(control, method, path).is_ok_and(|a| a.status / 100 == 2)
 }
--- a/tests/harness/scripted.rs
+++ b/tests/harness/scripted.rs
@@ -1,9 +1,9 @@
-//! The list's service as a test scripts it, call by call and byte by byte.
+//! A discovery service whose responses the test writes itself, call by call and byte by byte.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Discovery as the test scripts it: each call as it comes.
+/// A scripted discovery service: the test accepts each call and writes the response.
 pub struct Scripted {
     pub listener: TcpListener,
 }
@@ -15,7 +15,7 @@
         (Self { listener }, addr)
     }
 
-    /// The next connection, and what is asked for on it.
+    /// Accepts the next connection and reads its request; returns the connection and the request's target.
     pub fn call(&self) -> (TcpStream, String) {
         let (stream, _) = self.listener.accept().unwrap();
         let target = asked(&stream);
@@ -23,36 +23,36 @@
     }
 }
 
-/// Reads one request; returns its target.
+/// Reads the head of one request; returns its target.
 pub fn asked(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let (mut first, mut line) = (String::new(), String::new());
     reader.read_line(&mut first).unwrap();
     while line != "\r\n" {
         line.clear();
-        assert!(reader.read_line(&mut line).unwrap() > 0, "it left");
+        assert!(reader.read_line(&mut line).unwrap() > 0, "the connection ended within the request's head");
     }
     first.split(' ').nth(1).unwrap().to_string()
 }
 
-/// The head of a watch.
+/// Response head of a watch.
 pub const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One chunk of a watch.
+/// Encodes one chunk of a watch's response body.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// A line of the list.
+/// A data node's entry in an endpoint list: uid, partition group, address and state.
 pub type Line<'a> = (&'a str, u32, SocketAddr, &'a str);
 
-/// A whole list of data nodes that are up.
+/// Renders a full endpoint list in which every data node is up.
 pub fn list(rev: u32, nodes: &[(&str, u32, SocketAddr)]) -> String {
     let lines: Vec<Line> = nodes.iter().map(|&(uid, cell, addr)| (uid, cell, addr, "up")).collect();
     news(rev, true, &lines)
 }
 
-/// A whole list, or a change to it.
+/// Renders a full endpoint list (`all`) or a change to the previous one.
 pub fn news(rev: u32, all: bool, lines: &[Line]) -> String {
     let line = |(uid, cell, addr, state): &Line| {
         format!(r#"{{"uid":"{uid}","endpoint":"{addr}","pod_group":{cell},"state":"{state}"}}"#)
--- a/tests/harness/stalling_data_node.rs
+++ b/tests/harness/stalling_data_node.rs
@@ -1,5 +1,5 @@
-//! A data node whose connections and reading a test holds back. It notes when the first byte of each part came, and on
-//! which connection.
+//! A data node that accepts connections and reads from them only when the test allows it. It records the arrival time
+//! and the connection of each part's first byte.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,10 +10,10 @@
 
 use super::stand_in::{frame, lock, read_frame, read_parts, NodeReply, Part, ReadFrame};
 
-/// A part as it came.
+/// A received part.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Its name.
+    /// The part's name.
     pub id: String,
     /// The connection, numbered in the order in which they were accepted.
     pub connection: usize,
@@ -21,63 +21,64 @@
     pub begun: Instant,
 }
 
-/// What came, and what may be done.
+/// State shared by the data node's threads.
 #[derive(Default)]
 struct State {
     arrivals: Mutex<Vec<Arrival>>,
-    /// Letters of frames that are no calls, with the connections they came on.
+    /// Types of frames other than calls, with their connections.
     others: Mutex<Vec<(u8, usize)>>,
     accepted: Mutex<usize>,
-    /// Connections that their peer has ended.
+    /// Connections that the peer has closed.
     ended: Mutex<Vec<usize>>,
     reads: AtomicBool,
 }
 
-/// A wait so short that it is over at once where a listener takes a connection: on loopback nothing is on the way.
-const AT_ONCE: Duration = Duration::from_millis(100);
-/// More connections than a listener lets wait.
-const MOST_WAITING: usize = 10_000;
-/// So many in a row that do not come up show that no more will.
-const SURE: usize = 3;
-const LOOK: Duration = Duration::from_millis(2);
+/// Connect timeout for filling the listener's queue: a loopback connection that the listener can queue takes far less.
+const FILLER_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Upper bound on filler connections, above any backlog of a listener.
+const MAX_FILLERS: usize = 10_000;
+/// Number of connect timeouts after which the listener's queue counts as full.
+const TIMEOUTS_WHEN_FULL: usize = 3;
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The data node.
+/// A data node that stalls its connections or its reads.
 pub struct StallingDataNode {
-    /// Where it listens.
+    /// The listening address.
     pub addr: SocketAddr,
     listener: TcpListener,
     filled: AtomicUsize,
-    /// Connections that fill the listener's queue, so that others do not come up.
+    /// Connections that fill the listener's queue, so that further connections are not established.
     fillers: Mutex<Vec<TcpStream>>,
     state: Arc<State>,
     reply: Arc<dyn Fn(&Part) -> NodeReply + Send + Sync>,
 }
 
 impl StallingDataNode {
-    /// One that takes no connection yet: they come up later, as the kernel tries again.
+    /// Starts a data node whose listener's queue is full. Connections are established after [`Self::accepts`], when the
+    /// kernel retransmits their SYN.
     pub fn unreachable(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
         let node = Self::new(reply);
         let mut failed = 0;
-        while failed < SURE {
-            match TcpStream::connect_timeout(&node.addr, AT_ONCE) {
+        while failed < TIMEOUTS_WHEN_FULL {
+            match TcpStream::connect_timeout(&node.addr, FILLER_CONNECT_TIMEOUT) {
                 Ok(filler) => lock(&node.fillers).push(filler),
                 Err(_) => failed += 1,
             }
-            assert!(lock(&node.fillers).len() < MOST_WAITING, "the listener's queue does not fill");
+            assert!(lock(&node.fillers).len() < MAX_FILLERS, "the listener's queue does not fill up");
         }
         node.filled.store(lock(&node.fillers).len(), Ordering::SeqCst);
         node.reads();
         node
     }
 
-    /// One that takes connections and reads nothing yet.
+    /// Starts a data node that accepts connections and reads nothing until [`Self::reads`].
     pub fn unread(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
         let node = Self::new(reply);
         node.accepts();
         node
     }
 
-    /// One that serves at once.
+    /// Starts a data node that accepts connections and reads from them at once.
     pub fn serving(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
         let node = Self::unread(reply);
         node.reads();
@@ -97,7 +98,7 @@
         }
     }
 
-    /// From now on connections come up.
+    /// Empties the listener's queue and accepts connections from now on.
     pub fn accepts(&self) {
         lock(&self.fillers).clear();
         let (listener, state, reply) =
@@ -118,40 +119,40 @@
         });
     }
 
-    /// From now on what has come is read.
+    /// Reads frames from now on, including those already received.
     pub fn reads(&self) {
         self.state.reads.store(true, Ordering::SeqCst);
     }
 
-    /// The parts that have come.
+    /// The received parts, in the order in which they were read.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.state.arrivals).clone()
     }
 
-    /// Frames other than calls, by letter and connection.
+    /// Frames other than calls, by type and connection.
     pub fn others(&self) -> Vec<(u8, usize)> {
         lock(&self.state.others).clone()
     }
 
-    /// Connections that came up, without those that filled the listener's queue.
+    /// Number of accepted connections, without those that filled the listener's queue.
     pub fn connections(&self) -> usize {
         lock(&self.state.accepted).saturating_sub(self.filled.load(Ordering::SeqCst))
     }
 
-    /// Connections that came up and are not ended.
+    /// Number of accepted connections that the peer has not closed.
     pub fn open(&self) -> usize {
-        // The count of those that have ended is taken first: one more may follow.
+        // Closed connections are counted first, since a further one may be accepted and closed between the two reads.
         let ended = lock(&self.state.ended).len();
         *lock(&self.state.accepted) - ended
     }
 
-    /// Parts whose first byte came later than this.
+    /// Parts whose first byte arrived after this moment.
     pub fn begun_after(&self, at: Instant) -> Vec<Arrival> {
         self.arrivals().into_iter().filter(|a| a.begun > at).collect()
     }
 }
 
-/// Reads frames until the peer ends the connection.
+/// Reads frames until the peer closes the connection.
 fn serve(
     mut stream: TcpStream,
     connection: usize,
@@ -161,7 +162,7 @@
     let _ = stream.set_nodelay(true);
     loop {
         while !state.reads.load(Ordering::SeqCst) {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         let Some(ReadFrame { letter, rest, begun }) = read_frame(&mut stream) else { return };
         if letter != b'D' {
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,5 +1,5 @@
-//! Running a coordinator day to day, on loopback: the second address, figures, draining, settings that change, and a
-//! new version under load. The program runs in processes of its own.
+//! Operation of a coordinator on loopback, run as a separate process: the control address, statistics, draining,
+//! changes of settings, and the handover to a new version under load.
 
 mod harness;
 
@@ -18,7 +18,7 @@
     held_back, member, operate, query, query_bytes, served, two, until, yes, Program, TestCluster,
 };
 
-/// A configuration with a second address, changed as the test wants.
+/// Renders a configuration with a control address, after `change` has modified it.
 fn config(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> String {
     let mut config: Value = serde_json::from_str(&TestCluster::default().config(discovery.addr)).unwrap();
     config["control"] = json!("127.0.0.1:0");
@@ -26,28 +26,29 @@
     config.to_string()
 }
 
-/// One class the fewer: the last.
-fn without_the_last_class(config: &mut Value) {
+/// Removes the last class together with its entries in the domain's per-class lists.
+fn remove_last_class(config: &mut Value) {
     config["settings"]["classes"].as_array_mut().unwrap().pop();
     for by_class in ["class_floor", "class_partial", "complete_from", "second_step"] {
         config["settings"]["domain"][by_class].as_array_mut().unwrap().pop();
     }
 }
 
-/// What a client's connection was told: its answer, or that it was closed.
-fn answer(stream: TcpStream) -> Option<u16> {
+/// Reads the status of the next answer, or `None` if the connection closes first.
+fn read_status(stream: TcpStream) -> Option<u16> {
     read_answer(&mut BufReader::new(stream)).ok().map(|a| a.status)
 }
 
-fn asked(addr: SocketAddr, bytes: &[u8]) -> TcpStream {
+fn connect_and_send(addr: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream.write_all(bytes).unwrap();
     stream
 }
 
-/// Guards the calls' form, and that stuck callers and a flood of clients cost an operator nothing.
+/// Stuck control connections and a flood of queries do not block control requests; malformed control requests get a
+/// matching status.
 #[test]
-fn operators_are_answered_whatever_others_do() {
+fn control_requests_are_answered_despite_stuck_clients_and_load() {
     let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let program = Program::start(&config(&discovery, |_| ()));
     let control = program.control.unwrap();
@@ -56,25 +57,26 @@
     assert_eq!(status("POST", "/ops/stats"), 405);
     assert_eq!(status("GET", "/ops/drain/start"), 405);
     assert_eq!(exchange(control, b"no call at all\r\n\r\n").unwrap().status, 400);
-    let words: [&[u8]; 3] =
+    let incomplete: [&[u8]; 3] =
         [b"", b"GET /ops/st", b"POST /ops/drain/start HTTP/1.1\r\nContent-Length: 9\r\n\r\n"];
-    let mut stuck: Vec<TcpStream> = (0..50).map(|n| asked(control, words[n % 3])).collect();
-    let flood: Vec<TcpStream> =
-        (0..200).map(|_| asked(program.addr, &query_bytes("tag-lookup", &[0, 1, 2, 3], "60000m"))).collect();
-    until("the flood to be in", || program.figure("in_flight").unwrap() > 0);
+    let mut stuck: Vec<TcpStream> = (0..50).map(|n| connect_and_send(control, incomplete[n % 3])).collect();
+    let flood: Vec<TcpStream> = (0..200)
+        .map(|_| connect_and_send(program.addr, &query_bytes("tag-lookup", &[0, 1, 2, 3], "60000m")))
+        .collect();
+    until("the flood to be in flight", || program.statistic("in_flight").unwrap() > 0);
     for _ in 0..20 {
-        assert!(program.figure("attempts").is_some() && yes(control, "GET", "/ops/readiness"));
+        assert!(program.statistic("attempts").is_some() && yes(control, "GET", "/ops/readiness"));
     }
-    // The oldest of them went for newcomers; nothing of theirs was carried out.
+    // The oldest stuck connection was closed for newer ones, and none of the incomplete requests was executed.
     assert_eq!(stuck[0].read(&mut [0]).unwrap_or(0), 0);
-    program.operate("POST", "/ops/drain/stop");
+    program.control_request("POST", "/ops/drain/stop");
     drop((stuck, flood));
-    until("the flood to be gone", || program.figure("in_flight") == Some(0));
+    until("the flood's end", || program.statistic("in_flight") == Some(0));
 }
 
-/// Guards the figures against what clients and data nodes counted.
+/// The statistics match the counts of the clients and the data nodes.
 #[test]
-fn figures_agree_with_clients_and_data_nodes() {
+fn statistics_match_the_counts_of_clients_and_data_nodes() {
     let turn = Arc::new(AtomicU64::new(0));
     let reply = move |part: &harness::stand_in::Part| match turn.fetch_add(1, Ordering::SeqCst) % 5 {
         0 => NodeReply::Answer(500, 0, String::new()),
@@ -83,91 +85,94 @@
     };
     let (a, b, discovery) = two(reply.clone(), reply);
     let program = Program::start(&config(&discovery, |_| ()));
-    let mut ends = [0_u64; 3];
+    let mut outcomes = [0_u64; 3];
     for n in 0..20 {
-        // Now and then one whose time is over before it is taken.
-        let time = if n % 10 == 9 { "1m" } else { "5000m" };
-        match exchange(program.addr, &query_bytes("tag-lookup", &[n % 4, (n + 1) % 4], time)).unwrap().status
+        // Every tenth query's timeout is too short for the query to be accepted.
+        let timeout = if n % 10 == 9 { "1m" } else { "5000m" };
+        match exchange(program.addr, &query_bytes("tag-lookup", &[n % 4, (n + 1) % 4], timeout))
+            .unwrap()
+            .status
         {
-            200 => ends[0] += 1,
-            429 | 503 => ends[1] += 1,
-            _ => ends[2] += 1,
+            200 => outcomes[0] += 1,
+            429 | 503 => outcomes[1] += 1,
+            _ => outcomes[2] += 1,
         }
     }
-    assert!(ends[0] > 0 && ends[1] > 0, "{ends:?}");
+    assert!(outcomes[0] > 0 && outcomes[1] > 0, "{outcomes:?}");
     let names = ["served.tag-lookup", "refused.tag-lookup", "failed.tag-lookup"];
-    until("the clients' ends", || names.map(|n| program.figure(n).unwrap()) == ends);
+    until("the clients' outcomes", || names.map(|n| program.statistic(n).unwrap()) == outcomes);
     let attempts = || (a.parts().len() + b.parts().len()) as u64;
-    until("the data nodes' attempts", || program.figure("attempts") == Some(attempts()));
-    assert_eq!(program.figure("in_flight"), Some(0));
-    assert_eq!(program.figure("served.plaza-ranking"), Some(0));
-    assert_eq!(program.figure("data_nodes_known"), Some(2));
+    until("the data nodes' attempts", || program.statistic("attempts") == Some(attempts()));
+    assert_eq!(program.statistic("in_flight"), Some(0));
+    assert_eq!(program.statistic("served.plaza-ranking"), Some(0));
+    assert_eq!(program.statistic("data_nodes_known"), Some(2));
     discovery.set("a", "draining");
-    until("the drain of a data node", || program.figure("data_nodes_excluded") >= Some(1));
-    assert_eq!(program.figure("data_nodes_known"), Some(2));
+    until("the drain of a data node", || program.statistic("data_nodes_excluded") >= Some(1));
+    assert_eq!(program.statistic("data_nodes_known"), Some(2));
     discovery.set("a", "removed");
-    until("its end", || program.figure("data_nodes_known") == Some(1));
+    until("its removal", || program.statistic("data_nodes_known") == Some(1));
 }
 
-/// Guards a drain: health says no at once, what is open is answered, what rests or has only half a request is closed,
-/// and clients are taken again after it; SIGTERM in the middle of a second one ends the process as ever.
+/// During a drain the health check fails at once, open queries are answered, and connections that are idle or have only
+/// an incomplete request are closed. Clients are accepted again after the drain is stopped. SIGTERM during a second
+/// drain ends the process as usual.
 #[test]
-fn a_drain_empties_and_is_taken_back() {
+fn drain_completes_open_queries_and_can_be_stopped() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
     let program = Program::start(&config(&discovery, |_| ()));
     let health = || get(program.addr, "/_health").unwrap().status;
     let bytes = query_bytes("tag-lookup", &[0, 1], "60000m");
-    let open = asked(program.addr, &bytes);
+    let open = connect_and_send(program.addr, &bytes);
     until("the parts", || a.parts().len() + b.parts().len() >= 2);
-    let idle = asked(program.addr, b"");
-    let half = asked(program.addr, &query_bytes("tag-lookup", &[0], "60000m")[..40]);
+    let idle = connect_and_send(program.addr, b"");
+    let incomplete = connect_and_send(program.addr, &query_bytes("tag-lookup", &[0], "60000m")[..40]);
     for _ in 0..2 {
-        program.operate("POST", "/ops/drain/start");
+        program.control_request("POST", "/ops/drain/start");
         assert_eq!(health(), 503);
     }
     assert!(!yes(program.control.unwrap(), "GET", "/ops/readiness"));
-    assert_eq!((answer(idle), answer(half)), (None, None));
+    assert_eq!((read_status(idle), read_status(incomplete)), (None, None));
     release.store(true, Ordering::SeqCst);
     let mut reader = BufReader::new(open);
     assert_eq!(read_answer(&mut reader).unwrap().status, 200);
-    assert_eq!(reader.read(&mut [0]).unwrap(), 0, "kept open after its answer");
+    assert_eq!(reader.read(&mut [0]).unwrap(), 0, "the connection stayed open after its answer");
     for _ in 0..2 {
-        program.operate("POST", "/ops/drain/stop");
+        program.control_request("POST", "/ops/drain/stop");
         assert_eq!(health(), 200);
     }
-    let mut kept = asked(program.addr, &query_bytes("tag-lookup", &[0], "60000m"));
-    assert_eq!(read_answer(&mut BufReader::new(kept.try_clone().unwrap())).unwrap().status, 200);
-    kept.write_all(&query_bytes("tag-lookup", &[1], "60000m")).unwrap();
-    assert_eq!(answer(kept), Some(200));
-    program.operate("POST", "/ops/drain/start");
+    let mut persistent = connect_and_send(program.addr, &query_bytes("tag-lookup", &[0], "60000m"));
+    assert_eq!(read_answer(&mut BufReader::new(persistent.try_clone().unwrap())).unwrap().status, 200);
+    persistent.write_all(&query_bytes("tag-lookup", &[1], "60000m")).unwrap();
+    assert_eq!(read_status(persistent), Some(200));
+    program.control_request("POST", "/ops/drain/start");
     program.signal("TERM");
-    until("SIGTERM", || !yes(program.control.unwrap(), "POST", "/ops/drain/stop"));
+    until("the shutdown", || !yes(program.control.unwrap(), "POST", "/ops/drain/stop"));
     assert!(program.ended().contains("drained by an operator"));
 }
 
-/// Guards settings that change under open queries: one of a class that is dropped, with a retry pending, goes on under
-/// the rules it came under; a new class serves; fewer attempts hold for new queries alone.
+/// The settings change while queries are open. A query of a removed class, with a retry pending, keeps the settings
+/// under which it was accepted; a new class is served; a lower attempt limit applies to new queries only.
 #[test]
-fn open_queries_keep_the_rules_they_came_under() {
+fn open_queries_keep_the_settings_of_their_acceptance() {
     let (release, slow) = held_back();
-    let held = release.clone();
-    let fails = move |part: &harness::stand_in::Part| match (part.text.as_str(), held.load(Ordering::SeqCst))
-    {
-        // Fails once the settings have changed, so that its retries come under the new ones.
-        ("c41e77d0", _) => match slow(part) {
-            _ if part.id.ends_with(".3") => NodeReply::Answer(500, 0, String::new()),
-            reply => reply,
-        },
-        _ => served(part),
-    };
-    let (a, b, discovery) = two(fails.clone(), fails);
+    let released = release.clone();
+    let fail_shard_3 =
+        move |part: &harness::stand_in::Part| match (part.text.as_str(), released.load(Ordering::SeqCst)) {
+            // Fails after the settings have changed, so that the retries happen while the new settings are in effect.
+            ("c41e77d0", _) => match slow(part) {
+                _ if part.id.ends_with(".3") => NodeReply::Answer(500, 0, String::new()),
+                reply => reply,
+            },
+            _ => served(part),
+        };
+    let (a, b, discovery) = two(fail_shard_3.clone(), fail_shard_3);
     let program = Program::start(&config(&discovery, |_| ()));
-    let open = asked(program.addr, &query_bytes("monthly-settle", &[0, 1], "60000m"));
-    let failing = asked(program.addr, &query_bytes("monthly-settle", &[2, 3], "5000m"));
+    let open = connect_and_send(program.addr, &query_bytes("monthly-settle", &[0, 1], "60000m"));
+    let failing = connect_and_send(program.addr, &query_bytes("monthly-settle", &[2, 3], "5000m"));
     until("the parts", || a.parts().len() + b.parts().len() >= 4);
     program.reload(&config(&discovery, |c| {
-        without_the_last_class(c);
+        remove_last_class(c);
         c["settings"]["limits"]["max_attempts"] = json!(1);
         c["settings"]["classes"][0]["name"] = json!("bridge-toll");
     }));
@@ -175,29 +180,30 @@
     assert_eq!(query(program.addr, "monthly-settle", &[0]).unwrap().status, 404);
     let before = a.parts().len() + b.parts().len();
     release.store(true, Ordering::SeqCst);
-    assert_eq!(answer(open), Some(200));
-    assert_ne!(answer(failing), Some(200));
-    let tries = |id: &str| a.parts().iter().chain(&b.parts()).filter(|p| p.id.ends_with(id)).count();
-    assert_eq!(tries(".3"), 4, "attempts as the settings had it: {before}");
+    assert_eq!(read_status(open), Some(200));
+    assert_ne!(read_status(failing), Some(200));
+    let attempts = |id: &str| a.parts().iter().chain(&b.parts()).filter(|p| p.id.ends_with(id)).count();
+    assert_eq!(attempts(".3"), 4, "attempt limit of the old settings; parts before the release: {before}");
     assert_eq!(query(program.addr, "bridge-toll", &[0, 1]).unwrap().status, 200);
     assert_ne!(query(program.addr, "bridge-toll", &[3]).unwrap().status, 200);
-    assert_eq!(tries(".3"), 5);
-    // Both names keep their figures.
-    until("the figures", || program.figure("served.bridge-toll") == Some(1));
-    assert_eq!(program.figure("served.monthly-settle"), Some(1));
+    assert_eq!(attempts(".3"), 5);
+    // The statistics of both classes remain.
+    until("the statistics", || program.statistic("served.bridge-toll") == Some(1));
+    assert_eq!(program.statistic("served.monthly-settle"), Some(1));
 }
 
-/// Guards against taking part of a file: whatever is wrong with one, nothing of it holds, its list's service included.
+/// An invalid configuration file is rejected as a whole, whatever the fault: nothing of it is applied, including its
+/// discovery address.
 #[test]
-fn a_file_that_cannot_be_taken_changes_nothing() {
+fn invalid_file_changes_nothing() {
     let (_a, _b, discovery) = two(served, served);
     let program = Program::start(&config(&discovery, |_| ()));
     let other = Discovery::start("127.0.0.1:0", Vec::new());
-    let drop_key = |c: &mut Value, at: &str, key: &str| {
+    let remove_key = |c: &mut Value, at: &str, key: &str| {
         drop(c.pointer_mut(at).unwrap().as_object_mut().unwrap().remove(key))
     };
-    let whole = config(&other, |_| ());
-    let mut bad = vec![String::new(), "{}".into(), whole[..whole.len() / 2].into()];
+    let valid = config(&other, |_| ());
+    let mut invalid = vec![String::new(), "{}".into(), valid[..valid.len() / 2].into()];
     for (at, key) in [
         ("", "settings"),
         ("", "discovery"),
@@ -209,21 +215,21 @@
         ("/settings/classes/1", "deadline_ns"),
         ("/settings/classes/1", "late_worth"),
     ] {
-        bad.push(config(&other, |c| drop_key(c, at, key)));
+        invalid.push(config(&other, |c| remove_key(c, at, key)));
     }
     for at in ["/settings/classes/0/deadline_ns", "/settings/limits/max_attempts"] {
         for value in [json!(0), json!(-1), json!("4"), json!(null), json!([1])] {
-            bad.push(config(&other, |c| *c.pointer_mut(at).unwrap() = value));
+            invalid.push(config(&other, |c| *c.pointer_mut(at).unwrap() = value));
         }
     }
-    for (turn, text) in bad.iter().enumerate() {
+    for (turn, text) in invalid.iter().enumerate() {
         program.reload(text);
-        until("the file to be turned down", || program.figure("reloads_failed") == Some(turn as u64 + 1));
+        until("the file's rejection", || program.statistic("reloads_failed") == Some(turn as u64 + 1));
     }
-    assert_eq!((program.figure("reloads_ok"), other.watches() + other.lists()), (Some(0), 0));
-    program.reload(&whole);
-    until("a good file", || program.figure("reloads_ok") == Some(1) && other.lists() == 1);
-    // Files that come fast upon each other end in the last one.
+    assert_eq!((program.statistic("reloads_ok"), other.watches() + other.lists()), (Some(0), 0));
+    program.reload(&valid);
+    until("the valid file", || program.statistic("reloads_ok") == Some(1) && other.lists() == 1);
+    // After several reloads in quick succession the last file is in effect.
     let last = Discovery::start("127.0.0.1:0", Vec::new());
     for n in 0..10 {
         program.reload(&config(if n == 9 { &last } else { &other }, |_| ()));
@@ -231,84 +237,93 @@
     until("the last file", || last.lists() == 1);
     program.signal("TERM");
     let log = program.ended();
-    let told: Vec<&str> = log.lines().filter(|l| l.contains("configuration rejected")).collect();
-    assert!(told.len() == bad.len() && told.iter().all(|l| l.contains(" file=config.json error=")), "{log}");
-    assert!(told[3].contains("settings") && told[6].contains("'seed' is missing"), "{told:?}");
+    let rejections: Vec<&str> = log.lines().filter(|l| l.contains("configuration rejected")).collect();
+    assert!(
+        rejections.len() == invalid.len()
+            && rejections.iter().all(|l| l.contains(" file=config.json error=")),
+        "{log}"
+    );
+    assert!(
+        rejections[3].contains("settings") && rejections[6].contains("'seed' is missing"),
+        "{rejections:?}"
+    );
 }
 
-/// Guards against a file that is read for long, here a pipe with somebody slow at its other end: clients, figures and
-/// signals do not wait for it, what was cut short is turned down, and the file that was put in its place holds.
+/// Reading a file may take long; here it is a pipe with a slow writer. Clients, statistics and signals do not wait for
+/// the read, the truncated file is rejected, and the file that replaced it is applied.
 #[test]
-fn a_file_may_be_replaced_while_it_is_read() {
+fn file_may_be_replaced_while_it_is_read() {
     let (_a, _b, discovery) = two(served, served);
     let program = Program::start(&config(&discovery, |_| ()));
     let pipe = |path: &std::path::Path| {
         assert!(std::process::Command::new("mkfifo").arg(path).status().unwrap().success());
     };
-    let path = program.reload_made(pipe);
-    // Opened once the program reads it.
-    let mut slow = std::fs::File::options().write(true).open(path).unwrap();
-    let whole = config(&discovery, without_the_last_class);
-    slow.write_all(&whole.as_bytes()[..whole.len() / 2]).unwrap();
-    program.reload(&whole);
+    let path = program.reload_with(pipe);
+    // The open blocks until the program opens the pipe for reading.
+    let mut slow_writer = std::fs::File::options().write(true).open(path).unwrap();
+    let complete = config(&discovery, remove_last_class);
+    slow_writer.write_all(&complete.as_bytes()[..complete.len() / 2]).unwrap();
+    program.reload(&complete);
     assert_eq!(query(program.addr, "monthly-settle", &[0, 1]).unwrap().status, 200);
-    assert_eq!((program.figure("reloads_ok"), program.figure("reloads_failed")), (Some(0), Some(0)));
-    drop(slow);
+    assert_eq!((program.statistic("reloads_ok"), program.statistic("reloads_failed")), (Some(0), Some(0)));
+    drop(slow_writer);
     until("both files", || {
-        (program.figure("reloads_ok"), program.figure("reloads_failed")) == (Some(1), Some(1))
+        (program.statistic("reloads_ok"), program.statistic("reloads_failed")) == (Some(1), Some(1))
     });
-    until("the dropped class", || query(program.addr, "monthly-settle", &[0]).unwrap().status == 404);
-    // Nobody is at the other end of this one.
-    program.reload_made(pipe);
+    until("the removal of the class", || query(program.addr, "monthly-settle", &[0]).unwrap().status == 404);
+    // This pipe has no writer.
+    program.reload_with(pipe);
     program.signal("TERM");
     assert!(program.ended().contains("configuration applied"));
 }
 
-/// Guards a new version under load: two processes at one socket, the old one told to end; every request on new and on
-/// kept connections is answered, none refused or reset.
+/// A new process takes over the listening socket under load and the old one gets SIGTERM. Every request on new and on
+/// persistent connections is answered; none is rejected or reset.
 #[test]
-fn a_new_version_takes_over_without_turning_anybody_back() {
+fn new_version_takes_over_without_rejecting_requests() {
     let (a, b, discovery) = two(served, served);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let start = || Program::start_with(&config(&discovery, |_| ()), Some(&listener));
     let old = start();
     let stop = Arc::new(AtomicBool::new(false));
-    let client = |keeps: bool| {
+    let client = |persistent: bool| {
         let stop = stop.clone();
         std::thread::spawn(move || {
-            let (mut served, mut kept): (u64, Option<TcpStream>) = (0, None);
+            let (mut served, mut connection): (u64, Option<TcpStream>) = (0, None);
             while !stop.load(Ordering::SeqCst) {
-                let mut stream = kept.take().unwrap_or_else(|| TcpStream::connect(addr).unwrap());
+                let mut stream = connection.take().unwrap_or_else(|| TcpStream::connect(addr).unwrap());
                 stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).unwrap();
                 let answer = read_answer(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
                 assert_eq!(answer.status, 200, "{}", answer.body);
                 served += 1;
                 let open = answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close"));
-                kept = Some(stream).filter(|_| keeps && open);
+                connection = Some(stream).filter(|_| persistent && open);
                 std::thread::sleep(Duration::from_millis(1));
             }
             served
         })
     };
     let clients: Vec<_> = (0..6).map(|n| client(n % 2 == 0)).collect();
-    until("traffic", || old.figure("served.tag-lookup") > Some(50));
+    until("traffic", || old.statistic("served.tag-lookup") > Some(50));
     let new = start();
     old.signal("TERM");
     let log = old.ended();
-    let of_new = || new.figure("served.tag-lookup").unwrap();
-    let before = of_new();
-    until("traffic at the new one", || of_new() > before + 50);
+    let served_by_new = || new.statistic("served.tag-lookup").unwrap();
+    let before = served_by_new();
+    until("traffic at the new process", || served_by_new() > before + 50);
     stop.store(true, Ordering::SeqCst);
     let served: u64 = clients.into_iter().map(|c| c.join().unwrap()).sum();
-    let of_old = log.lines().find_map(|l| l.trim().strip_prefix("cdAnswersWhole ")).unwrap();
-    until("all to be counted", || of_old.trim().parse::<u64>().unwrap() + of_new() == served);
+    let served_by_old = log.lines().find_map(|l| l.trim().strip_prefix("cdAnswersWhole ")).unwrap();
+    until("the count of all answers", || {
+        served_by_old.trim().parse::<u64>().unwrap() + served_by_new() == served
+    });
     assert!(a.parts().len() + b.parts().len() >= 2 * served as usize);
 }
 
-/// Guards a start that cannot be: one clear line names the variable or the address.
+/// An address or descriptor that the program cannot listen on ends the start with one line that names the cause.
 #[test]
-fn what_cannot_be_listened_at_ends_the_start() {
+fn unusable_listening_address_ends_the_start() {
     let (_a, _b, discovery) = two(served, served);
     let dir = std::env::temp_dir().join(format!("curlewdeck-start-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -325,20 +340,20 @@
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_curlewdeck"));
         let output = command.arg("serve").arg("--config").arg(&file).env(name, value).output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
-        let said: Vec<&str> = text.lines().filter(|l| l.starts_with("curlewdeck: ")).collect();
-        assert!(!output.status.success() && said.len() == 1 && said[0].contains(why), "{text}");
+        let errors: Vec<&str> = text.lines().filter(|l| l.starts_with("curlewdeck: ")).collect();
+        assert!(!output.status.success() && errors.len() == 1 && errors[0].contains(why), "{text}");
     }
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// Guards the log against a line for every part in the moment in which no socket is left for data nodes: a coordinator
-/// wrote hundreds. The parts that were not sent are held against no data node.
+/// When no socket is left for connections to data nodes, a log line for every part would fill the log: a coordinator
+/// wrote hundreds. The message is rate-limited, and no data node is blamed for the parts that were not sent.
 #[test]
-fn a_lack_of_sockets_is_said_once_in_a_while() {
-    let begun = Instant::now();
+fn lack_of_sockets_is_logged_at_a_limited_rate() {
+    let started = Instant::now();
     let (release, slow) = held_back();
     let node = DataNode::start(slow);
-    // One shard at each, and fewer sockets than data nodes.
+    // One shard per data node, and fewer sockets than data nodes.
     let nodes = 60;
     let list = (0..nodes).map(|n| member(&format!("n{n}"), n, node.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", list);
@@ -347,16 +362,17 @@
     let limits = Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap();
     let program = Program::start(&cluster.config(discovery.addr));
     let shards: Vec<u32> = (0..nodes).collect();
-    let open = asked(program.addr, &query_bytes("plaza-ranking", &shards, "60000m"));
-    until("all sockets taken", || node.parts().len() == limits.node_sockets);
-    // The rest of the parts were handed out with these, and is tried again until the end.
+    let open = connect_and_send(program.addr, &query_bytes("plaza-ranking", &shards, "60000m"));
+    until("the use of all sockets", || node.parts().len() == limits.node_sockets);
+    // The remaining parts were dispatched together with these and are retried until the end.
     program.signal("TERM");
     release.store(true, Ordering::SeqCst);
-    answer(open);
+    read_status(open);
     let log = program.ended();
-    let told = log.lines().filter(|l| l.contains("no socket left for a connection to a data node")).count();
-    let most = 1 + begun.elapsed().as_nanos() / limits.no_socket_log_interval.as_nanos();
-    assert!((1..=most).contains(&(told as u128)), "{told} lines: {log}");
+    let messages =
+        log.lines().filter(|l| l.contains("no socket left for a connection to a data node")).count();
+    let max_messages = 1 + started.elapsed().as_nanos() / limits.no_socket_log_interval.as_nanos();
+    assert!((1..=max_messages).contains(&(messages as u128)), "{messages} lines: {log}");
     assert!(
         log.lines().filter(|l| l.trim().starts_with("node ")).all(|l| l.contains(" noRoute=0 ")),
         "{log}"
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol on loopback, against stand-in data nodes and a stand-in list.
+//! The platform's protocol on loopback, against stand-in data nodes and a stand-in discovery service.
 
 mod harness;
 
@@ -19,7 +19,7 @@
 };
 
 #[test]
-fn a_query_is_answered_whole_with_the_data_nodes_values() {
+fn complete_answer_contains_the_data_nodes_values() {
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -31,10 +31,10 @@
     assert!(parts.iter().all(|p| p.text == "c41e77d0" && p.list.starts_with("d=")), "{parts:?}");
 }
 
-/// Guards the second step: it goes to the shards with the highest scores, names all that were in, and its
-/// values alone make up the answer.
+/// The second phase goes to the shards with the highest scores and names all shards of the first phase. The answer
+/// consists of its values alone.
 #[test]
-fn the_second_step_follows_the_highest_scores() {
+fn second_phase_goes_to_the_shards_with_the_highest_scores() {
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -49,9 +49,10 @@
     assert!(second.iter().all(|p| p.list.ends_with(",from=0+1+2+3,whole=1")), "{second:?}");
 }
 
-/// Guards a client's retry of a query of two steps: its first part alone completes the first step, and the second follows.
+/// A client retries a two-phase query. A retry with a single part completes the first phase too, and the second phase
+/// follows.
 #[test]
-fn the_second_step_follows_the_retry_of_a_client() {
+fn second_phase_follows_a_client_retry() {
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -70,9 +71,10 @@
     assert_eq!(sent.iter().filter(|p| p.id.ends_with(".fetch")).count(), 3, "{sent:?}");
 }
 
-/// Guards against losing a query with a connection, a bad frame or an error of one data node.
+/// One data node closes its connection, sends a malformed frame, or replies with an error. Another replica serves the
+/// part.
 #[test]
-fn another_replica_serves_what_one_does_not() {
+fn failed_part_is_served_by_another_replica() {
     let bad_frame = || NodeReply::Raw(vec![1, 0, 0, 0, b'?']);
     let faults: [fn() -> NodeReply; 4] = [
         || NodeReply::Close,
@@ -84,7 +86,7 @@
         let (a, b, discovery) = two(move |_| fault(), served);
         let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
-        // One part a query: which replica comes first is the module's choice.
+        // One part per query: the engine chooses which replica gets it first.
         until("a part at the faulty data node", || {
             let answer = query(coordinator.listen, "tag-lookup", &[1]).unwrap();
             assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#);
@@ -94,18 +96,18 @@
     }
 }
 
-/// Guards against answers that are spoilt, or bring more than belongs to them: the query is served all the
-/// same, long before its time is up, and other data nodes' connections are kept.
+/// A data node sends malformed, truncated or surplus data. The query is served long before its timeout, each malformed
+/// answer costs at most one connection, and connections to other data nodes stay open.
 #[test]
-fn spoilt_answers_cost_one_connection_each() {
+fn malformed_answer_costs_at_most_one_connection() {
     let frame = |letter: u8, rest: &[u8]| {
         let length = (rest.len() as u32 + 1).to_le_bytes();
         [&length[..], &[letter], rest].concat()
     };
-    let good = move |part: &Part, report: &[u8], more: &[u8]| {
+    let valid = move |part: &Part, report: &[u8], trailing: &[u8]| {
         let name = part.id.split_once('.').unwrap().1;
         let line = [part.id.as_bytes(), b" 200 1 ", report, b"\nv", name.as_bytes()].concat();
-        NodeReply::Raw([frame(b'O', &line), more.to_vec()].concat())
+        NodeReply::Raw([frame(b'O', &line), trailing.to_vec()].concat())
     };
     type Fault = Box<dyn Fn(&Part) -> NodeReply + Send + Sync>;
     let raw = |bytes: Vec<u8>| -> Fault { Box::new(move |_: &Part| NodeReply::Raw(bytes.clone())) };
@@ -114,12 +116,12 @@
         raw(frame(b'O', b"no line")),
         raw(frame(b'Q', b"")),
         raw(3_000_000_000_u32.to_le_bytes().to_vec()),
-        // It stops midway, or never gets to its line.
+        // Truncated within the header line, or a header line without an end.
         raw(frame(b'O', b"a.1 200 1 -\nvalue")[..9].to_vec()),
         raw([&[0, 1, 0, 0, b'O'][..], &[b'a'; 200]].concat()),
-        Box::new(move |p: &Part| good(p, b"\xff what = ever", b"")),
-        Box::new(move |p: &Part| good(p, b"-", b"\x09\0\0\0noise")),
-        Box::new(move |p: &Part| good(p, b"-", &frame(b'O', format!("{} 200 1 -\nv1", p.id).as_bytes()))),
+        Box::new(move |p: &Part| valid(p, b"\xff what = ever", b"")),
+        Box::new(move |p: &Part| valid(p, b"-", b"\x09\0\0\0noise")),
+        Box::new(move |p: &Part| valid(p, b"-", &frame(b'O', format!("{} 200 1 -\nv1", p.id).as_bytes()))),
     ];
     for (n, fault) in faults.into_iter().enumerate() {
         let (a, b, discovery) = two(fault, served);
@@ -135,8 +137,8 @@
     }
 }
 
-/// A query for all four shards, as a front hands it in.
-fn whole(coordinator: &Coordinator, class: &str, client: ClientLiveness) -> QueryRequest {
+/// A query of all four shards, as a frontend submits it.
+fn query_of_all_shards(coordinator: &Coordinator, class: &str, client: ClientLiveness) -> QueryRequest {
     QueryRequest {
         name: format!("whole-{class}"),
         class: coordinator.core.deployment().class_named(class).unwrap(),
@@ -150,69 +152,69 @@
     }
 }
 
-/// Guards against sending on for a client that has left: it leaves while the first of four parts goes out, and before
-/// anybody has read that it has, nothing more of its query goes out.
+/// The client disconnects while the first of four parts is sent. No further part is sent, even though the frontend has
+/// not read the disconnect yet: the liveness check before each part detects it.
 #[test]
-fn nothing_more_goes_out_for_a_client_that_has_left() {
+fn no_further_parts_are_sent_after_a_client_disconnects() {
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
-    let looks = AtomicUsize::new(0);
-    let client = ClientLiveness::new(move || looks.fetch_add(1, Ordering::SeqCst) == 0);
-    coordinator.core.submit(whole(&coordinator, "tag-lookup", client), Box::new(|_| ()));
-    // What is asked after it goes over the same connections behind it.
-    let (told, answered) = std::sync::mpsc::channel();
-    let next = whole(&coordinator, "plaza-ranking", ClientLiveness::default());
-    coordinator.core.submit(next, Box::new(move |ended| told.send(ended).unwrap()));
-    assert!(matches!(answered.recv().unwrap(), Ok(QueryOutcome::Answered { complete: true, .. })));
+    let checks = AtomicUsize::new(0);
+    let client = ClientLiveness::new(move || checks.fetch_add(1, Ordering::SeqCst) == 0);
+    coordinator.core.submit(query_of_all_shards(&coordinator, "tag-lookup", client), Box::new(|_| ()));
+    // The next query's parts follow on the same connections, so its answer shows that all earlier parts have arrived.
+    let (sender, receiver) = std::sync::mpsc::channel();
+    let next = query_of_all_shards(&coordinator, "plaza-ranking", ClientLiveness::default());
+    coordinator.core.submit(next, Box::new(move |outcome| sender.send(outcome).unwrap()));
+    assert!(matches!(receiver.recv().unwrap(), Ok(QueryOutcome::Answered { complete: true, .. })));
     let parts = a.parts().into_iter().chain(b.parts());
     assert_eq!(parts.filter(|p| p.id.starts_with("whole-tag-lookup")).count(), 1);
 }
 
-/// Guards the rule on lost requests against a data node that reads late: what it finds is never a part of a query that
-/// has its answer without the word that the part is given up, since that word goes out before the answer does.
+/// Cancellations of unanswered parts are written before the query's partial answer. A data node that reads late would
+/// otherwise find a part of an answered query without its cancellation, against the rule on lost requests.
 #[test]
-fn parts_are_given_up_before_the_answer_goes_out() {
-    let late = TcpListener::bind("127.0.0.1:0").unwrap();
+fn unanswered_parts_are_cancelled_before_the_answer_is_sent() {
+    let late_node = TcpListener::bind("127.0.0.1:0").unwrap();
     let a = DataNode::start(served);
-    let list = vec![member("a", 0, a.addr), member("b", 1, late.local_addr().unwrap())];
-    let discovery = Discovery::start("127.0.0.1:0", list);
-    // Half of the shards are at the late one alone; the class may be answered from the other half.
+    let members = vec![member("a", 0, a.addr), member("b", 1, late_node.local_addr().unwrap())];
+    let discovery = Discovery::start("127.0.0.1:0", members);
+    // The late node alone holds half of the shards; the class allows a partial answer from the other half.
     let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
-    let ask = whole(&coordinator, "plaza-ranking", ClientLiveness::default());
-    let (told, answered) = std::sync::mpsc::channel();
+    let request = query_of_all_shards(&coordinator, "plaza-ranking", ClientLiveness::default());
+    let (sender, receiver) = std::sync::mpsc::channel();
     coordinator.core.submit(
-        ask,
-        Box::new(move |ended| {
-            // Right when the answer goes out: all that the late one's sockets hold by then.
-            late.set_nonblocking(true).unwrap();
-            let mut letters = Vec::new();
-            while let Ok((mut stream, _)) = late.accept() {
+        request,
+        Box::new(move |outcome| {
+            // Reads what the late node's sockets contain at the moment of the answer.
+            late_node.set_nonblocking(true).unwrap();
+            let mut frame_types = Vec::new();
+            while let Ok((mut stream, _)) = late_node.accept() {
                 stream.set_nonblocking(true).unwrap();
                 let mut bytes = Vec::new();
-                // Ends with what is there, or at the connection's end, which gives up all on it.
+                // Reads to the end of the buffered data or of the connection. A close cancels all parts on it.
                 let closed = stream.read_to_end(&mut bytes).is_ok();
                 let mut rest = &bytes[..];
                 while let Some((head, more)) = rest.split_first_chunk::<4>() {
-                    letters.push(more[0]);
+                    frame_types.push(more[0]);
                     rest = &more[u32::from_le_bytes(*head) as usize..];
                 }
-                letters.extend(closed.then_some(b'E'));
+                frame_types.extend(closed.then_some(b'E'));
             }
-            told.send((ended, letters)).unwrap();
+            sender.send((outcome, frame_types)).unwrap();
         }),
     );
-    let (ended, letters) = answered.recv().unwrap();
-    assert!(matches!(ended, Ok(QueryOutcome::Answered { complete: false, .. })), "{ended:?}");
-    let count = |letter: u8| letters.iter().filter(|&&l| l == letter).count();
-    assert!(count(b'D') > 0, "nothing went to the late one: {letters:?}");
-    assert!(count(b'K') == count(b'D') || count(b'E') > 0, "{}", String::from_utf8_lossy(&letters));
+    let (outcome, frame_types) = receiver.recv().unwrap();
+    assert!(matches!(outcome, Ok(QueryOutcome::Answered { complete: false, .. })), "{outcome:?}");
+    let count = |frame_type: u8| frame_types.iter().filter(|&&t| t == frame_type).count();
+    assert!(count(b'D') > 0, "the late data node got no call: {frame_types:?}");
+    assert!(count(b'K') == count(b'D') || count(b'E') > 0, "{}", String::from_utf8_lossy(&frame_types));
 }
 
-/// Guards the drain rule: once the list's word is here, not one frame goes to that data node.
+/// The drain rule: after the list has reported the drain of a data node, no part is sent to it.
 #[test]
-fn nothing_new_reaches_a_data_node_that_drains() {
+fn draining_data_node_gets_no_new_parts() {
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -226,9 +228,9 @@
     assert!(b.parts().len() >= 40);
 }
 
-/// Guards against a watch that is open and silent, which no reset ever ends.
+/// A watch may stay open and silent with no reset to end it. The coordinator opens another one.
 #[test]
-fn a_silent_watch_is_asked_for_again() {
+fn silent_watch_is_reopened() {
     let (_a, _b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     until("the watch", || discovery.watches() == 1);
@@ -237,9 +239,9 @@
     assert!(coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst) > 0);
 }
 
-/// Guards settings under which the module does not ask for the list: it is watched all the same.
+/// With `"discovery": "pushed"` the engine never requests the list. The coordinator watches it nevertheless.
 #[test]
-fn a_list_that_is_pushed_is_watched_unasked() {
+fn pushed_list_is_watched_without_a_request_of_the_engine() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
     let coordinator = TestCluster { discovery: "pushed", ..TestCluster::default() }.start(discovery.addr, "");
     until("the watch", || discovery.watches() == 1);
@@ -249,7 +251,7 @@
 }
 
 #[test]
-fn health_waits_for_a_data_node() {
+fn health_check_fails_until_a_data_node_is_listed() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
     let coordinator = TestCluster::default().start(discovery.addr, "");
     until("the watch", || discovery.watches() > 0);
@@ -260,14 +262,14 @@
 }
 
 #[test]
-fn connections_are_reused() {
+fn connections_to_data_nodes_are_reused() {
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     for _ in 0..10 {
-        // Two at once: the second waits for the first answer.
+        // Two pipelined requests: the second waits for the first answer.
         stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).unwrap();
         stream.write_all(&query_bytes("plaza-ranking", &[2, 3], "60000m")).unwrap();
         for _ in 0..2 {
@@ -277,9 +279,9 @@
     assert_eq!((a.connections(), b.connections()), (1, 1));
 }
 
-/// Each kind of bad input has its own plain answer.
+/// Each kind of invalid request gets its own status.
 #[test]
-fn bad_input_is_answered() {
+fn invalid_requests_get_the_matching_status() {
     let (_a, _b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -316,9 +318,10 @@
     }
 }
 
-/// Guards against passing on a request hidden in the body of one whose framing is in doubt.
+/// Request smuggling: a request with both a transfer coding and a content length hides another request in its body. The
+/// coordinator rejects it, closes the connection and forwards nothing.
 #[test]
-fn a_hidden_request_is_never_passed_on() {
+fn smuggled_request_is_never_forwarded() {
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -331,14 +334,14 @@
         stream.write_all(text.as_bytes()).unwrap();
         let mut reader = BufReader::new(stream);
         assert_eq!(read_answer(&mut reader).unwrap().status, 400);
-        assert!(read_answer(&mut reader).is_err(), "the connection stays open");
+        assert!(read_answer(&mut reader).is_err(), "the connection stayed open");
     }
     assert_eq!((a.parts(), b.parts()), (Vec::new(), Vec::new()));
 }
 
-/// Guards against two open requests of one id: the second is turned away, the first goes on.
+/// A request with the id of an open request is rejected with 409, and the first request is answered.
 #[test]
-fn the_id_of_an_open_request_is_taken() {
+fn duplicate_id_of_an_open_request_is_rejected() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
@@ -352,14 +355,14 @@
     assert_eq!(first.join().unwrap().body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#);
 }
 
-/// Guards against clients that ask once and stay, or say nothing: they make room for new ones, and those with
-/// an open request are never closed for it.
+/// Clients may keep idle connections open, before or after a request. Idle connections are closed to admit new clients;
+/// a connection with an open request never is.
 #[test]
-fn connections_at_rest_make_room() {
+fn idle_connections_are_closed_for_new_clients() {
     let release = Arc::new(AtomicBool::new(false));
-    let held = release.clone();
+    let released = release.clone();
     let slow = move |part: &Part| {
-        until("the test to go on", || part.shard != 3 || held.load(Ordering::SeqCst));
+        until("the test to release the reply", || part.shard != 3 || released.load(Ordering::SeqCst));
         served(part)
     };
     let (_a, _b, discovery) = two(slow.clone(), slow);
@@ -369,50 +372,50 @@
     let addr = coordinator.listen;
     let open = std::thread::spawn(move || query(addr, "tag-lookup", &[3]).unwrap());
     until("the open request", || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst) == 1);
-    let ask = || {
+    let send_query = || {
         let mut stream = TcpStream::connect(addr).unwrap();
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
         assert_eq!(read_answer(&mut BufReader::new(stream.try_clone().unwrap())).unwrap().status, 200);
         stream
     };
-    // Twice as many as there are places say nothing, and others are served between them.
-    let places =
+    // Opens twice as many silent connections as the limit allows, with served clients in between.
+    let client_limit =
         Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap().clients;
     let mut silent = Vec::new();
-    for _ in 0..places {
+    for _ in 0..client_limit {
         silent.extend((0..2).map(|_| TcpStream::connect(addr).unwrap()));
-        ask();
+        send_query();
     }
     drop(silent);
-    // A crowd asks once on a connection of its own each, and stays: far more than there are places.
-    let stay: Vec<TcpStream> = (0..10 * places).map(|_| ask()).collect();
-    drop(stay);
+    // Ten times as many clients as the limit allows send one query each and keep their connections open.
+    let idle: Vec<TcpStream> = (0..10 * client_limit).map(|_| send_query()).collect();
+    drop(idle);
     release.store(true, Ordering::SeqCst);
     assert_eq!(open.join().unwrap().status, 200);
     assert_eq!(coordinator.core.counters.clients_refused.load(Ordering::SeqCst), 0);
 }
 
-/// Guards against clients that hold a place for nothing: who says nothing is closed, who sends half a request
-/// is told, and an error reaches also those who go on sending.
+/// Unproductive clients do not keep their connections: a silent one is closed, one with an incomplete request gets 408,
+/// and one that sends too large a body gets 413 although it keeps sending.
 #[test]
-fn silent_and_endless_clients_are_sent_away() {
+fn silent_incomplete_and_oversized_requests_end_their_connections() {
     let (_a, _b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let silent = TcpStream::connect(coordinator.listen).unwrap();
-    let mut half = TcpStream::connect(coordinator.listen).unwrap();
-    half.write_all(b"POST /tag-lookup HTTP/1.1\r\nContent-Length: 9\r\n\r\n{").unwrap();
-    let mut endless = TcpStream::connect(coordinator.listen).unwrap();
-    endless.write_all(b"POST /tag-lookup HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n").unwrap();
-    endless.write_all(&vec![b'x'; 1024 * 1024]).unwrap();
-    assert_eq!(read_answer(&mut BufReader::new(endless)).unwrap().status, 413);
-    assert_eq!(read_answer(&mut BufReader::new(half)).unwrap().status, 408);
+    let mut incomplete = TcpStream::connect(coordinator.listen).unwrap();
+    incomplete.write_all(b"POST /tag-lookup HTTP/1.1\r\nContent-Length: 9\r\n\r\n{").unwrap();
+    let mut oversized = TcpStream::connect(coordinator.listen).unwrap();
+    oversized.write_all(b"POST /tag-lookup HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n").unwrap();
+    oversized.write_all(&vec![b'x'; 1024 * 1024]).unwrap();
+    assert_eq!(read_answer(&mut BufReader::new(oversized)).unwrap().status, 413);
+    assert_eq!(read_answer(&mut BufReader::new(incomplete)).unwrap().status, 408);
     assert!(read_answer(&mut BufReader::new(silent)).is_err());
 }
 
-/// Guards against holding more than the settings allow: the client is told when to come back.
+/// A query over the `max_open` limit of the settings is rejected with 503 and a `Retry-After` header.
 #[test]
-fn queries_over_the_limit_are_refused_with_advice() {
+fn query_over_the_limit_is_rejected_with_retry_after() {
     let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster { max_open: 4, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
@@ -422,9 +425,9 @@
     assert_eq!(coordinator.core.counters.queries_over_limit.load(Ordering::SeqCst), 1);
 }
 
-/// A query that no data node answers is refused or given up within its own time.
+/// A query that no data node answers is rejected or abandoned within its timeout.
 #[test]
-fn a_query_without_answers_ends_in_time() {
+fn query_without_answers_ends_in_time() {
     let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -432,9 +435,9 @@
     assert!(matches!(answer.status, 503 | 504), "{}", answer.status);
 }
 
-/// Guards against work for a client that has left: its parts are given up at the data nodes.
+/// The parts of a disconnected client are cancelled at the data nodes.
 #[test]
-fn a_client_that_closes_is_gone() {
+fn client_disconnect_cancels_its_parts() {
     let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -442,34 +445,34 @@
     stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).unwrap();
     until("the parts", || a.parts().len() + b.parts().len() >= 2);
     drop(stream);
-    until("the client's leaving", || {
+    until("the client's disconnect", || {
         coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
     });
-    until("the parts given up", || a.given_up().len() + b.given_up().len() >= 2);
+    until("the cancellation of the parts", || a.given_up().len() + b.given_up().len() >= 2);
 }
 
-/// Guards a planned restart: what is held is answered, what is idle is closed, and the program ends with 0.
+/// SIGTERM: open queries are answered, idle connections are closed, and the program exits with status 0.
 #[test]
-fn sigterm_finishes_what_is_held() {
+fn sigterm_completes_open_queries() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
     let addr = program.addr;
     let idle = TcpStream::connect(addr).unwrap();
-    let asked = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
+    let client = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
     until("the parts", || a.parts().len() + b.parts().len() >= 2);
     program.signal("TERM");
     until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
     release.store(true, Ordering::SeqCst);
-    assert_eq!(asked.join().unwrap().status, 200);
+    assert_eq!(client.join().unwrap().status, 200);
     assert!(program.ended().contains("cdAnswersWhole 1"));
     assert!(read_answer(&mut BufReader::new(idle)).is_err());
 }
 
-/// Guards against holding a request when the process must end: what comes after SIGTERM is answered in time
-/// for that, though its client would wait for longer and no data node answers.
+/// A query that is accepted after SIGTERM is answered before the process must exit, even if its client would wait for
+/// longer and no data node answers.
 #[test]
-fn what_comes_after_sigterm_is_answered_before_the_end() {
+fn query_accepted_after_sigterm_is_answered_before_the_exit() {
     let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
     let addr = program.addr;
@@ -486,47 +489,47 @@
     assert_eq!(answered, u64::from(answer.is_ok()));
 }
 
-/// Guards a new configuration: SIGHUP ends nothing, the list is asked for whole at its new address at once,
-/// twice over and after SIGTERM too, versions and all; a file that cannot be read changes nothing.
+/// SIGHUP with a new discovery address interrupts no query. The coordinator requests the full list at the new address
+/// at once, whatever its version, also at a second change and after SIGTERM. An unreadable file changes nothing.
 #[test]
-fn sighup_moves_the_list() {
+fn sighup_changes_the_discovery_address() {
     let (release, slow) = held_back();
     let (a, b, first) = two(slow.clone(), slow);
-    // With a second address, whose figures tell that a file was turned down.
+    // The statistics on the control address show whether a file was rejected.
     let config = |discovery: &Discovery| {
         TestCluster::default().config(discovery.addr).replacen('{', r#"{"control":"127.0.0.1:0","#, 1)
     };
     let mut program = Program::start(&config(&first));
     until("the first watch", || first.watches() == 1);
     program.reload("{");
-    // Words that come fast upon each other run together, and the file is read as it is by then: only now may another
-    // be put in its place.
-    until("the file to be turned down", || program.figure("reloads_failed") == Some(1));
-    // The second knows one data node of the two, and the third both.
+    // Signals in quick succession are merged and the file is read afterwards, so the next file must not replace this
+    // one before it is rejected.
+    until("the file's rejection", || program.statistic("reloads_failed") == Some(1));
+    // The second discovery service lists one of the two data nodes, the third both.
     let second = Discovery::start("127.0.0.1:0", vec![member("b", 1, b.addr)]);
     program.reload(&config(&second));
     until("the second watch", || second.watches() == 1 && second.lists() == 1);
     assert_eq!(first.watches(), 1);
     let addr = program.addr;
-    let asked = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
+    let client = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
     until("the parts", || b.parts().len() == 2);
     assert_eq!(a.parts().len(), 0);
-    // From SIGTERM on the program's own time runs: all is in place before it, but for the word itself.
+    // SIGTERM starts the program's shutdown timeout, so everything but the SIGHUP is prepared before it.
     let third = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
-    program.put(&config(&third));
+    program.replace_config(&config(&third));
     program.signal("TERM");
     program.until("the drain", || get(addr, "/_health").is_ok_and(|a| a.status == 503));
     assert_eq!((third.watches(), third.lists()), (0, 0));
     program.signal("HUP");
     program.until("the third watch", || third.watches() == 1 && third.lists() == 1);
     release.store(true, Ordering::SeqCst);
-    assert_eq!(asked.join().unwrap().status, 200);
+    assert_eq!(client.join().unwrap().status, 200);
     let log = program.ended();
     assert_eq!(log.lines().filter(|l| l.contains("configuration rejected")).count(), 1, "{log}");
 }
 
 #[test]
-fn a_bad_configuration_ends_the_start_with_one_line() {
+fn invalid_configuration_ends_the_start_with_one_line() {
     let run = |args: &[&str]| {
         let output =
             Command::new(env!("CARGO_BIN_EXE_curlewdeck")).args(args).env_remove("LB_CONFIG").output();
@@ -546,19 +549,19 @@
     assert!(run(&["version", "--loud"]).contains("--loud"));
 }
 
-/// The examples are what a newcomer starts from: they must stay usable.
+/// The example configurations stay valid.
 #[test]
-fn the_examples_can_be_used() {
+fn example_configurations_are_valid() {
     let check = |edge: &str| {
         let args = ["check", "--config", "examples/config.json", "--edge", edge];
         let output = Command::new(env!("CARGO_BIN_EXE_curlewdeck")).args(args).output().unwrap();
         let text = |bytes| String::from_utf8(bytes).unwrap();
         (output.status.success(), text(output.stdout) + &text(output.stderr))
     };
-    let (good, text) = check("examples/edge.toml");
-    assert!(good && text.contains("feature front on, desk front off, management agent on"), "{text}");
-    let (good, text) = check("examples/desk.toml");
-    assert!(good && text.contains("feature front off, desk front on, management agent off"), "{text}");
-    let (good, text) = check("deploy/edge.toml");
-    assert!(good && text.contains("feature front off, desk front off, management agent off"), "{text}");
+    let (valid, text) = check("examples/edge.toml");
+    assert!(valid && text.contains("feature front on, desk front off, management agent on"), "{text}");
+    let (valid, text) = check("examples/desk.toml");
+    assert!(valid && text.contains("feature front off, desk front on, management agent off"), "{text}");
+    let (valid, text) = check("deploy/edge.toml");
+    assert!(valid && text.contains("feature front off, desk front off, management agent off"), "{text}");
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,6 +1,6 @@
-//! New configurations that cannot be read at first, on loopback: a file that is half written, that is missing, that is
-//! something else for a moment, or that does not end. The program runs in processes of its own, and a move of discovery
-//! must reach it in time whatever became of the first read after SIGHUP.
+//! Reloads of configuration files that cannot be read at first: a file that is incomplete, missing, temporarily
+//! replaced by something else, or a pipe that does not end. The program runs as a separate process on loopback and must
+//! follow a change of the discovery address in time, whatever the first read after SIGHUP returned.
 
 mod harness;
 
@@ -17,10 +17,10 @@
 use harness::stand_in::{DataNode, Discovery};
 use harness::{member, query, served, until, Program, TestCluster};
 
-/// What discovery has counts as notified so long after SIGHUP.
+/// Time after SIGHUP at which the content of the new discovery counts as notified.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(4);
 
-/// A configuration with a second address that names this discovery, changed as the test wants.
+/// Renders a configuration with a control address and this discovery address, after `change` has modified it.
 fn config(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> String {
     let mut config: Value = serde_json::from_str(&TestCluster::default().config(discovery.addr)).unwrap();
     config["control"] = json!("127.0.0.1:0");
@@ -28,11 +28,11 @@
     config.to_string()
 }
 
-fn naming(discovery: &Discovery) -> String {
+fn config_with_discovery(discovery: &Discovery) -> String {
     config(discovery, |_| ())
 }
 
-/// A program whose discovery moves from `old` to `new`, and two data nodes that both of them list.
+/// A program whose discovery address changes from `old` to `new`, and two data nodes that both services list.
 struct MovingDiscovery {
     program: Program,
     old: Discovery,
@@ -43,15 +43,16 @@
 impl MovingDiscovery {
     fn start() -> Self {
         let nodes = [DataNode::start(served), DataNode::start(served)];
-        let list = || vec![member("a", 0, nodes[0].addr), member("b", 1, nodes[1].addr)];
-        let (old, new) = (Discovery::start("127.0.0.1:0", list()), Discovery::start("127.0.0.1:0", list()));
-        let program = Program::start(&naming(&old));
+        let members = || vec![member("a", 0, nodes[0].addr), member("b", 1, nodes[1].addr)];
+        let (old, new) =
+            (Discovery::start("127.0.0.1:0", members()), Discovery::start("127.0.0.1:0", members()));
+        let program = Program::start(&config_with_discovery(&old));
         Self { program, old, new, nodes }
     }
 
-    /// Files applied and rejected.
+    /// Numbers of files applied and rejected.
     fn reloads(&self) -> (u64, u64) {
-        (self.program.figure("reloads_ok").unwrap(), self.program.figure("reloads_failed").unwrap())
+        (self.program.statistic("reloads_ok").unwrap(), self.program.statistic("reloads_failed").unwrap())
     }
 
     fn config_file(&self) -> PathBuf {
@@ -64,37 +65,38 @@
         signalled
     }
 
-    /// Has a pipe read as its configuration; returns the end that writes to it, once the read has begun.
+    /// Replaces the configuration with a pipe and sends SIGHUP; returns the pipe's writing end once the read has begun.
     fn reload_pipe(&self) -> File {
-        let pipe = self.program.reload_made(make_pipe);
+        let pipe = self.program.reload_with(make_pipe);
         File::options().write(true).open(pipe).unwrap()
     }
 
-    fn assert_rejected(&self, files: u64) {
-        until("the file to be turned down", || self.reloads().1 == files);
+    /// Waits until this number of files has been rejected.
+    fn wait_for_rejections(&self, files: u64) {
+        until("the file's rejection", || self.reloads().1 == files);
     }
 
-    /// The new discovery must be watched in time, and its drain of the first data node be heeded; the old one tells of
-    /// no drain.
-    fn assert_follows(&self, signalled: Instant) {
+    /// Asserts that the program watches the new discovery in time and applies a drain that only the new discovery
+    /// reports.
+    fn assert_follows_new_discovery(&self, signalled: Instant) {
         while self.new.watches() == 0 {
             let waited = signalled.elapsed();
-            assert!(waited < NOTIFIED_AFTER, "{waited:?} after SIGHUP the new discovery is not asked");
+            assert!(waited < NOTIFIED_AFTER, "no watch of the new discovery {waited:?} after SIGHUP");
             sleep(Duration::from_millis(5));
         }
         self.new.set("a", "draining");
-        until("the drain", || self.program.figure("data_nodes_excluded") == Some(1));
+        until("the drain", || self.program.statistic("data_nodes_excluded") == Some(1));
         let parts = || self.nodes[0].parts().len();
         let before = parts();
         for shard in 0..4 {
             assert_eq!(query(self.program.addr, "tag-lookup", &[shard]).unwrap().status, 200);
         }
-        assert_eq!(parts(), before, "sent to a draining data node");
+        assert_eq!(parts(), before, "sent a part to a draining data node");
     }
 }
 
-/// The log's lines on rejected files.
-fn rejection_lines(log: &str) -> usize {
+/// Counts the log lines on rejected files.
+fn rejection_count(log: &str) -> usize {
     log.lines().filter(|l| l.contains("configuration rejected")).count()
 }
 
@@ -102,35 +104,35 @@
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
 }
 
-/// Guards a configuration that is put in place in halves, under one SIGHUP: the first half is rejected at once, and
-/// the complete file is applied without another signal.
+/// A configuration is still incomplete when SIGHUP arrives. The incomplete file is rejected at once, and the complete
+/// one is applied without another signal.
 #[test]
-fn a_file_written_in_halves_is_applied_once_it_is_complete() {
+fn incomplete_file_is_applied_once_it_is_complete() {
     let moving = MovingDiscovery::start();
-    let complete = naming(&moving.new);
+    let complete = config_with_discovery(&moving.new);
     for (turn, cut) in [complete.len() / 2, 0].into_iter().enumerate() {
-        moving.program.put(&complete[..cut]);
+        moving.program.replace_config(&complete[..cut]);
         let signalled = moving.send_sighup();
-        moving.assert_rejected(turn as u64 + 1);
+        moving.wait_for_rejections(turn as u64 + 1);
         assert_eq!(moving.new.lists(), usize::from(turn > 0));
-        moving.program.put(&complete);
+        moving.program.replace_config(&complete);
         match turn {
-            0 => moving.assert_follows(signalled),
-            _ => until("the whole file", || moving.reloads().0 == 2),
+            0 => moving.assert_follows_new_discovery(signalled),
+            _ => until("the complete file", || moving.reloads().0 == 2),
         }
     }
     assert_eq!(moving.reloads(), (2, 2));
     assert_eq!((moving.new.lists(), moving.old.watches()), (1, 1));
     moving.program.signal("TERM");
     let log = moving.program.ended();
-    assert_eq!(rejection_lines(&log), 2, "{log}");
+    assert_eq!(rejection_count(&log), 2, "{log}");
 }
 
-/// Guards a file that cannot be read for a moment: it is missing, a folder, or a link that leads to itself.
+/// The file cannot be read for a moment: it is missing, a directory, or a symbolic link to itself. The read is retried.
 #[test]
-fn an_unreadable_file_is_read_again() {
-    type Spoil = fn(&Path);
-    let spoils: [(Spoil, Spoil, &str); 3] = [
+fn unreadable_file_is_read_again() {
+    type FileChange = fn(&Path);
+    let faults: [(FileChange, FileChange, &str); 3] = [
         (|path| std::fs::remove_file(path).unwrap(), |_| (), "No such file"),
         (
             |path| {
@@ -149,133 +151,134 @@
             "symbolic links",
         ),
     ];
-    for (spoil, mend, why) in spoils {
+    for (inject, repair, error) in faults {
         let moving = MovingDiscovery::start();
-        spoil(&moving.config_file());
+        inject(&moving.config_file());
         let signalled = moving.send_sighup();
-        moving.assert_rejected(1);
-        mend(&moving.config_file());
-        moving.program.put(&naming(&moving.new));
-        moving.assert_follows(signalled);
-        assert_eq!(moving.reloads(), (1, 1), "{why}");
+        moving.wait_for_rejections(1);
+        repair(&moving.config_file());
+        moving.program.replace_config(&config_with_discovery(&moving.new));
+        moving.assert_follows_new_discovery(signalled);
+        assert_eq!(moving.reloads(), (1, 1), "{error}");
         moving.program.signal("TERM");
         let log = moving.program.ended();
         let line = log.lines().find(|l| l.contains("configuration rejected")).unwrap();
-        assert!(line.contains(why) && rejection_lines(&log) == 1, "{log}");
+        assert!(line.contains(error) && rejection_count(&log) == 1, "{log}");
     }
 }
 
-/// Guards a file that is replaced while it is read, with no further SIGHUP: what was read is cut short, and the file that
-/// is there by then holds.
+/// The file is replaced while it is read, with no further SIGHUP. The truncated content is rejected and the new file is
+/// applied.
 #[test]
-fn a_file_replaced_while_it_is_read_is_read_again() {
+fn file_replaced_while_it_is_read_is_read_again() {
     let moving = MovingDiscovery::start();
     let signalled = Instant::now();
-    let mut slow = moving.reload_pipe();
-    let complete = naming(&moving.new);
-    slow.write_all(&complete.as_bytes()[..complete.len() / 2]).unwrap();
-    moving.program.put(&complete);
-    drop(slow);
-    moving.assert_follows(signalled);
+    let mut slow_writer = moving.reload_pipe();
+    let complete = config_with_discovery(&moving.new);
+    slow_writer.write_all(&complete.as_bytes()[..complete.len() / 2]).unwrap();
+    moving.program.replace_config(&complete);
+    drop(slow_writer);
+    moving.assert_follows_new_discovery(signalled);
     assert_eq!(moving.reloads(), (1, 1));
 }
 
-/// Guards a newer SIGHUP against a read that does not end, here of a pipe whose writer says nothing: the newer file is
-/// applied all the same, and what the pipe gives in the end is not.
+/// A read hangs, here of a pipe with a silent writer, when a newer SIGHUP arrives. The newer file is applied, and what
+/// the pipe returns later is not.
 #[test]
-fn a_hanging_read_does_not_delay_a_newer_file() {
+fn hanging_read_does_not_delay_a_newer_file() {
     let moving = MovingDiscovery::start();
-    let mut silent = moving.reload_pipe();
-    moving.program.put(&naming(&moving.new));
+    let mut silent_writer = moving.reload_pipe();
+    moving.program.replace_config(&config_with_discovery(&moving.new));
     let signalled = moving.send_sighup();
-    moving.assert_follows(signalled);
-    // The pipe's file was rejected when its read was abandoned.
+    moving.assert_follows_new_discovery(signalled);
+    // The pipe was rejected when its read was abandoned.
     assert_eq!(moving.reloads(), (1, 1));
-    silent.write_all(naming(&moving.old).as_bytes()).unwrap();
-    drop(silent);
+    silent_writer.write_all(config_with_discovery(&moving.old).as_bytes()).unwrap();
+    drop(silent_writer);
     moving.program.reload("{}");
-    moving.assert_rejected(2);
+    moving.wait_for_rejections(2);
     assert_eq!((moving.reloads().0, moving.old.watches(), moving.new.watches()), (1, 1, 1));
     moving.program.signal("TERM");
     let log = moving.program.ended();
-    assert!(rejection_lines(&log) == 2 && log.contains("too long"), "{log}");
+    assert!(rejection_count(&log) == 2 && log.contains("too long"), "{log}");
 }
 
-/// Guards a file that is complete and invalid: it is rejected for good, its discovery included, and what is put in its place
-/// waits for its own SIGHUP.
+/// A complete but invalid file is rejected without a retry, including its discovery address. A file that replaces it is
+/// read only after another SIGHUP.
 #[test]
-fn a_complete_but_invalid_file_is_not_read_again() {
+fn complete_but_invalid_file_is_not_read_again() {
     let moving = MovingDiscovery::start();
-    let bad = config(&moving.new, |c| drop(c["settings"].as_object_mut().unwrap().remove("rules")));
-    moving.program.reload(&bad);
-    moving.assert_rejected(1);
-    moving.program.put(&naming(&moving.new));
+    let invalid = config(&moving.new, |c| drop(c["settings"].as_object_mut().unwrap().remove("rules")));
+    moving.program.reload(&invalid);
+    moving.wait_for_rejections(1);
+    moving.program.replace_config(&config_with_discovery(&moving.new));
     sleep(NOTIFIED_AFTER + Duration::from_millis(200));
     assert_eq!((moving.reloads(), moving.new.lists() + moving.new.watches()), ((0, 1), 0));
     let signalled = moving.send_sighup();
-    moving.assert_follows(signalled);
+    moving.assert_follows_new_discovery(signalled);
     assert_eq!(moving.reloads(), (1, 1));
 }
 
-/// Guards the figures where a file is applied by a retry before its own SIGHUP comes: it is one file. The next SIGHUP
-/// counts again.
+/// A retry applies a file before the SIGHUP for this file arrives. The statistics count the file once; the next SIGHUP
+/// is counted again.
 #[test]
-fn a_file_applied_before_its_signal_is_counted_once() {
+fn file_applied_before_its_signal_is_counted_once() {
     let moving = MovingDiscovery::start();
     moving.program.reload("{");
-    moving.assert_rejected(1);
-    moving.program.put(&naming(&moving.new));
+    moving.wait_for_rejections(1);
+    moving.program.replace_config(&config_with_discovery(&moving.new));
     until("the file", || moving.reloads() == (1, 1));
-    // A pipe with the same text, which tells when the signal's read has begun.
+    // The same text through a pipe, whose open returns when the read of this SIGHUP has begun.
     let mut same = moving.reload_pipe();
-    same.write_all(naming(&moving.new).as_bytes()).unwrap();
+    same.write_all(config_with_discovery(&moving.new).as_bytes()).unwrap();
     drop(same);
     moving.program.reload("{}");
-    moving.assert_rejected(2);
+    moving.wait_for_rejections(2);
     assert_eq!(moving.reloads(), (1, 2));
-    moving.program.reload(&naming(&moving.new));
+    moving.program.reload(&config_with_discovery(&moving.new));
     until("the next signal's file", || moving.reloads() == (2, 2));
     assert_eq!((moving.new.watches(), moving.new.lists()), (1, 1));
 }
 
-/// Guards moves that come fast upon each other, there and back, with halves in between: the last file holds, and
-/// discovery where it names it.
+/// The discovery address changes back and forth in quick succession, with incomplete files in between. The last file
+/// and its discovery address are in effect.
 #[test]
-fn the_last_of_many_files_holds() {
+fn last_of_many_files_is_in_effect() {
     let moving = MovingDiscovery::start();
-    let (old, new) = (naming(&moving.old), naming(&moving.new));
+    let (old, new) = (config_with_discovery(&moving.old), config_with_discovery(&moving.new));
     for text in [&new, &old, &new, &new, &new[..100].to_string(), &old, &old[..200].to_string(), &new] {
         moving.program.reload(text);
     }
     let signalled = Instant::now();
-    // Watches of the moves before do not hide that the last one holds: only the new discovery tells of this drain.
-    moving.assert_follows(signalled);
-    // Back again, and the same address once more.
+    // Earlier changes may have opened watches of the new discovery too; but its drain is applied only if it is in
+    // effect.
+    moving.assert_follows_new_discovery(signalled);
+    // Changes back to the old address, and then reloads the same file.
     let watches = moving.old.watches();
     moving.program.reload(&old);
-    until("the way back", || moving.old.watches() == watches + 1);
-    let (taken, _) = moving.reloads();
+    until("the return to the old discovery", || moving.old.watches() == watches + 1);
+    let (applied, _) = moving.reloads();
     moving.program.reload(&old);
-    until("the same file", || moving.reloads().0 > taken);
-    assert_eq!(moving.old.watches(), watches + 1, "moved to where it is");
+    until("the same file", || moving.reloads().0 > applied);
+    assert_eq!(moving.old.watches(), watches + 1, "reconnected although the address is unchanged");
     moving.old.set("b", "draining");
-    until("its drain", || moving.program.figure("data_nodes_excluded") == Some(1));
+    until("the drain at the old discovery", || moving.program.statistic("data_nodes_excluded") == Some(1));
 }
 
-/// Guards SIGTERM while a file is waiting to be read again, and while one is read that does not end: the process ends as
-/// ever, and a complete file is still applied on the way.
+/// SIGTERM arrives while a file waits for a retry, or while a read hangs. The process ends as usual, and a file that is
+/// completed during the shutdown is still applied.
 #[test]
 fn retries_do_not_delay_shutdown() {
     for hangs in [false, true] {
         let mut moving = MovingDiscovery::start();
         moving.program.reload("{");
-        moving.assert_rejected(1);
+        moving.wait_for_rejections(1);
         if hangs {
-            moving.program.reload_made(make_pipe);
+            moving.program.reload_with(make_pipe);
         }
         moving.program.signal("TERM");
         if !hangs {
-            moving.program.put(&naming(&moving.new));
+            moving.program.replace_config(&config_with_discovery(&moving.new));
             let new = moving.new.clone();
             moving.program.until("the new discovery", || new.watches() == 1);
         }
@@ -284,9 +287,9 @@
     }
 }
 
-/// Guards a reload against files that only the start needs: the keys of a front, which cannot be read for a moment.
+/// A file that only the start needs, here a frontend's keys, is missing at a reload. The reload does not read it.
 #[test]
-fn a_reload_reads_no_file_but_its_own() {
+fn reload_reads_only_the_configuration_file() {
     let edge = r#"
         [desk]
         listen = "127.0.0.1:0"
@@ -299,16 +302,16 @@
     "#;
     let MovingDiscovery { program, old, new, nodes } = MovingDiscovery::start();
     drop(program);
-    let program = Program::start_prepared(&naming(&old), None, |folder| {
-        std::fs::create_dir(folder.join("deploy")).unwrap();
-        std::fs::write(folder.join("deploy/edge.toml"), edge).unwrap();
-        std::fs::write(folder.join("keys"), "5f".repeat(32)).unwrap();
-        std::fs::set_permissions(folder.join("keys"), PermissionsExt::from_mode(0o600)).unwrap();
+    let program = Program::start_prepared(&config_with_discovery(&old), None, |directory| {
+        std::fs::create_dir(directory.join("deploy")).unwrap();
+        std::fs::write(directory.join("deploy/edge.toml"), edge).unwrap();
+        std::fs::write(directory.join("keys"), "5f".repeat(32)).unwrap();
+        std::fs::set_permissions(directory.join("keys"), PermissionsExt::from_mode(0o600)).unwrap();
     });
     let moving = MovingDiscovery { program, old, new, nodes };
     std::fs::remove_file(moving.program.folder().join("keys")).unwrap();
-    moving.program.put(&naming(&moving.new));
+    moving.program.replace_config(&config_with_discovery(&moving.new));
     let signalled = moving.send_sighup();
-    moving.assert_follows(signalled);
+    moving.assert_follows_new_discovery(signalled);
     assert_eq!(moving.reloads(), (1, 0));
 }
