--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -1,5 +1,6 @@
-//! The stricter terms, each forced on real sockets (docs/design/stricter-terms.md): what may begin for a client that has
-//! left, what time a data node is told, and that whatever is read gets its final answer.
+//! The stricter acceptance terms (docs/design/stricter-terms.md), each forced on real sockets: no attempt begins for a
+//! disconnected client, data nodes get the client's remaining time, and every request that was read gets a final
+//! answer.
 
 mod harness;
 
@@ -16,60 +17,63 @@
 use harness::stand_in::{read_answer, Answer, DataNode, Discovery, NodeReply, Part};
 use harness::{held_back, member, query, query_bytes, ready, served, start, two, until, TestCluster};
 
-/// Far longer than anything here takes, and an end all the same.
-const LONG: Duration = Duration::from_secs(60);
-/// What begins for a client that has left begins within this of its leaving.
-const LEFT_GRACE: Duration = Duration::from_millis(100);
-/// So much more than what is left to the client a data node may be told.
+/// Read timeout of the clients, far longer than any exchange of these tests takes.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum time after a client's disconnect at which an attempt for it may still begin.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// Maximum excess of the time that a data node is given over the client's remaining time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// The time that clients give whose deadlines are looked at.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout that the clients send with their queries.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One test at a time: their coordinators share one worker.
-fn alone() -> MutexGuard<'static, ()> {
-    static TURN: Mutex<()> = Mutex::new(());
-    TURN.lock().unwrap_or_else(PoisonError::into_inner)
+/// Serializes the tests of this file, whose coordinators share one worker.
+fn exclusive_test() -> MutexGuard<'static, ()> {
+    static RUNNING: Mutex<()> = Mutex::new(());
+    RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How long the threads of this process have waited for a processor, all together, as the system counts it: what is seen
-/// here is seen that much late at most.
-fn waited_for_processors() -> Duration {
+/// Total time that this process's threads have waited for a processor, by the kernel's accounting. It bounds how late
+/// an event is observed here.
+fn processor_wait() -> Duration {
     let tasks = std::fs::read_dir("/proc/self/task").unwrap();
     let waited = tasks.filter_map(|task| {
-        // A thread may end meanwhile. Its line says how long it ran, how long it waited, and how often it ran.
+        // A thread may end meanwhile. The fields are the time on a processor, the time waiting for one, and the number
+        // of time slices.
         let line = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
         line.split(' ').nth(1)?.parse::<u64>().ok()
     });
     Duration::from_nanos(waited.sum())
 }
 
-/// A request on a connection of its own.
-struct Asked {
+/// A query sent by a test client.
+struct SentQuery {
     stream: TcpStream,
     id: String,
-    at: Instant,
-    waited: Duration,
+    sent_at: Instant,
+    /// [`processor_wait`] at `sent_at`.
+    wait_before: Duration,
 }
 
-impl Asked {
+impl SentQuery {
+    /// Sends a query on a new connection.
     fn new(addr: SocketAddr, class: &str, shards: &[u32]) -> Self {
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         Self::on(stream, class, shards)
     }
 
     fn on(mut stream: TcpStream, class: &str, shards: &[u32]) -> Self {
-        let bytes = query_bytes(class, shards, &format!("{}m", PATIENCE.as_millis()));
+        let bytes = query_bytes(class, shards, &format!("{}m", CLIENT_TIMEOUT.as_millis()));
         let id = String::from_utf8_lossy(&bytes)
             .lines()
             .find_map(|l| l.strip_prefix("X-Request-ID: ").map(str::to_string));
-        let (waited, at) = (waited_for_processors(), Instant::now());
+        let (wait_before, sent_at) = (processor_wait(), Instant::now());
         stream.write_all(&bytes).unwrap();
-        Self { stream, id: id.unwrap(), at, waited }
+        Self { stream, id: id.unwrap(), sent_at, wait_before }
     }
 
-    /// Another one right behind it.
-    fn ahead(&self, class: &str, shards: &[u32]) -> Self {
+    /// Pipelines another query on the same connection.
+    fn pipeline(&self, class: &str, shards: &[u32]) -> Self {
         Self::on(self.stream.try_clone().unwrap(), class, shards)
     }
 
@@ -77,44 +81,45 @@
         read_answer(&mut BufReader::new(self.stream.try_clone().unwrap()))
     }
 
-    fn closes(&self) -> Instant {
+    /// Closes the connection; returns the moment of the disconnect.
+    fn disconnect(&self) -> Instant {
         self.stream.shutdown(Shutdown::Both).unwrap();
         Instant::now()
     }
 
-    /// How much later than it happened something may be seen that began since it was asked: next to nothing at rest.
-    fn seen_late(&self) -> Duration {
-        waited_for_processors().saturating_sub(self.waited)
+    /// Upper bound on the delay with which events since `sent_at` are observed; next to zero on an idle machine.
+    fn max_observation_delay(&self) -> Duration {
+        processor_wait().saturating_sub(self.wait_before)
     }
 
-    /// Its attempts, and when each began.
+    /// The query's attempts with their start times.
     fn attempts(&self, nodes: &[&DataNode]) -> Vec<(Part, Instant)> {
         let all = nodes.iter().flat_map(|node| node.begun());
         all.filter(|(part, _)| part.id.starts_with(&self.id)).collect()
     }
 
-    /// That none of its attempts began later than is allowed after its client left.
-    fn none_after(&self, left: Instant, nodes: &[&DataNode]) {
+    /// Asserts that no attempt began later than the grace period after the client's disconnect.
+    fn assert_no_attempt_after(&self, disconnected: Instant, nodes: &[&DataNode]) {
         for (part, begun) in self.attempts(nodes) {
-            let late = begun.saturating_duration_since(left);
+            let delay = begun.saturating_duration_since(disconnected);
             assert!(
-                late <= LEFT_GRACE + self.seen_late(),
-                "{} began {late:?} after its client had left",
+                delay <= DISCONNECT_GRACE + self.max_observation_delay(),
+                "{} began {delay:?} after its client disconnected",
                 part.id
             );
         }
     }
 
-    /// That no attempt was told more time than was left to the client; returns how many there were.
-    fn deadlines_kept(&self, nodes: &[&DataNode]) -> usize {
+    /// Asserts that no attempt was given more time than the client had left; returns the number of attempts.
+    fn assert_deadlines_respected(&self, nodes: &[&DataNode]) -> usize {
         let attempts = self.attempts(nodes);
         for (part, begun) in &attempts {
-            let told = part.list.split(',').find_map(|f| f.strip_prefix("d=")).unwrap();
-            let told = Duration::from_millis(told.parse().unwrap());
-            let left = PATIENCE.saturating_sub(begun.duration_since(self.at));
+            let given = part.list.split(',').find_map(|f| f.strip_prefix("d=")).unwrap();
+            let given = Duration::from_millis(given.parse().unwrap());
+            let remaining = CLIENT_TIMEOUT.saturating_sub(begun.duration_since(self.sent_at));
             assert!(
-                told <= left + DEADLINE_SLACK + self.seen_late(),
-                "{} is told {told:?} where {left:?} is left",
+                given <= remaining + DEADLINE_SLACK + self.max_observation_delay(),
+                "{} was given {given:?} with {remaining:?} remaining",
                 part.id
             );
         }
@@ -126,8 +131,8 @@
     counter.load(Ordering::SeqCst)
 }
 
-/// Waits until the query of a client that leaves has ended: with its leaving, or with an answer that was quicker.
-fn gone(coordinator: &Coordinator) {
+/// Waits until the query of a disconnecting client has ended, by the disconnect or by an earlier answer.
+fn wait_for_query_end(coordinator: &Coordinator) {
     let c = &coordinator.core.counters;
     let ended = [
         &c.clients_disconnected,
@@ -136,14 +141,14 @@
         &c.queries_rejected,
         &c.queries_failed,
     ];
-    until("the leaving", || ended.iter().any(|end| count(end) > 0));
+    until("the query's end", || ended.iter().any(|end| count(end) > 0));
 }
 
-/// A coordinator that knows a list from before its start, which is not confirmed yet; its call for the list is open.
-fn unconfirmed(nodes: &[(&str, u32, SocketAddr)]) -> (Coordinator, TcpStream) {
+/// Starts a coordinator with a stored endpoint list that discovery has not confirmed; returns it with its open call.
+fn start_with_unconfirmed_list(nodes: &[(&str, u32, SocketAddr)]) -> (Coordinator, TcpStream) {
     let (discovery, addr) = Scripted::new();
     let known = format!(r#""known":{},"seed""#, list(1, nodes));
-    // Aims are long: what waits for the list is not refused for it.
+    // A long latency goal, so that a query that waits for the list is not rejected for the wait.
     let config =
         TestCluster::default().config(addr).replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#);
     let coordinator = start(&config.replacen(r#""seed""#, &known, 1), "");
@@ -151,75 +156,77 @@
     (coordinator, call)
 }
 
-fn confirmed(call: &mut TcpStream, nodes: &[(&str, u32, SocketAddr)]) {
+fn confirm_list(call: &mut TcpStream, nodes: &[(&str, u32, SocketAddr)]) {
     call.write_all(&[WATCH, &chunk(&(list(2, nodes) + "\n"))].concat()).unwrap();
 }
 
-/// A data node's place at which connections do not come up for now: as many wait there as it takes.
-fn crowded() -> (TcpListener, Vec<TcpStream>) {
+/// Returns a data node's listener with a full queue, so that further connections are not established, and the
+/// connections that fill the queue.
+fn listener_with_full_queue() -> (TcpListener, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let mut waiting = Vec::new();
+    let mut fillers = Vec::new();
     loop {
         match TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
-            Ok(stream) => waiting.push(stream),
-            Err(e) if e.kind() == ErrorKind::TimedOut => return (listener, waiting),
+            Ok(stream) => fillers.push(stream),
+            Err(e) if e.kind() == ErrorKind::TimedOut => return (listener, fillers),
             Err(e) => panic!("{e}"),
         }
     }
 }
 
-/// A coordinator of one data node, at whose place connections do not come up for now.
-fn behind_a_crowd() -> (Coordinator, Discovery, TcpListener, Vec<TcpStream>) {
-    let (listener, waiting) = crowded();
+/// Starts a coordinator of one data node, whose listener's queue is full.
+fn start_with_unreachable_node() -> (Coordinator, Discovery, TcpListener, Vec<TcpStream>) {
+    let (listener, fillers) = listener_with_full_queue();
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, listener.local_addr().unwrap())]);
     let coordinator =
         TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
-    (coordinator, discovery, listener, waiting)
+    (coordinator, discovery, listener, fillers)
 }
 
-// ---- Clients that leave. ----
+// ---- Client disconnects. ----
 
-/// A query whose list is not confirmed when its client leaves: nothing of it goes out once it is.
+/// The client disconnects while its query waits for discovery to confirm the list. The confirmation must not start it.
 #[test]
-fn nothing_begins_for_a_client_that_left_before_the_list_was_confirmed() {
-    let _alone = alone();
+fn no_attempt_begins_if_the_client_disconnected_before_the_list_was_confirmed() {
+    let _guard = exclusive_test();
     let (a, b) = (DataNode::start(served), DataNode::start(served));
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
-    let (coordinator, mut call) = unconfirmed(&nodes);
-    let asked = Asked::new(coordinator.listen, "tag-lookup", &[0, 1]);
+    let (coordinator, mut call) = start_with_unconfirmed_list(&nodes);
+    let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0, 1]);
     until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
-    let left = asked.closes();
-    gone(&coordinator);
-    confirmed(&mut call, &nodes);
+    let disconnected = sent.disconnect();
+    wait_for_query_end(&coordinator);
+    confirm_list(&mut call, &nodes);
     assert_eq!(query(coordinator.listen, "tag-lookup", &[0, 1]).unwrap().status, 200);
-    asked.none_after(left, &[&a, &b]);
+    sent.assert_no_attempt_after(disconnected, &[&a, &b]);
 }
 
-/// A query whose connection to the data node is not up when its client leaves: nothing of it goes over that one.
+/// The client disconnects while its query waits for a connection to the data node. Nothing of the query is sent once
+/// the connection is established.
 #[test]
-fn nothing_begins_for_a_client_that_left_before_the_connection_was_up() {
-    let _alone = alone();
-    let (coordinator, _discovery, listener, waiting) = behind_a_crowd();
-    let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
+fn no_attempt_begins_if_the_client_disconnected_before_the_connection_was_established() {
+    let _guard = exclusive_test();
+    let (coordinator, _discovery, listener, fillers) = start_with_unreachable_node();
+    let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
     until("the dial", || count(&coordinator.core.counters.dials) > 0);
-    let left = asked.closes();
-    gone(&coordinator);
+    let disconnected = sent.disconnect();
+    wait_for_query_end(&coordinator);
     let node = DataNode::at(listener, served);
-    drop(waiting);
+    drop(fillers);
     assert_eq!(query(coordinator.listen, "tag-lookup", &[1]).unwrap().status, 200);
-    asked.none_after(left, &[&node]);
-    assert!(asked.attempts(&[&node]).is_empty());
+    sent.assert_no_attempt_after(disconnected, &[&node]);
+    assert!(sent.attempts(&[&node]).is_empty());
 }
 
-/// A client that leaves in the moment in which its attempt fails, once before and once after it: there is no retry.
+/// The client disconnects just before or just after its attempt fails. No retry begins later than the grace period.
 #[test]
-fn nothing_is_tried_again_for_a_client_that_left_as_the_attempt_failed() {
-    let _alone = alone();
+fn failed_attempt_of_a_disconnected_client_is_not_retried() {
+    let _guard = exclusive_test();
     for round in 0..10 {
         let failing = Arc::new(AtomicBool::new(false));
-        let fails = {
+        let fail_on_signal = {
             let failing = failing.clone();
             move |part: &Part| {
                 until("the failure", || failing.load(Ordering::SeqCst));
@@ -229,45 +236,45 @@
                 }
             }
         };
-        let (a, b, discovery) = two(fails.clone(), fails);
+        let (a, b, discovery) = two(fail_on_signal.clone(), fail_on_signal);
         let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
-        let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
-        until("the attempt", || !asked.attempts(&[&a, &b]).is_empty());
-        let left = if round % 2 == 0 {
-            let left = asked.closes();
+        let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
+        until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
+        let disconnected = if round % 2 == 0 {
+            let disconnected = sent.disconnect();
             failing.store(true, Ordering::SeqCst);
-            left
+            disconnected
         } else {
             failing.store(true, Ordering::SeqCst);
-            asked.closes()
+            sent.disconnect()
         };
-        gone(&coordinator);
+        wait_for_query_end(&coordinator);
         assert_eq!(query(coordinator.listen, "tag-lookup", &[1]).unwrap().status, 200);
-        asked.none_after(left, &[&a, &b]);
+        sent.assert_no_attempt_after(disconnected, &[&a, &b]);
     }
 }
 
-/// A client that leaves about when its part would be hedged: never later than is allowed.
+/// The client disconnects shortly before or after the moment at which its part is hedged. No hedge begins later than
+/// the grace period.
 #[test]
-fn nothing_is_hedged_for_a_client_that_has_left() {
-    let _alone = alone();
-    // How long after the first attempt the second one begins, as it is with a client that stays.
-    let hedged_after = {
+fn no_hedge_begins_for_a_disconnected_client() {
+    let _guard = exclusive_test();
+    // Measures the hedge delay with a client that stays connected.
+    let hedge_delay = {
         let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
         let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
-        let asked = || Asked::new(coordinator.listen, "tag-lookup", &[0]);
-        let mut asked_last = asked();
-        until("the hedged copy", || {
-            // One that was held up for too long is refused, and another one is asked.
-            if asked_last.at.elapsed() > PATIENCE {
-                asked_last = asked();
+        let send = || SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
+        let mut query = send();
+        until("the hedge", || {
+            // A query that was delayed for too long is rejected; another one takes its place.
+            if query.sent_at.elapsed() > CLIENT_TIMEOUT {
+                query = send();
             }
-            asked_last.attempts(&[&a, &b]).len() == 2
+            query.attempts(&[&a, &b]).len() == 2
         });
-        let asked = asked_last;
-        let mut begun: Vec<Instant> = asked.attempts(&[&a, &b]).iter().map(|a| a.1).collect();
+        let mut begun: Vec<Instant> = query.attempts(&[&a, &b]).iter().map(|a| a.1).collect();
         begun.sort_unstable();
         begun[1] - begun[0]
     };
@@ -276,91 +283,92 @@
             let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
             let coordinator = TestCluster::default().start(discovery.addr, "");
             ready(&coordinator);
-            let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
-            until("the attempt", || !asked.attempts(&[&a, &b]).is_empty());
-            let first = asked.attempts(&[&a, &b])[0].1;
-            let leaves = (first + hedged_after).checked_add(Duration::from_millis(ms.unsigned_abs()));
-            let leaves = if ms < 0 {
-                first + hedged_after - Duration::from_millis(ms.unsigned_abs())
+            let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
+            until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
+            let first = sent.attempts(&[&a, &b])[0].1;
+            let disconnect_at = (first + hedge_delay).checked_add(Duration::from_millis(ms.unsigned_abs()));
+            let disconnect_at = if ms < 0 {
+                first + hedge_delay - Duration::from_millis(ms.unsigned_abs())
             } else {
-                leaves.unwrap()
+                disconnect_at.unwrap()
             };
-            thread::sleep(leaves.saturating_duration_since(Instant::now()));
-            let left = asked.closes();
-            // All moments at which more would go out come and pass.
-            thread::sleep(2 * hedged_after);
-            asked.none_after(left, &[&a, &b]);
-            gone(&coordinator);
+            thread::sleep(disconnect_at.saturating_duration_since(Instant::now()));
+            let disconnected = sent.disconnect();
+            // Long enough for every further attempt that a connected client would get.
+            thread::sleep(2 * hedge_delay);
+            sent.assert_no_attempt_after(disconnected, &[&a, &b]);
+            wait_for_query_end(&coordinator);
         })
     });
     rounds.into_iter().for_each(|round| round.join().unwrap());
 }
 
-/// A client that leaves as the first step becomes whole, once before and once after: the second step does not begin later
-/// than is allowed.
+/// The client disconnects just before or just after the first phase completes. The second phase does not begin later
+/// than the grace period.
 #[test]
-fn no_second_step_begins_for_a_client_that_has_left() {
-    let _alone = alone();
+fn no_second_phase_begins_for_a_disconnected_client() {
+    let _guard = exclusive_test();
     for round in 0..10 {
         let (release, slow) = held_back();
         let (a, b, discovery) = two(slow.clone(), slow);
         let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
-        let asked = Asked::new(coordinator.listen, "monthly-settle", &[0, 1, 2, 3]);
-        until("the first step", || asked.attempts(&[&a, &b]).len() >= 4);
-        let left = if round % 2 == 0 {
-            let left = asked.closes();
+        let sent = SentQuery::new(coordinator.listen, "monthly-settle", &[0, 1, 2, 3]);
+        until("the first phase", || sent.attempts(&[&a, &b]).len() >= 4);
+        let disconnected = if round % 2 == 0 {
+            let disconnected = sent.disconnect();
             release.store(true, Ordering::SeqCst);
-            left
+            disconnected
         } else {
             release.store(true, Ordering::SeqCst);
-            asked.closes()
+            sent.disconnect()
         };
         assert_eq!(query(coordinator.listen, "tag-lookup", &[0, 1]).unwrap().status, 200);
-        thread::sleep(LEFT_GRACE);
-        asked.none_after(left, &[&a, &b]);
+        thread::sleep(DISCONNECT_GRACE);
+        sent.assert_no_attempt_after(disconnected, &[&a, &b]);
     }
 }
 
-/// A client that ends its way out only looks, on the wire, like one that has closed: it counts as gone.
+/// A client that closes only its sending side is indistinguishable on the wire from one that has closed its connection,
+/// and counts as disconnected.
 #[test]
-fn a_client_that_ends_its_way_out_has_gone() {
-    let _alone = alone();
+fn half_closed_client_counts_as_disconnected() {
+    let _guard = exclusive_test();
     let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
-    let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
-    until("the attempt", || !asked.attempts(&[&a, &b]).is_empty());
-    asked.stream.shutdown(Shutdown::Write).unwrap();
-    let left = Instant::now();
-    gone(&coordinator);
-    until("the word that it is given up", || !a.given_up().is_empty() || !b.given_up().is_empty());
-    asked.none_after(left, &[&a, &b]);
+    let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
+    until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
+    sent.stream.shutdown(Shutdown::Write).unwrap();
+    let disconnected = Instant::now();
+    wait_for_query_end(&coordinator);
+    until("the cancellation of the attempt", || !a.given_up().is_empty() || !b.given_up().is_empty());
+    sent.assert_no_attempt_after(disconnected, &[&a, &b]);
 }
 
-// ---- The time that data nodes are told. ----
+// ---- Deadlines of data nodes. ----
 
-/// A retry, a hedged copy and a second step are told what is left by then.
+/// Retries, hedges and the second phase are given the client's remaining time, not its original timeout.
 #[test]
-fn later_attempts_are_told_what_is_left_by_then() {
-    let _alone = alone();
-    let late = Duration::from_millis(600);
-    for (what, class) in
-        [("retry", "tag-lookup"), ("hedged copy", "tag-lookup"), ("second step", "monthly-settle")]
+fn later_attempts_get_the_remaining_time() {
+    let _guard = exclusive_test();
+    let first_phase_delay = Duration::from_millis(600);
+    for (kind, class) in
+        [("retry", "tag-lookup"), ("hedge", "tag-lookup"), ("second phase", "monthly-settle")]
     {
         let first = Arc::new(AtomicBool::new(true));
         let reply = move |part: &Part| {
-            if part.id.ends_with(".fetch") || !first.swap(false, Ordering::SeqCst) && what != "second step" {
+            if part.id.ends_with(".fetch") || !first.swap(false, Ordering::SeqCst) && kind != "second phase" {
                 return served(part);
             }
-            match what {
-                "hedged copy" => NodeReply::Silence,
+            match kind {
+                "hedge" => NodeReply::Silence,
                 "retry" => {
                     thread::sleep(Duration::from_millis(300));
                     NodeReply::Answer(500, 0, String::new())
                 }
                 _ => {
-                    thread::sleep(late);
+                    thread::sleep(first_phase_delay);
                     served(part)
                 }
             }
@@ -368,72 +376,72 @@
         let (a, b, discovery) = two(reply.clone(), reply);
         let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
-        let asked = Asked::new(coordinator.listen, class, &[0]);
-        assert_eq!(asked.answer().unwrap().status, 200, "{what}");
-        assert!(asked.deadlines_kept(&[&a, &b]) >= 2, "{what}");
+        let sent = SentQuery::new(coordinator.listen, class, &[0]);
+        assert_eq!(sent.answer().unwrap().status, 200, "{kind}");
+        assert!(sent.assert_deadlines_respected(&[&a, &b]) >= 2, "{kind}");
     }
 }
 
-/// A query that waited for the list to be confirmed is told what is left by then.
+/// The wait for the list's confirmation counts against the client's timeout.
 #[test]
-fn what_waited_for_the_list_is_told_what_is_left_by_then() {
-    let _alone = alone();
+fn query_that_waited_for_the_list_gets_the_remaining_time() {
+    let _guard = exclusive_test();
     let (a, b) = (DataNode::start(served), DataNode::start(served));
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
-    let (coordinator, mut call) = unconfirmed(&nodes);
-    let asked = Asked::new(coordinator.listen, "tag-lookup", &[0, 1]);
+    let (coordinator, mut call) = start_with_unconfirmed_list(&nodes);
+    let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0, 1]);
     until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
     thread::sleep(Duration::from_millis(600));
-    confirmed(&mut call, &nodes);
-    assert_eq!(asked.answer().unwrap().status, 200);
-    assert!(asked.deadlines_kept(&[&a, &b]) >= 2);
+    confirm_list(&mut call, &nodes);
+    assert_eq!(sent.answer().unwrap().status, 200);
+    assert!(sent.assert_deadlines_respected(&[&a, &b]) >= 2);
 }
 
-/// What waited for a connection to come up is told what is left by then.
+/// The wait for a connection to the data node counts against the client's timeout.
 #[test]
-fn what_waited_for_a_connection_is_told_what_is_left_by_then() {
-    let _alone = alone();
-    let (coordinator, _discovery, listener, waiting) = behind_a_crowd();
-    let asked = Asked::new(coordinator.listen, "tag-lookup", &[0]);
+fn query_that_waited_for_a_connection_gets_the_remaining_time() {
+    let _guard = exclusive_test();
+    let (coordinator, _discovery, listener, fillers) = start_with_unreachable_node();
+    let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
     until("the dial", || count(&coordinator.core.counters.dials) > 0);
     thread::sleep(Duration::from_millis(400));
     let node = DataNode::at(listener, served);
-    drop(waiting);
-    assert_eq!(asked.answer().unwrap().status, 200);
-    assert!(asked.deadlines_kept(&[&node]) >= 1);
+    drop(fillers);
+    assert_eq!(sent.answer().unwrap().status, 200);
+    assert!(sent.assert_deadlines_respected(&[&node]) >= 1);
 }
 
-/// A request that was sent ahead of the answer before it waits for its turn, and its client's time runs meanwhile.
+/// A pipelined request waits for the answer before it. This wait counts against its client's timeout.
 #[test]
-fn what_was_sent_ahead_is_told_what_is_left_by_then() {
-    let _alone = alone();
+fn pipelined_query_gets_the_remaining_time() {
+    let _guard = exclusive_test();
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
-    let first = Asked::new(coordinator.listen, "tag-lookup", &[0]);
+    let first = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
     until("the first attempt", || !first.attempts(&[&a, &b]).is_empty());
-    let second = first.ahead("tag-lookup", &[1]);
+    let second = first.pipeline("tag-lookup", &[1]);
     thread::sleep(Duration::from_millis(800));
     release.store(true, Ordering::SeqCst);
-    // Both answers come on the one connection.
+    // Both answers arrive on the same connection.
     let mut reader = BufReader::new(first.stream.try_clone().unwrap());
     assert_eq!(read_answer(&mut reader).unwrap().status, 200);
     assert_eq!(read_answer(&mut reader).unwrap().status, 200);
-    assert!(first.deadlines_kept(&[&a, &b]) >= 1);
-    assert!(second.deadlines_kept(&[&a, &b]) >= 1);
+    assert!(first.assert_deadlines_respected(&[&a, &b]) >= 1);
+    assert!(second.assert_deadlines_respected(&[&a, &b]) >= 1);
 }
 
-/// One whose time is over when its turn comes is refused, and nothing of it goes out.
+/// A pipelined request whose timeout expires before the previous answer is rejected, and no attempt is sent for it.
 #[test]
-fn what_was_sent_ahead_and_is_too_late_at_its_turn_is_refused() {
-    let _alone = alone();
+fn pipelined_query_is_rejected_if_its_timeout_expired_in_the_queue() {
+    let _guard = exclusive_test();
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     until("the first attempt", || a.parts().len() + b.parts().len() > 0);
     stream.write_all(&query_bytes("tag-lookup", &[1], "200m")).unwrap();
@@ -442,82 +450,82 @@
     let mut reader = BufReader::new(stream);
     assert_eq!(read_answer(&mut reader).unwrap().status, 200);
     assert_eq!(read_answer(&mut reader).unwrap().status, 503);
-    assert!(a.parts().iter().chain(&b.parts()).all(|p| p.shard == 0), "sent on too late");
+    assert!(a.parts().iter().chain(&b.parts()).all(|p| p.shard == 0), "forwarded an expired query");
 }
 
 // ---- Final answers. ----
 
-/// Many new connections at once, each with a request, at a coordinator with few places: whatever was sent on to data nodes
-/// is answered, and so is every request that was read.
+/// Many clients connect at once, each with a request, to a coordinator with few client connections. Every request that
+/// was read or forwarded to data nodes is answered.
 #[test]
-fn a_request_on_a_new_connection_is_answered_or_never_sent_on() {
-    let _alone = alone();
+fn request_on_a_new_connection_is_answered_or_never_forwarded() {
+    let _guard = exclusive_test();
     let (a, b, discovery) = two(served, served);
     let coordinator = TestCluster { sockets: 128, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     let addr = coordinator.listen;
-    // They hold places, and say nothing.
+    // Idle connections that take up the limit.
     let idle: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(addr).unwrap()).collect();
     let clients: Vec<_> = (0..300)
         .map(|n| {
             thread::spawn(move || {
-                let asked = Asked::new(addr, "tag-lookup", &[n % 4]);
-                let answer = asked.answer().ok().map(|a| a.status);
-                (asked, answer)
+                let query = SentQuery::new(addr, "tag-lookup", &[n % 4]);
+                let status = query.answer().ok().map(|a| a.status);
+                (query, status)
             })
         })
         .collect();
     let mut answered = 0;
     for client in clients {
-        let (asked, answer) = client.join().unwrap();
-        let sent_on = !asked.attempts(&[&a, &b]).is_empty();
-        match answer {
+        let (query, status) = client.join().unwrap();
+        let forwarded = !query.attempts(&[&a, &b]).is_empty();
+        match status {
             Some(200) => answered += 1,
             Some(status) => assert!(matches!(status, 503 | 504), "{status}"),
-            // Turned away unread: it may be closed over, and its client asks anew.
-            None => assert!(!sent_on, "{} was sent on and got no answer", asked.id),
+            // The coordinator may close a rejected connection with its request unread; the client can then retry.
+            None => assert!(!forwarded, "{} was forwarded and got no answer", query.id),
         }
     }
     assert!(answered > 0);
     drop(idle);
 }
 
-/// Trouble at data nodes and with other clients: each request gets its final answer, within its time and half a second.
+/// Faults of data nodes and of other clients: each request still gets its final answer, within its timeout plus 0.5 s.
 #[test]
-fn trouble_elsewhere_frees_no_request_of_its_answer() {
-    let _alone = alone();
+fn every_request_gets_a_final_answer_despite_faults_of_others() {
+    let _guard = exclusive_test();
     let turn = Arc::new(AtomicU64::new(0));
-    let troubled = move |part: &Part| match turn.fetch_add(1, Ordering::SeqCst) % 7 {
+    let faulty = move |part: &Part| match turn.fetch_add(1, Ordering::SeqCst) % 7 {
         0 => NodeReply::Silence,
         1 => NodeReply::Close,
         2 => NodeReply::Answer(500, 0, String::new()),
         3 => NodeReply::Answer(503, 0, String::new()),
         4 => NodeReply::Raw(vec![1, 0, 0, 0, b'?']),
-        // Half an answer, and no end of it.
+        // An incomplete frame.
         5 => NodeReply::Raw(vec![200, 0, 0, 0, b'O', b'x']),
         _ => served(part),
     };
-    let (_a, _b, discovery) = two(troubled.clone(), troubled);
+    let (_a, _b, discovery) = two(faulty.clone(), faulty);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let addr = coordinator.listen;
     let done = Arc::new(AtomicBool::new(false));
-    let others: Vec<_> = (0..4)
+    let faulty_clients: Vec<_> = (0..4)
         .map(|kind| {
             let done = done.clone();
             thread::spawn(move || {
                 while !done.load(Ordering::SeqCst) {
-                    let whole = query_bytes("tag-lookup", &[0, 1], "1000m");
+                    let request = query_bytes("tag-lookup", &[0, 1], "1000m");
                     let bytes = match kind {
-                        0 => whole[..whole.len() / 2].to_vec(),
+                        0 => request[..request.len() / 2].to_vec(),
                         1 => b"no request at all\r\n\r\n".to_vec(),
-                        2 => [whole, vec![b'x'; 30_000]].concat(),
-                        _ => whole,
+                        2 => [request, vec![b'x'; 30_000]].concat(),
+                        _ => request,
                     };
                     let mut stream = TcpStream::connect(addr).unwrap();
-                    // It may be reset meanwhile: it is a bad client.
+                    // The coordinator may reset the connection of a faulty client during the write.
                     let _ = stream.write_all(&bytes);
-                    // Their connections linger for a second: there are places for all.
+                    // Closed connections linger for a second; at this rate they stay below the connection limit.
                     thread::sleep(Duration::from_millis(25));
                 }
             })
@@ -528,20 +536,20 @@
             thread::spawn(move || {
                 for turn in 0..6 {
                     let class = ["tag-lookup", "plaza-ranking", "monthly-settle"][(n as usize + turn) % 3];
-                    let (waited, start) = (waited_for_processors(), Instant::now());
+                    let (wait_before, start) = (processor_wait(), Instant::now());
                     let answer =
                         harness::stand_in::exchange(addr, &query_bytes(class, &[n % 4, (n + 1) % 4], "800m"));
                     let took = start.elapsed();
                     let status =
                         answer.unwrap_or_else(|e| panic!("{class}: no answer after {took:?}: {e}")).status;
                     assert!(matches!(status, 200 | 429 | 503 | 504), "{class}: {status}");
-                    let most = Duration::from_millis(1300) + waited_for_processors().saturating_sub(waited);
-                    assert!(took <= most, "{class}: {took:?}");
+                    let limit = Duration::from_millis(1300) + processor_wait().saturating_sub(wait_before);
+                    assert!(took <= limit, "{class}: {took:?}");
                 }
             })
         })
         .collect();
     clients.into_iter().for_each(|client| client.join().unwrap());
     done.store(true, Ordering::SeqCst);
-    others.into_iter().for_each(|other| other.join().unwrap());
+    faulty_clients.into_iter().for_each(|client| client.join().unwrap());
 }
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! What happens when a request, an answer, a signal or news of the list comes between two steps: each crossing is forced
-//! on real sockets, by a gate, a paused peer or a scripted one (docs/design/crossings.md).
+//! Race conditions between requests, answers, signals and endpoint list updates (docs/design/crossings.md). Each test
+//! forces one order of events on real sockets, with a gate, a paused peer or a scripted peer.
 
 mod harness;
 
@@ -16,114 +16,117 @@
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
 use harness::{held_back, member, query_bytes, ready, served, two, until, Program, TestCluster};
 
-/// Far longer than anything here takes, and an end all the same.
-const LONG: Duration = Duration::from_secs(60);
+/// Read timeout of the clients, far longer than any exchange of these tests takes.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     stream
 }
 
-fn answer_on(stream: &TcpStream) -> std::io::Result<harness::stand_in::Answer> {
+fn read_answer_on(stream: &TcpStream) -> std::io::Result<harness::stand_in::Answer> {
     read_answer(&mut BufReader::new(stream.try_clone().unwrap()))
 }
 
-fn draining(addr: SocketAddr) {
+fn wait_until_draining(addr: SocketAddr) {
     until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
 }
 
 // ---- Shutdown. ----
 
-/// Guards what is held when SIGTERM comes: its clients would wait for a minute, its data nodes hang, and SIGKILL may come
-/// as soon as the longest deadline and 0.7 s are over. A second SIGTERM and a SIGHUP change nothing.
+/// Open queries lose their answers if the process outlives its grace period: SIGKILL may follow SIGTERM after the
+/// longest class deadline plus 0.7 s. Here clients would wait for a minute and data nodes hang. A second SIGTERM and a
+/// SIGHUP change nothing.
 #[test]
-fn all_that_is_held_at_sigterm_is_answered_before_sigkill() {
+fn open_queries_at_sigterm_are_answered_before_sigkill() {
     let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let config = TestCluster { deadline_s: 1, ..TestCluster::default() }.config(discovery.addr);
     let program = Program::start(&config);
     let addr = program.addr;
-    let held = ["tag-lookup", "plaza-ranking", "monthly-settle"].map(|class| {
+    let clients = ["tag-lookup", "plaza-ranking", "monthly-settle"].map(|class| {
         let bytes = query_bytes(class, &[0, 1], "60000m");
         thread::spawn(move || (exchange(addr, &bytes), Instant::now()))
     });
     until("the parts", || a.parts().len() + b.parts().len() >= 6);
     program.signal("TERM");
-    let term = Instant::now();
+    let terminated = Instant::now();
     program.signal("TERM");
     program.reload(&config);
-    for asked in held {
-        let (answer, at) = asked.join().unwrap();
+    for client in clients {
+        let (answer, at) = client.join().unwrap();
         assert!(matches!(answer.unwrap().status, 503 | 504));
-        assert!(at - term < Duration::from_millis(1700), "{:?}", at - term);
+        assert!(at - terminated < Duration::from_millis(1700), "{:?}", at - terminated);
     }
     program.ended();
 }
 
-/// Guards a request of which half has come when connections at rest are closed: it is read on, and answered.
+/// Shutdown closes idle connections. A connection on which a part of a request has arrived is not idle: the request is
+/// read to its end and answered.
 #[test]
-fn half_a_request_at_the_end_is_answered_once_it_is_whole() {
+fn partial_request_is_answered_while_shutdown_closes_idle_connections() {
     let (_a, _b, discovery) = two(served, served);
-    // Connections at rest are closed half a second after SIGTERM then.
+    // With this deadline idle connections are closed half a second after SIGTERM.
     let program =
         Program::start(&TestCluster { deadline_s: 1, ..TestCluster::default() }.config(discovery.addr));
-    let (mut half, mut resting) = (connect(program.addr), connect(program.addr));
-    for stream in [&mut half, &mut resting] {
+    let (mut partial, mut idle) = (connect(program.addr), connect(program.addr));
+    for stream in [&mut partial, &mut idle] {
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-        assert_eq!(answer_on(stream).unwrap().status, 200);
+        assert_eq!(read_answer_on(stream).unwrap().status, 200);
     }
     let bytes = query_bytes("tag-lookup", &[1], "60000m");
     program.signal("TERM");
-    draining(program.addr);
-    half.write_all(&bytes[..40]).unwrap();
-    // The other connection's end tells that those at rest are being closed.
-    assert_eq!(resting.read(&mut [0; 8]).unwrap(), 0);
-    half.write_all(&bytes[40..]).unwrap();
-    assert_eq!(answer_on(&half).unwrap().status, 200);
-    drop((half, resting));
+    wait_until_draining(program.addr);
+    partial.write_all(&bytes[..40]).unwrap();
+    // The close of the other connection shows that idle connections are being closed.
+    assert_eq!(idle.read(&mut [0; 8]).unwrap(), 0);
+    partial.write_all(&bytes[40..]).unwrap();
+    assert_eq!(read_answer_on(&partial).unwrap().status, 200);
+    drop((partial, idle));
     program.ended();
 }
 
-/// Guards a request that crosses the end of its connection: it is not sent on, and the connection is not reset, so that
-/// its client reads an end and asks elsewhere.
+/// A client may send a request while the server closes its idle connection. The request is not forwarded and the
+/// connection is not reset, so that the client reads the end of the stream and can retry elsewhere.
 #[test]
-fn a_request_behind_the_end_of_its_connection_is_not_sent_on() {
+fn request_that_crosses_the_close_of_its_connection_is_not_forwarded() {
     let (a, b, discovery) = two(served, served);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
-    let mut resting = connect(program.addr);
-    resting.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    assert_eq!(answer_on(&resting).unwrap().status, 200);
+    let mut idle = connect(program.addr);
+    idle.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
+    assert_eq!(read_answer_on(&idle).unwrap().status, 200);
     let parts = a.parts().len() + b.parts().len();
     program.signal("TERM");
-    assert_eq!(resting.read(&mut [0; 8]).unwrap(), 0);
-    // Written before the end was read, as far as the program can tell.
-    resting.write_all(&query_bytes("tag-lookup", &[1], "60000m")).unwrap();
-    resting.write_all(&query_bytes("tag-lookup", &[2], "60000m")).unwrap();
-    assert_eq!(resting.read(&mut [0; 8]).unwrap(), 0, "reset or answered");
-    drop(resting);
+    assert_eq!(idle.read(&mut [0; 8]).unwrap(), 0);
+    // The program cannot distinguish these from requests that were sent before the client read the end of the stream.
+    idle.write_all(&query_bytes("tag-lookup", &[1], "60000m")).unwrap();
+    idle.write_all(&query_bytes("tag-lookup", &[2], "60000m")).unwrap();
+    assert_eq!(idle.read(&mut [0; 8]).unwrap(), 0, "unexpected data after the close");
+    drop(idle);
     program.ended();
     assert_eq!(a.parts().len() + b.parts().len(), parts);
 }
 
-/// Guards the requests that come on kept connections after SIGTERM, as long as these stay open.
+/// Requests on persistent connections are served after SIGTERM for as long as the connections stay open.
 #[test]
-fn a_kept_connection_is_served_after_sigterm() {
+fn persistent_connection_is_served_after_sigterm() {
     let (_a, _b, discovery) = two(served, served);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
-    let mut kept = connect(program.addr);
-    kept.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    assert_eq!(answer_on(&kept).unwrap().status, 200);
+    let mut persistent = connect(program.addr);
+    persistent.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
+    assert_eq!(read_answer_on(&persistent).unwrap().status, 200);
     program.signal("TERM");
-    draining(program.addr);
-    kept.write_all(&query_bytes("tag-lookup", &[1], "60000m")).unwrap();
-    assert_eq!(answer_on(&kept).unwrap().status, 200);
-    drop(kept);
+    wait_until_draining(program.addr);
+    persistent.write_all(&query_bytes("tag-lookup", &[1], "60000m")).unwrap();
+    assert_eq!(read_answer_on(&persistent).unwrap().status, 200);
+    drop(persistent);
     program.ended();
 }
 
-/// Guards an answer against what its client sends behind the request: the connection is not closed over it.
+/// Closing a socket with unread input resets it, and the client loses its answer. Trailing bytes after the last request
+/// do not cause such a reset.
 #[test]
-fn an_answer_is_not_lost_to_what_comes_behind_its_request() {
+fn trailing_bytes_after_the_last_request_do_not_reset_its_answer() {
     let (_a, _b, discovery) = two(served, served);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
@@ -131,46 +134,48 @@
     let last = String::from_utf8(query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     let last = last.replacen("\r\n", "\r\nConnection: close\r\n", 1);
     stream.write_all(&[last.as_bytes(), &[b'x'; 200_000]].concat()).unwrap();
-    assert_eq!(answer_on(&stream).unwrap().status, 200);
+    assert_eq!(read_answer_on(&stream).unwrap().status, 200);
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).unwrap();
 }
 
-/// Guards the word that there is no place: the request that came with the connection does not reset it.
+/// A client over the connection limit reads its 503 even though its request was never read: the unread request does not
+/// cause a reset.
 #[test]
-fn who_is_turned_away_is_told_and_not_reset() {
+fn rejected_client_gets_503_without_a_connection_reset() {
     let (release, slow) = held_back();
     let (_a, _b, discovery) = two(slow.clone(), slow);
     let coordinator = TestCluster { sockets: 128, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
     let addr = coordinator.listen;
-    let places =
+    let client_limit =
         Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap().clients;
-    let taken = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
-    let open: Vec<TcpStream> = (1..=places as u64)
+    let accepted = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
+    let open: Vec<TcpStream> = (1..=client_limit as u64)
         .map(|n| {
             let mut stream = connect(addr);
             stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-            until("the open request", || taken() == n);
+            until("the open query", || accepted() == n);
             stream
         })
         .collect();
-    let mut late = connect(addr);
-    late.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    assert_eq!(answer_on(&late).unwrap().status, 503);
-    late.write_all(b"and more").unwrap();
-    assert_eq!(late.read(&mut [0; 8]).unwrap(), 0, "reset");
+    let mut rejected = connect(addr);
+    rejected.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
+    assert_eq!(read_answer_on(&rejected).unwrap().status, 503);
+    rejected.write_all(b"and more").unwrap();
+    assert_eq!(rejected.read(&mut [0; 8]).unwrap(), 0, "unexpected data after the 503");
     release.store(true, Ordering::SeqCst);
-    open.iter().for_each(|stream| assert!(answer_on(stream).is_ok()));
+    open.iter().for_each(|stream| assert!(read_answer_on(stream).is_ok()));
 }
 
-// ---- Clients that leave. ----
+// ---- Client disconnects. ----
 
-/// Guards against work for a client that has sent more behind its request and gone: what it sent does not hide that, and
-/// nothing of what was behind is sent on. Once with one request behind, once with far more than is held.
+/// Pipelined requests that are still unread could hide that their client has disconnected. The open query is cancelled
+/// and none of the pipelined requests is forwarded, with one of them and with far more than the read-ahead buffer
+/// holds.
 #[test]
-fn a_client_that_sent_ahead_and_left_is_gone() {
-    for behind in [1, 2000] {
+fn disconnect_is_detected_behind_pipelined_requests() {
+    for pipelined in [1, 2000] {
         let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
         let coordinator = TestCluster::default().start(discovery.addr, "");
         ready(&coordinator);
@@ -178,60 +183,64 @@
         let mut stream = connect(coordinator.listen);
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
         until("the part", || !parts().is_empty());
-        let ahead: Vec<u8> = (0..behind).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
-        stream.write_all(&ahead).unwrap();
+        let requests: Vec<u8> =
+            (0..pipelined).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
+        stream.write_all(&requests).unwrap();
         drop(stream);
-        until("the leaving", || coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1);
-        until("the part given up", || a.given_up().len() + b.given_up().len() == parts().len());
-        assert!(parts().iter().all(|p| p.shard == 0), "sent on for a client that has left");
+        until("the disconnect", || {
+            coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
+        });
+        until("the part's cancellation", || a.given_up().len() + b.given_up().len() == parts().len());
+        assert!(parts().iter().all(|p| p.shard == 0), "forwarded a request of a disconnected client");
     }
 }
 
-/// Guards what was sent ahead, too: it is answered, one after the other, and what is more than that ends the connection.
+/// Pipelined requests are answered in order. More of them than the read-ahead buffer holds end the connection.
 #[test]
-fn what_is_sent_ahead_is_answered_in_turn_up_to_a_bound() {
+fn pipelined_requests_are_answered_in_order_up_to_the_read_ahead_limit() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
     let mut stream = connect(coordinator.listen);
-    let one = query_bytes("tag-lookup", &[0], "60000m").len();
-    let most = Limits::default().read_ahead.div_ceil(one) + 1 + 4096 / one;
+    let request_len = query_bytes("tag-lookup", &[0], "60000m").len();
+    let max_pipelined = Limits::default().read_ahead.div_ceil(request_len) + 1 + 4096 / request_len;
     stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     until("the part", || a.parts().len() + b.parts().len() == 1);
-    // More than the sockets on the way hold: once it is written, more than is held has been read.
-    let ahead: Vec<u8> =
-        (0..16_000_000 / one).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
-    stream.write_all(&ahead).unwrap();
+    // More than the socket buffers hold: once it is written, the coordinator has read more than its read-ahead limit.
+    let requests: Vec<u8> =
+        (0..16_000_000 / request_len).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
+    stream.write_all(&requests).unwrap();
     release.store(true, Ordering::SeqCst);
     let mut reader = BufReader::new(stream);
     let mut answers = 0;
     while read_answer(&mut reader).is_ok_and(|a| a.status == 200) {
         answers += 1;
     }
-    assert!(answers > 10 && answers <= 1 + most, "{answers} of {most}");
+    assert!(answers > 10 && answers <= 1 + max_pipelined, "{answers} of {max_pipelined}");
 }
 
-/// Guards a query that waits for a data node to take more: once its client has left it is never sent on.
+/// A query queues while the data nodes are at their concurrency limits. If its client disconnects meanwhile, the query
+/// is never forwarded.
 #[test]
-fn a_query_whose_client_left_while_it_waited_is_not_sent_on() {
+fn queued_query_is_not_forwarded_after_its_client_disconnects() {
     let (release, slow) = held_back();
     let (a, b, discovery) = two(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
-    let ask = || {
+    let send_query = || {
         let mut stream = connect(coordinator.listen);
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
         stream
     };
-    let taken = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
+    let accepted = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
     let parts = || a.parts().len() + b.parts().len();
-    // Until one more is taken and waits.
+    // Sends queries until one is accepted and queued.
     let mut open = Vec::new();
     loop {
-        let (parts_before, taken_before) = (parts(), taken());
-        open.push(ask());
-        until("the query", || taken() > taken_before);
+        let (parts_before, accepted_before) = (parts(), accepted());
+        open.push(send_query());
+        until("the query", || accepted() > accepted_before);
         let start = Instant::now();
         while parts() == parts_before && start.elapsed() < Duration::from_millis(100) {
             thread::sleep(Duration::from_millis(1));
@@ -240,54 +249,54 @@
             break;
         }
     }
-    let (waits, sent) = (open.pop().unwrap(), parts());
-    drop(waits);
-    until("the leaving", || coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1);
+    let (queued, forwarded) = (open.pop().unwrap(), parts());
+    drop(queued);
+    until("the disconnect", || coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1);
     release.store(true, Ordering::SeqCst);
-    open.iter().for_each(|stream| assert_eq!(answer_on(stream).unwrap().status, 200));
-    assert_eq!(parts(), sent);
+    open.iter().for_each(|stream| assert_eq!(read_answer_on(stream).unwrap().status, 200));
+    assert_eq!(parts(), forwarded);
 }
 
 // ---- Attempts. ----
 
-/// A class of its own effect in the bed's settings.
+/// Sets the `effect` of the first class of a configuration.
 fn with_effect(config: String, effect: &str) -> String {
     config.replacen(r#""effect":"idempotent""#, &format!(r#""effect":"{effect}""#), 1)
 }
 
-/// Guards a class that may not be repeated: its part was read, and its connection then broke. A class that may be
-/// repeated for a while is, within that while and not after it.
+/// A connection breaks after the data node has read a part, so the part may have run. It is retried for an idempotent
+/// class, for a deduplicated class within its repeat window, and never for an at-most-once class.
 #[test]
-fn a_part_that_may_have_run_is_repeated_only_as_its_class_allows() {
+fn part_that_may_have_run_is_retried_only_if_its_class_allows() {
     let window = |ms: u64| format!(r#"deduplicated","repeat_window_ns":{ms}000000,"x":""#);
-    for (effect, breaks_after, tries) in [
+    for (effect, break_delay_ms, attempts) in [
         ("at_most_once".to_string(), 0, 1),
         (window(60_000), 0, 2),
         (window(100), 300, 1),
         ("idempotent".to_string(), 0, 2),
     ] {
         let first = Arc::new(AtomicBool::new(true));
-        let breaks = move |part: &harness::stand_in::Part| {
+        let close_first_connection = move |part: &harness::stand_in::Part| {
             if first.swap(false, Ordering::SeqCst) {
-                // Paced by the settings: the window of the class is over by then, or far from it.
-                thread::sleep(Duration::from_millis(breaks_after));
+                // Ends either after the class's repeat window or long before its end.
+                thread::sleep(Duration::from_millis(break_delay_ms));
                 return NodeReply::Close;
             }
             served(part)
         };
-        let (a, b, discovery) = two(breaks.clone(), breaks);
+        let (a, b, discovery) = two(close_first_connection.clone(), close_first_connection);
         let config = with_effect(TestCluster::default().config(discovery.addr), &effect);
         let program = Program::start(&config);
         let answer = exchange(program.addr, &query_bytes("tag-lookup", &[0], "2000m")).unwrap();
-        assert_eq!(answer.status == 200, tries == 2, "{effect}: {}", answer.status);
-        assert_eq!(a.parts().len() + b.parts().len(), tries, "{effect}");
+        assert_eq!(answer.status == 200, attempts == 2, "{effect}: {}", answer.status);
+        assert_eq!(a.parts().len() + b.parts().len(), attempts, "{effect}");
     }
 }
 
-/// Guards a part against a connection that its data node closed while it rested: what was never written goes over
-/// another one, also where the part may not be repeated.
+/// The data node closes an idle connection just before the coordinator picks it for a part. A part that was never
+/// written is sent on another connection, even if its class does not allow retries.
 #[test]
-fn a_connection_that_was_closed_at_rest_costs_no_part() {
+fn part_survives_the_close_of_an_idle_connection() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, node.local_addr().unwrap())]);
     let config = with_effect(
@@ -297,7 +306,7 @@
     let program = Program::start(&config);
     let addr = program.addr;
     for _ in 0..20 {
-        let asked =
+        let client =
             thread::spawn(move || exchange(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
         let (mut stream, _) = node.accept().unwrap();
         let mut head = [0; 4];
@@ -306,27 +315,27 @@
         stream.read_exact(&mut call).unwrap();
         let id = String::from_utf8_lossy(&call[1..]).split(' ').next().unwrap().to_string();
         let line = format!("O{id} 200 1 -\nv0");
-        // The answer and the connection's end come in one.
+        // The connection is closed right after the answer.
         stream.write_all(&[&(line.len() as u32).to_le_bytes(), line.as_bytes()].concat()).unwrap();
         drop(stream);
-        assert_eq!(asked.join().unwrap().status, 200);
+        assert_eq!(client.join().unwrap().status, 200);
     }
 }
 
 // ---- Discovery. ----
 
-/// Two data nodes that hold every shard, and their list.
-fn listed() -> (DataNode, DataNode, String) {
+/// Starts two data nodes that hold every shard; returns them with the text of their endpoint list.
+fn listed_data_nodes() -> (DataNode, DataNode, String) {
     let (a, b) = (DataNode::start(served), DataNode::start(served));
     let text = list(1, &[("a", 0, a.addr), ("b", 1, b.addr)]);
     (a, b, text)
 }
 
-/// Lists may come indented, cut anywhere, and from a service that gives a watch no length.
+/// A list may be indented, split at any byte, and sent as a watch without chunked encoding or a length.
 #[test]
-fn an_indented_list_is_read_however_it_comes() {
+fn indented_list_is_read_with_and_without_chunked_encoding() {
     for chunked in [true, false] {
-        let (_a, _b, text) = listed();
+        let (_a, _b, text) = listed_data_nodes();
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
         let indented = serde_json::to_string_pretty(&value).unwrap() + "\n";
         let (discovery, addr) = Scripted::new();
@@ -344,63 +353,63 @@
     }
 }
 
-/// Guards against a watch that is silent from its first second, goes on with half a line, or with one that never ends:
-/// the next call begins early enough to be answered before what was missed counts as told, 6 s after.
+/// A watch may stay silent from its start, stop within a line, or send a line that never ends. The next call begins
+/// early enough to be answered before the drain rule counts a missed change as notified, 6 s after it.
 #[test]
-fn a_watch_without_whole_lines_is_opened_anew_in_time() {
-    for kind in ["nothing", "head only", "half a line", "endless"] {
-        let (_a, _b, text) = listed();
+fn watch_without_complete_lines_is_reopened_in_time() {
+    for kind in ["nothing", "head only", "partial line", "endless line"] {
+        let (_a, _b, text) = listed_data_nodes();
         let (discovery, addr) = Scripted::new();
         let coordinator = TestCluster::default().start(addr, "");
         let (mut watch, _) = discovery.call();
-        let begun = Instant::now();
-        let kept = thread::spawn(move || {
+        let started = Instant::now();
+        let watch_thread = thread::spawn(move || {
             let sent = match kind {
                 "nothing" => Vec::new(),
                 "head only" => WATCH.to_vec(),
                 _ => [WATCH, &chunk(&(text + "\n"))].concat(),
             };
             watch.write_all(&sent).unwrap();
-            let drops: &[&str] = match kind {
-                "half a line" => &["{\"rev\":2"],
-                "endless" => &["{\"rev\":2,\"targets\":["; 1],
+            let incomplete: &[&str] = match kind {
+                "partial line" => &["{\"rev\":2"],
+                "endless line" => &["{\"rev\":2,\"targets\":["; 1],
                 _ => &[],
             };
-            drops.iter().for_each(|text| watch.write_all(&chunk(text)).unwrap());
-            // Goes on for as long as it is taken, a byte at a time.
-            while kind == "endless" && watch.write_all(&chunk(" ")).is_ok() {
+            incomplete.iter().for_each(|text| watch.write_all(&chunk(text)).unwrap());
+            // Sends one byte at a time until the coordinator closes the connection.
+            while kind == "endless line" && watch.write_all(&chunk(" ")).is_ok() {
                 thread::sleep(Duration::from_millis(50));
             }
             watch
         });
-        let (_again, _) = discovery.call();
-        // A call may take 2.2 s.
-        assert!(begun.elapsed() < Duration::from_millis(3800), "{kind}: {:?}", begun.elapsed());
-        drop((kept, coordinator));
+        let (_next_call, _) = discovery.call();
+        // 6 s less the 2.2 s that a call may take.
+        assert!(started.elapsed() < Duration::from_millis(3800), "{kind}: {:?}", started.elapsed());
+        drop((watch_thread, coordinator));
     }
 }
 
-/// Guards a move by SIGHUP while a call is open: what the old service still says is not heard, and the new one is asked
-/// at once.
+/// SIGHUP changes the discovery address while a call to the old service is open. The coordinator calls the new service
+/// at once and ignores a late response of the old one.
 #[test]
-fn a_move_while_a_call_is_open_leaves_the_call() {
+fn changing_the_discovery_address_abandons_the_open_call() {
     let (old, addr) = Scripted::new();
     let program_thread = thread::spawn({
         let config = TestCluster::default().config(addr);
         move || Program::start(&config)
     });
     let (mut first, _) = old.call();
-    let (a, b, text) = listed();
+    let (a, b, text) = listed_data_nodes();
     first.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
     let program = program_thread.join().unwrap();
-    // The watch ends, and its next call is open when the service moves.
+    // Ends the watch, so that the next call is open when the address changes.
     drop(first);
     let (mut open, _) = old.call();
     let c = DataNode::start(served);
-    let moved = Discovery::start("127.0.0.1:0", vec![member("c", 0, c.addr), member("d", 1, c.addr)]);
-    program.reload(&TestCluster::default().config(moved.addr));
-    until("the new watch", || moved.watches() == 1 && moved.lists() == 1);
-    // Too late: it is not heard, whether or not its connection still takes it.
+    let new = Discovery::start("127.0.0.1:0", vec![member("c", 0, c.addr), member("d", 1, c.addr)]);
+    program.reload(&TestCluster::default().config(new.addr));
+    until("the new watch", || new.watches() == 1 && new.lists() == 1);
+    // The late list is ignored, whether or not the connection still accepts it.
     let late = list(9, &[("a", 0, a.addr), ("b", 1, b.addr)]);
     let _ = open.write_all(&[WATCH, &chunk(&(late + "\n"))].concat());
     let parts = a.parts().len() + b.parts().len();
@@ -414,35 +423,35 @@
     assert_eq!(c.parts().len(), 4);
 }
 
-/// Guards the whole list where its answer has no length: a connection that ends gives all of it, and one that is reset
-/// gives nothing, whatever came before.
+/// The body of a response without a length ends when the connection closes. A reset may cut the body short, so the list
+/// is discarded, whatever was received before.
 #[test]
-fn a_list_without_length_ends_with_its_connection_and_not_with_a_reset() {
-    let (a, b, text) = listed();
+fn list_without_length_ends_at_a_close_and_is_discarded_at_a_reset() {
+    let (a, b, text) = listed_data_nodes();
     let first = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
     let program = Program::start(&TestCluster::default().config(first.addr));
     let (next, addr) = Scripted::new();
     program.reload(&TestCluster::default().config(addr));
-    // Closing with the request unread resets the connection behind what was written.
+    // Closing the socket with the request unread resets the connection after the written response.
     let (mut reset, _) = next.listener.accept().unwrap();
     until("the request", || reset.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
     let only_c = list(7, &[("c", 0, a.addr)]);
     reset.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{only_c}").as_bytes()).unwrap();
     drop(reset);
-    let (mut ends, target) = next.call();
-    assert_eq!(target, "/catalog/members", "a reset list was taken");
-    ends.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).unwrap();
-    drop(ends);
+    let (mut closing, target) = next.call();
+    assert_eq!(target, "/catalog/members", "applied the list of a reset connection");
+    closing.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).unwrap();
+    drop(closing);
     let (_watch, target) = next.call();
     assert!(target.ends_with("stream=1&index=1"), "{target}");
     drop(program);
 }
 
-/// Guards discovery's share of the descriptors: clients that say nothing take all places while it is down, and at its
-/// return it is asked all the same.
+/// Discovery has its own share of the descriptors. Idle clients take all client connections while it is down, and the
+/// coordinator still calls it on its return.
 #[test]
-fn discovery_is_reached_while_idle_clients_hold_all_places() {
-    let (a, b, text) = listed();
+fn discovery_is_reached_while_idle_clients_hold_all_client_connections() {
+    let (a, b, text) = listed_data_nodes();
     let (discovery, addr) = Scripted::new();
     let cluster = TestCluster { sockets: 128, ..TestCluster::default() };
     let coordinator = cluster.start(addr, "");
