--- a/tests/replicated_state.rs
+++ b/tests/replicated_state.rs
@@ -1,5 +1,5 @@
-//! Starts and ends of a coordinator whose state is replicated, in a group of three processes on loopback, with a fault proxy on
-//! the way from each member to each other one. The order of events is forced: the proxies choose raft messages by their type.
+//! Starts and stops coordinators with replicated state in a group of three processes on loopback. All connections
+//! between members run through fault proxies, which drop Raft messages by type to force the order of events.
 
 mod harness;
 
@@ -21,17 +21,18 @@
 
 const SIZE: usize = 3;
 const TICK: Duration = Duration::from_millis(50);
-/// After so long the outcome of a request that gets no answer is unknown: 30 ticks, and 10 that its caller waits longer.
+/// Time after which the outcome of an unanswered request is unknown: 30 ticks, and 10 more that its caller waits.
 const REQUEST_TIMEOUT: Duration = TICK.saturating_mul(40);
-/// So long a start waits for its group, by docs/replication.md.
+/// How long a starting process waits for its group (docs/replication.md).
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Drops the frames that a predicate chooses. The sender and the length come first, as in `replication::wire`.
-fn dropping(is_dropped: fn(&[u8]) -> bool) -> Faults {
+/// Faults that drop the frames that a predicate selects. A frame begins with the sender and the length, as in
+/// `replication::wire`.
+fn drop_frames(is_dropped: fn(&[u8]) -> bool) -> Faults {
     let length = |bytes: &[u8]| {
         let length = bytes.get(8..12)?.try_into().map(u32::from_le_bytes).ok()?;
         Some(HEADER_BYTES + length as usize)
@@ -39,19 +40,20 @@
     Faults { drop_messages: Some(DroppedMessages { length, is_dropped }), ..Faults::default() }
 }
 
-/// Whether a frame holds a raft message of this type. The type is field 1 of the message, a varint (so its tag is 8), and
-/// is written first.
-fn is_of_type(frame: &[u8], message_type: MessageType) -> bool {
+/// Whether a frame contains a Raft message of this type. The type is field 1 of the message, a varint (so its tag is
+/// 8), and is written first.
+fn has_message_type(frame: &[u8], message_type: MessageType) -> bool {
     frame.get(HEADER_BYTES..HEADER_BYTES + 2) == Some(&[8, message_type as u8])
 }
 
 fn is_proposal(frame: &[u8]) -> bool {
-    is_of_type(frame, MessageType::MsgPropose)
+    has_message_type(frame, MessageType::MsgPropose)
 }
 
-/// A member whose requests for votes are dropped never leads, so that it forwards each of its proposals.
+/// Whether a frame requests a vote. A member whose vote requests are dropped never becomes leader, so it forwards all
+/// its proposals.
 fn is_vote_request(frame: &[u8]) -> bool {
-    [MessageType::MsgRequestVote, MessageType::MsgRequestPreVote].iter().any(|&t| is_of_type(frame, t))
+    [MessageType::MsgRequestVote, MessageType::MsgRequestPreVote].iter().any(|&t| has_message_type(frame, t))
 }
 
 /// One process of the program, a member of the group.
@@ -92,8 +94,8 @@
         assert!(ended.is_none(), "the process ended ({ended:?}); its log:\n{}", lock(&self.log));
     }
 
-    /// Asserts that the process runs for that long, and answers its clients at the end.
-    fn runs_for(&mut self, duration: Duration) {
+    /// Asserts that the process keeps running for `duration`, and then answers a client of the group.
+    fn assert_runs_for(&mut self, duration: Duration) {
         let start = Instant::now();
         while start.elapsed() < duration {
             self.assert_runs();
@@ -102,16 +104,20 @@
         assert!(yes(self.control, "GET", "/group/status"), "the log:\n{}", lock(&self.log));
     }
 
-    /// Waits until its state is loaded, which must be its start with this number.
-    fn loads_its_state(&mut self, start: u32) {
+    /// Waits until the process has loaded its state, and asserts the number of its start.
+    fn wait_until_state_is_loaded(&mut self, start: u32) {
         while !self.has_logged("] state loaded ") {
             self.assert_runs();
             let waited = self.started.elapsed();
-            assert!(waited < START_TIMEOUT, "no state after {waited:?}; the log:\n{}", lock(&self.log));
+            assert!(
+                waited < START_TIMEOUT,
+                "no state loaded after {waited:?}; the log:\n{}",
+                lock(&self.log)
+            );
             std::thread::sleep(TICK);
         }
         let expected = format!("] state loaded start={start} directory=");
-        assert!(self.has_logged(&expected), "not {expected}; the log:\n{}", lock(&self.log));
+        assert!(self.has_logged(&expected), "'{expected}' was not logged; the log:\n{}", lock(&self.log));
     }
 }
 
@@ -129,62 +135,63 @@
     command
 }
 
-/// A group of coordinators, each reached by each other one through a proxy of its own.
+/// A group of coordinators with one proxy for each ordered pair of members.
 struct Group {
     dir: PathBuf,
     members: BTreeMap<usize, Member>,
+    /// By sender and receiver.
     proxies: BTreeMap<(usize, usize), Proxy>,
 }
 
 impl Group {
-    /// Founds it, with no member started.
+    /// Founds the group without starting its members.
     fn new(name: &str) -> Self {
         let dir = std::env::temp_dir().join(format!("curlewdeck-start-{name}-{}", std::process::id()));
-        let ways = (0..SIZE).flat_map(|a| (0..SIZE).map(move |b| (a, b))).filter(|(a, b)| a != b);
-        let proxies = ways.map(|way| (way, Proxy::start(None).unwrap())).collect();
+        let pairs = (0..SIZE).flat_map(|a| (0..SIZE).map(move |b| (a, b))).filter(|(a, b)| a != b);
+        let proxies = pairs.map(|pair| (pair, Proxy::start(None).unwrap())).collect();
         let group = Self { dir, members: BTreeMap::new(), proxies };
         (0..SIZE).for_each(|n| group.found(n));
         group
     }
 
-    /// Founds it and starts its members, and waits until each has loaded its state.
+    /// Founds the group, starts its members and waits until each has loaded its state.
     fn start(name: &str) -> Self {
         let mut group = Self::new(name);
-        (0..SIZE).for_each(|n| group.begin(n));
-        group.members.values_mut().for_each(|member| member.loads_its_state(1));
+        (0..SIZE).for_each(|n| group.start_member(n));
+        group.members.values_mut().for_each(|member| member.wait_until_state_is_loaded(1));
         group
     }
 
-    fn home(&self, n: usize) -> PathBuf {
+    fn member_dir(&self, n: usize) -> PathBuf {
         self.dir.join(n.to_string())
     }
 
     fn found(&self, n: usize) {
-        let (home, nowhere) = (self.home(n), "127.0.0.1:1".parse().unwrap());
-        std::fs::create_dir_all(home.join("state")).unwrap();
-        let config = TestCluster::default().config(nowhere).replace("\"n1\"", &format!("\"n{n}\""));
-        std::fs::write(home.join("config.json"), config).unwrap();
-        let address = |to| self.proxies.get(&(n, to)).map_or(nowhere, Proxy::address);
+        let (dir, unused_address) = (self.member_dir(n), "127.0.0.1:1".parse().unwrap());
+        std::fs::create_dir_all(dir.join("state")).unwrap();
+        let config = TestCluster::default().config(unused_address).replace("\"n1\"", &format!("\"n{n}\""));
+        std::fs::write(dir.join("config.json"), config).unwrap();
+        let address = |to| self.proxies.get(&(n, to)).map_or(unused_address, Proxy::address);
         let members: String = (0..SIZE).map(|to| format!("{} = \"{}\"\n", to + 1, address(to))).collect();
         let edge = format!(
             "[state]\nfolder = \"state\"\ncopied = true\n[group]\nfolder = \"log\"\nlisten = \"127.0.0.1:0\"\n\
              control = \"127.0.0.1:0\"\ntick_ms = {}\n[group.members]\n{members}",
             TICK.as_millis()
         );
-        std::fs::write(home.join("edge.toml"), edge).unwrap();
+        std::fs::write(dir.join("edge.toml"), edge).unwrap();
         let id = (n + 1).to_string();
-        let mut found = program(&home, &["group", "found", "--edge", "edge.toml", "--id", &id]);
+        let mut found = program(&dir, &["group", "found", "--edge", "edge.toml", "--id", &id]);
         assert!(found.stdout(Stdio::null()).status().unwrap().success());
     }
 
-    /// Starts a process in its folder, as it is.
-    fn begin(&mut self, n: usize) {
-        let member = Member::start(&self.home(n));
-        self.proxies.iter().filter(|(way, _)| way.1 == n).for_each(|(_, p)| p.forward_to(member.listen));
+    /// Starts a process in its existing folder.
+    fn start_member(&mut self, n: usize) {
+        let member = Member::start(&self.member_dir(n));
+        self.proxies.iter().filter(|(pair, _)| pair.1 == n).for_each(|(_, p)| p.forward_to(member.listen));
         self.members.insert(n, member);
     }
 
-    /// Kills a process at once; its disk is kept.
+    /// Kills a process and keeps its folder.
     fn kill(&mut self, n: usize) {
         drop(self.members.remove(&n).unwrap());
     }
@@ -206,7 +213,7 @@
         leader.unwrap()
     }
 
-    /// Kills a follower, and returns it and another member, which runs on.
+    /// Kills a follower; returns its number and that of a member that keeps running.
     fn kill_a_follower(&mut self) -> (usize, usize) {
         let leader = self.leader();
         let follower = (leader + 1) % SIZE;
@@ -214,31 +221,32 @@
         (follower, leader)
     }
 
-    /// Injects faults on the ways from one member to all others.
+    /// Injects faults into the traffic from one member to all others.
     fn set_faults_from(&self, n: usize, faults: Faults) {
-        self.proxies.iter().filter(|(way, _)| way.0 == n).for_each(|(_, p)| p.set_faults(faults));
+        self.proxies.iter().filter(|(pair, _)| pair.0 == n).for_each(|(_, p)| p.set_faults(faults));
     }
 
-    /// Injects faults on the ways from all others to one member.
+    /// Injects faults into the traffic from all others to one member.
     fn set_faults_to(&self, n: usize, faults: Faults) {
-        self.proxies.iter().filter(|(way, _)| way.1 == n).for_each(|(_, p)| p.set_faults(faults));
+        self.proxies.iter().filter(|(pair, _)| pair.1 == n).for_each(|(_, p)| p.set_faults(faults));
     }
 
     fn clear_faults(&self) {
         self.proxies.values().for_each(Proxy::clear_faults);
     }
 
-    /// The version of a coordinator's replicated state, as a member reads it.
+    /// The version of the replicated state of coordinator `n`, read at member `at`.
     fn state_version(&self, n: usize, at: usize) -> Option<u64> {
         let answer = operate(self.members[&at].control, "GET", &format!("/group/keys/state/n{n}")).ok()?;
         answer.header("version")?.parse().ok()
     }
 
-    /// Starts a process once more: a start is counted once, neither twice nor never.
-    fn counts_the_next_start(&mut self, n: usize, start: u32) {
+    /// Restarts a process and asserts the number of this start: a wrong number shows that an earlier start was counted
+    /// twice or not at all.
+    fn restart_and_check_count(&mut self, n: usize, start: u32) {
         self.kill(n);
-        self.begin(n);
-        self.member(n).loads_its_state(start);
+        self.start_member(n);
+        self.member(n).wait_until_state_is_loaded(start);
     }
 }
 
@@ -252,87 +260,88 @@
     }
 }
 
-/// Guards against a process that ends, with the member that its group needs, because its first write did not arrive.
+/// The first write of a starting process is lost. If the process ended, its group would lose a member that it needs; it
+/// must keep running, and the start is counted once.
 #[test]
-fn a_start_whose_first_write_is_lost_goes_on_and_is_counted_once() {
+fn a_start_with_a_lost_first_write_continues_and_is_counted_once() {
     static PROPOSED: AtomicBool = AtomicBool::new(false);
     let mut group = Group::start("lost-write");
     let (starting, _) = group.kill_a_follower();
     group.set_faults_from(
         starting,
-        dropping(|frame| {
+        drop_frames(|frame| {
             PROPOSED.fetch_or(is_proposal(frame), Ordering::SeqCst);
             is_proposal(frame) || is_vote_request(frame)
         }),
     );
-    group.begin(starting);
+    group.start_member(starting);
     until("the first write", || PROPOSED.load(Ordering::SeqCst));
-    group.member(starting).runs_for(2 * REQUEST_TIMEOUT);
-    assert!(!group.member(starting).has_logged("] state loaded "), "it was loaded without a write");
+    group.member(starting).assert_runs_for(2 * REQUEST_TIMEOUT);
+    assert!(!group.member(starting).has_logged("] state loaded "), "the state was loaded without a write");
     group.clear_faults();
-    group.member(starting).loads_its_state(2);
-    group.counts_the_next_start(starting, 3);
+    group.member(starting).wait_until_state_is_loaded(2);
+    group.restart_and_check_count(starting, 3);
 }
 
-/// Guards against a start that ends, or takes its own write for another process's, because its write was committed but the
-/// answer was lost.
+/// The first write of a starting process is committed but its answer is lost. The process must neither end nor mistake
+/// its own write for that of another process, and the start is counted once.
 #[test]
-fn a_start_whose_answer_is_lost_is_counted_once() {
+fn a_start_with_a_lost_answer_is_counted_once() {
     static PROPOSED: AtomicBool = AtomicBool::new(false);
     let mut group = Group::start("lost-answer");
     let (starting, other) = group.kill_a_follower();
     let mut before = None;
-    until("the version", || {
+    until("the state's version", || {
         before = group.state_version(starting, other);
         before.is_some()
     });
     group.set_faults_from(
         starting,
-        dropping(|frame| {
-            // Before the proposal is forwarded: no answer to it can have come.
+        drop_frames(|frame| {
+            // Set before the proposal is forwarded, so its answer is dropped as well.
             PROPOSED.fetch_or(is_proposal(frame), Ordering::SeqCst);
             is_vote_request(frame)
         }),
     );
-    group.set_faults_to(starting, dropping(|_| PROPOSED.load(Ordering::SeqCst)));
-    group.begin(starting);
+    group.set_faults_to(starting, drop_frames(|_| PROPOSED.load(Ordering::SeqCst)));
+    group.start_member(starting);
     until("the commit", || group.state_version(starting, other).is_some_and(|v| Some(v) > before));
-    group.member(starting).runs_for(2 * REQUEST_TIMEOUT);
-    assert!(!group.member(starting).has_logged("] state loaded "), "it was loaded without an answer");
+    group.member(starting).assert_runs_for(2 * REQUEST_TIMEOUT);
+    assert!(!group.member(starting).has_logged("] state loaded "), "the state was loaded without an answer");
     group.clear_faults();
-    group.member(starting).loads_its_state(2);
-    group.counts_the_next_start(starting, 3);
+    group.member(starting).wait_until_state_is_loaded(2);
+    group.restart_and_check_count(starting, 3);
 }
 
-/// Guards against a process that ends because the leader was lost between its read and its write: without it the group has
-/// no quorum left.
+/// The leader is lost between the first read and the first write of a starting process. The process must keep running,
+/// since the group has no quorum without it.
 #[test]
-fn a_member_whose_leader_is_lost_before_its_state_is_written_goes_on() {
+fn a_start_survives_losing_the_leader_before_its_first_write() {
     static PROPOSED: AtomicBool = AtomicBool::new(false);
     let mut group = Group::start("lost-leader");
     let (starting, _) = group.kill_a_follower();
     group.set_faults_from(
         starting,
-        dropping(|frame| {
+        drop_frames(|frame| {
             PROPOSED.fetch_or(is_proposal(frame), Ordering::SeqCst);
             is_proposal(frame) || is_vote_request(frame)
         }),
     );
-    group.begin(starting);
+    group.start_member(starting);
     until("the first write", || PROPOSED.load(Ordering::SeqCst));
     let leader = group.leader();
     group.kill(leader);
     group.clear_faults();
-    group.member(starting).runs_for(2 * REQUEST_TIMEOUT);
-    group.member(starting).loads_its_state(2);
+    group.member(starting).assert_runs_for(2 * REQUEST_TIMEOUT);
+    group.member(starting).wait_until_state_is_loaded(2);
 }
 
-/// SIGKILL may come so long after SIGTERM: the longest deadline, counted as 3 s where it is longer, and 0.7 s.
+/// SIGKILL may follow SIGTERM after this time: the longest deadline, capped at 3 s, plus 0.7 s.
 const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3_700);
 
-/// Guards against a process that waits at its end for a group that has no quorum, until it is killed.
+/// A process that is terminated while its group has no quorum must not wait for the group until SIGKILL.
 #[test]
-fn a_process_whose_group_has_no_quorum_ends_before_it_is_killed() {
+fn a_process_without_a_quorum_ends_before_the_termination_timeout() {
     let mut group = Group::start("no-quorum");
     let (first, rest) = (0, 1..SIZE);
     rest.for_each(|n| group.kill(n));
@@ -343,32 +352,31 @@
     let ended = group.member(first).child.wait().unwrap();
     let took = terminated.elapsed();
     assert!(ended.success(), "{ended:?}; its log:\n{}", lock(&log));
-    assert!(took < TERMINATION_TIMEOUT, "it ended after {took:?}; its log:\n{}", lock(&log));
+    assert!(took < TERMINATION_TIMEOUT, "the process ended after {took:?}; its log:\n{}", lock(&log));
 }
 
-/// What another process uses of a coordinator that is started.
+/// A resource that another process already uses when a coordinator starts.
 #[derive(Debug, Clone, Copy)]
 enum InUse {
-    /// Its address for clients.
+    /// The address for clients of the coordinator.
     ClientsAddress,
-    /// Its second address.
+    /// The second address, for operators.
     ControlAddress,
-    /// Its address for clients of the group.
+    /// The address for clients of the group.
     GroupAddress,
-    /// Its state folder.
     StateFolder,
 }
 
-/// Starts a coordinator of which another process uses this; returns how it ended and its log.
-fn start_beside(in_use: InUse) -> std::process::Output {
+/// Starts a coordinator while another process uses one of its resources; returns its exit status and log.
+fn start_with_resource_in_use(in_use: InUse) -> std::process::Output {
     let group = Group::new(&format!("{in_use:?}"));
-    let (home, other) = (group.home(0), TcpListener::bind("127.0.0.1:0").unwrap());
-    let lock_file = File::create(home.join("state/lock")).unwrap();
+    let (dir, other) = (group.member_dir(0), TcpListener::bind("127.0.0.1:0").unwrap());
+    let lock_file = File::create(dir.join("state/lock")).unwrap();
     let address = other.local_addr().unwrap();
     let replace = |file: &str, from: &str, to: String| {
-        let text = std::fs::read_to_string(home.join(file)).unwrap();
+        let text = std::fs::read_to_string(dir.join(file)).unwrap();
         assert!(text.contains(from));
-        std::fs::write(home.join(file), text.replacen(from, &to, 1)).unwrap();
+        std::fs::write(dir.join(file), text.replacen(from, &to, 1)).unwrap();
     };
     match in_use {
         InUse::ClientsAddress => replace("config.json", "127.0.0.1:0", address.to_string()),
@@ -378,19 +386,20 @@
         }
         InUse::StateFolder => lock_file.lock().unwrap(),
     }
-    program(&home, &["serve", "--config", "config.json", "--edge", "edge.toml"]).output().unwrap()
+    program(&dir, &["serve", "--config", "config.json", "--edge", "edge.toml"]).output().unwrap()
 }
 
-/// Guards a group against a member that comes and goes with each try of a process that cannot be started.
+/// A process that fails to start must not start its member: each attempt would make the member join and leave the
+/// group.
 #[test]
-fn a_process_that_cannot_be_started_starts_no_member() {
+fn a_process_that_fails_to_start_starts_no_member() {
     for (in_use, error) in [
         (InUse::ClientsAddress, "curlewdeck: cannot listen at "),
         (InUse::ControlAddress, "curlewdeck: cannot listen at the second address "),
         (InUse::GroupAddress, "curlewdeck: cannot listen for clients of the group at "),
         (InUse::StateFolder, "another process uses it: end that one first"),
     ] {
-        let output = start_beside(in_use);
+        let output = start_with_resource_in_use(in_use);
         let log = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{in_use:?}: {log}");
         assert!(log.contains(error), "{in_use:?}: {log}");
