--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A large deployment: 1,024 data nodes in indented lists, within the least descriptors that the platform gives.
+//! Endpoint lists of 1,024 data nodes, written as indented JSON, in a process limited to the smallest number of
+//! descriptors that the platform allows.
 
 mod harness;
 
@@ -16,13 +17,13 @@
 use harness::{query, ready, served, until, TestCluster};
 
 const NODES: u32 = 1024;
-/// The least that the platform gives.
+/// The smallest limit of descriptors that the platform sets.
 const DESCRIPTORS: u32 = 256;
-/// Bytes of a chunk: no entry of a list fits in one.
-const PIECE: usize = 100;
+/// Smaller than any entry of a list, so that each entry spans several chunks.
+const CHUNK_BYTES: usize = 100;
 
-/// Each shard has one holder.
-fn cluster() -> TestCluster {
+/// A cluster in which each shard is held by one data node.
+fn large_cluster() -> TestCluster {
     let sockets = DESCRIPTORS;
     TestCluster {
         cells: NODES,
@@ -34,16 +35,16 @@
     }
 }
 
-/// An entry of the list with all that the list's service writes.
-fn entry(cell: u32, endpoint: SocketAddr) -> Value {
+/// An entry of the endpoint list with all fields that discovery writes.
+fn list_entry(cell: u32, endpoint: SocketAddr) -> Value {
     json!({
         "uid": format!("s-{cell:08x}"), "endpoint": endpoint.to_string(), "az": "a", "model": "m2",
         "pod_group": cell, "state": "up", "capacity_hint": 1.0, "boot_ms": 0,
     })
 }
 
-fn list(rev: u32, all: bool, endpoint: SocketAddr) -> Value {
-    let targets: Vec<Value> = (0..NODES).map(|cell| entry(cell, endpoint)).collect();
+fn endpoint_list(rev: u32, all: bool, endpoint: SocketAddr) -> Value {
+    let targets: Vec<Value> = (0..NODES).map(|cell| list_entry(cell, endpoint)).collect();
     json!({ "rev": rev, "all": all, "targets": targets })
 }
 
@@ -51,90 +52,90 @@
     serde_json::to_string_pretty(value).unwrap() + "\n"
 }
 
-/// A text of ASCII in many small chunks.
+/// Encodes ASCII text as many small chunks.
 fn chunks(text: &str) -> Vec<u8> {
-    text.as_bytes().chunks(PIECE).flat_map(|piece| chunk(std::str::from_utf8(piece).unwrap())).collect()
+    text.as_bytes().chunks(CHUNK_BYTES).flat_map(|bytes| chunk(std::str::from_utf8(bytes).unwrap())).collect()
 }
 
-/// All data nodes are known, and the first and the last are asked.
-fn all_known(coordinator: &Coordinator) {
-    all_listed(coordinator);
+/// Waits until the ledger lists all data nodes as active, then queries the first and the last.
+fn assert_all_nodes_serve(coordinator: &Coordinator) {
+    wait_until_all_nodes_are_active(coordinator);
     for shard in [0, NODES - 1] {
         assert_eq!(query(coordinator.listen, "tag-lookup", &[shard]).unwrap().status, 200);
     }
 }
 
-/// All data nodes are listed in the books.
-fn all_listed(coordinator: &Coordinator) {
+/// Waits until the ledger lists all data nodes as active.
+fn wait_until_all_nodes_are_active(coordinator: &Coordinator) {
     ready(coordinator);
-    let in_service = || {
-        let books = coordinator.ledger_snapshot().unwrap();
-        assert_eq!((books.nodes_unlisted, books.nodes_evicted), (0, 0));
-        books.nodes.iter().filter(|n| n.state == EndpointState::Active).count()
+    let active_nodes = || {
+        let ledger = coordinator.ledger_snapshot().unwrap();
+        assert_eq!((ledger.nodes_unlisted, ledger.nodes_evicted), (0, 0));
+        ledger.nodes.iter().filter(|n| n.state == EndpointState::Active).count()
     };
-    until("all data nodes", || in_service() == NODES as usize);
+    until("all data nodes", || active_nodes() == NODES as usize);
 }
 
-fn list_errors(coordinator: &Coordinator) -> u64 {
+fn discovery_call_errors(coordinator: &Coordinator) -> u64 {
     coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst)
 }
 
-/// Guards the whole list as an answer with a length, and in chunks.
+/// Reads the complete list from a body with `Content-Length` and from a chunked body.
 #[test]
-fn a_whole_list_of_a_large_fleet_is_read() {
+fn a_complete_list_of_1024_nodes_is_read() {
     for chunked in [false, true] {
         let node = DataNode::start(served);
         let (discovery, addr) = Scripted::new();
-        let coordinator = cluster().start(addr, "");
-        // What cannot be read has the whole list asked for.
+        let coordinator = large_cluster().start(addr, "");
+        // An invalid line makes the coordinator request the complete list.
         let (mut watch, _) = discovery.call();
         watch.write_all(&[WATCH, &chunk("nonsense\n")].concat()).unwrap();
         let (mut call, target) = discovery.call();
         assert_eq!(target, "/catalog/members");
-        let text = indented(&list(41, true, node.addr));
+        let text = indented(&endpoint_list(41, true, node.addr));
         let answer = match chunked {
             true => [WATCH, &chunks(&text), b"0\r\n\r\n"].concat(),
             false => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes(),
         };
         call.write_all(&answer).unwrap();
-        all_known(&coordinator);
-        assert_eq!(list_errors(&coordinator), 1, "only the nonsense");
+        assert_all_nodes_serve(&coordinator);
+        assert_eq!(discovery_call_errors(&coordinator), 1, "only the invalid line counts as an error");
     }
 }
 
-/// Guards a change that names all data nodes in one object, and one that comes as an object for each.
+/// Reads changes to all data nodes from a watch: all in one object, or one object for each data node.
 #[test]
-fn a_change_of_a_large_fleet_is_read_from_a_watch() {
+fn changes_to_1024_nodes_are_read_from_a_watch() {
     let node = DataNode::start(served);
-    let whole = indented(&list(41, false, node.addr));
-    let one = |cell| json!({ "rev": 1 + cell, "all": false, "targets": [entry(cell, node.addr)] });
-    let lines: String = (0..NODES).map(|cell| one(cell).to_string() + "\n").collect();
-    let objects: String = (0..NODES).map(|cell| indented(&one(cell))).collect();
-    for text in [whole, lines, objects] {
+    let single_object = indented(&endpoint_list(41, false, node.addr));
+    let change = |cell| json!({ "rev": 1 + cell, "all": false, "targets": [list_entry(cell, node.addr)] });
+    let lines: String = (0..NODES).map(|cell| change(cell).to_string() + "\n").collect();
+    let objects: String = (0..NODES).map(|cell| indented(&change(cell))).collect();
+    for text in [single_object, lines, objects] {
         let (discovery, addr) = Scripted::new();
-        let coordinator = cluster().start(addr, "");
+        let coordinator = large_cluster().start(addr, "");
         let (mut watch, _): (TcpStream, String) = discovery.call();
         watch.write_all(&[WATCH, &chunks(&text)].concat()).unwrap();
-        all_known(&coordinator);
-        assert_eq!(list_errors(&coordinator), 0);
+        assert_all_nodes_serve(&coordinator);
+        assert_eq!(discovery_call_errors(&coordinator), 0);
     }
 }
 
-/// Guards the list in the configuration's file: all of it is known before anything has come from the list's service, and
-/// it serves once that has confirmed it.
+/// The data nodes of the list in the configuration file are active before discovery has sent anything, and serve once
+/// discovery has confirmed the list.
 #[test]
-fn a_large_fleet_is_known_from_the_configuration() {
+fn nodes_of_the_configured_list_are_active_before_discovery_answers() {
     let node = DataNode::start(served);
     let (discovery, addr) = Scripted::new();
-    let mut config: Value = serde_json::from_str(&cluster().config(addr)).unwrap();
-    config["known"] = list(41, true, node.addr);
+    let mut config: Value = serde_json::from_str(&large_cluster().config(addr)).unwrap();
+    config["known"] = endpoint_list(41, true, node.addr);
     let config = Config::read(&indented(&config), |_| None).unwrap();
     assert_eq!(config.platform(0).nodes, NODES as usize);
     let coordinator = startup::start(config, Edge::default()).unwrap();
-    all_listed(&coordinator);
+    wait_until_all_nodes_are_active(&coordinator);
     assert!(node.parts().is_empty());
     let (mut watch, target) = discovery.call();
     assert!(target.ends_with("index=41"), "{target}");
     watch.write_all(&[WATCH, &chunk("{\"rev\":41,\"all\":false,\"targets\":[]}\n")].concat()).unwrap();
-    all_known(&coordinator);
+    assert_all_nodes_serve(&coordinator);
 }
--- a/tests/stalled_process.rs
+++ b/tests/stalled_process.rs
@@ -1,6 +1,6 @@
-//! A process that is held up: stopped by a signal while news of a drain is written to it, with requests at its door and
-//! on their way through it. Once it goes on, nothing new begins at the drained data node, whatever was ready before. And a
-//! worker that one peer would have to itself.
+//! Drains while the process is stalled. A signal stops the process while discovery announces a drain and requests
+//! arrive or are in progress; after it resumes, no new attempt begins at the drained data node. Also covers a data node
+//! whose traffic could monopolize a worker.
 
 mod harness;
 
@@ -15,39 +15,39 @@
 use harness::stand_in::{exchange, DataNode, Discovery};
 use harness::{change, member, query_bytes, ready, served, until, Program, TestCluster};
 
-/// The grace of the drain rule on sockets: once this is over, nothing new may begin.
-const GRACE: Duration = Duration::from_millis(300);
-/// Far less than the silence after which a watch counts as broken.
-const BEAT: Duration = Duration::from_millis(500);
+/// The grace of the drain rule, measured on sockets: no new attempt may begin after it.
+const DRAIN_GRACE: Duration = Duration::from_millis(300);
+/// Far less than the silence after which a watch is considered broken.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The program, its watch, and the number of the list that was told last.
-struct Held {
+/// The program under test, its watch, and the version of the last list that was sent.
+struct StallTest {
     program: Program,
     watch: Arc<Mutex<TcpStream>>,
-    /// Keeps the service's address.
+    /// Keeps the address of discovery in use.
     _discovery: Scripted,
     drained: SocketAddr,
     version: u32,
 }
 
-impl Held {
-    /// Two data nodes hold every shard.
+impl StallTest {
+    /// Starts the program with two data nodes that hold all shards.
     fn start(kept: SocketAddr, drained: SocketAddr) -> Self {
-        Self::listing(drained, &[("kept", 0, kept), ("drained", 1, drained)])
+        Self::start_with_nodes(drained, &[("kept", 0, kept), ("drained", 1, drained)])
     }
 
-    fn listing(drained: SocketAddr, nodes: &[(&str, u32, SocketAddr)]) -> Self {
+    fn start_with_nodes(drained: SocketAddr, nodes: &[(&str, u32, SocketAddr)]) -> Self {
         let (discovery, addr) = Scripted::new();
         let config = TestCluster::default().config(addr);
         let starting = thread::spawn(move || Program::start(&config));
         let (mut watch, _) = discovery.call();
-        let whole = list(1, nodes);
-        watch.write_all(&[WATCH, &chunk(&(whole + "\n"))].concat()).unwrap();
+        let complete_list = list(1, nodes);
+        watch.write_all(&[WATCH, &chunk(&(complete_list + "\n"))].concat()).unwrap();
         let program = starting.join().unwrap();
         let watch = Arc::new(Mutex::new(watch));
         thread::spawn({
             let watch = Arc::downgrade(&watch);
-            move || beat(&watch)
+            move || send_heartbeats(&watch)
         });
         Self { program, watch, _discovery: discovery, drained, version: 1 }
     }
@@ -57,48 +57,48 @@
         until("the stop", || self.program.state() == 'T');
     }
 
-    /// Tells a state of the second data node.
-    fn tell(&mut self, state: &str) {
-        self.tell_lines(&[("drained", 1, self.drained, state)]);
+    /// Announces a state of the data node that the test drains.
+    fn announce_state(&mut self, state: &str) {
+        self.announce(&[("drained", 1, self.drained, state)]);
     }
 
-    fn tell_lines(&mut self, lines: &[Line]) {
+    fn announce(&mut self, lines: &[Line]) {
         self.version += 1;
         let line = news(self.version, false, lines);
         self.watch.lock().unwrap().write_all(&chunk(&(line + "\n"))).unwrap();
     }
 
-    /// Stops the program, tells the drain and lets the grace pass; returns with the program still stopped.
-    fn drained_while_stopped(&mut self) {
+    /// Stops the program, announces the drain and waits for the drain grace to pass. The program remains stopped.
+    fn drain_while_stopped(&mut self) {
         self.stop();
-        self.tell("draining");
-        // Counted by the rule from the write on: a span of real time.
-        thread::sleep(GRACE);
+        self.announce_state("draining");
+        // The rule counts the grace in real time from this write.
+        thread::sleep(DRAIN_GRACE);
     }
 
-    fn go_on(&self) {
+    fn resume(&self) {
         self.program.signal("CONT");
     }
 
-    /// One query that is answered whole, from the data node that stays.
-    fn answers(&self) {
+    /// Asserts that a query is answered, by the data node that is not drained.
+    fn assert_answers(&self) {
         let answer = exchange(self.program.addr, &query_bytes("tag-lookup", &[0, 1], "20000m")).unwrap();
         assert_eq!(answer.status, 200);
     }
 }
 
-/// Tells again and again that nothing has changed, so that the watch lives however long a step takes, up to its end.
-fn beat(watch: &Weak<Mutex<TcpStream>>) {
+/// Writes heartbeats to the watch until it is closed, so that it does not time out during long steps.
+fn send_heartbeats(watch: &Weak<Mutex<TcpStream>>) {
     while let Some(watch) = watch.upgrade() {
         if watch.lock().unwrap().write_all(&chunk("\n")).is_err() {
             return;
         }
         drop(watch);
-        thread::sleep(BEAT);
+        thread::sleep(HEARTBEAT_INTERVAL);
     }
 }
 
-/// Clients that ask one query after the other, until it is dropped.
+/// Clients that each send one query after another until this is dropped.
 struct Clients(Arc<AtomicBool>, Vec<JoinHandle<()>>);
 
 impl Clients {
@@ -123,66 +123,68 @@
     }
 }
 
-/// Guards the parts of queries that are on their way through the process when it is stopped: whatever was runnable at
-/// that moment goes on first.
+/// When a process stopped under load resumes, tasks that were runnable at the stop run first. The parts of their
+/// queries must not be sent to a data node that was drained meanwhile.
 #[test]
-fn a_process_stopped_under_load_begins_nothing_at_a_drained_node() {
+fn a_process_stopped_under_load_sends_no_parts_to_a_drained_node() {
     const STOPS: usize = 12;
     let (kept, drained) = (DataNode::start(served), DataNode::start(served));
-    let mut held = Held::start(kept.addr, drained.addr);
-    let clients = Clients::start(held.program.addr, 12);
+    let mut test = StallTest::start(kept.addr, drained.addr);
+    let clients = Clients::start(test.program.addr, 12);
     let mut late = Vec::new();
     for _ in 0..STOPS {
         let before = drained.parts().len();
         until("parts", || drained.parts().len() > before + 20);
-        held.drained_while_stopped();
-        // What was written before the stop has been read by now.
-        let begun = drained.parts().len();
+        test.drain_while_stopped();
+        // By now the data node has read all that was sent to it before the stop.
+        let parts_before = drained.parts().len();
         let served_before = kept.parts().len();
-        held.go_on();
-        until("parts elsewhere", || kept.parts().len() > served_before + 20);
-        late.push(drained.parts().len() - begun);
-        held.tell("up");
+        test.resume();
+        until("parts at the other data node", || kept.parts().len() > served_before + 20);
+        late.push(drained.parts().len() - parts_before);
+        test.announce_state("up");
     }
     drop(clients);
-    assert!(late.iter().all(|&parts| parts == 0), "parts after the grace at each stop: {late:?}");
-    held.answers();
+    assert!(late.iter().all(|&parts| parts == 0), "parts sent after the grace, by stop: {late:?}");
+    test.assert_answers();
 }
 
-/// Guards requests that come while the process is stopped, before the news and behind it.
+/// Requests arrive while the process is stopped, before and after the announcement of a drain: none is sent to the
+/// drained data node.
 #[test]
-fn requests_that_come_during_a_stop_are_not_sent_to_a_drained_node() {
+fn requests_received_during_a_stop_are_not_sent_to_a_drained_node() {
     let (kept, drained) = (DataNode::start(served), DataNode::start(served));
-    let mut held = Held::start(kept.addr, drained.addr);
-    held.answers();
-    let ask = || {
-        let mut stream = TcpStream::connect(held.program.addr).unwrap();
+    let mut test = StallTest::start(kept.addr, drained.addr);
+    test.assert_answers();
+    let open_and_query = || {
+        let mut stream = TcpStream::connect(test.program.addr).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
         stream.write_all(&query_bytes("tag-lookup", &[0, 1], "20000m")).unwrap();
         stream
     };
-    let mut asked: Vec<TcpStream> = (0..8).map(|_| ask()).collect();
-    asked.iter_mut().for_each(|stream| assert!(stream.read(&mut [0; 4096]).unwrap() > 0));
-    held.stop();
-    let begun = drained.parts().len();
-    for stream in &mut asked {
+    let mut clients: Vec<TcpStream> = (0..8).map(|_| open_and_query()).collect();
+    clients.iter_mut().for_each(|stream| assert!(stream.read(&mut [0; 4096]).unwrap() > 0));
+    test.stop();
+    let parts_before = drained.parts().len();
+    for stream in &mut clients {
         stream.write_all(&query_bytes("tag-lookup", &[2, 3], "20000m")).unwrap();
     }
-    held.tell("draining");
-    for stream in &mut asked {
+    test.announce_state("draining");
+    for stream in &mut clients {
         stream.write_all(&query_bytes("tag-lookup", &[1, 2], "20000m")).unwrap();
     }
-    thread::sleep(GRACE);
-    held.go_on();
-    for stream in &mut asked {
+    thread::sleep(DRAIN_GRACE);
+    test.resume();
+    for stream in &mut clients {
         assert!(stream.read(&mut [0; 4096]).unwrap() > 0);
     }
-    assert_eq!(drained.parts().len(), begun);
-    held.answers();
+    assert_eq!(drained.parts().len(), parts_before);
+    test.assert_answers();
 }
 
-/// A listener with the smallest queue, and the connection that fills it: no further one comes up until that is taken.
-fn with_a_full_queue() -> (TcpListener, TcpStream) {
+/// A listener with the smallest backlog and the connection that fills it. No further connection is established until
+/// that one is accepted.
+fn listener_with_full_backlog() -> (TcpListener, TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     socket.listen(0).unwrap();
@@ -191,51 +193,52 @@
     (listener, first)
 }
 
-/// Whether a connection to this address is being opened.
-fn is_dialled(addr: SocketAddr) -> bool {
+/// Whether a connection to this address is being established.
+fn is_connecting(addr: SocketAddr) -> bool {
     let SocketAddr::V4(addr) = addr else { panic!("{addr}") };
-    // The address and port as the system writes them, and the state SYN_SENT.
-    let far = format!(" {:08X}:{:04X} 02 ", u32::from_ne_bytes(addr.ip().octets()), addr.port());
-    std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&far)
+    // The remote address and port as the kernel prints them, and the state SYN_SENT (02).
+    let remote = format!(" {:08X}:{:04X} 02 ", u32::from_ne_bytes(addr.ip().octets()), addr.port());
+    std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&remote)
 }
 
-/// Guards a connection that comes up while the process is stopped: what waited for it is not sent over it.
+/// A connection is established while the process is stopped and the data node drains. The part that waited for the
+/// connection must not be sent over it.
 #[test]
-fn a_dial_that_comes_up_during_a_stop_carries_nothing_to_a_drained_node() {
+fn a_connection_established_during_a_stop_sends_nothing_to_a_drained_node() {
     let kept = DataNode::start(served);
-    let (listener, first) = with_a_full_queue();
+    let (listener, first) = listener_with_full_backlog();
     let drained = listener.local_addr().unwrap();
-    let mut held = Held::listing(drained, &[("drained", 1, drained)]);
-    let addr = held.program.addr;
-    let asked = thread::spawn(move || exchange(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
-    until("the dial", || is_dialled(drained));
-    held.stop();
+    let mut test = StallTest::start_with_nodes(drained, &[("drained", 1, drained)]);
+    let addr = test.program.addr;
+    let client = thread::spawn(move || exchange(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
+    until("the connection attempt", || is_connecting(drained));
+    test.stop();
     drop(listener.accept().unwrap());
     drop(first);
-    // The system tries again a second after the first try, whether or not the process runs.
+    // The kernel retransmits the SYN a second after the first, whether or not the process runs.
     listener.set_nonblocking(true).unwrap();
     let mut accepted = None;
-    until("the dial's next try", || {
+    until("the retransmitted SYN", || {
         accepted = listener.accept().ok();
         accepted.is_some()
     });
-    let (mut dialled, _) = accepted.unwrap();
-    held.tell_lines(&[("kept", 0, kept.addr, "up"), ("drained", 1, drained, "draining")]);
-    thread::sleep(GRACE);
-    held.go_on();
-    until("the end of the query", || asked.is_finished());
-    held.answers();
-    dialled.set_nonblocking(true).unwrap();
-    match dialled.read(&mut [0; 64]) {
+    let (mut connection, _) = accepted.unwrap();
+    test.announce(&[("kept", 0, kept.addr, "up"), ("drained", 1, drained, "draining")]);
+    thread::sleep(DRAIN_GRACE);
+    test.resume();
+    until("the end of the query", || client.is_finished());
+    test.assert_answers();
+    connection.set_nonblocking(true).unwrap();
+    match connection.read(&mut [0; 64]) {
         Ok(0) => {}
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::ConnectionReset) => {}
-        got => panic!("something came: {got:?}"),
+        received => panic!("the drained data node received data: {received:?}"),
     }
 }
 
-/// A data node that answers each connection's first bytes with frames without end. Each is sound, and none was asked for:
-/// a late answer to a probe costs the connection nothing while parts are out on it.
-fn endless() -> SocketAddr {
+/// Starts a data node that sends frames without end after the first bytes of each connection. The frames are valid but
+/// unsolicited: late answers to a health probe, which do not close the connection while it has open parts.
+fn start_flooding_node() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -250,12 +253,12 @@
     addr
 }
 
-/// Guards the news of the list against a data node that sends faster than it is read: the one worker looks at its other
-/// sockets all the same, again and again.
+/// A data node sends faster than the only worker reads. The worker must still poll its other sockets, so that changes
+/// of the endpoint list reach the core.
 #[test]
-fn a_data_node_that_sends_without_end_keeps_no_news_from_the_core() {
-    let (sends, drained) = (endless(), DataNode::start(served));
-    let list = vec![member("sends", 0, sends), member("drained", 1, drained.addr)];
+fn a_flooding_data_node_does_not_block_endpoint_list_changes() {
+    let (flooding, drained) = (start_flooding_node(), DataNode::start(served));
+    let list = vec![member("sends", 0, flooding), member("drained", 1, drained.addr)];
     let discovery = Discovery::start("127.0.0.1:0", list);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     ready(&coordinator);
