--- a/tests/deploy_file.rs
+++ b/tests/deploy_file.rs
@@ -1,11 +1,12 @@
-//! The deploy file lists the program's sources: decisions under `policy`, the others under `node`, each once.
+//! Checks that the deploy file lists every source of the program exactly once: decision code under `policy`, all other
+//! code under `node`.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
 
-/// Sources that no coordinator runs: the simulator's adapter and what tests are built with.
+/// Sources that are not part of a deployed coordinator: the simulator's adapter and the test kit.
 const NOT_DEPLOYED: [&str; 2] = ["src/bin", "crates/testkit"];
 
 #[derive(Deserialize)]
@@ -21,9 +22,9 @@
 /// Adds the Rust files at or below a path.
 fn collect_sources(path: &Path, sources: &mut Vec<PathBuf>) {
     if path.is_dir() {
-        let entries = std::fs::read_dir(path).expect("a folder that can be read");
+        let entries = std::fs::read_dir(path).expect("the folder should be readable");
         for entry in entries {
-            collect_sources(&entry.expect("an entry").path(), sources);
+            collect_sources(&entry.expect("the entry should be readable").path(), sources);
         }
     } else if path.extension().is_some_and(|extension| extension == "rs") && !is_test(path) {
         sources.push(path.to_path_buf());
@@ -33,7 +34,7 @@
 fn listed_sources(paths: &[PathBuf]) -> Vec<PathBuf> {
     let mut sources = Vec::new();
     for path in paths {
-        assert!(path.exists(), "{} is listed and does not exist", path.display());
+        assert!(path.exists(), "{} is listed but does not exist", path.display());
         collect_sources(path, &mut sources);
     }
     sources
@@ -42,8 +43,11 @@
 fn deployed_sources() -> BTreeSet<PathBuf> {
     let mut sources = Vec::new();
     collect_sources(Path::new("src"), &mut sources);
-    for entry in std::fs::read_dir("crates").expect("the crates") {
-        collect_sources(&entry.expect("a crate").path().join("src"), &mut sources);
+    for entry in std::fs::read_dir("crates").expect("the folder of crates should be readable") {
+        collect_sources(
+            &entry.expect("the crate's entry should be readable").path().join("src"),
+            &mut sources,
+        );
     }
     let is_deployed = |source: &PathBuf| !NOT_DEPLOYED.iter().any(|path| source.starts_with(path));
     sources.into_iter().filter(is_deployed).collect()
@@ -51,12 +55,12 @@
 
 #[test]
 fn every_source_is_listed_once_under_policy_or_node() {
-    let text = std::fs::read_to_string("deploy/balancer.toml").expect("the deploy file");
-    let deploy: DeployFile = toml::from_str(&text).expect("a deploy file that can be read");
+    let text = std::fs::read_to_string("deploy/balancer.toml").expect("the deploy file should be readable");
+    let deploy: DeployFile = toml::from_str(&text).expect("the deploy file should parse");
     let mut listed = listed_sources(&deploy.policy);
     listed.extend(listed_sources(&deploy.node));
-    let once: BTreeSet<PathBuf> = listed.iter().cloned().collect();
-    assert_eq!(listed.len(), once.len(), "a source is listed twice");
-    let missing: Vec<PathBuf> = deployed_sources().difference(&once).cloned().collect();
-    assert!(missing.is_empty(), "not listed: {missing:?}");
+    let unique: BTreeSet<PathBuf> = listed.iter().cloned().collect();
+    assert_eq!(listed.len(), unique.len(), "a source is listed more than once");
+    let missing: Vec<PathBuf> = deployed_sources().difference(&unique).cloned().collect();
+    assert!(missing.is_empty(), "sources missing from the deploy file: {missing:?}");
 }
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -1,5 +1,5 @@
-//! Feature queries on loopback, against stand-in feature servers: conformance requests replayed, the hard
-//! cases, and exactly one final answer for every query.
+//! Feature queries on loopback against stand-in feature servers: OGC API conformance requests, server failures between
+//! pages, and exactly one final answer for each query.
 
 mod harness;
 
@@ -28,7 +28,7 @@
 title = "Road segments"
 class = "plaza-ranking"
 "#;
-const COUNT: usize = 5;
+const FEATURES_PER_RANGE: usize = 5;
 
 fn start(cluster: &TestCluster, servers: &[&FeatureServer]) -> (Coordinator, Discovery, SocketAddr) {
     let members =
@@ -41,8 +41,8 @@
     (coordinator, discovery, ogc)
 }
 
-fn sound() -> FeatureServer {
-    FeatureServer::start(|q| store(q, COUNT, 2))
+fn healthy_server() -> FeatureServer {
+    FeatureServer::start(|q| store(q, FEATURES_PER_RANGE, 2))
 }
 
 fn json(answer: &Answer) -> Json {
@@ -54,18 +54,18 @@
     Some(link["href"].as_str()?.strip_prefix("http://edge")?.to_string())
 }
 
-fn ids(body: &Json) -> Vec<String> {
+fn feature_ids(body: &Json) -> Vec<String> {
     body["features"].as_array().unwrap().iter().map(|f| f["id"].as_str().unwrap().to_string()).collect()
 }
 
-fn all_ids() -> Vec<String> {
-    (0..4).flat_map(|r| (0..COUNT).map(move |n| format!("{r}-{n}"))).collect()
+fn all_feature_ids() -> Vec<String> {
+    (0..4).flat_map(|r| (0..FEATURES_PER_RANGE).map(move |n| format!("{r}-{n}"))).collect()
 }
 
-/// Requests of the abstract test suite of Part 1 (core, geojson), replayed.
+/// Replays requests of the abstract test suite of OGC API - Features Part 1 (core and geojson).
 #[test]
-fn conformance_requests_are_met() {
-    let (a, b) = (sound(), sound());
+fn answers_conform_to_ogc_api_features_core_and_geojson() {
+    let (a, b) = (healthy_server(), healthy_server());
     let (_coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&a, &b]);
     let landing = get(ogc, "/").unwrap();
     assert_eq!((landing.status, landing.header("content-type")), (200, Some("application/json")));
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn bad_requests_are_problems() {
-    let (a, b) = (sound(), sound());
+fn bad_requests_get_problem_json() {
+    let (a, b) = (healthy_server(), healthy_server());
     let (_coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&a, &b]);
     for (target, status) in [
         ("/collections/plazas/items?bbox=1,2,3", 400),
@@ -134,11 +134,11 @@
     assert_eq!((malformed.status, malformed.header("content-type")), (400, Some("application/problem+json")));
 }
 
-/// A box that spans every tag range: all ranges are asked, with the box as it came, and following the next
-/// links gives every feature once, across the servers' own pages.
+/// A bounding box over all tag ranges is passed unchanged to the server of each range, and following the `next` links
+/// returns each feature once although the servers have pages of their own.
 #[test]
-fn a_box_over_every_range_is_read_page_by_page() {
-    let (a, b) = (sound(), sound());
+fn paging_over_all_ranges_returns_each_feature_once() {
+    let (a, b) = (healthy_server(), healthy_server());
     let (_coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&a, &b]);
     let mut target = "/collections/plazas/items?bbox=-180,-90,180,90&limit=3".to_string();
     let mut got = Vec::new();
@@ -148,14 +148,14 @@
             (&body["complete"], &body["missingRanges"]),
             (&Json::Bool(true), &Json::Array(Vec::new()))
         );
-        got.extend(ids(&body));
+        got.extend(feature_ids(&body));
         match href(&body, "next") {
             Some(next) => target = next,
             None => break,
         }
-        assert!(got.len() <= 20, "more features than there are");
+        assert!(got.len() <= 20, "more features than the servers hold");
     }
-    assert_eq!(got, all_ids());
+    assert_eq!(got, all_feature_ids());
     let asked: Vec<FeatureQuery> = a.seen().into_iter().chain(b.seen()).collect();
     let ranges: BTreeSet<usize> = asked.iter().filter_map(|q| q.number("tag_range")).collect();
     assert_eq!(ranges, (0..4).collect());
@@ -163,23 +163,24 @@
     assert!(first.clone().count() > 0 && first.clone().all(|q| q.parameters["bbox"] == "-180,-90,180,90"));
 }
 
-/// A server that stalls between its pages: its half is dropped, and another replica gives the range whole.
+/// A server sends its first page and stalls on the next: the first page is discarded, and another replica serves the
+/// complete range.
 #[test]
-fn a_stall_mid_page_is_served_by_another_replica() {
+fn a_server_stalled_between_pages_is_replaced_by_another_replica() {
     let stalled = Arc::new(AtomicBool::new(false));
-    let noted = stalled.clone();
+    let stalled_in_server = stalled.clone();
     let bad = FeatureServer::start(move |q| {
         if q.number("offset").unwrap_or(0) > 0 {
-            noted.store(true, Ordering::SeqCst);
+            stalled_in_server.store(true, Ordering::SeqCst);
             return FeatureReply::Stall;
         }
-        store(q, COUNT, 2)
+        store(q, FEATURES_PER_RANGE, 2)
     });
-    let good = sound();
+    let good = healthy_server();
     let (coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&bad, &good]);
     until("a stall", || {
         let body = json(&get(ogc, "/collections/plazas/items?limit=100").unwrap());
-        assert_eq!((ids(&body), &body["complete"]), (all_ids(), &Json::Bool(true)));
+        assert_eq!((feature_ids(&body), &body["complete"]), (all_feature_ids(), &Json::Bool(true)));
         stalled.load(Ordering::SeqCst)
     });
     let counters = &coordinator.core.counters;
@@ -187,56 +188,57 @@
     assert_eq!(counters.answers_complete.load(Ordering::SeqCst), taken);
 }
 
-/// A drain between two pages: the second page is new work, so it is not asked for; another replica gives the
-/// whole range.
+/// A server starts to drain between two pages. A request for the second page would be new work, so it is not sent;
+/// another replica serves the complete range.
 #[test]
-fn a_drain_between_pages_is_honoured() {
-    let (at_page, reached) = mpsc::channel();
-    let (go_on, wait) = mpsc::channel::<()>();
-    let (at_page, wait) = (Mutex::new(at_page), Mutex::new(wait));
+fn a_server_drained_between_pages_is_not_asked_for_the_next() {
+    let (page_requested, first_request) = mpsc::channel();
+    let (release, released) = mpsc::channel::<()>();
+    let (page_requested, released) = (Mutex::new(page_requested), Mutex::new(released));
     let draining = FeatureServer::start(move |q| {
         if q.number("offset").is_none() && q.target.contains("/items?") {
-            let _ = at_page.lock().unwrap().send(());
-            // Closed once the test lets every page go.
-            let _ = wait.lock().unwrap().recv();
+            let _ = page_requested.lock().unwrap().send(());
+            // Returns an error once the test has dropped the sender.
+            let _ = released.lock().unwrap().recv();
         }
-        store(q, COUNT, 2)
+        store(q, FEATURES_PER_RANGE, 2)
     });
-    let good = sound();
+    let good = healthy_server();
     let (coordinator, discovery, ogc) = start(&TestCluster::default(), &[&draining, &good]);
-    let asked = std::thread::spawn(move || get(ogc, "/collections/plazas/items?limit=100").unwrap());
-    reached.recv().unwrap();
+    let answer = std::thread::spawn(move || get(ogc, "/collections/plazas/items?limit=100").unwrap());
+    first_request.recv().unwrap();
     change(&coordinator, &discovery, "f0", "draining");
-    drop(go_on);
-    let body = json(&asked.join().unwrap());
-    assert_eq!((ids(&body), &body["complete"]), (all_ids(), &Json::Bool(true)));
-    let first = |q: &FeatureQuery| q.number("offset").is_none();
-    assert!(draining.seen().iter().all(first), "a page was asked for after the drain");
+    drop(release);
+    let body = json(&answer.join().unwrap());
+    assert_eq!((feature_ids(&body), &body["complete"]), (all_feature_ids(), &Json::Bool(true)));
+    let is_first_page = |q: &FeatureQuery| q.number("offset").is_none();
+    assert!(draining.seen().iter().all(is_first_page), "a page was requested after the drain");
 }
 
-/// Half of the ranges are on a server that fails: the answer says so, and a feature that may lie there is
-/// not denied.
+/// One of two servers fails: answers list the ranges that are missing, and a request for a feature that may lie in one
+/// of them fails with 504, not with 404.
 #[test]
-fn partial_answers_are_marked() {
-    // It holds the even ranges, and knows nothing of features of the others.
+fn partial_answers_list_missing_ranges() {
+    // This server holds only the even ranges.
     let good = FeatureServer::start(|q| match q.last().split_once('-') {
         Some(("1" | "3", _)) => FeatureReply::Body(404, "{}".to_string()),
-        _ => store(q, COUNT, 2),
+        _ => store(q, FEATURES_PER_RANGE, 2),
     });
     let bad = FeatureServer::start(|_| FeatureReply::Body(500, "{}".to_string()));
     let cluster = TestCluster { in_a_row: 1, ..TestCluster::default() };
     let (coordinator, _discovery, ogc) = start(&cluster, &[&good, &bad]);
     let body = json(&get(ogc, "/collections/segments/items?limit=100").unwrap());
     assert_eq!((&body["complete"], &body["missingRanges"]), (&Json::Bool(false), &serde_json::json!([1, 3])));
-    assert!(ids(&body).iter().all(|id| id.starts_with("0-") || id.starts_with("2-")));
+    assert!(feature_ids(&body).iter().all(|id| id.starts_with("0-") || id.starts_with("2-")));
     assert_eq!(get(ogc, "/collections/segments/items/0-1").unwrap().status, 200);
     assert_eq!(get(ogc, "/collections/segments/items/1-1").unwrap().status, 504);
-    // A class that needs every range is not answered in part.
+    // A class that requires all ranges gets no partial answer.
     assert!(matches!(get(ogc, "/collections/plazas/items").unwrap().status, 503 | 504));
     assert!(coordinator.core.counters.answers_partial.load(Ordering::SeqCst) >= 3);
 }
 
-/// Servers that fail in every way: each query ends with exactly one answer, and the counters agree.
+/// Servers close connections, send errors and send malformed JSON: each query still ends with exactly one answer, and
+/// the counters agree.
 #[test]
 fn every_query_ends_with_exactly_one_answer() {
     let turn = Arc::new(AtomicUsize::new(0));
@@ -245,39 +247,40 @@
         1 => FeatureReply::Body(500, String::new()),
         2 => FeatureReply::Body(200, "no json".to_string()),
         3 => FeatureReply::Body(503, String::new()),
-        _ => store(q, COUNT, 2),
+        _ => store(q, FEATURES_PER_RANGE, 2),
     };
     let (a, b) = (FeatureServer::start(faulty.clone()), FeatureServer::start(faulty));
     let (coordinator, _discovery, ogc) =
         start(&TestCluster { deadline_s: 5, ..TestCluster::default() }, &[&a, &b]);
     const CLIENTS: usize = 8;
-    const EACH: usize = 5;
+    const QUERIES_PER_CLIENT: usize = 5;
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
             std::thread::spawn(move || {
                 let target = ["/collections/plazas/items?limit=9", "/collections/segments/items/2-1"][n % 2];
-                (0..EACH).map(|_| get(ogc, target).unwrap().status).collect::<Vec<_>>()
+                (0..QUERIES_PER_CLIENT).map(|_| get(ogc, target).unwrap().status).collect::<Vec<_>>()
             })
         })
         .collect();
     let statuses: Vec<u16> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
-    assert_eq!(statuses.len(), CLIENTS * EACH);
+    assert_eq!(statuses.len(), CLIENTS * QUERIES_PER_CLIENT);
     assert!(statuses.iter().all(|s| matches!(s, 200 | 404 | 503 | 504)), "{statuses:?}");
     let c = &coordinator.core.counters;
-    let sum = [
+    let ends = [
         &c.answers_complete,
         &c.answers_partial,
         &c.queries_rejected,
         &c.queries_failed,
         &c.queries_over_limit,
     ];
-    let sum: u64 = sum.iter().map(|c| c.load(Ordering::SeqCst)).sum();
-    assert_eq!(sum, (CLIENTS * EACH) as u64);
+    let ended: u64 = ends.iter().map(|c| c.load(Ordering::SeqCst)).sum();
+    assert_eq!(ended, (CLIENTS * QUERIES_PER_CLIENT) as u64);
 }
 
-/// The front speaks to data nodes that speak frames, too: on the same core, with the query as their text.
+/// The features frontend also queries data nodes with the frame protocol; the text of each part is the request's
+/// target.
 #[test]
-fn data_nodes_that_speak_frames_may_hold_features() {
+fn data_nodes_with_the_frame_protocol_serve_features() {
     use harness::stand_in::{feature, DataNode, NodeReply};
     let node = || {
         DataNode::start(|part| NodeReply::Answer(200, 0, format!("[{}]", feature(part.shard as usize, 0))))
@@ -289,13 +292,13 @@
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
     let body = json(&get(coordinator.features.unwrap(), "/collections/plazas/items").unwrap());
-    assert_eq!(ids(&body), ["0-0", "1-0", "2-0", "3-0"]);
+    assert_eq!(feature_ids(&body), ["0-0", "1-0", "2-0", "3-0"]);
     let texts: BTreeSet<String> = a.parts().into_iter().chain(b.parts()).map(|p| p.text).collect();
     assert_eq!(texts.into_iter().collect::<Vec<_>>(), ["/collections/plazas/items?limit=10&cursor=0.0"]);
 }
 
 #[test]
-fn an_edge_that_cannot_be_used_is_named() {
+fn invalid_edge_settings_are_rejected() {
     use curlewdeck::config::Edge;
     assert!(Edge::read("[ogc]\nlisten = 5\ncollections = []").is_err());
     assert!(Edge::read("[gco]").is_err());
@@ -309,11 +312,15 @@
     assert!(started.err().unwrap().to_string().contains("second step"));
 }
 
-/// Features in the order of their ids, behind `behind`, of data that changes; `dead` servers fail.
-fn sorted(data: &Arc<Mutex<Vec<BTreeSet<String>>>>, dead: &Arc<AtomicBool>) -> FeatureServer {
-    let (data, dead) = (data.clone(), dead.clone());
+/// Serves features in the order of their ids, starting after the id in `behind`, from data that the test changes.
+/// Answers with 500 while `failing` is set.
+fn server_ordered_by_id(
+    data: &Arc<Mutex<Vec<BTreeSet<String>>>>,
+    failing: &Arc<AtomicBool>,
+) -> FeatureServer {
+    let (data, failing) = (data.clone(), failing.clone());
     FeatureServer::start(move |q| {
-        if dead.load(Ordering::SeqCst) {
+        if failing.load(Ordering::SeqCst) {
             return FeatureReply::Body(500, "{}".to_string());
         }
         let (range, limit) = (q.number("tag_range").unwrap_or(0), q.number("limit").unwrap_or(10));
@@ -328,42 +335,43 @@
     })
 }
 
-/// Where servers give features by id, a page goes on behind an id: no feature twice and none skipped while features
-/// come and go and servers die between pages; a range that is missing gives what it owes later.
+/// Where servers order features by id, a page continues after the last id. No feature is repeated or skipped while
+/// features are added and removed and servers fail between pages; a later page returns the features of a range that was
+/// missing.
 #[test]
-fn pages_by_id_neither_repeat_nor_skip() {
-    let held = |range: usize| (0..9).map(|n| format!("f{n}-{range}")).collect::<BTreeSet<String>>();
-    let data = Arc::new(Mutex::new((0..4).map(held).collect::<Vec<_>>()));
-    let dead = [Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false))];
-    let servers = [sorted(&data, &dead[0]), sorted(&data, &dead[1])];
+fn paging_by_id_neither_repeats_nor_skips_features() {
+    let initial_ids = |range: usize| (0..9).map(|n| format!("f{n}-{range}")).collect::<BTreeSet<String>>();
+    let data = Arc::new(Mutex::new((0..4).map(initial_ids).collect::<Vec<_>>()));
+    let failing = [Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false))];
+    let servers = [server_ordered_by_id(&data, &failing[0]), server_ordered_by_id(&data, &failing[1])];
     let members = (0..).zip(&servers).map(|(cell, s)| member(&format!("f{cell}"), cell, s.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", members);
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
-    // Each range has one holder.
+    // Each range is held by one server.
     let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, &edge);
     ready(&coordinator);
     let ogc = coordinator.features.unwrap();
     let mut target = "/collections/segments/items?limit=5".to_string();
-    let (mut got, mut gone, mut late) = (Vec::new(), BTreeSet::new(), 0);
+    let (mut got, mut removed, mut partial_pages) = (Vec::new(), BTreeSet::new(), 0);
     for page in 0..100 {
-        // Every other time one of the two is dead, and half of the ranges are missing.
-        let lost = (page % 4 == 1).then_some(page / 4 % 2);
-        (0..2).for_each(|n| dead[n].store(lost == Some(n), Ordering::SeqCst));
+        // On one page in four, one of the two servers fails and half of the ranges are missing.
+        let failed = (page % 4 == 1).then_some(page / 4 % 2);
+        (0..2).for_each(|n| failing[n].store(failed == Some(n), Ordering::SeqCst));
         let mut body = Json::Null;
-        until("a page as it should be", || {
+        until("a page with the expected missing ranges", || {
             let answer = get(ogc, &target).unwrap();
             body = if answer.status == 200 { json(&answer) } else { Json::Null };
-            body["missingRanges"].as_array().is_some_and(|m| m.len() == if lost.is_some() { 2 } else { 0 })
+            body["missingRanges"].as_array().is_some_and(|m| m.len() == if failed.is_some() { 2 } else { 0 })
         });
-        late += usize::from(lost.is_some());
-        got.extend(ids(&body));
+        partial_pages += usize::from(failed.is_some());
+        got.extend(feature_ids(&body));
         {
             let mut data = data.lock().unwrap();
             let range = page % 4;
             data[range].insert(format!("f{}-{range}-new{page}", page % 9));
             let first = data[range].iter().nth(page % 7).cloned().unwrap();
             data[range].remove(&first);
-            gone.insert(first);
+            removed.insert(first);
         }
         match href(&body, "next") {
             Some(next) => target = next,
@@ -371,11 +379,11 @@
         }
     }
     let unique: BTreeSet<&String> = got.iter().collect();
-    assert_eq!(unique.len(), got.len(), "a feature came twice: {got:?}");
-    let stayed: Vec<String> = (0..4).flat_map(held).filter(|id| !gone.contains(id)).collect();
-    assert!(stayed.iter().all(|id| unique.contains(id)), "{got:?}");
-    assert!(late >= 2, "the walk met {late} pages with missing ranges");
-    // A cursor is bound to its collection and filter, and cannot be changed.
+    assert_eq!(unique.len(), got.len(), "a feature was returned twice: {got:?}");
+    let kept: Vec<String> = (0..4).flat_map(initial_ids).filter(|id| !removed.contains(id)).collect();
+    assert!(kept.iter().all(|id| unique.contains(id)), "{got:?}");
+    assert!(partial_pages >= 2, "only {partial_pages} pages had missing ranges");
+    // A cursor is valid only for its collection and filter, and an altered cursor is rejected.
     let first = json(&get(ogc, "/collections/segments/items?limit=5").unwrap());
     let cursor = href(&first, "next").unwrap().split_once("cursor=").unwrap().1.to_string();
     for target in [
@@ -389,12 +397,13 @@
     }
 }
 
-/// A server that does not keep to the order does not count: its part goes to another replica.
+/// An answer whose features are not in the order of their ids is rejected, and the part is sent to another replica.
 #[test]
-fn features_out_of_order_do_not_count() {
-    let (data, alive) = (Arc::new(Mutex::new(vec![BTreeSet::from(["a".to_string()]); 4])), Arc::default());
+fn features_out_of_order_are_rejected() {
+    let (data, never_failing) =
+        (Arc::new(Mutex::new(vec![BTreeSet::from(["a".to_string()]); 4])), Arc::default());
     let (good, bad) = (
-        sorted(&data, &alive),
+        server_ordered_by_id(&data, &never_failing),
         FeatureServer::start(|_| {
             let feature = |id| format!(r#"{{"type":"Feature","id":"{id}"}}"#);
             let features = format!("{},{}", feature("b"), feature("a"));
@@ -406,10 +415,10 @@
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
-    let unfit = || coordinator.core.counters.values_invalid.load(Ordering::SeqCst);
-    until("a value that does not count", || {
+    let invalid_values = || coordinator.core.counters.values_invalid.load(Ordering::SeqCst);
+    until("an invalid value", || {
         let body = json(&get(coordinator.features.unwrap(), "/collections/plazas/items").unwrap());
-        assert_eq!((ids(&body), &body["complete"]), (vec!["a".to_string()], &Json::Bool(true)));
-        unfit() > 0
+        assert_eq!((feature_ids(&body), &body["complete"]), (vec!["a".to_string()], &Json::Bool(true)));
+        invalid_values() > 0
     });
 }
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -1,4 +1,4 @@
-//! The request ledger on loopback: every count against what the stand-in clients and data nodes have counted themselves.
+//! Compares the counts of the request ledger with those of the stand-in clients and data nodes on loopback.
 
 mod harness;
 
@@ -14,16 +14,16 @@
 const CLASSES: [&str; 3] = ["tag-lookup", "plaza-ranking", "monthly-settle"];
 
 fn ledger(coordinator: &curlewdeck::startup::Coordinator) -> LedgerSnapshot {
-    let snapshot = coordinator.ledger_snapshot().expect("the core answers");
+    let snapshot = coordinator.ledger_snapshot().expect("the core should answer");
     assert_eq!(snapshot.check(), Ok(()));
     snapshot
 }
 
-/// Class by class and outcome by outcome: what clients were answered is what is counted, and so is what data nodes were
-/// sent.
+/// For each class and outcome, the ledger's counts equal the answers that clients got and the parts that data nodes
+/// received.
 #[test]
-fn the_ledger_agrees_with_what_clients_and_nodes_counted() {
-    // Odd shards fail at one node, so that there are repeats and partial answers.
+fn ledger_counts_match_clients_and_data_nodes() {
+    // Odd shards fail at one node, which causes retries and partial answers.
     let nodes = [
         DataNode::start(|_| NodeReply::Answer(200, 1, "v".to_string())),
         DataNode::start(|part| {
@@ -32,11 +32,11 @@
     ];
     let members = (0..).zip(&nodes).map(|(cell, n)| member(&format!("s{cell}"), cell, n.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", members);
-    // Each shard has one holder: even ones cell 0, odd ones cell 1.
+    // Each shard is held by one cell: even shards by cell 0, odd shards by cell 1.
     let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
     ready(&coordinator);
-    // What clients saw: by class, whole, partial and all others.
-    let mut seen = [[0u64; 3]; 3];
+    // Answers that clients got, by class: complete, partial and others.
+    let mut answers = [[0u64; 3]; 3];
     for round in 0..6 {
         for (class, name) in CLASSES.iter().enumerate() {
             let shards: &[u32] = if round % 2 == 0 { &[0, 2] } else { &[0, 1] };
@@ -46,51 +46,51 @@
                 (200, false) => 1,
                 _ => 2,
             };
-            seen[class][kind] += 1;
+            answers[class][kind] += 1;
         }
     }
-    // Calls that were still on their way when their query ended.
+    // Some attempts are still open when their query ends.
     until("all attempts have ended", || ledger(&coordinator).attempts.in_flight() == 0);
-    let s = ledger(&coordinator);
+    let snapshot = ledger(&coordinator);
     for (class, name) in CLASSES.iter().enumerate() {
-        let row: &ClassRow = &s.classes[class];
+        let row: &ClassRow = &snapshot.classes[class];
         assert_eq!((row.name.as_str(), row.accepted, row.open()), (*name, 6, 0));
-        let whole = row.ended_with(QueryEnd::CompleteInTime) + row.ended_with(QueryEnd::CompleteLate);
+        let complete = row.ended_with(QueryEnd::CompleteInTime) + row.ended_with(QueryEnd::CompleteLate);
         let others = row.ended_with(QueryEnd::Rejected)
             + row.ended_with(QueryEnd::Failed)
             + row.ended_with(QueryEnd::ClientDisconnected);
-        assert_eq!([whole, row.ended_with(QueryEnd::Partial), others], seen[class], "{name}");
-        assert_eq!(row.latency_ms.is_some(), whole + row.ended_with(QueryEnd::Partial) > 0);
+        assert_eq!([complete, row.ended_with(QueryEnd::Partial), others], answers[class], "{name}");
+        assert_eq!(row.latency_ms.is_some(), complete + row.ended_with(QueryEnd::Partial) > 0);
     }
-    assert!(seen[0][2] > 0 && seen[1][1] > 0, "nothing failed or was partial: {seen:?}");
-    for (row, node) in s.nodes.iter().zip(&nodes) {
-        let reached = row.attempts.started
+    assert!(answers[0][2] > 0 && answers[1][1] > 0, "no failed or no partial answers: {answers:?}");
+    for (row, node) in snapshot.nodes.iter().zip(&nodes) {
+        let received = row.attempts.started
             - row.attempts.ended_with(Outcome::NotSent)
             - row.attempts.ended_with(Outcome::ConnectFailed);
-        assert_eq!(reached, node.parts().len() as u64, "node {}", row.name);
+        assert_eq!(received, node.parts().len() as u64, "node {}", row.name);
         assert_eq!((row.state, row.drains), (EndpointState::Active, 0));
     }
-    assert!(s.nodes[1].attempts.ended_with(Outcome::ServerError) > 0);
+    assert!(snapshot.nodes[1].attempts.ended_with(Outcome::ServerError) > 0);
     let counters = &coordinator.core.counters;
     let all: std::collections::BTreeMap<_, _> = counters.all().into_iter().collect();
-    assert_eq!(all["cdQueriesTaken"], s.sum(|c| c.accepted));
-    assert_eq!(all["cdAttemptsSent"], s.attempts.started);
+    assert_eq!(all["cdQueriesTaken"], snapshot.sum(|c| c.accepted));
+    assert_eq!(all["cdAttemptsSent"], snapshot.attempts.started);
     let report = coordinator.report();
     assert!(report.contains("class tag-lookup taken=6 open=0"), "{report}");
     assert!(report.contains("node 1 s0 In drains=0"), "{report}");
-    // A drain and an end are seen, and the row stays for a while.
+    // A drain and a removal are recorded, and the row of a removed data node is kept for a while.
     change(&coordinator, &discovery, "s1", "draining");
     assert_eq!(
         (ledger(&coordinator).nodes[1].state, ledger(&coordinator).nodes[1].drains),
         (EndpointState::Draining, 1)
     );
     change(&coordinator, &discovery, "s1", "removed");
-    until("the core forgets the node", || ledger(&coordinator).nodes[1].removed_at.is_some());
-    assert_eq!(ledger(&coordinator).nodes[1].attempts, s.nodes[1].attempts);
+    until("the removal of the data node", || ledger(&coordinator).nodes[1].removed_at.is_some());
+    assert_eq!(ledger(&coordinator).nodes[1].attempts, snapshot.nodes[1].attempts);
 }
 
-/// The state that is stored in a folder.
-fn stored(folder: &Path) -> SnapshotContents {
+/// Reads the state stored in a folder.
+fn read_stored_state(folder: &Path) -> SnapshotContents {
     record::open(STATE_RECORD, &std::fs::read(folder.join("books")).unwrap()).unwrap()
 }
 
@@ -98,8 +98,8 @@
     contents.ledger.classes.iter().flat_map(|class| class.ended).sum()
 }
 
-/// A process that ends by itself, and one that is killed, go on from what was written: totals never fall below that and
-/// never rise above what was served.
+/// After an orderly end and after SIGKILL, totals continue from the stored state: they are at least the stored totals
+/// and at most the number of served queries.
 #[test]
 fn totals_continue_after_a_restart() {
     use std::process::{Child, Command, Stdio};
@@ -121,49 +121,49 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        // It says where it listens.
+        // The log contains the address.
         use std::io::BufRead;
         let mut lines = std::io::BufReader::new(child.stderr.take().unwrap()).lines();
         let addr = loop {
-            let line = lines.next().expect("a line that says where it serves").unwrap();
+            let line = lines.next().expect("the log should contain the listening address").unwrap();
             if let Some((_, fields)) = line.split_once("] listening for clients ") {
                 break harness::logged_address(fields);
             }
         };
-        // Read on, or it would wait for somebody to.
+        // Drain the pipe, so that the process does not block on writing its log.
         std::thread::spawn(move || lines.for_each(drop));
         until("health", || harness::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200));
         (child, addr)
     };
-    let total = || total_ended(&stored(&folder));
+    let total = || total_ended(&read_stored_state(&folder));
     let mut served = 0;
     for round in 0..4 {
         let (mut child, addr) = start();
-        assert_eq!(stored(&folder).boots, round + 1);
+        assert_eq!(read_stored_state(&folder).boots, round + 1);
         for _ in 0..5 {
             served += u64::from(query(addr, "tag-lookup", &[0, 1]).unwrap().status == 200);
         }
         if round % 2 == 0 {
             let ended = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
             assert!(ended.success() && child.wait().unwrap().success());
-            assert_eq!(total(), served, "what was served is stored at the end");
+            assert_eq!(total(), served, "all served queries are stored at the end");
         } else {
             let before = total();
             child.kill().unwrap();
             child.wait().unwrap();
             let after = total();
-            assert!((before..=served).contains(&after), "{after} of {served} after a kill");
-            // What was not yet written is lost, and only that.
+            assert!((before..=served).contains(&after), "{after} of {served} queries counted after a kill");
+            // Only counts that were not yet written are lost.
             served = after;
         }
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Guards the state against a folder to which nothing can be written for a while: what was there stays whole meanwhile, and
-/// what was counted is written once it goes on.
+/// Writes to the state folder fail for a while. The stored state remains intact meanwhile, and the counts are written
+/// once writes succeed again.
 #[test]
-fn what_could_not_be_written_for_a_while_is_written_later() {
+fn counts_are_stored_once_writes_succeed_again() {
     let folder = std::env::temp_dir().join(format!("curlewdeck-books-fails-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let node = DataNode::start(|_| NodeReply::Answer(200, 1, "v".to_string()));
@@ -172,8 +172,8 @@
     let edge = format!("[state]\nfolder = {folder:?}\nevery_s = 1\n");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
     ready(&coordinator);
-    let total = || total_ended(&stored(&folder));
-    // Every write goes to this name first, and a folder of it fails all of them.
+    let total = || total_ended(&read_stored_state(&folder));
+    // State is first written to a file of this name: a folder in its place makes all writes fail.
     let obstacle = folder.join("books.new");
     std::fs::create_dir(&obstacle).unwrap();
     for _ in 0..5 {
@@ -181,10 +181,10 @@
     }
     let start = std::time::Instant::now();
     while start.elapsed() < std::time::Duration::from_millis(2500) {
-        assert_eq!(total(), 0, "what was there is changed");
+        assert_eq!(total(), 0, "the stored state changed while writes failed");
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
     std::fs::remove_dir(&obstacle).unwrap();
-    until("what was counted", || total() == 5);
+    until("the stored counts", || total() == 5);
     std::fs::remove_dir_all(&folder).unwrap();
 }
