--- a/examples/toy/stand_in.rs
+++ b/examples/toy/stand_in.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for what a coordinator talks to: the list's service, data nodes that speak frames,
-//! and feature servers. The toy server runs them; the tests give them behaviours.
+//! Fake servers on loopback for the coordinator's peers: the discovery service, data nodes that use the frame protocol,
+//! and feature servers; also a small HTTP client. The toy deployment runs them, and tests supply their replies.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -9,19 +9,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a mutex guards, whoever panicked while holding it.
+/// Locks a mutex, ignoring poisoning by a thread that panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Accepts connections, each in a thread of its own.
-fn accept(listen: &str, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    accept_at(TcpListener::bind(listen).expect("a loopback address to listen at"), serve)
+/// Binds an address and serves each accepted connection in a separate thread. Returns the bound address.
+fn bind_and_serve(listen: &str, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+    serve_listener(TcpListener::bind(listen).expect("bind a loopback address"), serve)
 }
 
-/// The same at a listener that is there.
-fn accept_at(listener: TcpListener, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    let addr = listener.local_addr().expect("a listener has an address");
+/// Serves each connection accepted by a bound listener in a separate thread. Returns the listener's address.
+fn serve_listener(listener: TcpListener, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+    let addr = listener.local_addr().expect("local address of a bound listener");
     let serve = Arc::new(serve);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -35,10 +35,10 @@
     addr
 }
 
-/// Reads the head of one request; returns its method and target.
-fn request(reader: &mut BufReader<TcpStream>) -> Option<(String, String)> {
-    let mut first = String::new();
-    reader.read_line(&mut first).ok().filter(|&n| n > 0)?;
+/// Reads the head of one HTTP request; returns its method and target, or `None` once the connection ends.
+fn read_request_head(reader: &mut BufReader<TcpStream>) -> Option<(String, String)> {
+    let mut request_line = String::new();
+    reader.read_line(&mut request_line).ok().filter(|&n| n > 0)?;
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|&n| n > 0)?;
@@ -46,19 +46,20 @@
             break;
         }
     }
-    let mut words = first.split_whitespace();
-    Some((words.next()?.to_string(), words.next()?.to_string()))
+    let mut fields = request_line.split_whitespace();
+    Some((fields.next()?.to_string(), fields.next()?.to_string()))
 }
 
-// ---- The list's service. ----
+// ---- Discovery service ----
 
+/// An endpoint list entry.
 #[derive(Clone)]
 pub struct Member {
     pub uid: String,
     pub endpoint: SocketAddr,
     pub cell: u32,
     pub state: &'static str,
-    /// When it last started, in milliseconds of Unix time; 0: long ago.
+    /// Time of the last start in milliseconds of Unix time; 0 if the server started long ago.
     pub boot_ms: u64,
 }
 
@@ -72,169 +73,176 @@
 }
 
 #[derive(Default)]
-struct List {
+struct DiscoveryState {
     rev: u64,
     members: BTreeMap<String, Member>,
     watchers: Vec<TcpStream>,
-    watches: usize,
-    lists: usize,
+    watch_requests: usize,
+    list_requests: usize,
     silent: bool,
 }
 
-impl List {
-    fn json(&self) -> String {
-        let lines: Vec<String> = self.members.values().map(Member::json).collect();
-        format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, self.rev, lines.join(","))
+impl DiscoveryState {
+    fn full_list_json(&self) -> String {
+        let entries: Vec<String> = self.members.values().map(Member::json).collect();
+        format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, self.rev, entries.join(","))
     }
 
-    fn tell(&mut self, line: &str) {
+    /// Sends a line to all watchers as one chunk, unless silent, and drops watchers whose connection fails.
+    fn send_to_watchers(&mut self, line: &str) {
         if self.silent {
             return;
         }
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-        self.watchers.retain_mut(|w| w.write_all(chunk.as_bytes()).is_ok());
+        self.watchers.retain_mut(|watcher| watcher.write_all(chunk.as_bytes()).is_ok());
     }
 }
 
-/// The list's service: the whole list first, then changes as they are made.
+/// A discovery service. A watch gets the full endpoint list, then each change as it is made.
 #[derive(Clone)]
 pub struct Discovery {
     pub addr: SocketAddr,
-    list: Arc<Mutex<List>>,
+    state: Arc<Mutex<DiscoveryState>>,
 }
 
 impl Discovery {
     pub fn start(listen: &str, members: Vec<Member>) -> Self {
         let members = members.into_iter().map(|m| (m.uid.clone(), m)).collect();
-        let list = Arc::new(Mutex::new(List { rev: 1, members, ..List::default() }));
-        let served = list.clone();
-        let addr = accept(listen, move |stream| {
+        let state = Arc::new(Mutex::new(DiscoveryState { rev: 1, members, ..DiscoveryState::default() }));
+        let served = state.clone();
+        let addr = bind_and_serve(listen, move |stream| {
             let Ok(clone) = stream.try_clone() else { return };
             let mut reader = BufReader::new(clone);
             let mut stream = stream;
-            while let Some((_, target)) = request(&mut reader) {
-                let mut list = lock(&served);
-                let body = list.json();
+            while let Some((_, target)) = read_request_head(&mut reader) {
+                let mut state = lock(&served);
+                let body = state.full_list_json();
                 if target.contains("stream=1") {
-                    list.watches += 1;
+                    state.watch_requests += 1;
                     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                     let first = format!("{:x}\r\n{body}\n\r\n", body.len() + 1);
                     if stream.write_all(format!("{head}{first}").as_bytes()).is_ok() {
-                        list.watchers.push(stream);
+                        state.watchers.push(stream);
                     }
                     return;
                 }
-                list.lists += 1;
+                state.list_requests += 1;
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 if stream.write_all(format!("{head}{body}").as_bytes()).is_err() {
                     return;
                 }
             }
         });
-        let beat = list.clone();
+        let heartbeat = state.clone();
         thread::spawn(move || loop {
             thread::sleep(Duration::from_secs(1));
-            lock(&beat).tell("");
+            lock(&heartbeat).send_to_watchers("");
         });
-        Self { addr, list }
+        Self { addr, state }
     }
 
-    /// Changes a member's state, and tells the watchers.
+    /// Changes a member's state and sends the change to the watchers.
     pub fn set(&self, uid: &str, state: &'static str) {
-        let mut list = lock(&self.list);
-        list.rev += 1;
-        let rev = list.rev;
-        let Some(member) = list.members.get_mut(uid) else { return };
+        let mut discovery = lock(&self.state);
+        discovery.rev += 1;
+        let rev = discovery.rev;
+        let Some(member) = discovery.members.get_mut(uid) else { return };
         member.state = state;
         let line = format!(r#"{{"rev":{rev},"all":false,"targets":[{}]}}"#, member.json());
-        list.tell(&line);
+        discovery.send_to_watchers(&line);
     }
 
-    /// Adds a member, and tells the watchers.
+    /// Adds a member and sends the change to the watchers.
     pub fn add(&self, member: Member) {
         let (uid, state) = (member.uid.clone(), member.state);
-        lock(&self.list).members.insert(uid.clone(), member);
+        lock(&self.state).members.insert(uid.clone(), member);
         self.set(&uid, state);
     }
 
-    /// Puts other members in the place of all, and tells the watchers the whole list.
+    /// Replaces all members and sends the full list to the watchers.
     pub fn replace(&self, members: Vec<Member>) {
-        let mut list = lock(&self.list);
-        list.rev += 1;
-        list.members = members.into_iter().map(|m| (m.uid.clone(), m)).collect();
-        let line = list.json();
-        list.tell(&line);
+        let mut state = lock(&self.state);
+        state.rev += 1;
+        state.members = members.into_iter().map(|m| (m.uid.clone(), m)).collect();
+        let line = state.full_list_json();
+        state.send_to_watchers(&line);
     }
 
-    /// Tells the watchers several members in one change, in this order; the last line of a name is the one kept.
+    /// Adds or updates members and sends them to the watchers in one change, in the given order. If a `uid` occurs more
+    /// than once, its last entry is stored.
     pub fn change(&self, members: &[Member]) {
-        let mut list = lock(&self.list);
-        list.rev += 1;
-        list.members.extend(members.iter().map(|m| (m.uid.clone(), m.clone())));
-        let lines: Vec<String> = members.iter().map(Member::json).collect();
-        let line = format!(r#"{{"rev":{},"all":false,"targets":[{}]}}"#, list.rev, lines.join(","));
-        list.tell(&line);
+        let mut state = lock(&self.state);
+        state.rev += 1;
+        state.members.extend(members.iter().map(|m| (m.uid.clone(), m.clone())));
+        let entries: Vec<String> = members.iter().map(Member::json).collect();
+        let line = format!(r#"{{"rev":{},"all":false,"targets":[{}]}}"#, state.rev, entries.join(","));
+        state.send_to_watchers(&line);
     }
 
-    /// Says nothing more, and keeps the connections.
+    /// Stops or resumes sending to the watchers; their connections stay open.
     pub fn silence(&self, silent: bool) {
-        lock(&self.list).silent = silent;
+        lock(&self.state).silent = silent;
     }
 
-    /// How many watches were asked for.
+    /// Returns the number of watches requested.
     pub fn watches(&self) -> usize {
-        lock(&self.list).watches
+        lock(&self.state).watch_requests
     }
 
-    /// How many times the whole list was asked for.
+    /// Returns the number of requests for the full list, watches excluded.
     pub fn lists(&self) -> usize {
-        lock(&self.list).lists
+        lock(&self.state).list_requests
     }
 }
 
-// ---- Data nodes that speak frames. ----
+// ---- Data nodes that use the frame protocol ----
 
-/// A part as it came.
+/// A part as received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Part {
     pub id: String,
     pub shard: u32,
+    /// The part's parameters as `key=value` fields, separated by commas.
     pub list: String,
     pub text: String,
 }
 
-/// What a data node does with a part.
+/// A data node's reaction to a part.
 pub enum NodeReply {
+    /// An answer frame with this status, score and value.
     Answer(u16, u64, String),
+    /// These bytes, sent without a frame around them.
     Raw(Vec<u8>),
+    /// No reply; the connection stays open.
     Silence,
+    /// No reply; the connection is shut down.
     Close,
 }
 
-/// What a data node has been sent.
+/// Parts and connections that a data node has received.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Received {
     pub parts: Vec<Part>,
-    /// When the first byte of the frame of each of them came.
-    pub begun: Vec<Instant>,
-    /// Parts given up by a word, or unanswered with their connection.
-    pub given_up: Vec<String>,
+    /// When the first byte of each part's frame arrived, in the order of `parts`.
+    pub first_byte_times: Vec<Instant>,
+    /// Names of parts that a cancel frame named, or that were unanswered when their connection ended.
+    pub cancelled: Vec<String>,
     pub connections: usize,
 }
 
-impl Seen {
-    fn take(&mut self, part: Part, begun: Instant) {
+impl Received {
+    fn push_part(&mut self, part: Part, first_byte_time: Instant) {
         self.parts.push(part);
-        self.begun.push(begun);
+        self.first_byte_times.push(first_byte_time);
     }
 }
 
 pub struct DataNode {
     pub addr: SocketAddr,
-    pub seen: Arc<Mutex<Seen>>,
+    pub received: Arc<Mutex<Received>>,
 }
 
-/// A frame's bytes.
+/// Encodes a frame: the length as 4 little-endian bytes, the type letter, then the payload.
 pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut bytes = (rest.len() as u32 + 1).to_le_bytes().to_vec();
     bytes.push(letter);
@@ -242,14 +250,14 @@
     bytes
 }
 
-/// A frame as it came, and when its first byte did.
+/// A received frame, and when its first byte arrived.
 pub struct ReadFrame {
     pub letter: u8,
     pub rest: Vec<u8>,
     pub begun: Instant,
 }
 
-/// Reads one frame.
+/// Reads one frame, or returns `None` if the connection ends or the frame is empty.
 pub fn read_frame(stream: &mut TcpStream) -> Option<ReadFrame> {
     let mut head = [0; 4];
     stream.read_exact(&mut head[..1]).ok()?;
@@ -261,7 +269,7 @@
     Some(ReadFrame { letter, rest: body.split_off(1), begun })
 }
 
-/// The parts of a call.
+/// Decodes the parts of a call, up to the first malformed header line.
 pub fn read_parts(mut rest: &[u8]) -> Vec<Part> {
     let mut parts = Vec::new();
     while let Some(end) = rest.iter().position(|&b| b == b'\n') {
@@ -278,30 +286,30 @@
 
 impl DataNode {
     pub fn start(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
-        Self::at(TcpListener::bind("127.0.0.1:0").expect("a loopback address to listen at"), reply)
+        Self::at(TcpListener::bind("127.0.0.1:0").expect("bind a loopback address"), reply)
     }
 
-    /// One that begins to accept at this listener now.
+    /// Starts a data node on a bound listener.
     pub fn at(listener: TcpListener, reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let (noted, reply) = (seen.clone(), Arc::new(reply));
-        let addr = accept_at(listener, move |mut stream| {
-            lock(&noted).connections += 1;
-            let held = Arc::new(Mutex::new(Vec::<String>::new()));
+        let received = Arc::new(Mutex::new(Received::default()));
+        let (log, reply) = (received.clone(), Arc::new(reply));
+        let addr = serve_listener(listener, move |mut stream| {
+            lock(&log).connections += 1;
+            let unanswered = Arc::new(Mutex::new(Vec::<String>::new()));
             while let Some(ReadFrame { letter, rest, begun }) = read_frame(&mut stream) {
                 match letter {
                     b'D' => {
                         for part in read_parts(&rest) {
-                            lock(&noted).take(part.clone(), begun);
-                            lock(&held).push(part.id.clone());
-                            let waiting = held.clone();
+                            lock(&log).push_part(part.clone(), begun);
+                            lock(&unanswered).push(part.id.clone());
+                            let connection_parts = unanswered.clone();
                             let Ok(mut out) = stream.try_clone() else { return };
                             let reply = reply.clone();
-                            // Parts are worked on side by side.
+                            // Parts are processed concurrently.
                             thread::spawn(move || match reply(&part) {
-                                NodeReply::Answer(end, score, value) => {
-                                    lock(&waiting).retain(|h| *h != part.id);
-                                    let line = format!("{} {end} {score} qps=1\n{value}", part.id);
+                                NodeReply::Answer(status, score, value) => {
+                                    lock(&connection_parts).retain(|id| *id != part.id);
+                                    let line = format!("{} {status} {score} qps=1\n{value}", part.id);
                                     let _ = out.write_all(&frame(b'O', line.as_bytes()));
                                 }
                                 NodeReply::Raw(bytes) => {
@@ -315,9 +323,9 @@
                         }
                     }
                     b'K' => {
-                        let id = String::from_utf8_lossy(&rest).into_owned();
-                        lock(&held).retain(|h| *h != id);
-                        lock(&noted).given_up.push(id);
+                        let cancelled = String::from_utf8_lossy(&rest).into_owned();
+                        lock(&unanswered).retain(|id| *id != cancelled);
+                        lock(&log).cancelled.push(cancelled);
                     }
                     b'I' => {
                         let _ = stream.write_all(&frame(b'I', b"200"));
@@ -325,33 +333,35 @@
                     _ => return,
                 }
             }
-            lock(&noted).given_up.append(&mut lock(&held));
+            lock(&log).cancelled.append(&mut lock(&unanswered));
         });
-        Self { addr, seen }
+        Self { addr, received }
     }
 
     pub fn parts(&self) -> Vec<Part> {
-        lock(&self.seen).parts.clone()
+        lock(&self.received).parts.clone()
     }
 
-    /// Its parts, and when the first byte of the frame of each came.
+    /// Returns the received parts, each with the time when the first byte of its frame arrived.
     pub fn begun(&self) -> Vec<(Part, Instant)> {
-        let seen = lock(&self.seen);
-        seen.parts.iter().cloned().zip(seen.begun.iter().copied()).collect()
+        let received = lock(&self.received);
+        received.parts.iter().cloned().zip(received.first_byte_times.iter().copied()).collect()
     }
 
+    /// Returns the names of cancelled parts, and of parts that were unanswered when their connection ended.
     pub fn given_up(&self) -> Vec<String> {
-        lock(&self.seen).given_up.clone()
+        lock(&self.received).cancelled.clone()
     }
 
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
-        lock(&self.seen).connections
+        lock(&self.received).connections
     }
 }
 
-// ---- Feature servers. ----
+// ---- Feature servers ----
 
-/// A request for features, as it came.
+/// A received request for features. `target` is the request target with its query string.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FeatureQuery {
     pub target: String,
@@ -360,45 +370,50 @@
 
 impl FeatureQuery {
     fn new(target: String) -> Self {
-        let query = target.split_once('?').map_or("", |t| t.1);
-        let pair = |p: &str| p.split_once('=').map(|(k, v)| (k.to_string(), v.to_string()));
+        let query = target.split_once('?').map_or("", |(_, query)| query);
+        let pair =
+            |text: &str| text.split_once('=').map(|(name, value)| (name.to_string(), value.to_string()));
         let parameters = query.split('&').filter_map(pair).collect();
         Self { target, parameters }
     }
 
+    /// Returns a parameter as a number, or `None` if it is absent or not a number.
     pub fn number(&self, name: &str) -> Option<usize> {
         self.parameters.get(name)?.parse().ok()
     }
 
-    /// The path's last step.
+    /// Returns the last segment of the path.
     pub fn last(&self) -> &str {
         let path = self.target.split('?').next().unwrap_or("");
         path.rsplit('/').next().unwrap_or("")
     }
 }
 
-/// What a feature server does with a request.
+/// A feature server's reaction to a request.
 pub enum FeatureReply {
+    /// A response with this status and body.
     Body(u16, String),
+    /// No response; the connection stays open until the client sends more or disconnects.
     Stall,
+    /// No response; the connection is closed.
     Close,
 }
 
 pub struct FeatureServer {
     pub addr: SocketAddr,
-    pub seen: Arc<Mutex<Vec<FeatureQuery>>>,
+    pub queries: Arc<Mutex<Vec<FeatureQuery>>>,
 }
 
 impl FeatureServer {
     pub fn start(reply: impl Fn(&FeatureQuery) -> FeatureReply + Send + Sync + 'static) -> Self {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let noted = seen.clone();
-        let addr = accept("127.0.0.1:0", move |mut stream| {
+        let queries = Arc::new(Mutex::new(Vec::new()));
+        let log = queries.clone();
+        let addr = bind_and_serve("127.0.0.1:0", move |mut stream| {
             let Ok(clone) = stream.try_clone() else { return };
             let mut reader = BufReader::new(clone);
-            while let Some((_, target)) = request(&mut reader) {
+            while let Some((_, target)) = read_request_head(&mut reader) {
                 let query = FeatureQuery::new(target);
-                lock(&noted).push(query.clone());
+                lock(&log).push(query.clone());
                 match reply(&query) {
                     FeatureReply::Body(status, body) => {
                         let head = format!("HTTP/1.1 {status} -\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -406,7 +421,7 @@
                             return;
                         }
                     }
-                    // Until the peer gives up.
+                    // The read returns when the client sends more or disconnects.
                     FeatureReply::Stall => {
                         let _ = reader.read(&mut [0]);
                         return;
@@ -415,15 +430,16 @@
                 }
             }
         });
-        Self { addr, seen }
+        Self { addr, queries }
     }
 
+    /// Returns the requests received so far.
     pub fn seen(&self) -> Vec<FeatureQuery> {
-        lock(&self.seen).clone()
+        lock(&self.queries).clone()
     }
 }
 
-/// Features of one range: points along a line, named `RANGE-NUMBER`.
+/// Returns one feature of a range as GeoJSON, with the id `RANGE-NUMBER`. A range's features are points along a line.
 pub fn feature(range: usize, number: usize) -> String {
     let (x, y) = (32.0 + range as f64 / 10.0, 39.0 + number as f64 / 10.0);
     format!(
@@ -431,15 +447,19 @@
     )
 }
 
-/// A small store: `count` features in each range, at most `page` on a page, with next links.
+/// Replies from a small feature store with `count` features in each range. A page has at most `page` features, and a
+/// `next` link if more follow.
 pub fn store(query: &FeatureQuery, count: usize, page: usize) -> FeatureReply {
     let path = query.target.split('?').next().unwrap_or("");
     if path == "/" {
         return FeatureReply::Body(200, r#"{"links":[]}"#.to_string());
     }
     if !path.ends_with("/items") {
-        let found = query.last().split_once('-').and_then(|(r, n)| Some((r.parse().ok()?, n.parse().ok()?)));
-        return match found {
+        let requested = query
+            .last()
+            .split_once('-')
+            .and_then(|(range, number)| Some((range.parse().ok()?, number.parse().ok()?)));
+        return match requested {
             Some((range, number)) if number < count => FeatureReply::Body(200, feature(range, number)),
             _ => FeatureReply::Body(404, r#"{"title":"Not Found"}"#.to_string()),
         };
@@ -460,9 +480,9 @@
     )
 }
 
-// ---- A client. ----
+// ---- HTTP client ----
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
@@ -471,21 +491,21 @@
 }
 
 impl Answer {
-    /// A header's value; names in lower case.
+    /// Returns the value of the first header of this name, compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|l| l.split_once(':'));
         lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim()).next()
     }
 }
 
-/// Sends bytes on a new connection and reads one answer with a length.
+/// Sends bytes on a new connection and reads one response.
 pub fn exchange(addr: SocketAddr, bytes: &[u8]) -> std::io::Result<Answer> {
     let mut stream = TcpStream::connect(addr)?;
     stream.write_all(bytes)?;
     read_answer(&mut BufReader::new(stream))
 }
 
-/// Reads one answer with a length.
+/// Reads one response, whose body is chunked or has a `Content-Length`.
 pub fn read_answer(reader: &mut impl BufRead) -> std::io::Result<Answer> {
     let mut head = String::new();
     loop {
@@ -516,8 +536,8 @@
     loop {
         let mut line = String::new();
         reader.read_line(&mut line)?;
-        let bad = |_| std::io::Error::from(std::io::ErrorKind::InvalidData);
-        let size = usize::from_str_radix(line.trim_end(), 16).map_err(bad)?;
+        let invalid_size = |_| std::io::Error::from(std::io::ErrorKind::InvalidData);
+        let size = usize::from_str_radix(line.trim_end(), 16).map_err(invalid_size)?;
         let mut chunk = vec![0; size + 2];
         reader.read_exact(&mut chunk)?;
         body.extend_from_slice(&chunk[..size]);
@@ -527,13 +547,13 @@
     }
 }
 
-/// A `POST` of JSON, as bytes.
+/// Encodes a `POST` request.
 pub fn post_bytes(target: &str, body: &str) -> Vec<u8> {
     format!("POST {target} HTTP/1.1\r\nHost: edge\r\nContent-Length: {}\r\n\r\n{body}", body.len())
         .into_bytes()
 }
 
-/// A `GET` on a connection of its own.
+/// Sends a `GET` request on a new connection and reads the response.
 pub fn get(addr: SocketAddr, target: &str) -> std::io::Result<Answer> {
     exchange(addr, format!("GET {target} HTTP/1.1\r\nHost: edge\r\n\r\n").as_bytes())
 }
