--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -1,6 +1,7 @@
-//! Commits a second and the latency of one, in groups of 3 and of 5 members on loopback, with and without a member to
-//! which everything is delayed; and how long a member with an empty folder takes to catch up, by the size of the state.
-//! All members run in this process, each with threads, sockets and a folder of its own. `cargo bench --bench replication`.
+//! Measures commits per second and commit latency in groups of 3 and 5 members on loopback, with and without one member
+//! to which all traffic is delayed; and how long a member with an empty folder takes to catch up, by the size of the
+//! state. All members run in this process, each with separate threads, sockets and a separate folder.
+//! Run it with `cargo bench --bench replication`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,23 +16,23 @@
 use curlewdeck_replication::{Command, CommandOutcome, RequestOutcome};
 use curlewdeck_testkit::proxy::{Faults, Proxy};
 
-const CLIENTS: usize = 16;
-const COMMITS: usize = 4000;
+const CLIENT_THREADS: usize = 16;
+const COMMITS_PER_RUN: usize = 4000;
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-const DELAY: Duration = Duration::from_millis(20);
+const SLOW_MEMBER_DELAY: Duration = Duration::from_millis(20);
 
 struct Group {
-    dir: PathBuf,
+    folder: PathBuf,
     members: Vec<RunningMember>,
     proxies: BTreeMap<u64, Proxy>,
 }
 
 impl Group {
-    /// Members that reach each other through one proxy to each.
+    /// Starts `size` members, each reached by the others through its own proxy, and waits for a leader.
     fn start(size: u64) -> Self {
-        let dir = std::env::temp_dir().join(format!("curlewdeck-bench-{}-{size}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("curlewdeck-bench-{}-{size}", std::process::id()));
         let proxies: BTreeMap<u64, Proxy> = (1..=size).map(|id| (id, Proxy::start(None).unwrap())).collect();
-        let mut group = Self { dir, members: Vec::new(), proxies };
+        let mut group = Self { folder, members: Vec::new(), proxies };
         for id in 1..=size {
             let config = group.config(id);
             startup::found(&config, id).unwrap();
@@ -39,31 +40,37 @@
             group.proxies[&id].forward_to(member.listen);
             group.members.push(member);
         }
-        until(|| group.leader().is_some());
+        wait_until(|| group.leader().is_some());
         group
     }
 
     fn config(&self, id: u64) -> GroupConfig {
-        let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
+        let any_port: SocketAddr = "127.0.0.1:0".parse().unwrap();
         let members = self.proxies.iter().map(|(id, p)| (id.to_string(), p.address())).collect();
-        GroupConfig { folder: self.dir.join(id.to_string()), listen: any, control: any, members, tick_ms: 50 }
+        GroupConfig {
+            folder: self.folder.join(id.to_string()),
+            listen: any_port,
+            control: any_port,
+            members,
+            tick_ms: 50,
+        }
     }
 
     fn leader(&self) -> Option<&RunningMember> {
         self.members.iter().find(|m| m.status.latest().role == Role::Leader)
     }
 
-    /// Commits a second, and the median and the 99th percentile of the latency of one.
-    fn load(&self) -> (f64, Duration, Duration) {
-        let (leader, next, begun) = (self.leader().unwrap(), AtomicUsize::new(0), Instant::now());
+    /// Returns the commits per second, and the median and the 99th percentile of commit latency.
+    fn measure_commits(&self) -> (f64, Duration, Duration) {
+        let (leader, next_command, start) = (self.leader().unwrap(), AtomicUsize::new(0), Instant::now());
         let client = || {
-            let mut took = Vec::new();
+            let mut latencies = Vec::new();
             loop {
-                let n = next.fetch_add(1, Ordering::Relaxed);
-                if n >= COMMITS {
-                    return took;
+                let n = next_command.fetch_add(1, Ordering::Relaxed);
+                if n >= COMMITS_PER_RUN {
+                    return latencies;
                 }
-                let (at, key) = (Instant::now(), format!("k{}", n % 256));
+                let (request_start, key) = (Instant::now(), format!("k{}", n % 256));
                 let answer = leader.handle.request(
                     ClientRequest::Propose(Command::Put { key, value: vec![7; 64] }),
                     REQUEST_TIMEOUT,
@@ -72,20 +79,21 @@
                     matches!(answer, RequestOutcome::Committed(CommandOutcome::Written { .. })),
                     "{answer:?}"
                 );
-                took.push(at.elapsed());
+                latencies.push(request_start.elapsed());
             }
         };
-        let mut took: Vec<Duration> = std::thread::scope(|scope| {
-            let clients: Vec<_> = (0..CLIENTS).map(|_| scope.spawn(client)).collect();
+        let mut latencies: Vec<Duration> = std::thread::scope(|scope| {
+            let clients: Vec<_> = (0..CLIENT_THREADS).map(|_| scope.spawn(client)).collect();
             clients.into_iter().flat_map(|c| c.join().unwrap()).collect()
         });
-        let rate = took.len() as f64 / begun.elapsed().as_secs_f64();
-        took.sort_unstable();
-        (rate, took[took.len() / 2], took[took.len() * 99 / 100])
+        let rate = latencies.len() as f64 / start.elapsed().as_secs_f64();
+        latencies.sort_unstable();
+        (rate, latencies[latencies.len() / 2], latencies[latencies.len() * 99 / 100])
     }
 
-    /// How long one that knows nothing takes to hold all that the leader has applied, once it is to be added.
-    fn catch_up(&self, keys: usize) -> Duration {
+    /// Writes `keys` keys of 8 KiB and adds a member with an empty folder. Returns the time from the request to add it
+    /// until it has applied all that the leader had applied once the request was committed.
+    fn measure_catch_up(&self, keys: usize) -> Duration {
         let leader = self.leader().unwrap();
         let put = |n: usize| Command::Put { key: format!("s{n}"), value: vec![7; 8 * 1024] };
         for n in 0..keys {
@@ -95,62 +103,63 @@
             ));
         }
         leader.handle.request(ClientRequest::CreateSnapshot, REQUEST_TIMEOUT);
-        let config = GroupConfig { folder: self.dir.join(format!("new-{keys}")), ..self.config(1) };
-        let (new, begun) = (startup::start(&config).unwrap(), Instant::now());
+        let config = GroupConfig { folder: self.folder.join(format!("new-{keys}")), ..self.config(1) };
+        let (new_member, start) = (startup::start(&config).unwrap(), Instant::now());
         assert!(matches!(
-            leader
-                .handle
-                .request(ClientRequest::AddMember { id: new.id, address: new.listen }, REQUEST_TIMEOUT),
+            leader.handle.request(
+                ClientRequest::AddMember { id: new_member.id, address: new_member.listen },
+                REQUEST_TIMEOUT
+            ),
             RequestOutcome::Committed(_)
         ));
-        let applied = |m: &RunningMember| m.status.latest().applied;
-        let want = applied(leader);
-        until(|| applied(&new) >= want);
-        let took = begun.elapsed();
+        let applied = |member: &RunningMember| member.status.latest().applied;
+        let target = applied(leader);
+        wait_until(|| applied(&new_member) >= target);
+        let elapsed = start.elapsed();
         assert!(matches!(
-            leader.handle.request(ClientRequest::RemoveMember(new.id), REQUEST_TIMEOUT),
+            leader.handle.request(ClientRequest::RemoveMember(new_member.id), REQUEST_TIMEOUT),
             RequestOutcome::Committed(_)
         ));
-        took
+        elapsed
     }
 }
 
 impl Drop for Group {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.dir);
+        let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn until(mut happened: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !happened() {
-        assert!(begun.elapsed() < Duration::from_secs(60), "waited in vain");
+fn wait_until(mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < Duration::from_secs(60), "condition not met within 60 s");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 fn main() {
-    let mut first = None;
+    let mut baseline_rate = None;
     for size in [3, 5] {
         let group = Group::start(size);
         for delayed in [false, true] {
             if delayed {
                 let leader = group.leader().unwrap().id;
                 let slow = group.proxies.iter().find(|(&id, _)| id != leader).unwrap().1;
-                slow.set_faults(Faults { delay: DELAY, ..Faults::default() });
+                slow.set_faults(Faults { delay: SLOW_MEMBER_DELAY, ..Faults::default() });
             }
-            let (rate, median, last) = group.load();
-            let ratio = rate / *first.get_or_insert(rate);
-            let one = if delayed { ", one reached 20 ms late" } else { "" };
-            println!("{size} members{one}: {rate:.0} promises a second ({ratio:.2}), p50 {median:.2?}, p99 {last:.2?}");
+            let (rate, median, p99) = group.measure_commits();
+            let ratio = rate / *baseline_rate.get_or_insert(rate);
+            let label = if delayed { ", one delayed by 20 ms" } else { "" };
+            println!("{size} members{label}: {rate:.0} commits per second ({ratio:.2}), p50 {median:.2?}, p99 {p99:.2?}");
         }
         group.proxies.values().for_each(Proxy::clear_faults);
         if size == 3 {
-            let mut least = None;
+            let mut baseline = None;
             for keys in [10, 100, 500] {
-                let took = group.catch_up(keys);
-                let ratio = took.as_secs_f64() / least.get_or_insert(took).as_secs_f64();
-                println!("an empty member with {keys} keys of 8 KB: {took:.2?} ({ratio:.2})");
+                let elapsed = group.measure_catch_up(keys);
+                let ratio = elapsed.as_secs_f64() / baseline.get_or_insert(elapsed).as_secs_f64();
+                println!("catch-up of an empty member, {keys} keys of 8 KiB: {elapsed:.2?} ({ratio:.2})");
             }
         }
     }
--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -1,5 +1,5 @@
-//! The management agent against its earlier way in the same run: all objects made anew for each request, and looked
-//! through from the first on.
+//! Compares the SNMP agent with its earlier implementation, which rebuilt all objects for each request and searched
+//! them linearly. Both are measured in the same run.
 
 use curlewdeck::api::{Class, ClassId, EndpointState, Outcome, QueryId, RetrySafety, ServerId};
 use curlewdeck::counters::Counters;
@@ -17,8 +17,8 @@
     divan::main();
 }
 
-/// Ten classes and fifty nodes.
-fn books() -> LedgerSnapshot {
+/// Returns a ledger of 10 classes, 1000 answered queries and 50 data nodes.
+fn ledger_snapshot() -> LedgerSnapshot {
     let class = Class {
         latency_objective: 1_000_000_000,
         deadline: 2_000_000_000,
@@ -34,17 +34,17 @@
         retired: false,
     };
     let names: Vec<String> = (0..10).map(|n| format!("class-{n}")).collect();
-    let mut account = RequestLedger::new(&vec![class; 10], &names, NodeBounds { max_rows: 64, retention: 1 });
+    let mut ledger = RequestLedger::new(&vec![class; 10], &names, NodeBounds { max_rows: 64, retention: 1 });
     for n in 0..1000u64 {
-        account.query_accepted(0, QueryId(n), ClassId(n as usize % 10));
-        account.query_answered(n * 1_000_000, QueryId(n), true, 1.0);
+        ledger.query_accepted(0, QueryId(n), ClassId(n as usize % 10));
+        ledger.query_answered(n * 1_000_000, QueryId(n), true, 1.0);
     }
     for n in 0..50 {
-        account.node_state(0, ServerId(n), &format!("s-{n}"), EndpointState::Active);
-        account.attempt_started(ServerId(n), 0, false);
-        account.attempt_ended(ServerId(n), Outcome::Success);
+        ledger.node_state(0, ServerId(n), &format!("s-{n}"), EndpointState::Active);
+        ledger.attempt_started(ServerId(n), 0, false);
+        ledger.attempt_ended(ServerId(n), Outcome::Success);
     }
-    account.snapshot(0)
+    ledger.snapshot(0)
 }
 
 fn session() -> Session {
@@ -57,53 +57,54 @@
     agent
 }
 
-/// In the middle of the node table.
-fn asked() -> Request {
+/// Returns a request for the successor of a name in the middle of the node table.
+fn next_in_node_table() -> Request {
     Request::Next(vec![[&mib::ROOT[..], &[3, 4, 1, 7, 25]].concat()])
 }
 
 #[divan::bench]
 fn get_next(bencher: divan::Bencher) {
-    let tree = Tree::new(mib::objects(&Counters::default(), &books(), 0, None));
-    let request = session().write(&asked(), 0).expect("a request");
+    let tree = Tree::new(mib::objects(&Counters::default(), &ledger_snapshot(), 0, None));
+    let request = session().write(&next_in_node_table(), 0).expect("encode the request");
     bencher.with_inputs(agent).bench_refs(|agent| match agent.read(&request, 0) {
-        Incoming::Request(asked) => agent.answer(&asked, &tree, 0),
+        Incoming::Request(received) => agent.answer(&received, &tree, 0),
         _ => None,
     });
 }
 
 #[divan::bench]
-fn get_next_as_before(bencher: divan::Bencher) {
-    let (counters, books) = (Counters::default(), books());
-    let request = session().write(&asked(), 0).expect("a request");
+fn get_next_rebuilding_objects(bencher: divan::Bencher) {
+    let (counters, ledger) = (Counters::default(), ledger_snapshot());
+    let request = session().write(&next_in_node_table(), 0).expect("encode the request");
     bencher.bench(|| {
-        let objects = mib::objects(&counters, &books, 0, None);
-        let message: Message<Pdus> = rasn::ber::decode(&request).expect("a request");
-        let Pdus::GetNextRequest(asked) = message.data else { return None };
-        let name = asked.0.variable_bindings[0].name.to_vec();
-        let next = objects.iter().filter(|o| o.0 > name).min_by(|a, b| a.0.cmp(&b.0))?;
+        let objects = mib::objects(&counters, &ledger, 0, None);
+        let message: Message<Pdus> = rasn::ber::decode(&request).expect("decode the request");
+        let Pdus::GetNextRequest(get_next) = message.data else { return None };
+        let name = get_next.0.variable_bindings[0].name.to_vec();
+        let next = objects.iter().filter(|object| object.0 > name).min_by(|a, b| a.0.cmp(&b.0))?;
         let variable_bindings = vec![codec::bind(&next.0, &next.1)];
-        let pdu = Pdu { request_id: asked.0.request_id, error_status: 0, error_index: 0, variable_bindings };
+        let pdu =
+            Pdu { request_id: get_next.0.request_id, error_status: 0, error_index: 0, variable_bindings };
         let data = Pdus::Response(Response(pdu));
         rasn::ber::encode(&Message { version: 1.into(), community: message.community, data }).ok()
     });
 }
 
-/// A whole walk, the tree made once as the agent does for each walker.
+/// Walks all objects. The tree is built once per walk, as the agent builds it once per walker.
 #[divan::bench]
 fn walk(bencher: divan::Bencher) {
-    let (counters, books) = (Counters::default(), books());
+    let (counters, ledger) = (Counters::default(), ledger_snapshot());
     bencher.with_inputs(|| (agent(), session())).bench_refs(|(agent, session)| {
-        let tree = Tree::new(mib::objects(&counters, &books, 0, None));
-        let (mut walk, mut met) = (Walk::new(vec![1, 3], 50), 0);
-        while let Some(what) = walk.next_request() {
+        let tree = Tree::new(mib::objects(&counters, &ledger, 0, None));
+        let (mut walk, mut object_count) = (Walk::new(vec![1, 3], 50), 0);
+        while let Some(next) = walk.next_request() {
             session.begin();
-            let request = session.write(&what, 0).expect("a request");
-            let Incoming::Request(asked) = agent.read(&request, 0) else { break };
-            let answer = agent.answer(&asked, &tree, 0).expect("an answer");
+            let request = session.write(&next, 0).expect("encode the request");
+            let Incoming::Request(received) = agent.read(&request, 0) else { break };
+            let answer = agent.answer(&received, &tree, 0).expect("answer the request");
             let Ok(Reply::Bindings(bindings)) = session.read(&answer, 0) else { break };
-            met += walk.handle_answer(bindings).expect("objects").len();
+            object_count += walk.handle_answer(bindings).expect("bindings that continue the walk").len();
         }
-        met
+        object_count
     });
 }
--- a/benches/update_to_gate.rs
+++ b/benches/update_to_gate.rs
@@ -1,8 +1,9 @@
-//! How long news of a drain takes from its last byte to the shut gate: at rest, and under what may stand before it.
+//! Measures how long a drain update takes from the write of its last byte until the drain gate closes, on an idle
+//! coordinator and under loads that may be processed ahead of the update.
 //!
-//! Prints the median, the 99th of a hundred and the worst of each run: `cargo bench --bench news_to_gate`. The worst is a
-//! matter of the machine's other load, so that nothing is asserted here; that no frame begins before news that waits is
-//! tested in `tests/stalled_process.rs`.
+//! Run it with `cargo bench --bench update_to_gate`. It prints the median, the 99th percentile and the maximum under
+//! each load. The maximum depends on the machine's other load, so nothing is asserted here;
+//! `tests/stalled_process.rs` tests that no frame is started while an update is pending.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
@@ -20,24 +21,24 @@
 use harness::stand_in::{exchange, DataNode, NodeReply, Part};
 use harness::{query_bytes, ready, served, TestCluster};
 
-/// News that is measured under each load.
-const ROUNDS: u32 = 200;
-/// Between two pieces of news.
-const PAUSE: Duration = Duration::from_millis(2);
-/// News that is not taken by then never is.
-const GIVEN_UP: Duration = Duration::from_secs(3);
+/// Updates measured under each load.
+const UPDATES_PER_LOAD: u32 = 200;
+/// Pause between two updates.
+const UPDATE_PAUSE: Duration = Duration::from_millis(2);
+/// An update that is not applied within this time counts as lost and ends the run.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Threads that go on until it is dropped.
+/// Background threads that run until this is dropped.
 struct Load {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// So many threads that do this again and again.
-    fn of(threads: usize, work: impl Fn() + Clone + Send + 'static) -> Self {
+    /// Starts threads that each repeat `work`.
+    fn start(threads: usize, work: impl Fn() + Clone + Send + 'static) -> Self {
         let stop = Arc::<AtomicBool>::default();
-        let run = |_| {
+        let spawn = |_| {
             let (stop, work) = (stop.clone(), work.clone());
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
@@ -45,7 +46,7 @@
                 }
             })
         };
-        Self { threads: (0..threads).map(run).collect(), stop }
+        Self { threads: (0..threads).map(spawn).collect(), stop }
     }
 }
 
@@ -56,148 +57,156 @@
     }
 }
 
-/// Clients that ask one query after the other, whatever the answer.
-fn clients(addr: SocketAddr, threads: usize) -> Load {
-    Load::of(threads, move || drop(exchange(addr, &query_bytes("plaza-ranking", &[0, 1], "200m"))))
+/// Starts clients that send one query after another and ignore the answers.
+fn start_clients(addr: SocketAddr, threads: usize) -> Load {
+    Load::start(threads, move || drop(exchange(addr, &query_bytes("plaza-ranking", &[0, 1], "200m"))))
 }
 
-/// Keeps processors busy.
-fn processors(threads: usize) -> Load {
-    Load::of(threads, || {
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_millis(5) {
+/// Starts threads that keep processors busy.
+fn start_busy_threads(threads: usize) -> Load {
+    Load::start(threads, || {
+        let start = Instant::now();
+        while start.elapsed() < Duration::from_millis(5) {
             std::hint::spin_loop();
         }
     })
 }
 
-fn spoilt(_: &Part) -> NodeReply {
+/// Replies with a frame whose answer line has one field instead of four.
+fn malformed_reply(_: &Part) -> NodeReply {
     NodeReply::Raw(b"\x05\0\0\0Onone".to_vec())
 }
 
-/// A data node that answers each connection's first bytes with frames without end: each is sound, none was asked for.
-fn endless() -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a data node that sends an endless stream of valid but unsolicited frames once a connection has sent its first
+/// bytes. Returns its address and a counter of the bytes written.
+fn start_endless_data_node() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (addr, written) = (listener.local_addr().unwrap(), Arc::<AtomicUsize>::default());
-    let count = written.clone();
+    let (addr, bytes_written) = (listener.local_addr().unwrap(), Arc::<AtomicUsize>::default());
+    let counter = bytes_written.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let count = count.clone();
+            let counter = counter.clone();
             thread::spawn(move || {
                 let _ = stream.read(&mut [0; 4096]);
-                // A late answer to a probe costs the connection nothing while parts are out on it.
+                // A late health check answer doesn't make the coordinator close a connection with unanswered parts.
                 let frames = b"\x04\0\0\0I200".repeat(8192);
                 while stream.write_all(&frames).is_ok() {
-                    count.fetch_add(frames.len(), Ordering::SeqCst);
+                    counter.fetch_add(frames.len(), Ordering::SeqCst);
                 }
             });
         }
     });
-    (addr, written)
+    (addr, bytes_written)
 }
 
-/// Figures of a run of rounds.
+/// Latencies of the updates of one run.
 #[derive(Debug)]
-struct Figures {
-    rounds: usize,
+struct LatencySummary {
+    updates: usize,
     median: Duration,
     p99: Duration,
-    worst: Duration,
-}
-
-impl Figures {
-    fn of(mut times: Vec<Duration>) -> Self {
-        times.sort();
-        let at = |share: usize| times[(times.len() * share / 100).min(times.len() - 1)];
-        Self { rounds: times.len(), median: at(50), p99: at(99), worst: *times.last().unwrap() }
+    max: Duration,
+}
+
+impl LatencySummary {
+    fn new(mut latencies: Vec<Duration>) -> Self {
+        latencies.sort();
+        let percentile =
+            |percent: usize| latencies[(latencies.len() * percent / 100).min(latencies.len() - 1)];
+        Self {
+            updates: latencies.len(),
+            median: percentile(50),
+            p99: percentile(99),
+            max: *latencies.last().unwrap(),
+        }
     }
 }
 
-/// Tells the drain of the second data node and its return by turns, and takes the time until each is taken.
+/// Alternately drains the second data node and makes it active again, and measures the time until each update is
+/// applied. Stops at the first update that is not.
 fn measure(
     coordinator: &Coordinator,
     watch: &mut TcpStream,
-    (kept, drained): (SocketAddr, SocketAddr),
-) -> Figures {
-    let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
-    let mut times = Vec::new();
-    for round in 0..ROUNDS {
+    (active, drained): (SocketAddr, SocketAddr),
+) -> LatencySummary {
+    let applied_changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
+    let mut latencies = Vec::new();
+    for round in 0..UPDATES_PER_LOAD {
         let state = if round % 2 == 0 { "draining" } else { "up" };
-        let line = news(round + 2, false, &[("a", 0, kept, "up"), ("b", 1, drained, state)]);
+        let line = news(round + 2, false, &[("a", 0, active, "up"), ("b", 1, drained, state)]);
         let bytes = chunk(&(line + "\n"));
-        let before = changes();
-        let told = Instant::now();
+        let changes_before = applied_changes();
+        let sent_at = Instant::now();
         watch.write_all(&bytes).unwrap();
-        while changes() == before && told.elapsed() < GIVEN_UP {
+        while applied_changes() == changes_before && sent_at.elapsed() < UPDATE_TIMEOUT {
             thread::yield_now();
         }
-        times.push(told.elapsed());
-        if changes() == before {
+        latencies.push(sent_at.elapsed());
+        if applied_changes() == changes_before {
             break;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(UPDATE_PAUSE);
     }
-    Figures::of(times)
+    LatencySummary::new(latencies)
 }
 
-/// A coordinator with two data nodes, and the watch of its list.
-fn coordinator(kept: SocketAddr, drained: SocketAddr) -> (Coordinator, Scripted, TcpStream) {
+/// Starts a coordinator with two data nodes. Returns it with its discovery service and its endpoint list watch.
+fn start_coordinator(active: SocketAddr, drained: SocketAddr) -> (Coordinator, Scripted, TcpStream) {
     let (discovery, addr) = Scripted::new();
     let coordinator = TestCluster::default().start(addr, "");
     let (mut watch, _) = discovery.call();
-    let whole = news(1, true, &[("a", 0, kept, "up"), ("b", 1, drained, "up")]);
-    watch.write_all(&[WATCH, &chunk(&(whole + "\n"))].concat()).unwrap();
+    let full_list = news(1, true, &[("a", 0, active, "up"), ("b", 1, drained, "up")]);
+    watch.write_all(&[WATCH, &chunk(&(full_list + "\n"))].concat()).unwrap();
     ready(&coordinator);
     (coordinator, discovery, watch)
 }
 
-/// Prints a line.
-fn print(name: &str, figures: &Figures) {
-    let Figures { rounds, median, p99, worst } = figures;
-    println!("news to gate, {name}: {rounds} rounds, median {median:?}, 99th {p99:?}, worst {worst:?}");
+fn print(load: &str, summary: &LatencySummary) {
+    let LatencySummary { updates, median, p99, max } = summary;
+    println!("update to drain gate, {load}: {updates} updates, median {median:?}, p99 {p99:?}, max {max:?}");
 }
 
-fn at_rest() {
+fn while_idle() {
     let (a, b) = (DataNode::start(served), DataNode::start(served));
-    let (coordinator, _discovery, mut watch) = coordinator(a.addr, b.addr);
-    print("at rest", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
+    let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
+    print("idle", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
 }
 
-fn under_a_flood_of_requests() {
+fn under_request_flood() {
     let (a, b) = (DataNode::start(served), DataNode::start(served));
-    let (coordinator, _discovery, mut watch) = coordinator(a.addr, b.addr);
-    let _load = clients(coordinator.listen, 32);
-    print("flood of requests", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
+    let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
+    let _load = start_clients(coordinator.listen, 32);
+    print("request flood", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
 }
 
-fn under_a_flood_of_requests_and_busy_processors() {
+fn under_request_flood_and_busy_processors() {
     let (a, b) = (DataNode::start(served), DataNode::start(served));
-    let (coordinator, _discovery, mut watch) = coordinator(a.addr, b.addr);
-    let _load = (clients(coordinator.listen, 32), processors(8));
-    print("flood and busy processors", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
+    let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
+    let _load = (start_clients(coordinator.listen, 32), start_busy_threads(8));
+    print("request flood and busy processors", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
 }
 
-fn under_spoilt_answers() {
-    let (a, b) = (DataNode::start(spoilt), DataNode::start(spoilt));
-    let (coordinator, _discovery, mut watch) = coordinator(a.addr, b.addr);
-    let _load = clients(coordinator.listen, 32);
-    print("spoilt answers", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
+fn under_malformed_answers() {
+    let (a, b) = (DataNode::start(malformed_reply), DataNode::start(malformed_reply));
+    let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
+    let _load = start_clients(coordinator.listen, 32);
+    print("malformed answers", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
 }
 
-fn under_answers_without_end() {
-    let (b, (addr, written)) = (DataNode::start(served), endless());
-    let (coordinator, _discovery, mut watch) = coordinator(addr, b.addr);
-    let _load = clients(coordinator.listen, 8);
-    let figures = measure(&coordinator, &mut watch, (addr, b.addr));
-    println!("bytes of answers without end: {}", written.load(Ordering::SeqCst));
-    print("answers without end", &figures);
+fn under_endless_answers() {
+    let (b, (addr, bytes_written)) = (DataNode::start(served), start_endless_data_node());
+    let (coordinator, _discovery, mut watch) = start_coordinator(addr, b.addr);
+    let _load = start_clients(coordinator.listen, 8);
+    let summary = measure(&coordinator, &mut watch, (addr, b.addr));
+    println!("endless answers: {} bytes written", bytes_written.load(Ordering::SeqCst));
+    print("endless answers", &summary);
 }
 
-fn under_clients_that_send_without_end() {
+fn under_endless_client_requests() {
     let (a, b) = (DataNode::start(served), DataNode::start(served));
-    let (coordinator, _discovery, mut watch) = coordinator(a.addr, b.addr);
+    let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
     let addr = coordinator.listen;
-    let _load = Load::of(4, move || {
+    let _load = Load::start(4, move || {
         let Ok(mut stream) = TcpStream::connect(addr) else { return };
         stream.set_nonblocking(true).unwrap();
         let requests: Vec<u8> = (0..64).flat_map(|_| query_bytes("tag-lookup", &[0], "200m")).collect();
@@ -209,15 +218,15 @@
             }
         }
     });
-    print("clients that send without end", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
+    print("endless client requests", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
 }
 
-/// One after the other: all coordinators of a process share one worker.
+/// Runs the loads one after another, because all coordinators of a process share one worker.
 fn main() {
-    at_rest();
-    under_a_flood_of_requests();
-    under_a_flood_of_requests_and_busy_processors();
-    under_spoilt_answers();
-    under_answers_without_end();
-    under_clients_that_send_without_end();
+    while_idle();
+    under_request_flood();
+    under_request_flood_and_busy_processors();
+    under_malformed_answers();
+    under_endless_answers();
+    under_endless_client_requests();
 }
