--- a/crates/merge/src/aggregate.rs
+++ b/crates/merge/src/aggregate.rs
@@ -3,14 +3,14 @@
 use crate::query::Op;
 use crate::units::{Overflow, Units};
 
-/// Exact figures over some rows.
+/// Exact count, sum, minimum and maximum over a set of rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Aggregate {
-    /// How many rows.
+    /// Number of rows.
     pub rows: u64,
-    /// Their sum.
+    /// Sum of the measure over the rows.
     pub sum: Units,
-    /// The minimum and the maximum; `None` where there are no rows.
+    /// Minimum and maximum; `None` if the set is empty.
     pub min_max: Option<(Units, Units)>,
 }
 
@@ -20,10 +20,10 @@
         Self { rows: 1, sum: measure, min_max: Some((measure, measure)) }
     }
 
-    /// The aggregate of the rows of both.
+    /// Combines the aggregates of two disjoint sets of rows.
     ///
     /// # Errors
-    /// A figure does not fit 128 bits.
+    /// The sum does not fit 128 bits, or the row count 64 bits.
     pub fn merge(&self, other: &Self) -> Result<Self, Overflow> {
         let min_max = match (self.min_max, other.min_max) {
             (Some(a), Some(b)) => Some((a.0.min(b.0), a.1.max(b.1))),
@@ -34,16 +34,16 @@
     }
 }
 
-/// A figure in an answer.
+/// The result of an aggregate operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Figure {
-    /// As a decimal. Without rows the minimum, the maximum and the mean are `None`.
+    /// The value as a decimal; `None` for the minimum, maximum and mean of an empty set.
     pub value: Option<String>,
-    /// Whether it is exact: a mean may have been rounded.
+    /// False only if a mean was rounded.
     pub exact: bool,
 }
 
-/// The figure that an operation computes from an aggregate.
+/// Computes the result of an operation from an aggregate.
 pub fn figure(op: Op, aggregate: &Aggregate, scale: u8) -> Figure {
     let value = match op {
         Op::Count => Some(aggregate.rows.to_string()),
@@ -59,11 +59,11 @@
     Figure { value, exact: true }
 }
 
-/// The aggregate over all ranges if those that are missing still hold what the cache has of them: `None` where the
-/// cache has nothing of one of them.
+/// The aggregate over all ranges, assuming that the missing ones are unchanged since they were cached. `None` if a
+/// missing range has no cached aggregate.
 ///
 /// # Errors
-/// A figure does not fit 128 bits.
+/// The sum does not fit 128 bits, or the row count 64 bits.
 pub fn interval(known: &Aggregate, missing: &[Option<Aggregate>]) -> Result<Option<Aggregate>, Overflow> {
     let mut sum = *known;
     for cached in missing {
--- a/crates/merge/src/aggregate/tests.rs
+++ b/crates/merge/src/aggregate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_overflow_is_an_error() {
+fn overflow_is_an_error() {
     let huge = Aggregate { rows: 1, sum: Units(i128::MAX), min_max: None };
     assert!(huge.merge(&Aggregate::of_row(Units(1))).is_err());
     assert!(Aggregate { rows: u64::MAX, ..Aggregate::default() }
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_interval_needs_all_that_is_missing() {
+fn interval_requires_cached_totals_of_all_missing_ranges() {
     let known = Aggregate::of_row(Units(5));
     assert_eq!(interval(&known, &[Some(known), None]).unwrap(), None);
     assert_eq!(interval(&known, &[Some(known)]).unwrap().unwrap().sum, Units(10));
--- a/crates/merge/src/aggregator.rs
+++ b/crates/merge/src/aggregator.rs
@@ -1,4 +1,4 @@
-//! Aggregates over all ranges, each of which counts once.
+//! Aggregation over all ranges, counting each range once.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use crate::value::Header;
 use crate::{Range, Version};
 
-/// Adds up the totals of ranges, each range once.
+/// Merges the totals of ranges, counting each range once.
 #[derive(Debug, Clone, Default)]
 pub struct Aggregator {
     ranges: BTreeMap<Range, (Version, Aggregate)>,
 }
 
 impl Aggregator {
-    /// Takes a range's value; the first one counts, and a further one adds nothing. Returns whether it counted.
+    /// Adds a range's total and returns true if it is the range's first. Ignores further totals of the same range.
     ///
     /// # Errors
     /// The value has no total.
@@ -28,15 +28,15 @@
         Ok(first)
     }
 
-    /// Each range's version and figures.
+    /// The version and aggregate of each range added so far.
     pub fn ranges(&self) -> &BTreeMap<Range, (Version, Aggregate)> {
         &self.ranges
     }
 
-    /// The figures over all ranges that are in.
+    /// The aggregate over all ranges added so far.
     ///
     /// # Errors
-    /// They do not fit.
+    /// The sum does not fit 128 bits, or the row count 64 bits.
     pub fn total(&self) -> Result<Aggregate, Overflow> {
         self.ranges.values().try_fold(Aggregate::default(), |sum, (_, aggregate)| sum.merge(aggregate))
     }
--- a/crates/merge/src/aggregator/tests.rs
+++ b/crates/merge/src/aggregator/tests.rs
@@ -10,10 +10,10 @@
     Value::read(&text).unwrap().header
 }
 
-/// Guards against adding a twin, a repeat or a late answer once more, in both orders, and against mixing
-/// versions of one range.
+/// A hedged, repeated or late value of a range must not be added again or mix two versions of the range, whichever of
+/// the two values arrives first.
 #[test]
-fn a_range_that_answers_twice_counts_once() {
+fn only_the_first_total_of_a_range_is_added() {
     for (first, second) in [((5, 100), (5, 100)), ((5, 100), (6, 120)), ((6, 120), (5, 100))] {
         let mut aggregator = Aggregator::default();
         assert!(aggregator.add(&header(3, first.0, first.1)).unwrap());
--- a/crates/merge/src/answer.rs
+++ b/crates/merge/src/answer.rs
@@ -1,4 +1,4 @@
-//! A merged answer and its JSON: the header first and the rows last, so that a long answer can be sent in pieces.
+//! A merged answer and its JSON: the header precedes the rows, so that a long answer can be sent in pieces.
 
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -9,81 +9,82 @@
 use crate::units::Units;
 use crate::{Range, Version};
 
-/// An answer's figure.
+/// The result of an aggregate operation, as written in an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Figure {
-    /// Over the ranges that are in. Without rows the minimum, the maximum and the mean are `None`.
+    /// The value over the included ranges; `None` for the minimum, maximum and mean of no rows.
     pub value: Option<String>,
-    /// Whether that is the exact figure over all ranges: a mean may have been rounded.
+    /// Whether `value` is exact over all ranges: no range is missing, and no mean was rounded.
     pub exact: bool,
-    /// The rows that it is computed from.
+    /// Number of rows that the value is computed from.
     pub rows: u64,
-    /// Their exact sum.
+    /// Exact sum of these rows, as a decimal.
     pub sum: String,
-    /// Bounds of the figure over all ranges, if those that are missing still hold what the cache has of them.
+    /// Bounds of the value over all ranges, assuming that the missing ones are unchanged since they were cached. `None`
+    /// if no range is missing, or one has no cached total.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub within: Option<Interval>,
 }
 
-/// A closed interval that contains a figure.
+/// A closed interval that contains the exact value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Interval {
-    /// Its lower end.
+    /// Lower bound, as a decimal.
     pub low: String,
-    /// Its upper end.
+    /// Upper bound, as a decimal.
     pub high: String,
 }
 
 /// A range that is missing from an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MissingRange {
-    /// The range.
+    /// Index of the missing range.
     pub range: Range,
-    /// The code of the reason.
+    /// Reason code; see [`crate::coverage::MissingReason::code`].
     pub reason: &'static str,
-    /// The reason in words.
+    /// Human-readable reason.
     pub detail: String,
-    /// The version of its data by which the answer is bounded all the same.
+    /// Version of the cached summary that bounds the range; `None` if the cache holds none.
     #[serde(skip_serializing_if = "Option::is_none", rename = "boundedAtVersion")]
     pub bounded_at_version: Option<Version>,
 }
 
-/// A range that is in an answer.
+/// A range that an answer includes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct IncludedRange {
-    /// The range.
+    /// Index of the included range.
     pub range: Range,
-    /// The version of its data.
+    /// Version of its data that the answer was computed from.
     pub version: Version,
 }
 
 /// The part of an answer before its rows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct AnswerHeader {
-    /// The set of data.
+    /// Name of the data set.
     pub set: String,
-    /// The operation.
+    /// Operation of the query.
     pub op: Op,
-    /// The measure.
+    /// Name of the measure.
     pub measure: String,
-    /// Whether every range is in and all that is given is exact.
+    /// Whether every range is included. A ranking must also be exact, certain and not cut short.
     pub whole: bool,
-    /// The share of the ranges that are in, rounded down.
+    /// Fraction of the ranges that are included, as a decimal with six digits, rounded down.
     pub coverage: String,
-    /// The ranges that are in.
+    /// Included ranges with their versions.
     pub ranges: Vec<IncludedRange>,
-    /// Those that are not.
+    /// Missing ranges with the reasons.
     pub missing: Vec<MissingRange>,
-    /// Of a ranking: how many rows, from the first on, stand in the exact answer at the same place.
+    /// Number of leading rows that are certain to have the same rank in the exact answer; rankings only.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub certain: Option<usize>,
-    /// The figure of an operation that gives one.
+    /// Result of an ungrouped aggregate operation; `None` for other operations.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub figure: Option<Figure>,
-    /// Whether more rows follow.
+    /// Whether more rows may follow; `None` for an ungrouped aggregate operation.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub more: Option<bool>,
-    /// The cursor of the next page, if there is one.
+    /// Cursor of the next page; `None` on the last page and for answers without pages.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
 }
@@ -91,31 +92,32 @@
 /// A row of an answer.
 #[derive(Debug, Clone, Serialize)]
 pub struct AnswerRow<'a> {
-    /// Its key.
+    /// Key of the row or group.
     pub key: &'a str,
-    /// Its measure or figure, as a decimal.
+    /// Measure of the row or result of the group, as a decimal.
     pub value: Option<String>,
-    /// The range that holds it.
+    /// Range that holds the row; `None` for a group.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub range: Option<Range>,
-    /// Of a group: how many rows.
+    /// Number of rows of the group, in pages of groups only.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rows: Option<u64>,
-    /// Of a group: their exact sum.
+    /// Exact sum of the group's rows, in pages of groups only.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sum: Option<String>,
-    /// An earlier page gave this group, and ranges that were missing then now add to it.
+    /// Whether an earlier page may have returned this group: the row then covers only ranges that were missing on that
+    /// page.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub late: bool,
-    /// Only where the value is not exact: its lower bound; null where unbounded.
+    /// Lower bound of an inexact value in a ranking, `Some(None)` (null) if unbounded; `None` (omitted) otherwise.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub low: Option<Option<String>>,
-    /// Only where the value is not exact: its upper bound; null where unbounded.
+    /// Upper bound of an inexact value in a ranking, `Some(None)` (null) if unbounded; `None` (omitted) otherwise.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub high: Option<Option<String>>,
-    /// Whether the value is exact.
+    /// Whether `value` is the exact value over all ranges.
     pub exact: bool,
-    /// The body of the row, passed on unchanged.
+    /// Body of the row, returned unchanged.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub body: Option<&'a RawValue>,
 }
@@ -125,12 +127,12 @@
 pub struct Answer {
     /// The part before the rows.
     pub head: AnswerHeader,
-    /// The rows, each as JSON.
+    /// Rows, each serialized as JSON.
     pub rows: Vec<String>,
 }
 
 impl Answer {
-    /// The answer's JSON in pieces of about this many bytes.
+    /// Serializes the answer as JSON in pieces of about `bytes` bytes each.
     pub fn pieces(&self, bytes: usize) -> impl Iterator<Item = String> + '_ {
         // Serializing text and numbers cannot fail.
         let mut first = serde_json::to_string(&self.head).unwrap_or_else(|_| "{}".into());
@@ -155,18 +157,19 @@
         })
     }
 
-    /// The answer's JSON.
+    /// Serializes the answer as JSON in one piece.
     pub fn text(&self) -> String {
         self.pieces(usize::MAX).collect()
     }
 }
 
-/// The figure of an operation over all ranges that are in, with the interval of the exact one where it is bounded.
+/// Computes the result over the included ranges, with an interval for the exact result if the missing ranges are
+/// bounded.
 pub(crate) fn figure_of(query: &Query, known: &Aggregate, within: Option<&Aggregate>, whole: bool) -> Figure {
     let own = figure(query.op, known, query.scale);
     let within = within.filter(|_| !whole).and_then(|all| {
         let figure = figure(query.op, all, query.scale);
-        // A rounded mean lies within a unit of the last decimal.
+        // A rounded mean is within one unit of the last decimal of the exact mean.
         let value = figure.value?;
         let (low, high) = match figure.exact {
             true => (value.clone(), value),
@@ -187,7 +190,7 @@
     }
 }
 
-/// The ranges of an answer, and what is known of those that are missing.
+/// Lists the included and the missing ranges of an answer; `bounded` returns the cached version of a missing range.
 pub(crate) fn ranges(
     coverage: &Coverage,
     bounded: impl Fn(Range) -> Option<Version>,
--- a/crates/merge/src/coverage.rs
+++ b/crates/merge/src/coverage.rs
@@ -1,4 +1,4 @@
-//! Coverage of an answer: which ranges are in, which are missing and why.
+//! Coverage of an answer: which ranges are included, which are missing and why.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,14 +12,14 @@
 pub enum MissingReason {
     /// None of its data nodes answered in time.
     NoAnswer,
-    /// Its values were refused; the error of the last one.
+    /// All its values were rejected; holds the error of the last one.
     InvalidValue(InvalidValue),
-    /// One of its rows does not fit a value, so that no replica can return it.
+    /// One of its rows exceeds the size limit of a value, so no replica can return it.
     TooLarge(TooLarge),
 }
 
 impl MissingReason {
-    /// The code that stands for it in answers.
+    /// The reason code written in answers.
     pub fn code(&self) -> &'static str {
         match self {
             Self::NoAnswer => "no-answer",
@@ -40,23 +40,22 @@
     }
 }
 
-/// The ranges that an answer is made of.
+/// The included and the missing ranges of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Coverage {
-    /// The ranges that are in, with the version of their data.
+    /// Included ranges with the versions of their data.
     pub versions: BTreeMap<Range, Version>,
-    /// The ranges that are missing.
+    /// Missing ranges with the reasons.
     pub missing: BTreeMap<Range, MissingReason>,
 }
 
-/// The ratio of coverage is counted in millionths.
 const MILLIONTHS_PER_UNIT: u128 = 1_000_000;
 
-/// Ranges by which a minimum may be missed, for the rounding of its product.
+/// Tolerance of the minimum, in ranges, for rounding errors in `minimum * ranges`.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl Coverage {
-    /// Whether every range is in.
+    /// Whether no range is missing; false if there are no ranges.
     pub fn is_complete(&self) -> bool {
         self.missing.is_empty() && !self.versions.is_empty()
     }
@@ -69,12 +68,12 @@
         (included * MILLIONTHS_PER_UNIT).checked_div(all).unwrap_or(0) as u32
     }
 
-    /// The ratio as a decimal with six digits.
+    /// The ratio of included ranges as a decimal with six digits, rounded down.
     pub fn decimal(&self) -> String {
         crate::units::Units(self.ratio_millionths().into()).decimal(6)
     }
 
-    /// Whether the ratio is at least this minimum.
+    /// Whether the ratio of included ranges is at least `minimum`; false if there are no ranges.
     pub fn meets_minimum(&self, minimum: f64) -> bool {
         let all = self.versions.len() + self.missing.len();
         all > 0 && self.versions.len() as f64 >= minimum * all as f64 - ROUNDING_TOLERANCE
--- a/crates/merge/src/cursor.rs
+++ b/crates/merge/src/cursor.rs
@@ -1,8 +1,8 @@
-//! Cursors of listings: the position and the last seen version of each range, authenticated so that only this service
-//! can make or change one, bound to its query, and of limited lifetime.
+//! Cursors of listings: the position and the last seen version of each range. A cursor is authenticated, so only this
+//! service can create or change one; it is bound to its query and has a limited lifetime.
 //!
-//! A cursor is a postcard record behind the signing key's name and before its HMAC-SHA-256 (RFC 2104, cut to 128
-//! bits as its section 5 allows), in base64url without padding (RFC 4648, section 5).
+//! A cursor consists of the signing key's name, a postcard record and the HMAC-SHA-256 of both (RFC 2104, truncated to
+//! 128 bits as its section 5 allows), encoded in base64url without padding (RFC 4648, section 5).
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use crate::Version;
 
-/// The position at which the next rows of a range begin. Positions are ordered as rows are.
+/// The position at which the next rows of a range begin. Positions sort in the order of the rows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub enum Position {
     /// The first row.
@@ -28,7 +28,7 @@
 }
 
 impl Position {
-    /// Whether a row of this key lies at or after the position.
+    /// Whether a row with this key is at or after the position.
     pub fn admits(&self, key: &str) -> bool {
         match self {
             Self::Start => true,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The later of two positions: a range never goes back.
+    /// The later of two positions, so that a range never moves backwards.
     #[must_use]
     pub fn furthest(&self, other: &Self) -> Self {
         if other.sort_key() > self.sort_key() {
@@ -59,46 +59,44 @@
 /// The progress of a listing in one range.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RangeProgress {
-    /// The position at which its next rows begin.
+    /// Position at which the range's next rows begin.
     pub position: Position,
-    /// The version of its data that was seen last, if any was.
+    /// Last seen version of the range's data; `None` before its first value.
     pub version: Option<Version>,
 }
 
-/// The state from which a listing is resumed.
+/// The state that resumes a listing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cursor {
-    /// The query's digest.
+    /// Digest of the query, [`crate::query::Query::digest`].
     pub query: [u8; 16],
-    /// The time at which it expires, in seconds of Unix time.
+    /// Expiry time, in seconds of Unix time.
     pub until: u64,
-    /// The progress of each range, by its number.
+    /// Progress of each range, indexed by range.
     pub ranges: Vec<RangeProgress>,
 }
 
-/// The version of the record.
 const RECORD_VERSION: u8 = 1;
-/// The length of the truncated HMAC, in bytes.
+/// Length of the truncated HMAC, in bytes.
 const MAC_BYTES: usize = 16;
-/// The length of a key's name, in bytes.
 const KEY_NAME_BYTES: usize = 4;
-/// The longest cursor that is read, in bytes of text.
+/// Maximum length of a cursor's text, in bytes; longer ones are rejected as malformed.
 pub const MAX_CURSOR_BYTES: usize = 64 * 1024;
 
-/// Keys that several ranges have in common are written once.
+/// The encoded state of a cursor. Each distinct row key is stored once.
 #[derive(Serialize, Deserialize)]
 struct Record {
-    form: u8,
+    record_version: u8,
     query: [u8; 16],
     until: u64,
     keys: Vec<Arc<str>>,
-    /// Position and version of each range. A position is 0 at the start, 1 + 2n from the key number n on, and 2 + 2n
-    /// after it; a version is one more than the version that was seen, 0 for none.
+    /// Encoded position and version of each range. A position is 0 for `Start`, 1 + 2n for `From(keys[n])` and 2 + 2n
+    /// for `After(keys[n])`. A version is the last seen version plus 1, or 0 for none.
     ranges: Vec<(u64, u64)>,
 }
 
 impl Record {
-    /// The progress of one range.
+    /// Decodes the progress of one range.
     fn progress(&self, &(position, version): &(u64, u64)) -> Result<RangeProgress, BadCursor> {
         let key = |n: u64| self.keys.get((n / 2) as usize).cloned().ok_or(BadCursor::Malformed);
         let position = match position {
@@ -110,22 +108,22 @@
     }
 }
 
-/// Why a cursor is refused.
+/// Why a cursor is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadCursor {
-    /// It is no cursor at all.
+    /// The text does not have the format of a cursor.
     Malformed,
-    /// Its key is not known: it was retired, or the cursor is from before a restart without a file of keys.
+    /// The signing key is unknown: it was removed from the key file, or the service restarted without a key file.
     UnknownKey,
-    /// It was changed, or made elsewhere.
+    /// The MAC does not match: the cursor was modified, or was not created by this service.
     Forged,
-    /// It is of another version of this program.
+    /// The record has another version, which is given.
     OtherVersion(u8),
-    /// It belongs to another query.
+    /// The cursor belongs to another query.
     OtherQuery,
-    /// Its time is over.
+    /// The expiry time has passed.
     Expired,
-    /// It speaks of other ranges than there are.
+    /// The number of ranges differs from the current one.
     OtherRanges,
 }
 
@@ -145,7 +143,7 @@
 
 impl std::error::Error for BadCursor {}
 
-/// A key that signs cursors.
+/// An HMAC key for cursors.
 #[derive(Clone, PartialEq, Eq)]
 struct Key {
     name: [u8; KEY_NAME_BYTES],
@@ -153,7 +151,7 @@
 }
 
 impl Key {
-    /// A key's name is a digest of it: names need no care, and tell nothing.
+    /// Derives the key's name from a digest of the secret: names need no configuration and do not reveal the secret.
     fn new(secret: Vec<u8>) -> Self {
         let mut name = [0; KEY_NAME_BYTES];
         let digest = Sha256::new().chain_update(b"curlewdeck cursor key").chain_update(&secret).finalize();
@@ -166,31 +164,30 @@
     }
 }
 
-/// The keys: the first one signs, all are accepted.
+/// HMAC keys of cursors: the first one signs, all are accepted.
 #[derive(Clone)]
 pub struct Keys(Vec<Key>);
 
-/// Keeps secrets out of logs.
+/// Prints only the number of keys, so that secrets do not reach logs.
 impl fmt::Debug for Keys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Keys({} of them)", self.0.len())
     }
 }
 
-/// The shortest key, in bytes.
 const MIN_KEY_BYTES: usize = 16;
 
 impl Keys {
-    /// A key that was made just now: cursors end with the process.
+    /// Uses a single newly generated secret: cursors become invalid when the process ends.
     pub fn fresh(secret: [u8; 32]) -> Self {
         Self(vec![Key::new(secret.to_vec())])
     }
 
-    /// Reads the operator's file: a key a line in hexadecimal digits, 16 bytes or more; `#` begins a comment. The
-    /// first one signs; the others are accepted until they are taken out.
+    /// Parses the operator's key file: one key per line in hexadecimal digits, at least 16 bytes long; `#` begins a
+    /// comment. The first key signs; the others remain accepted until they are removed from the file.
     ///
     /// # Errors
-    /// Names the line and the fault, never the key.
+    /// Returns the line number and the reason, never the key.
     pub fn read(text: &str) -> Result<Self, String> {
         let mut keys: Vec<Key> = Vec::new();
         for (n, line) in (1..).zip(text.lines()) {
@@ -198,42 +195,43 @@
             if line.is_empty() {
                 continue;
             }
-            let bytes = hex::decode(line)
-                .map_err(|_| format!("line {n}: hexadecimal digits in pairs are expected"))?;
+            let bytes =
+                hex::decode(line).map_err(|_| format!("line {n}: hexadecimal digits in pairs expected"))?;
             if bytes.len() < MIN_KEY_BYTES {
-                return Err(format!("line {n}: a key needs {MIN_KEY_BYTES} bytes or more"));
+                return Err(format!("line {n}: key is shorter than {MIN_KEY_BYTES} bytes"));
             }
             let key = Key::new(bytes);
             if keys.iter().any(|k| k.name == key.name) {
-                return Err(format!("line {n}: this key stands in the file already"));
+                return Err(format!("line {n}: duplicate key"));
             }
             keys.push(key);
         }
         match keys.is_empty() {
-            true => Err("there is no key".into()),
+            true => Err("the file contains no key".into()),
             false => Ok(Self(keys)),
         }
     }
 
-    /// Seals a cursor.
+    /// Encodes and signs a cursor.
     pub fn seal(&self, cursor: &Cursor) -> String {
         let mut keys: Vec<Arc<str>> = Vec::new();
-        let mut number = |key: &Arc<str>| {
-            // Few keys differ: all ranges that were in have the key of the last row.
-            let at = keys.iter().position(|k| k == key).unwrap_or_else(|| {
+        let mut encode_key = |key: &Arc<str>| {
+            // There are few distinct keys: all ranges included in a page have the key of its last row.
+            let index = keys.iter().position(|k| k == key).unwrap_or_else(|| {
                 keys.push(key.clone());
                 keys.len() - 1
             });
-            at as u64 * 2
+            index as u64 * 2
         };
         let mut position = |p: &Position| match p {
             Position::Start => 0,
-            Position::From(key) => number(key) + 1,
-            Position::After(key) => number(key) + 2,
+            Position::From(key) => encode_key(key) + 1,
+            Position::After(key) => encode_key(key) + 2,
         };
         let version = |v: Option<Version>| v.map_or(0, |v| v.saturating_add(1));
         let ranges = cursor.ranges.iter().map(|r| (position(&r.position), version(r.version))).collect();
-        let record = Record { form: RECORD_VERSION, query: cursor.query, until: cursor.until, keys, ranges };
+        let record =
+            Record { record_version: RECORD_VERSION, query: cursor.query, until: cursor.until, keys, ranges };
         let mut bytes = self.0[0].name.to_vec();
         // Serializing the record cannot fail.
         bytes.extend(postcard::to_stdvec(&record).unwrap_or_default());
@@ -244,10 +242,10 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Opens a cursor for a query over so many ranges, at this time in seconds of Unix time.
+    /// Verifies and decodes a cursor for a query over `ranges` ranges; `now` is in seconds of Unix time.
     ///
     /// # Errors
-    /// Says why it cannot be used. Nothing of it is read before its seal has been checked.
+    /// Returns the reason for rejecting the cursor. The record is parsed only after its MAC has been verified.
     pub fn open(&self, text: &str, query: &[u8; 16], ranges: usize, now: u64) -> Result<Cursor, BadCursor> {
         let record = self.authenticated_record(text)?;
         if record.query != *query {
@@ -263,7 +261,7 @@
         Ok(Cursor { query: record.query, until: record.until, ranges })
     }
 
-    /// Decodes a cursor's text; nothing of the record is read before its MAC has been verified.
+    /// Decodes a cursor's text. The record is parsed only after its MAC has been verified.
     fn authenticated_record(&self, text: &str) -> Result<Record, BadCursor> {
         if text.len() > MAX_CURSOR_BYTES {
             return Err(BadCursor::Malformed);
@@ -275,7 +273,7 @@
         let (name, record) = signed.split_at(KEY_NAME_BYTES);
         let key = self.0.iter().find(|k| k.name == name).ok_or(BadCursor::UnknownKey)?;
         let mac = key.mac().ok_or(BadCursor::UnknownKey)?;
-        // Compared in constant time.
+        // `verify_truncated_left` compares in constant time.
         mac.chain_update(signed).verify_truncated_left(tag).map_err(|_| BadCursor::Forged)?;
         if record.first() != Some(&RECORD_VERSION) {
             return Err(BadCursor::OtherVersion(record.first().copied().unwrap_or(0)));
--- a/crates/merge/src/cursor/tests.rs
+++ b/crates/merge/src/cursor/tests.rs
@@ -15,14 +15,15 @@
 }
 
 #[test]
-fn a_cursor_opens_as_it_was_sealed() {
+fn sealed_cursor_opens_unchanged() {
     let keys = Keys::fresh([1; 32]);
     assert_eq!(keys.open(&keys.seal(&cursor()), &QUERY, 4, 99), Ok(cursor()));
 }
 
-/// The hard cases: of another query, expired, signed by a retired key, from before a restart, foreign.
+/// Each kind of unusable cursor has its own error: of another query, expired, with another number of ranges, signed by
+/// an unknown key (removed, or from before a restart), malformed.
 #[test]
-fn a_cursor_that_cannot_be_used_says_why() {
+fn rejected_cursor_returns_the_reason() {
     let keys = Keys::fresh([1; 32]);
     let text = keys.seal(&cursor());
     assert_eq!(keys.open(&text, &[8; 16], 4, 0), Err(BadCursor::OtherQuery));
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn an_old_key_is_accepted_until_it_is_taken_out() {
+fn old_key_is_accepted_until_it_is_removed_from_the_file() {
     let (old, new) = ("11".repeat(16), "22".repeat(16));
     let before = Keys::read(&old).unwrap();
     let both = Keys::read(&format!("# new first\n{new}\n{old} # until spring\n")).unwrap();
@@ -43,28 +44,28 @@
     let text = before.seal(&cursor());
     assert!(both.open(&text, &QUERY, 4, 0).is_ok());
     assert_eq!(after.open(&text, &QUERY, 4, 0), Err(BadCursor::UnknownKey));
-    assert!(after.open(&both.seal(&cursor()), &QUERY, 4, 0).is_ok(), "the first one signs");
+    assert!(after.open(&both.seal(&cursor()), &QUERY, 4, 0).is_ok(), "the first key signs");
 }
 
 #[test]
-fn a_file_of_keys_is_checked() {
-    let fault = |text: &str| Keys::read(text).unwrap_err();
-    assert_eq!(fault("# nothing\n"), "there is no key");
-    assert!(fault("\nxyz0").starts_with("line 2: hexadecimal"));
-    assert!(fault("abc").starts_with("line 1: hexadecimal"));
-    assert!(fault("abcd").contains("16 bytes"));
+fn invalid_key_file_is_rejected_without_revealing_keys() {
+    let error = |text: &str| Keys::read(text).unwrap_err();
+    assert_eq!(error("# nothing\n"), "the file contains no key");
+    assert!(error("\nxyz0").starts_with("line 2: hexadecimal"));
+    assert!(error("abc").starts_with("line 1: hexadecimal"));
+    assert!(error("abcd").contains("16 bytes"));
     let twice = format!("{0}\n{0}", "ab".repeat(16));
-    assert!(fault(&twice).starts_with("line 2: this key stands"));
-    assert!(!fault(&twice).contains("abab"), "a key in a message");
+    assert!(error(&twice).starts_with("line 2: duplicate key"));
+    assert!(!error(&twice).contains("abab"), "the message contains the key");
     assert_eq!(format!("{:?}", Keys::fresh([3; 32])), "Keys(1 of them)");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// One changed bit is always found; whatever is sent never panics.
+    /// A cursor with one flipped bit is always rejected, and arbitrary text never panics.
     #[test]
-    fn a_changed_bit_is_found(at in 0..100usize, bit in 0..8u8, text in "[A-Za-z0-9_-]{0,80}") {
+    fn cursor_with_a_flipped_bit_is_rejected(at in 0..100usize, bit in 0..8u8, text in "[A-Za-z0-9_-]{0,80}") {
         let keys = Keys::fresh([1; 32]);
         let mut bytes = URL_SAFE_NO_PAD.decode(keys.seal(&cursor())).unwrap();
         let at = at % bytes.len();
@@ -76,7 +77,7 @@
     }
 
     #[test]
-    fn places_never_go_back(a in 0..3u8, b in 0..3u8, x in "[ab]{0,2}", y in "[ab]{0,2}", key in "[ab]{0,3}") {
+    fn furthest_returns_the_later_position(a in 0..3u8, b in 0..3u8, x in "[ab]{0,2}", y in "[ab]{0,2}", key in "[ab]{0,3}") {
         let position = |kind, k: &str| match kind {
             0 => Position::Start,
             1 => Position::From(k.into()),
--- a/crates/merge/src/error.rs
+++ b/crates/merge/src/error.rs
@@ -6,18 +6,18 @@
 use crate::units::Overflow;
 use crate::{Range, Version};
 
-/// Why a value is refused. Its attempt counts as one that may have run.
+/// Why a value is rejected. Its attempt counts as one that may have been executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InvalidValue {
-    /// It is not in the form that is published; what is wrong with it.
+    /// The value does not have the published format; holds the details.
     Malformed(String),
-    /// It speaks for this range, and another was asked.
+    /// The value belongs to this range instead of the requested one.
     WrongRange(Range),
-    /// Its data changed from one version to another while it was read.
+    /// The data changed while it was read: the versions at the beginning and at the end.
     MixedVersions(Version, Version),
-    /// Its data is older than what the client has seen already: its version, and the least that will do.
+    /// The data is older than the client has already seen: its version, and the minimum accepted version.
     StaleVersion(Version, Version),
-    /// It contradicts itself or the query.
+    /// The value is inconsistent in itself or with the query; holds the details.
     Inconsistent(String),
 }
 
@@ -50,9 +50,9 @@
 /// Why rows cannot be merged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowError {
-    /// A row cannot be read.
+    /// A row is malformed.
     InvalidValue(InvalidValue),
-    /// A sum does not fit 128 bits.
+    /// A sum does not fit 128 bits, or a row count 64 bits.
     Overflow,
 }
 
@@ -68,14 +68,14 @@
     }
 }
 
-/// Why a query has no answer.
+/// Why a query fails.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MergeError {
-    /// The coverage is below the minimum of the class.
+    /// The coverage is below the minimum of the class, or no range is included.
     BelowMinimumCoverage(Coverage),
-    /// A figure does not fit 128 bits.
+    /// A sum does not fit 128 bits, or a row count 64 bits.
     Overflow,
-    /// A value that passed its checks cannot be read.
+    /// A value that passed validation cannot be parsed.
     InvalidValue(InvalidValue),
 }
 
--- a/crates/merge/src/lib.rs
+++ b/crates/merge/src/lib.rs
@@ -1,10 +1,10 @@
-//! Merges the values of many tag ranges into one exact answer that says what it covers.
+//! Merges the values of many tag ranges into one exact answer that lists the ranges it covers.
 //!
 //! A [`query::Query`] is sent to each range as a request text ([`query::Query::text`]). A range returns a
-//! [`value::Value`], which [`value::check`] checks when it comes: one that is malformed, speaks for another range or is
-//! inconsistent is refused. [`merger`] holds the state of one query; [`rank`], [`aggregate`] and [`page`] merge the
-//! valid values. [`coverage`] tells which ranges are in, [`range_cache`] bounds those that are missing, and [`cursor`]
-//! carries a listing from page to page. The crate does no I/O and reads no clock.
+//! [`value::Value`]. [`value::check`] validates each value on arrival and rejects values that are malformed, belong to
+//! another range or are inconsistent. [`merger`] holds the state of one query; [`rank`], [`aggregate`] and [`page`]
+//! merge the valid values. [`coverage`] records which ranges an answer includes, [`range_cache`] bounds the missing
+//! ones, and [`cursor`] stores the progress of a listing between pages. The crate does no I/O and reads no clock.
 
 pub mod aggregate;
 pub mod aggregator;
@@ -22,8 +22,8 @@
 pub mod units;
 pub mod value;
 
-/// A tag range, from 0.
+/// Index of a tag range, from 0.
 pub type Range = u32;
 
-/// A version of a range's data: it grows with each change of the range.
+/// Version of a range's data; increases with each change of the range.
 pub type Version = u64;
--- a/crates/merge/src/merger.rs
+++ b/crates/merge/src/merger.rs
@@ -1,4 +1,4 @@
-//! One query from its first part to its answer: a state machine without I/O.
+//! The state of one query, from its first part to its answer: a state machine without I/O.
 
 mod answer_builder;
 #[cfg(test)]
@@ -15,47 +15,47 @@
 use crate::error::{InvalidValue, MergeError};
 use crate::query::{Op, Query};
 use crate::range_bounds::RangeBounds;
-use crate::range_cache::{Nanos, RangeCache, RangeSummary, Shape};
+use crate::range_cache::{Nanos, QueryDigest, RangeCache, RangeSummary};
 use crate::value::{check, Expected, Value};
 use crate::Range;
 
-/// Merges the values of one query: says what each range is asked, checks each value as it comes, and makes the
-/// answer of those that are valid. It does no I/O.
+/// Merges the values of one query: builds the request for each range, validates each value on arrival and computes the
+/// answer from the valid ones. Does no I/O.
 #[derive(Debug, Clone)]
 pub struct QueryMerger {
     query: Query,
-    shape: Shape,
+    digest: QueryDigest,
     progress: Vec<RangeProgress>,
-    /// Why the last value of a range was rejected.
+    /// Ranges whose last value was rejected, with the error.
     rejected: BTreeMap<Range, InvalidValue>,
-    /// What the valid values tell of their ranges, for the cache.
+    /// Summaries of the ranges with valid values, for the cache.
     summaries: BTreeMap<Range, RangeSummary>,
 }
 
-/// An answer and, for a page, where the next page begins.
+/// An answer and, for a page, the progress at which the next page begins.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MergeResult {
     /// The answer, without a cursor.
     pub answer: Answer,
-    /// The progress of each range at the end of the page; `None` at the end of the listing.
+    /// Progress of each range after the page; `None` at the end of the listing and for answers without pages.
     pub next: Option<Vec<RangeProgress>>,
 }
 
 impl QueryMerger {
-    /// Begins a query over this many ranges.
+    /// Starts a query over `ranges` ranges.
     pub fn new(query: Query, ranges: u32) -> Self {
         let progress = (0..ranges).map(|_| RangeProgress::default()).collect();
-        let shape = query.digest();
-        Self { query, shape, progress, rejected: BTreeMap::new(), summaries: BTreeMap::new() }
+        let digest = query.digest();
+        Self { query, digest, progress, rejected: BTreeMap::new(), summaries: BTreeMap::new() }
     }
 
-    /// Resumes a listing at a cursor of the same query.
+    /// Resumes a listing from a cursor of the same query.
     pub fn resume(query: Query, cursor: Cursor) -> Self {
-        let shape = query.digest();
-        Self { query, shape, progress: cursor.ranges, rejected: BTreeMap::new(), summaries: BTreeMap::new() }
+        let digest = query.digest();
+        Self { query, digest, progress: cursor.ranges, rejected: BTreeMap::new(), summaries: BTreeMap::new() }
     }
 
-    /// The query.
+    /// The query that this merger was created for.
     pub fn query(&self) -> &Query {
         &self.query
     }
@@ -64,21 +64,21 @@
         self.progress.get(range as usize)
     }
 
-    /// The ranges whose last value was rejected, and why.
+    /// The ranges whose last value was rejected, with the error.
     pub fn rejected(&self) -> impl Iterator<Item = (Range, &InvalidValue)> {
         self.rejected.iter().map(|(&range, invalid)| (range, invalid))
     }
 
-    /// The request text for a range.
+    /// The request text for a range, beginning at the range's progress.
     pub fn request_text(&self, range: Range) -> String {
         let progress = self.progress(range).cloned().unwrap_or_default();
         self.query.text(range, &progress.position, progress.version)
     }
 
-    /// Checks a value as it comes for a range.
+    /// Validates a value that was received for a range.
     ///
     /// # Errors
-    /// The value is rejected; its attempt counts as one that may have run.
+    /// The value is rejected; its attempt counts as one that may have been executed.
     pub fn accept_value(&mut self, range: Range, text: &str) -> Result<(), InvalidValue> {
         let Some(progress) = self.progress(range) else { return Err(InvalidValue::WrongRange(range)) };
         let expected = Expected { range, position: progress.position.clone(), at_least: progress.version };
@@ -103,11 +103,11 @@
         }
     }
 
-    /// Makes the answer of the valid values, the first one of each range. Their summaries go to the cache, and ranges
-    /// that are missing are bounded by what the cache holds of them.
+    /// Computes the answer from the first valid value of each range. Stores the summaries of these ranges in the
+    /// cache and bounds the missing ranges by their cached summaries.
     ///
     /// # Errors
-    /// The coverage is below `min_coverage`, or a figure does not fit 128 bits.
+    /// The coverage is below `min_coverage`, no range is included, a value cannot be parsed, or a sum overflows.
     pub fn finish(
         &self,
         values: &[(Range, Arc<str>)],
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Reads the headers of the first value of each range; ranges without one are missing.
+    /// Parses the first value of each range; records ranges without a value as missing.
     fn read_values<'v>(
         &self,
         texts: &'v [(Range, Arc<str>)],
@@ -144,7 +144,7 @@
             if let Some(row) = &value.header.too_large {
                 coverage.missing.insert(*range, MissingReason::TooLarge(row.clone()));
             } else if let Entry::Vacant(version) = coverage.versions.entry(*range) {
-                // A hedged attempt's value that comes later adds nothing, and does not change the version.
+                // Later values of a range, such as those of hedged attempts, are ignored, and so are their versions.
                 version.insert(value.header.version);
                 values.push(value);
             }
@@ -167,15 +167,15 @@
                 .map(|t| RangeSummary::Total(t.aggregate()))
                 .or_else(|| self.summaries.get(&header.range).copied());
             match summary {
-                Some(summary) => cache.insert(now, self.shape, header.range, header.version, summary),
+                Some(summary) => cache.insert(now, self.digest, header.range, header.version, summary),
                 None => cache.observe_version(header.range, header.version),
             }
         }
     }
 
-    /// What the cache holds of the missing ranges, in their order.
+    /// Looks up the cached summaries of the missing ranges, in range order.
     fn cached_summaries(&self, coverage: &Coverage, cache: &mut RangeCache, now: Nanos) -> CachedSummaries {
-        let cached = |&range: &Range| (range, cache.get(now, self.shape, range));
+        let cached = |&range: &Range| (range, cache.get(now, self.digest, range));
         CachedSummaries(coverage.missing.keys().map(cached).collect())
     }
 }
--- a/crates/merge/src/merger/answer_builder.rs
+++ b/crates/merge/src/merger/answer_builder.rs
@@ -1,4 +1,4 @@
-//! Builds the answer of a query from the values that are in.
+//! Builds the answer of a query from the valid values.
 
 use std::collections::BTreeMap;
 
@@ -18,11 +18,11 @@
 use crate::value::Value;
 use crate::{Range, Version};
 
-/// What the cache holds of each missing range, in their order.
+/// The cached version and summary of each missing range, in range order; `None` if the cache holds none.
 pub(super) struct CachedSummaries(pub(super) Vec<(Range, Option<(Version, RangeSummary)>)>);
 
 impl CachedSummaries {
-    /// The versions by which missing ranges are bounded.
+    /// Versions of the cached summaries that bound missing ranges.
     fn versions(&self) -> BTreeMap<Range, Version> {
         let version = |&(range, cached): &(Range, Option<(Version, RangeSummary)>)| Some((range, cached?.0));
         self.0.iter().filter_map(version).collect()
@@ -45,7 +45,7 @@
     }
 }
 
-/// The aggregate over the totals of all values.
+/// Merges the totals of all values.
 pub(super) fn aggregate_totals(values: &[Value<'_>]) -> Result<Aggregate, MergeError> {
     let mut aggregator = Aggregator::default();
     for value in values {
@@ -54,7 +54,7 @@
     Ok(aggregator.total()?)
 }
 
-/// The query, how far its listing has come, and which ranges are in.
+/// Builds answers from the query, the progress before this page and the coverage.
 pub(super) struct AnswerBuilder<'m> {
     pub(super) query: &'m Query,
     pub(super) progress: &'m [RangeProgress],
@@ -62,7 +62,7 @@
 }
 
 impl AnswerBuilder<'_> {
-    /// One figure over all ranges, of which the values that are in make up `known`.
+    /// Builds the answer of an ungrouped aggregate operation; `known` is the aggregate over the included ranges.
     pub(super) fn figure(
         &self,
         known: &Aggregate,
@@ -74,7 +74,7 @@
         Ok(MergeResult { answer: Answer { head, rows: Vec::new() }, next: None })
     }
 
-    /// The first rows or groups by a measure.
+    /// Builds a ranking of rows or groups by the measure.
     pub(super) fn ranking(
         &self,
         values: &[Value<'_>],
@@ -94,7 +94,7 @@
     fn ranking_header(&self, ranking: &Ranking<'_>, header: AnswerHeader) -> AnswerHeader {
         let exact = ranking.rows.iter().all(RankedRow::is_exact);
         let all_certain = ranking.certain == ranking.rows.len();
-        // A value may have had room for fewer rows than it was asked for.
+        // Size limits may cut a value to fewer rows than requested, so the ranking can be short.
         let all_rows = ranking.rows.len() == self.query.limit || !ranking.more;
         AnswerHeader {
             whole: header.whole && exact && all_certain && all_rows,
@@ -104,16 +104,16 @@
         }
     }
 
-    /// A page of rows in key order.
+    /// Builds a page of rows in key order.
     pub(super) fn listing(&self, values: &[Value<'_>]) -> Result<MergeResult, MergeError> {
         self.page(page::list(values, self.query.limit)?, listed_row)
     }
 
-    /// A page of groups in key order.
+    /// Builds a page of groups in key order.
     pub(super) fn groups(&self, values: &[Value<'_>]) -> Result<MergeResult, MergeError> {
         let page = page::groups(values, self.query.limit)?;
         self.page(page, |query, group: &page::GroupRow| {
-            // An earlier page gave this group: ranges that were missing then add to it.
+            // A range has passed this key on an earlier page: this row adds only ranges that were missing then.
             let late = self.progress.iter().any(|range| !range.position.admits(&group.key));
             let exact = self.coverage.is_complete() && !late;
             let figure = figure_of(query, &group.aggregate, None, exact);
@@ -127,7 +127,7 @@
         page: page::Page<R>,
         row: impl for<'r> Fn(&Query, &'r R) -> AnswerRow<'r>,
     ) -> Result<MergeResult, MergeError> {
-        // Rows of a missing range come on a later page: its position does not move.
+        // A missing range keeps its position, and its rows are returned on a later page.
         let more = page.more || !self.coverage.missing.is_empty();
         let next = more.then(|| self.next_progress(page.last.as_ref()));
         let head = AnswerHeader { more: Some(more), ..self.header(&BTreeMap::new()) };
@@ -135,7 +135,7 @@
         Ok(MergeResult { answer: Answer { head, rows }, next })
     }
 
-    /// The progress of each range behind a page whose last row is this one.
+    /// The progress of each range after a page that ends at `last`.
     fn next_progress(&self, last: Option<&page::LastRow>) -> Vec<RangeProgress> {
         let next = |(range, progress): (Range, &RangeProgress)| {
             let seen = self.coverage.versions.get(&range).copied();
@@ -179,7 +179,7 @@
     }
 }
 
-/// A row whose value is exact.
+/// Creates a row with an exact value and no optional fields.
 fn exact_row(key: &str, value: Option<String>) -> AnswerRow<'_> {
     AnswerRow {
         key,
@@ -200,7 +200,7 @@
     AnswerRow { range: Some(row.range), body: row.body, ..exact_row(&row.key, value) }
 }
 
-/// Serializing text, numbers and JSON that was read cannot fail.
+/// Serializes a row; this cannot fail for text, numbers and parsed JSON.
 fn to_json(row: &AnswerRow<'_>) -> String {
     serde_json::to_string(row).unwrap_or_else(|_| "null".into())
 }
--- a/crates/merge/src/order.rs
+++ b/crates/merge/src/order.rs
@@ -1,11 +1,11 @@
-//! The order of a ranking's rows: by measure, ties by key.
+//! The order of a ranking's rows: by measure, with ties broken by key.
 
 use std::cmp::Ordering;
 
 use crate::query::Order;
 use crate::units::Units;
 
-/// Compares two measures; the better one is less.
+/// Compares two measures; the one that ranks first is `Less`.
 pub(crate) fn compare_measures(order: Order, a: Units, b: Units) -> Ordering {
     match order {
         Order::Desc => b.cmp(&a),
@@ -13,7 +13,7 @@
     }
 }
 
-/// Compares two rows by measure, ties by the bytes of their keys; the better one is less.
+/// Compares two rows by measure, then by the bytes of their keys; the one that ranks first is `Less`.
 pub(crate) fn compare_rows(order: Order, a: (Units, &str), b: (Units, &str)) -> Ordering {
     compare_measures(order, a.0, b.0).then_with(|| a.1.cmp(b.1))
 }
--- a/crates/merge/src/page.rs
+++ b/crates/merge/src/page.rs
@@ -1,7 +1,7 @@
-//! Listings page by page: the rows of all ranges in key order, each row once, whichever replica serves a page.
+//! Pages of a listing: the rows of all ranges in key order, each row once, whichever replicas serve the pages.
 //!
-//! For each range a cursor holds a position, never an offset. Ranges that were in move to the last row of the page;
-//! one that was missing stays where it was, and its rows come on a later page.
+//! For each range a cursor holds a position in key order instead of an offset. After a page, included ranges advance to
+//! its last row; a missing range keeps its position, and its rows are returned on a later page.
 
 use std::borrow::Cow;
 use std::cmp::Ordering;
@@ -20,22 +20,22 @@
 /// A row of a listing.
 #[derive(Debug, Clone)]
 pub struct ListedRow<'a> {
-    /// The range that holds it.
+    /// Range that holds the row.
     pub range: Range,
-    /// Its key.
+    /// Key of the row, unique within its range.
     pub key: Cow<'a, str>,
-    /// Its measure.
+    /// Measure in units of the query's scale.
     pub measure: Units,
-    /// Its body, passed on unchanged.
+    /// Body, returned unchanged; `None` if the row has none.
     pub body: Option<&'a RawValue>,
 }
 
-/// A group, its rows added up over all ranges.
+/// A group, aggregated over the included ranges.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupRow<'a> {
-    /// Its key.
+    /// Key that the rows of the group have in common.
     pub key: Cow<'a, str>,
-    /// Its aggregate over all ranges.
+    /// Aggregate over the rows of the included ranges.
     pub aggregate: Aggregate,
 }
 
@@ -45,15 +45,15 @@
 /// A page of a listing.
 #[derive(Debug, Clone)]
 pub struct Page<R> {
-    /// Its rows in key order.
+    /// Rows in key order.
     pub rows: Vec<R>,
-    /// The last row's key and range; none where there is no row.
+    /// Key and range of the last row; `None` if the page is empty.
     pub last: Option<LastRow>,
-    /// Whether ranges that are in have more.
+    /// Whether the included ranges have, or may have, further rows.
     pub more: bool,
 }
 
-/// The key of the next row of a source; the greatest one in the heap comes first.
+/// The key of a source's next row. The ordering is reversed, so that the max-heap returns the least key first.
 #[derive(PartialEq, Eq)]
 struct NextKey<'a> {
     key: Cow<'a, str>,
@@ -73,19 +73,19 @@
     }
 }
 
-/// The rows of one range: the next one, and those that follow it.
+/// The next row of one range and an iterator over the rows after it.
 struct Source<R, I> {
     row: R,
     following: I,
-    /// The range may have more rows than these.
+    /// Whether the range may have rows beyond these.
     has_more: bool,
 }
 
-/// A k-way merge of rows by key and range. It ends after the last row of a range that may have more rows than it gave.
+/// A k-way merge of rows by key and range. Stops after the last returned row of a range that may have more rows.
 struct Merge<'a, R, I> {
     next_keys: BinaryHeap<NextKey<'a>>,
     sources: Vec<Source<R, I>>,
-    /// A range that may have more rows has run out of those that it gave.
+    /// Whether the rows returned by a range that may have more are exhausted.
     is_truncated: bool,
 }
 
@@ -125,13 +125,13 @@
     }
 }
 
-/// The rows of one range in key order, each key once, and whether the range may have more than these.
+/// The rows that one range returned, in strictly ascending key order.
 pub struct Rows<I> {
-    /// The range.
+    /// Range that returned the rows.
     pub range: Range,
-    /// Its rows.
+    /// Iterator over the rows; an error ends the merge.
     pub rows: I,
-    /// Whether the range may have more rows than these.
+    /// Whether the range may have rows beyond these.
     pub has_more: bool,
 }
 
@@ -157,11 +157,11 @@
     })
 }
 
-/// At most `limit` rows of these ranges by key and range, with the range of each. Ends after the last row of a range
-/// that may have more: rows that it did not give could come next.
+/// Merges at most `limit` rows by key and range, each with its range. Stops after the last row of a range that may have
+/// more rows, because the next row could be one that the range did not return.
 ///
 /// # Errors
-/// A row cannot be read.
+/// A row is malformed.
 pub fn merge<'a, R: RowKey<'a> + Clone, I: Iterator<Item = Result<R, InvalidValue>>>(
     ranges: impl ExactSizeIterator<Item = Rows<I>>,
     limit: usize,
@@ -176,38 +176,38 @@
     Ok(Page { rows, last, more: merge.is_truncated || merge.peek_key().is_some() })
 }
 
-/// At most `limit` rows. Holds one row of each range besides those that it returns.
+/// Builds a page of at most `limit` rows. Keeps one row of each range in memory besides the returned rows.
 ///
 /// # Errors
-/// A row cannot be read.
+/// A row is malformed.
 pub fn list<'a>(values: &[Value<'a>], limit: usize) -> Result<Page<ListedRow<'a>>, InvalidValue> {
     let Page { rows, last, more } = merge(rows_of::<Entry>(values), limit)?;
     let listed = |(range, Entry { key, measure, body })| ListedRow { range, key, measure, body };
     Ok(Page { rows: rows.into_iter().map(listed).collect(), last, more })
 }
 
-/// At most `limit` groups, each added up over the ranges that are in.
+/// Builds a page of at most `limit` groups, each aggregated over the included ranges.
 ///
 /// # Errors
-/// A row cannot be read, or a sum does not fit 128 bits.
+/// A row is malformed, a sum does not fit 128 bits, or a row count 64 bits.
 pub fn groups<'a>(values: &[Value<'a>], limit: usize) -> Result<Page<GroupRow<'a>>, RowError> {
     let mut merge = start_merge(rows_of::<Group>(values))?;
     let mut rows: Vec<GroupRow> = Vec::new();
     while rows.len() < limit && !merge.is_truncated {
         let Some((_, Group { key, mut aggregate })) = merge.next()? else { break };
-        // The same group of other ranges comes next, and never later, since keys increase within each range.
+        // Rows of this group from other ranges follow immediately, since keys increase within each range.
         while merge.peek_key() == Some(&*key) {
             let Some((_, other)) = merge.next()? else { break };
             aggregate = aggregate.merge(&other.aggregate)?;
         }
         rows.push(GroupRow { key, aggregate });
     }
-    // A group is complete for all ranges at once.
+    // A group is complete for all included ranges at once, so every one of them continues after its key.
     let last = rows.last().map(|r| (Arc::from(&*r.key), Range::MAX));
     Ok(Page { rows, last, more: merge.is_truncated || merge.peek_key().is_some() })
 }
 
-/// The position at which a range that was in begins on the next page.
+/// The position at which an included range begins on the next page.
 pub fn next_position(last: &LastRow, range: Range) -> Position {
     match range <= last.1 {
         true => Position::After(last.0.clone()),
--- a/crates/merge/src/page/tests.rs
+++ b/crates/merge/src/page/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn rows_of_all_ranges_come_in_key_order() {
+fn rows_of_all_ranges_are_merged_in_key_order() {
     let texts =
         [text(0, &[r#"["a",1]"#, r#"["c",1]"#], false), text(1, &[r#"["b",1]"#, r#"["c",1]"#], false)];
     let rows = |names: &[(&str, Range)]| -> Vec<_> { names.iter().map(|r| (r.0.to_string(), r.1)).collect() };
@@ -26,16 +26,15 @@
     assert_eq!(listed(&[text(0, &[], false)], 3), (vec![], false));
 }
 
-/// Guards against skipping rows of a range that gave fewer than it was asked for and has more: nothing may
-/// come behind its last row.
+/// A range returned fewer rows than requested and has more. A page that continues past its last row would skip them.
 #[test]
-fn a_range_with_more_ends_the_page_at_its_last_row() {
+fn page_ends_at_the_last_row_of_a_range_that_has_more() {
     let texts = [text(0, &[r#"["a",1]"#], true), text(1, &[r#"["b",1]"#, r#"["c",1]"#], false)];
     assert_eq!(listed(&texts, 9), (vec![("a".into(), 0)], true));
 }
 
 #[test]
-fn groups_are_added_up_before_they_are_given() {
+fn groups_are_aggregated_over_all_ranges() {
     let texts = [
         text(0, &[r#"["a",1,5,5,5]"#, r#"["b",2,6,2,4]"#], true),
         text(1, &[r#"["b",1,-1,-1,-1]"#, r#"["c",1,1,1,1]"#], false),
--- a/crates/merge/src/query.rs
+++ b/crates/merge/src/query.rs
@@ -12,24 +12,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Op {
-    /// The first rows by a measure.
+    /// First rows in the order of the measure.
     Rank,
-    /// The measure's sum.
+    /// Sum of the measure.
     Sum,
-    /// How many rows there are.
+    /// Number of rows.
     Count,
-    /// The least measure.
+    /// Minimum of the measure.
     Min,
-    /// The greatest measure.
+    /// Maximum of the measure.
     Max,
-    /// The measure's mean.
+    /// Mean of the measure.
     Mean,
-    /// Rows in key order, page by page.
+    /// Rows in key order, in pages.
     List,
 }
 
 impl Op {
-    /// Whether it aggregates rows into one figure.
+    /// Whether the operation aggregates rows into one value, in total or for each group.
     pub fn is_aggregate(self) -> bool {
         !matches!(self, Self::Rank | Self::List)
     }
@@ -39,38 +39,39 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Order {
-    /// Greatest first.
+    /// Greatest measure first.
     #[default]
     Desc,
-    /// Least first.
+    /// Least measure first.
     Asc,
 }
 
 /// A query over all ranges.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Query {
-    /// The set of data that it reads.
+    /// Name of the data set.
     pub set: String,
-    /// The operation.
+    /// Operation to compute over all ranges.
     pub op: Op,
-    /// The measure.
+    /// Name of the measure.
     pub measure: String,
-    /// Decimals of the measure.
+    /// Number of decimals of the measure.
     pub scale: u8,
-    /// The order of a ranking.
+    /// Order of a ranking.
     pub order: Order,
-    /// Rows of one key are added up over all ranges first.
+    /// Whether rows with the same key form a group, which is aggregated over all ranges.
     pub grouped: bool,
-    /// The most rows of an answer, or of a page.
+    /// Maximum number of rows of an answer, or of a page.
     pub limit: usize,
-    /// Fields that rows must match; the data nodes interpret them.
+    /// Field values that rows must match, interpreted by the data nodes.
     pub filter: BTreeMap<String, String>,
 }
 
-/// What the requests to all ranges have in common, in the order of the format.
+/// The fields that the requests to all ranges have in common, in the order of the format.
 #[derive(Serialize)]
-struct Shape<'a> {
-    v: u8,
+struct CommonFields<'a> {
+    #[serde(rename = "v")]
+    format_version: u8,
     set: &'a str,
     op: Op,
     measure: &'a str,
@@ -81,9 +82,9 @@
 }
 
 #[derive(Serialize)]
-struct Text<'a> {
+struct RequestText<'a> {
     #[serde(flatten)]
-    shape: Shape<'a>,
+    common: CommonFields<'a>,
     limit: usize,
     range: Range,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -94,18 +95,18 @@
     at_least: Option<Version>,
 }
 
-/// The version of the format of requests and values.
+/// Version of the format of requests and values.
 pub const FORMAT_VERSION: u8 = 1;
 
 impl Query {
-    /// Whether its answer comes page by page: listings, and grouped figures in the order of their keys.
+    /// Whether the answer is returned in pages, in key order: listings and grouped aggregates.
     pub fn paged(&self) -> bool {
         self.op == Op::List || (self.op.is_aggregate() && self.grouped)
     }
 
-    fn shape(&self) -> Shape<'_> {
-        Shape {
-            v: FORMAT_VERSION,
+    fn common_fields(&self) -> CommonFields<'_> {
+        CommonFields {
+            format_version: FORMAT_VERSION,
             set: &self.set,
             op: self.op,
             measure: &self.measure,
@@ -116,25 +117,25 @@
         }
     }
 
-    /// A digest of all that the answer depends on except the limit. Cursors are bound to it, and it is the key of
-    /// the range cache.
+    /// A digest of all fields except the limit. Cursors are bound to it, and the range cache uses it as a key.
     pub fn digest(&self) -> [u8; 16] {
         // Serializing text and numbers cannot fail.
-        let text = serde_json::to_vec(&self.shape()).unwrap_or_default();
+        let text = serde_json::to_vec(&self.common_fields()).unwrap_or_default();
         let mut digest = [0; 16];
         digest.copy_from_slice(&Sha256::digest(&text)[..16]);
         digest
     }
 
-    /// The request text for one range (JSON, `docs/merge-format.md`): the position at which its rows begin, and the
-    /// least version of its data that is accepted.
+    /// The request for one range as JSON (`docs/merge-format.md`), with the position at which its rows begin and the
+    /// minimum accepted version of its data.
     pub fn text(&self, range: Range, position: &Position, at_least: Option<Version>) -> String {
         let (after, from) = match position {
             Position::Start => (None, None),
             Position::After(key) => (Some(key.as_ref()), None),
             Position::From(key) => (None, Some(key.as_ref())),
         };
-        let text = Text { shape: self.shape(), limit: self.limit, range, after, from, at_least };
+        let text =
+            RequestText { common: self.common_fields(), limit: self.limit, range, after, from, at_least };
         serde_json::to_string(&text).unwrap_or_default()
     }
 }
--- a/crates/merge/src/range_bounds.rs
+++ b/crates/merge/src/range_bounds.rs
@@ -4,30 +4,30 @@
 use crate::units::Units;
 use crate::value::Remainder;
 
-/// What an earlier answer tells of the measures of a range, at the last version known of its data.
+/// Bounds of the measures of a range's rows, derived from an earlier answer at the last known version of its data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RangeBounds {
-    /// Nothing is known: the range may hold any row.
+    /// No bounds are known: the range may contain any rows.
     Unknown,
-    /// It has no rows.
+    /// The range has no rows.
     Empty,
-    /// The least and the greatest measure that its rows can have; `None` where unbounded on that side.
+    /// Lower and upper bound of the measures; `None` if unbounded on that side.
     Within(Option<Units>, Option<Units>),
 }
 
 impl RangeBounds {
-    /// The bounds of all rows of a range, from the measures of a value's first and last row and the remainder's.
+    /// Bounds all rows of a range by the measures of the first and last row of a ranking's value and by its remainder.
     pub fn of_ranking(
         first_and_last: Option<(Units, Units)>,
-        rest: Option<&Remainder>,
+        remainder: Option<&Remainder>,
         order: Order,
     ) -> Self {
         let Some((first, last)) = first_and_last else {
-            return if rest.is_none() { Self::Empty } else { Self::Unknown };
+            return if remainder.is_none() { Self::Empty } else { Self::Unknown };
         };
         match order {
-            Order::Desc => Self::Within(rest.map_or(Some(last), |r| r.min), Some(first)),
-            Order::Asc => Self::Within(Some(first), rest.map_or(Some(last), |r| r.max)),
+            Order::Desc => Self::Within(remainder.map_or(Some(last), |r| r.min), Some(first)),
+            Order::Asc => Self::Within(Some(first), remainder.map_or(Some(last), |r| r.max)),
         }
     }
 }
--- a/crates/merge/src/range_cache.rs
+++ b/crates/merge/src/range_cache.rs
@@ -1,5 +1,5 @@
-//! A bounded cache of what earlier answers told of ranges: the last known version of each range's data and, by query,
-//! a summary of the range at that version. It bounds ranges that are missing from later answers.
+//! A bounded cache of range summaries from earlier answers: the last known version of each range's data and, for each
+//! query, a summary of the range at that version. The summaries bound ranges that are missing from later answers.
 //!
 //! An entry is evicted by age and by size (least recently inserted first), and invalidated when a newer version of its
 //! range is seen, when a data node of the range restarts (its data may be older), and when two summaries of one
@@ -14,41 +14,41 @@
 /// Nanoseconds of a monotonic clock.
 pub type Nanos = u64;
 
-/// The shape of a query: [`crate::query::Query::digest`].
-pub type Shape = [u8; 16];
+/// Digest that identifies a query regardless of its limit: [`crate::query::Query::digest`].
+pub type QueryDigest = [u8; 16];
 
-/// What the cache holds of a range for one query.
+/// The cached summary of a range for one query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RangeSummary {
-    /// The aggregate of its rows.
+    /// Aggregate of the range's rows.
     Total(Aggregate),
-    /// The bounds of the measures of its rows.
+    /// Bounds of the measures of the range's rows.
     Rows(RangeBounds),
 }
 
-/// Limits of the cache.
+/// Size and age limits of the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheLimits {
-    /// Entries that it holds.
+    /// Maximum number of entries.
     pub max_entries: usize,
-    /// Ranges whose version it keeps.
+    /// Number of ranges whose version is recorded; ranges with a greater index are not cached.
     pub max_ranges: usize,
-    /// The age at which an entry is evicted, in nanoseconds.
+    /// Maximum age of an entry, in nanoseconds; checked on lookup.
     pub max_age_ns: Nanos,
 }
 
-/// Counters of the cache.
+/// Counters of the cache since its creation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CacheCounts {
     /// Lookups that found an entry.
     pub hits: u64,
-    /// Lookups that did not.
+    /// Lookups that found no valid entry.
     pub misses: u64,
-    /// Entries evicted by size or age.
+    /// Entries evicted because of the size or age limit.
     pub evicted: u64,
-    /// Entries invalidated because their data has changed or may be older now.
-    pub outdated: u64,
-    /// Contradicting summaries of one version.
+    /// Entries invalidated because the data has changed, or may be older after a restart.
+    pub invalidated: u64,
+    /// Conflicts between two summaries of the same version.
     pub contradictions: u64,
 }
 
@@ -59,19 +59,19 @@
     sequence: u64,
 }
 
-/// The cache.
+/// A cache of range summaries, limited in size and in the age of its entries.
 pub struct RangeCache {
     limits: CacheLimits,
     versions: BTreeMap<Range, Version>,
-    entries: HashMap<(Shape, Range), Entry>,
-    /// The keys of the entries by sequence number: the least recently inserted first.
-    by_recency: BTreeMap<u64, (Shape, Range)>,
+    entries: HashMap<(QueryDigest, Range), Entry>,
+    /// Keys of the entries by sequence number, least recently inserted first.
+    by_recency: BTreeMap<u64, (QueryDigest, Range)>,
     next_sequence: u64,
     counts: CacheCounts,
 }
 
 impl RangeCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(limits: CacheLimits) -> Self {
         Self {
             limits,
@@ -83,22 +83,22 @@
         }
     }
 
-    /// The counters so far.
+    /// The current values of the counters.
     pub fn counts(&self) -> CacheCounts {
         self.counts
     }
 
-    /// Entries held.
+    /// The number of entries, including expired ones that have not been looked up since.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the cache has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Records that a range's data was seen at this version.
+    /// Records that a range's data was seen at `version`, unless a newer version is known.
     pub fn observe_version(&mut self, range: Range, version: Version) {
         if range as usize >= self.limits.max_ranges {
             return;
@@ -107,34 +107,34 @@
         *known = (*known).max(version);
     }
 
-    /// Inserts the summary of a range at a version.
+    /// Inserts the summary of a range at a version. Ignores summaries of versions older than the last known one.
     pub fn insert(
         &mut self,
         now: Nanos,
-        shape: Shape,
+        digest: QueryDigest,
         range: Range,
         version: Version,
         summary: RangeSummary,
     ) {
         self.observe_version(range, version);
         if self.versions.get(&range) != Some(&version) {
-            return; // From a replica with older data: it bounds nothing.
+            return; // The replica has older data, which gives no valid bounds.
         }
         if self
             .entries
-            .get(&(shape, range))
+            .get(&(digest, range))
             .is_some_and(|e| e.version == version && !is_consistent(&e.summary, &summary))
         {
-            // Neither can be trusted.
+            // It is unknown which of the two is correct, so neither is kept.
             self.counts.contradictions += 1;
-            self.remove_entry(&(shape, range));
+            self.remove_entry(&(digest, range));
             return;
         }
-        self.remove_entry(&(shape, range));
+        self.remove_entry(&(digest, range));
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.by_recency.insert(sequence, (shape, range));
-        self.entries.insert((shape, range), Entry { version, summary, inserted_at: now, sequence });
+        self.by_recency.insert(sequence, (digest, range));
+        self.entries.insert((digest, range), Entry { version, summary, inserted_at: now, sequence });
         while self.entries.len() > self.limits.max_entries {
             let Some((_, &oldest)) = self.by_recency.first_key_value() else { break };
             self.counts.evicted += 1;
@@ -142,9 +142,9 @@
         }
     }
 
-    /// The summary of a range and its version, which is the last one that was seen of its data.
-    pub fn get(&mut self, now: Nanos, shape: Shape, range: Range) -> Option<(Version, RangeSummary)> {
-        let key = (shape, range);
+    /// The summary of a range and its version, if that is still the last known version of the range's data.
+    pub fn get(&mut self, now: Nanos, digest: QueryDigest, range: Range) -> Option<(Version, RangeSummary)> {
+        let key = (digest, range);
         let found = self.entries.get(&key).map(|e| (e.version, e.summary, e.inserted_at));
         let Some((version, summary, inserted_at)) = found else {
             self.counts.misses += 1;
@@ -155,7 +155,7 @@
         if old || outdated {
             match old {
                 true => self.counts.evicted += 1,
-                false => self.counts.outdated += 1,
+                false => self.counts.invalidated += 1,
             }
             self.counts.misses += 1;
             self.remove_entry(&key);
@@ -165,25 +165,26 @@
         Some((version, summary))
     }
 
-    /// Drops what is known of a range: a data node that holds it has restarted, and its data may be older.
+    /// Removes the version and all entries of a range. Called when a data node that holds the range has restarted,
+    /// since its data may be older than the last known version.
     pub fn invalidate_range(&mut self, range: Range) {
         self.versions.remove(&range);
         let keys: Vec<_> = self.entries.keys().filter(|k| k.1 == range).copied().collect();
         for key in keys {
-            self.counts.outdated += 1;
+            self.counts.invalidated += 1;
             self.remove_entry(&key);
         }
     }
 
-    fn remove_entry(&mut self, key: &(Shape, Range)) {
+    fn remove_entry(&mut self, key: &(QueryDigest, Range)) {
         if let Some(entry) = self.entries.remove(key) {
             self.by_recency.remove(&entry.sequence);
         }
     }
 }
 
-/// Whether two summaries of one version can both be true. Totals and the best row must be the same; how far a value
-/// reached depends on the limit.
+/// Whether two summaries of one version can both be correct. Totals and the measure of the best row must be equal; the
+/// other bound depends on how many rows the query's limit allowed.
 fn is_consistent(a: &RangeSummary, b: &RangeSummary) -> bool {
     match (a, b) {
         (RangeSummary::Total(a), RangeSummary::Total(b)) => a == b,
--- a/crates/merge/src/rank.rs
+++ b/crates/merge/src/rank.rs
@@ -1,5 +1,5 @@
-//! Rankings: the first rows of all ranges by a measure, and how many of them are certain to stand in the exact
-//! answer at that place, whatever the rows that were not seen hold.
+//! Rankings: the first rows of all ranges by a measure, and how many of them are certain to have the same rank in the
+//! exact answer, whatever the unseen rows contain.
 
 mod groups;
 mod rows;
@@ -21,39 +21,39 @@
 /// A row of a ranking.
 #[derive(Debug, Clone)]
 pub struct RankedRow<'a> {
-    /// Its key.
+    /// Key of the row or group.
     pub key: Cow<'a, str>,
-    /// The measure as far as it is known.
+    /// Measure of the row; for a group, the sum of its known rows.
     pub measure: Units,
     /// Lower bound of the exact measure; `None` where unbounded.
     pub low: Option<Units>,
     /// Upper bound of the exact measure; `None` where unbounded.
     pub high: Option<Units>,
-    /// The range that holds the row; `None` where rows of several ranges were added up.
+    /// Range that holds the row; `None` for a group.
     pub range: Option<Range>,
-    /// Its body, passed on unchanged.
+    /// Body, returned unchanged; `None` for a group or a row without one.
     pub body: Option<&'a RawValue>,
 }
 
 impl RankedRow<'_> {
-    /// Whether the measure is exact.
+    /// Whether both bounds equal the measure.
     pub fn is_exact(&self) -> bool {
         self.low == self.high && self.low == Some(self.measure)
     }
 }
 
-/// A ranking.
+/// The first rows or groups by a measure.
 #[derive(Debug, Clone, Default)]
 pub struct Ranking<'a> {
-    /// Its rows, best first.
+    /// Rows, best first.
     pub rows: Vec<RankedRow<'a>>,
-    /// How many of them, from the first on, stand in the exact answer at the same place.
+    /// Number of leading rows that are certain to have the same rank in the exact answer.
     pub certain: usize,
-    /// Whether further rows follow the last one.
+    /// Whether further rows follow, or may follow, the last one.
     pub more: bool,
 }
 
-/// The best measure that can follow a row: its own, or the declared bound where that is worse.
+/// The best measure that a row after `last` can have: `last` itself, or the declared bound if that is worse.
 fn best_following(order: Order, declared: Option<Units>, last: Units) -> Units {
     match declared {
         Some(declared) if compare_measures(order, declared, last).is_gt() => declared,
--- a/crates/merge/src/rank/groups.rs
+++ b/crates/merge/src/rank/groups.rs
@@ -1,7 +1,7 @@
-//! Rankings of groups: rows of one key that lie in several ranges are added up.
+//! Rankings of groups: the measures of rows with the same key are summed over all ranges.
 //!
-//! What a range did not list of a group lies within the bounds that the range declares for its remainder (Fagin,
-//! Lotem and Naor, "Optimal aggregation algorithms for middleware", 2003, the bounds of NRA).
+//! If a range did not list a group, its contribution is within the bounds that the range declares for its remainder
+//! (Fagin, Lotem and Naor, "Optimal aggregation algorithms for middleware", 2003, the bounds of NRA).
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 use crate::units::{Overflow, Units};
 use crate::value::{Entry, Value};
 
-/// A sum of bounds, some of which may be unbounded.
+/// A sum of bounds, which counts those that are unbounded.
 #[derive(Debug, Clone, Copy, Default)]
 struct BoundSum {
     sum: Units,
@@ -30,7 +30,7 @@
         Ok(())
     }
 
-    /// The sum without the bounds of `part`; `None` where one that is unbounded remains.
+    /// The sum without the bounds in `part`; `None` if an unbounded one remains.
     fn without(&self, part: &Self) -> Result<Option<Units>, Overflow> {
         Ok(match self.unbounded > part.unbounded {
             true => None,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The least and the greatest measure that a group can have in a range that did not list it.
+/// Lower and upper bound of a group's contribution from a range that did not list the group.
 #[derive(Clone, Copy)]
 struct UnlistedBounds {
     low: Option<Units>,
@@ -51,42 +51,43 @@
 }
 
 impl UnlistedBounds {
-    /// The group has no rows there, or a measure within these bounds.
+    /// Bounds for a group that either has no rows in the range, and contributes 0, or has a measure between `least` and
+    /// `most`.
     fn within(least: Option<Units>, most: Option<Units>) -> Self {
         Self { low: least.map(|l| l.min(Units(0))), high: most.map(|m| m.max(Units(0))) }
     }
 
-    /// For a range whose last listed row has this measure.
+    /// Bounds for groups that a value did not list; `last` is the measure of the value's last row.
     fn after_value(value: &Value<'_>, last: Option<Units>, order: Order) -> Self {
         match (value.header.remainder, last, order) {
             (None, _, _) | (_, None, _) => Self { low: Some(Units(0)), high: Some(Units(0)) },
-            (Some(rest), Some(last), Order::Desc) => {
-                Self::within(rest.min, Some(best_following(order, rest.max, last)))
+            (Some(remainder), Some(last), Order::Desc) => {
+                Self::within(remainder.min, Some(best_following(order, remainder.max, last)))
             }
-            (Some(rest), Some(last), Order::Asc) => {
-                Self::within(Some(best_following(order, rest.min, last)), rest.max)
+            (Some(remainder), Some(last), Order::Asc) => {
+                Self::within(Some(best_following(order, remainder.min, last)), remainder.max)
             }
         }
     }
 }
 
-/// What is known of one group.
+/// The known sum of one group.
 #[derive(Default)]
 struct GroupSum {
     known: Units,
-    /// Sums of the unlisted bounds of those ranges that did list the group.
+    /// Sums of the bounds for unlisted groups, over the ranges that listed this group.
     low: BoundSum,
     high: BoundSum,
 }
 
-/// The groups of all ranges.
+/// The groups listed by all ranges, and the bounds for unlisted groups.
 #[derive(Default)]
 struct GroupTable<'a> {
     groups: HashMap<Cow<'a, str>, GroupSum>,
-    /// Sums of the unlisted bounds of all ranges.
+    /// Sums of the bounds for unlisted groups, over all ranges.
     low: BoundSum,
     high: BoundSum,
-    /// Whether a range may hold groups that it did not list.
+    /// Whether a range may contain groups that it did not list.
     has_unlisted: bool,
 }
 
@@ -117,7 +118,8 @@
         self.high.add(bounds.high)
     }
 
-    /// The best measure of a group that no range listed; `None` where there is no such group.
+    /// The best possible measure of a group that no range listed (`Some(None)` if unbounded); `None` if every group was
+    /// listed.
     fn best_unlisted(&self, order: Order) -> Result<Option<Option<Units>>, Overflow> {
         let best = match order {
             Order::Desc => self.high.total()?,
@@ -126,7 +128,7 @@
         Ok(self.has_unlisted.then_some(best))
     }
 
-    /// All groups that were listed, best first.
+    /// All listed groups, best first.
     fn into_rows(self, order: Order) -> Result<Vec<RankedRow<'a>>, Overflow> {
         let mut rows = Vec::with_capacity(self.groups.len());
         for (key, group) in self.groups {
@@ -142,10 +144,11 @@
     }
 }
 
-/// The first `limit` groups, their rows added up over all ranges. Holds each group that was listed.
+/// Ranks groups by the sum of their measures over all ranges and returns the first `limit`. Keeps every listed group in
+/// memory.
 ///
 /// # Errors
-/// A row cannot be read, or a sum does not fit 128 bits.
+/// A row is malformed, or a sum does not fit 128 bits.
 pub fn merge_groups<'a>(
     values: &[Value<'a>],
     missing: &[RangeBounds],
@@ -167,15 +170,15 @@
     Ok(Ranking { rows, certain, more })
 }
 
-/// How many leading groups are certain of their place: at its worst each ranks before all that follow at their best,
-/// and before groups that no range listed, whose best measure is `unlisted`.
+/// Counts the leading groups whose rank is certain: with its worst measure, such a group ranks before all later groups
+/// with their best measures, and before unlisted groups, whose best measure is `unlisted`.
 fn count_certain(rows: &[RankedRow<'_>], order: Order, unlisted: Option<Option<Units>>) -> usize {
     let before_unlisted = |worst| match unlisted {
         None => true,
         Some(None) => false,
         Some(Some(best)) => compare_measures(order, worst, best).is_lt(),
     };
-    // From the last row to the first: the best of all that follow.
+    // Iterates from the last row to the first and tracks the best bound of the rows after the current one.
     let mut later_is_unbounded = false;
     let mut best_of_later: Option<(Units, &str)> = None;
     let mut certain = Vec::with_capacity(rows.len());
--- a/crates/merge/src/rank/rows.rs
+++ b/crates/merge/src/rank/rows.rs
@@ -1,4 +1,4 @@
-//! Rankings of rows, each of which lies in one range: a k-way merge.
+//! Rankings of rows, each of which belongs to one range: a k-way merge.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -12,17 +12,17 @@
 use crate::value::{Entry, Value};
 use crate::Range;
 
-/// The rows of one range that were not seen.
+/// The unseen rows of one range.
 #[derive(Debug, Clone)]
 struct UnseenRows {
-    /// The best measure that one of them can have; `None` where unbounded.
+    /// Best possible measure of these rows; `None` if unbounded.
     best: Option<Units>,
-    /// The last row that the range gave: they rank after it.
+    /// The last row that the range returned; the unseen rows rank after it. `None` for a missing range.
     after: Option<(Units, String)>,
 }
 
 impl UnseenRows {
-    /// The rows of a missing range; none where it is known to be empty.
+    /// The rows of a missing range; `None` if it is known to be empty.
     fn of_missing(order: Order, bounds: RangeBounds) -> Option<Self> {
         let best = match (bounds, order) {
             (RangeBounds::Empty, _) => return None,
@@ -33,25 +33,25 @@
         Some(Self { best, after: None })
     }
 
-    /// Whether all of them are certain to rank after this row.
+    /// Whether all unseen rows are certain to rank after `row`.
     fn rank_after(&self, order: Order, row: (Units, &str)) -> bool {
         let Some(best) = self.best else { return false };
         match compare_measures(order, row.0, best) {
             Ordering::Less => true,
             Ordering::Greater => false,
-            // Of equal measure: only where their keys are known to be greater.
+            // With equal measures, the keys decide: they must be known to be greater.
             Ordering::Equal => self.after.as_ref().is_some_and(|(m, k)| *m == best && row.1 <= k.as_str()),
         }
     }
 }
 
-/// The next row of a range; the greatest one in the heap ranks first.
+/// The next row of a range. The ordering is reversed, so that the max-heap returns the best row first.
 struct NextRow<'a, I> {
     order: Order,
     row: Entry<'a>,
     range: Range,
     following: I,
-    /// Whether the range has a remainder, and the best measure that it declares for it.
+    /// `None` if the range has no remainder, else the best measure that it declares for the remainder, if any.
     remainder: Option<Option<Units>>,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The first row of each range that has one.
+/// Creates a heap with the first row of each range that has rows.
 fn first_rows<'a>(
     values: &[Value<'a>],
     order: Order,
@@ -98,10 +98,10 @@
     Ok(heap)
 }
 
-/// The first `limit` rows of these values. Reads one row of each range beyond the rows that it returns.
+/// Merges the first `limit` rows of the values. Reads one more row of each range than it returns.
 ///
 /// # Errors
-/// A row cannot be read.
+/// A row is malformed.
 pub fn merge<'a>(
     values: &[Value<'a>],
     missing: &[RangeBounds],
@@ -124,7 +124,7 @@
         let range = Some(next.range);
         rows.push(RankedRow { key, measure, low: Some(measure), high: Some(measure), range, body });
     }
-    // A range with rows left in the heap adds nothing unseen: what follows them ranks after all that is returned.
+    // Ranges with rows left in the heap add no uncertainty: their unseen rows rank after all returned rows.
     let is_certain = |row: &RankedRow| unseen.iter().all(|u| u.rank_after(order, (row.measure, &row.key)));
     let certain = rows.iter().take_while(|row| is_certain(row)).count();
     let more = !heap.is_empty() || !unseen.is_empty();
--- a/crates/merge/src/rank/tests.rs
+++ b/crates/merge/src/rank/tests.rs
@@ -14,42 +14,46 @@
     r.rows.iter().map(|p| (p.key.to_string(), p.measure.0)).collect()
 }
 
-fn flat(texts: &[String], missing: &[RangeBounds], limit: usize) -> (Vec<(String, i128)>, usize) {
+fn merge_rows(texts: &[String], missing: &[RangeBounds], limit: usize) -> (Vec<(String, i128)>, usize) {
     let values: Vec<Value> = texts.iter().map(|t| Value::read(t).unwrap()).collect();
     let r = merge(&values, missing, Order::Desc, limit).unwrap();
     (keys(&r), r.certain)
 }
 
-/// The first hard case: whatever is missing could hold the whole top.
+/// A missing range without bounds could contain all of the best rows, so no row is certain.
 #[test]
-fn nothing_is_certain_while_the_top_may_be_missing() {
+fn rows_are_certain_only_if_missing_ranges_rank_after_them() {
     let texts = [text(0, &[("a", 9), ("b", 8)], None), text(1, &[], None)];
-    assert_eq!(flat(&texts, &[RangeBounds::Unknown], 2).1, 0);
-    assert_eq!(flat(&texts, &[RangeBounds::Empty], 2).1, 2);
-    assert_eq!(flat(&texts, &[RangeBounds::Within(None, Some(Units(8)))], 2).1, 1);
-    assert_eq!(flat(&texts, &[RangeBounds::Within(None, Some(Units(9)))], 2).1, 0, "a tie may go either way");
+    assert_eq!(merge_rows(&texts, &[RangeBounds::Unknown], 2).1, 0);
+    assert_eq!(merge_rows(&texts, &[RangeBounds::Empty], 2).1, 2);
+    assert_eq!(merge_rows(&texts, &[RangeBounds::Within(None, Some(Units(8)))], 2).1, 1);
+    assert_eq!(
+        merge_rows(&texts, &[RangeBounds::Within(None, Some(Units(9)))], 2).1,
+        0,
+        "the order of a tie is unknown"
+    );
 }
 
 #[test]
-fn equal_measures_at_the_cut_go_by_key() {
+fn ties_at_the_limit_are_broken_by_key() {
     let texts = [text(0, &[("b", 5), ("d", 5)], None), text(1, &[("a", 5), ("c", 5)], None)];
-    let (rows, certain) = flat(&texts, &[], 3);
+    let (rows, certain) = merge_rows(&texts, &[], 3);
     assert_eq!(rows, [("a".into(), 5), ("b".into(), 5), ("c".into(), 5)]);
     assert_eq!(certain, 3);
 }
 
-/// A range that gave fewer rows than there is room for, and has more: its next row may be as good as its last.
+/// A range returned fewer rows than the limit and has more: its next row can be as good as its last one.
 #[test]
-fn a_short_value_bounds_what_follows_it() {
+fn last_row_of_a_truncated_value_bounds_its_remainder() {
     let short = |rest| [text(0, &[("x", 9)], Some(rest)), text(1, &[("y", 8), ("z", 5)], None)];
-    assert_eq!(flat(&short("{}"), &[], 3).1, 1);
-    assert_eq!(flat(&short(r#"{"most":6}"#), &[], 3).1, 2);
+    assert_eq!(merge_rows(&short("{}"), &[], 3).1, 1);
+    assert_eq!(merge_rows(&short(r#"{"most":6}"#), &[], 3).1, 2);
     let tied = [text(0, &[("x", 9)], Some("{}")), text(1, &[("w", 9), ("y", 9)], None)];
-    assert_eq!(flat(&tied, &[], 3), (vec![("w".into(), 9), ("x".into(), 9), ("y".into(), 9)], 2));
+    assert_eq!(merge_rows(&tied, &[], 3), (vec![("w".into(), 9), ("x".into(), 9), ("y".into(), 9)], 2));
 }
 
 #[test]
-fn groups_are_added_up_and_bounded() {
+fn groups_are_summed_and_bounded() {
     let texts = [
         text(0, &[("a", 10), ("b", 6)], Some(r#"{"most":2,"least":0}"#)),
         text(1, &[("b", 9), ("c", 5)], None),
@@ -62,7 +66,7 @@
     let r = merge_groups(&values, &[], Order::Desc, 3).unwrap();
     assert_eq!((r.rows[2].low, r.rows[2].high), (Some(Units(5)), Some(Units(7))));
     assert_eq!(r.certain, 3);
-    // A missing range that may hold up to six of any group: b and a may change places.
+    // A missing range may add up to 6 to each group, which can reverse the order of b and a.
     let r = merge_groups(&values, &[RangeBounds::Within(Some(Units(0)), Some(Units(6)))], Order::Desc, 2)
         .unwrap();
     assert_eq!(r.certain, 0);
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn ascending_is_the_mirror_image() {
+fn ascending_order_is_symmetric() {
     let texts = [text(0, &[("a", 1), ("b", 4)], Some(r#"{"least":4}"#)), text(1, &[("c", 2)], None)];
     let values: Vec<Value> = texts.iter().map(|t| Value::read(t).unwrap()).collect();
     let r = merge(&values, &[], Order::Asc, 3).unwrap();
--- a/crates/merge/src/units.rs
+++ b/crates/merge/src/units.rs
@@ -1,4 +1,4 @@
-//! Exact decimal figures: integers with a scale, never floats.
+//! Exact decimal numbers, as integers with a scale instead of floats.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -6,15 +6,15 @@
 use serde::de::{self, Visitor};
 use serde::{Deserialize, Deserializer};
 
-/// The largest scale, in decimals.
+/// Largest supported scale, in decimals.
 pub const MAX_SCALE: u8 = 18;
 
-/// A figure in units of 10^-scale; the scale stands beside it, once for each measure. Values write it as a JSON
-/// integer, or as a string of decimal digits where it is longer than 64 bits.
+/// A number in units of 10^-scale; the scale is stored separately, once for each measure. In values it is a JSON
+/// integer, or a string of decimal digits if it does not fit 64 bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Units(pub i128);
 
-/// A sum or product that does not fit 128 bits.
+/// A sum or product does not fit 128 bits, or a row count 64 bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Overflow;
 
@@ -27,56 +27,56 @@
 impl std::error::Error for Overflow {}
 
 impl Units {
-    /// The sum.
+    /// Adds two numbers of the same scale.
     ///
     /// # Errors
-    /// It does not fit.
+    /// The sum does not fit 128 bits.
     pub fn plus(self, other: Self) -> Result<Self, Overflow> {
         self.0.checked_add(other.0).map(Self).ok_or(Overflow)
     }
 
-    /// The difference.
+    /// Subtracts a number of the same scale.
     ///
     /// # Errors
-    /// It does not fit.
+    /// The difference does not fit 128 bits.
     pub fn minus(self, other: Self) -> Result<Self, Overflow> {
         self.0.checked_sub(other.0).map(Self).ok_or(Overflow)
     }
 
-    /// The product with a count.
+    /// Multiplies by a count.
     ///
     /// # Errors
-    /// It does not fit.
+    /// The product does not fit 128 bits.
     pub fn times(self, n: u64) -> Result<Self, Overflow> {
         self.0.checked_mul(i128::from(n)).map(Self).ok_or(Overflow)
     }
 
-    /// As a decimal with `scale` digits after the point: 1250 with scale 2 is `12.50`.
+    /// Formats as a decimal with `scale` digits after the point: 1250 with scale 2 is `12.50`.
     pub fn decimal(self, scale: u8) -> String {
         let scale = usize::from(scale.min(MAX_SCALE));
         let digits = format!("{:0>width$}", self.0.unsigned_abs(), width = scale + 1);
-        let (whole, part) = digits.split_at(digits.len() - scale);
+        let (integer, fraction) = digits.split_at(digits.len() - scale);
         let sign = if self.0 < 0 { "-" } else { "" };
-        match part {
-            "" => format!("{sign}{whole}"),
-            part => format!("{sign}{whole}.{part}"),
+        match fraction {
+            "" => format!("{sign}{integer}"),
+            fraction => format!("{sign}{integer}.{fraction}"),
         }
     }
 
-    /// Reads what [`Units::decimal`] writes, with exactly `scale` digits after the point.
+    /// Parses the format of [`Units::decimal`], with exactly `scale` digits after the point; `None` if malformed.
     pub fn parse(text: &str, scale: u8) -> Option<Self> {
-        let (whole, part) = text.split_once('.').unwrap_or((text, ""));
-        if part.len() != usize::from(scale) || !part.bytes().all(|b| b.is_ascii_digit()) {
+        let (integer, fraction) = text.split_once('.').unwrap_or((text, ""));
+        if fraction.len() != usize::from(scale) || !fraction.bytes().all(|b| b.is_ascii_digit()) {
             return None;
         }
-        let digits = whole.strip_prefix('-').unwrap_or(whole);
+        let digits = integer.strip_prefix('-').unwrap_or(integer);
         if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) || text.ends_with('.') {
             return None;
         }
-        format!("{whole}{part}").parse().ok().map(Self)
+        format!("{integer}{fraction}").parse().ok().map(Self)
     }
 
-    /// The mean of a sum over `count` rows, rounded half to even, and whether it is exact.
+    /// The mean of a sum over `count` rows, rounded half to even, and whether it is exact; `None` for 0 rows.
     pub fn mean(self, count: u64) -> Option<(Self, bool)> {
         if count == 0 {
             return None;
@@ -114,10 +114,10 @@
     }
 
     fn visit_str<E: de::Error>(self, text: &str) -> Result<Units, E> {
-        let bare = text.strip_prefix('-').unwrap_or(text);
-        let plain = !bare.is_empty() && bare.bytes().all(|b| b.is_ascii_digit());
-        let read = if plain { text.parse().ok() } else { None };
-        read.map(Units).ok_or_else(|| E::custom("a whole number of at most 128 bits is expected"))
+        let digits = text.strip_prefix('-').unwrap_or(text);
+        let is_integer = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
+        let parsed = if is_integer { text.parse().ok() } else { None };
+        parsed.map(Units).ok_or_else(|| E::custom("a whole number of at most 128 bits is expected"))
     }
 }
 
@@ -127,8 +127,8 @@
     }
 }
 
-/// The form that values use: a JSON integer where it fits 64 bits, else a string.
-pub fn wire(units: Units) -> Cow<'static, str> {
+/// Formats a number as in values: a JSON integer if it fits 64 bits, else a JSON string.
+pub fn to_json(units: Units) -> Cow<'static, str> {
     match i64::try_from(units.0) {
         Ok(n) => n.to_string().into(),
         Err(_) => format!("\"{}\"", units.0).into(),
--- a/crates/merge/src/units/tests.rs
+++ b/crates/merge/src/units/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn figures_are_exact() {
+fn units_are_exact_and_reject_other_formats() {
     assert_eq!(Units(-5).decimal(2), "-0.05");
     assert_eq!(Units(1250).decimal(2), "12.50");
     assert_eq!(Units(7).decimal(0), "7");
@@ -14,11 +14,11 @@
     }
     let long = "\"170141183460469231731687303715884105727\"";
     assert_eq!(serde_json::from_str::<Units>(long).unwrap(), Units(i128::MAX));
-    assert_eq!(wire(Units(i128::MAX)), long);
+    assert_eq!(to_json(Units(i128::MAX)), long);
 }
 
 #[test]
-fn means_round_half_to_even() {
+fn mean_is_rounded_half_to_even() {
     let mean = |sum, n| Units(sum).mean(n).map(|(m, exact)| (m.0, exact));
     assert_eq!(mean(5, 2), Some((2, false)));
     assert_eq!(mean(7, 2), Some((4, false)));
@@ -31,9 +31,9 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn decimals_are_read_as_they_are_written(n in any::<i64>(), scale in 0..=MAX_SCALE) {
+    fn formatted_units_parse_unchanged(n in any::<i64>(), scale in 0..=MAX_SCALE) {
         let units = Units(n.into());
         prop_assert_eq!(Units::parse(&units.decimal(scale), scale), Some(units));
-        prop_assert_eq!(serde_json::from_str::<Units>(&wire(units)).unwrap(), units);
+        prop_assert_eq!(serde_json::from_str::<Units>(&to_json(units)).unwrap(), units);
     }
 }
--- a/crates/merge/src/value.rs
+++ b/crates/merge/src/value.rs
@@ -1,5 +1,5 @@
-//! The value that a range returns: a header line of JSON, then a JSON array for each row, each on a line of its own
-//! (`docs/merge-format.md`). Rows are parsed one by one on demand.
+//! The value that a range returns: a line with a JSON header, followed by a line with a JSON array for each row
+//! (`docs/merge-format.md`). Rows are parsed one at a time on demand.
 
 mod check;
 mod header;
@@ -16,27 +16,30 @@
 use crate::query::FORMAT_VERSION;
 use crate::units::MAX_SCALE;
 
-/// The longest key, in bytes.
+/// Maximum length of a row's key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// A value whose header is read; its rows are read on demand.
+/// A value with a parsed header; rows are parsed on demand.
 #[derive(Debug, Clone)]
 pub struct Value<'a> {
-    /// The first line.
+    /// The parsed first line.
     pub header: Header,
     rows: &'a str,
 }
 
 impl<'a> Value<'a> {
-    /// Reads the header.
+    /// Parses the header.
     ///
     /// # Errors
-    /// It is not in the form.
+    /// The header is malformed, or has an unsupported format version or scale.
     pub fn read(text: &'a str) -> Result<Self, InvalidValue> {
         let (line, rows) = text.split_once('\n').unwrap_or((text, ""));
         let header: Header = serde_json::from_str(line).map_err(malformed)?;
-        if header.v != FORMAT_VERSION {
-            return Err(malformed(format_args!("form {} is not known, this is {FORMAT_VERSION}", header.v)));
+        if header.format_version != FORMAT_VERSION {
+            return Err(malformed(format_args!(
+                "form {} is not known, this is {FORMAT_VERSION}",
+                header.format_version
+            )));
         }
         if header.scale > MAX_SCALE {
             return Err(malformed("the scale is beyond 18"));
@@ -44,9 +47,9 @@
         Ok(Self { header, rows })
     }
 
-    /// Its rows, one by one.
+    /// Parses the rows one at a time.
     pub fn rows<R: Row<'a> + 'a>(&self) -> impl Iterator<Item = Result<R, InvalidValue>> + 'a {
         let rows = serde_json::Deserializer::from_str(self.rows).into_iter::<R>();
-        rows.map(|r| r.map_err(malformed))
+        rows.map(|row| row.map_err(malformed))
     }
 }
--- a/crates/merge/src/value/check.rs
+++ b/crates/merge/src/value/check.rs
@@ -1,4 +1,4 @@
-//! Checks a value when it comes: whether it has the published form, answers the query and is consistent.
+//! Validates a value on arrival: whether it has the published format, matches the query and is consistent.
 
 use super::header::{Header, Remainder, Total};
 use super::row::{Entry, Group, Row};
@@ -11,38 +11,38 @@
 use crate::units::Units;
 use crate::{Range, Version};
 
-/// What a value must match, besides its query.
+/// What a value must match, in addition to its query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Expected {
-    /// The range that was asked.
+    /// Requested range.
     pub range: Range,
-    /// The position at which its rows have to begin.
+    /// Position at which the rows must begin.
     pub position: Position,
-    /// The least version of its data that is accepted.
+    /// Minimum accepted version of the range's data; `None` accepts any.
     pub at_least: Option<Version>,
 }
 
-/// A valid value, as far as it is kept.
+/// A valid value without its rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CheckedValue {
-    /// Its header.
+    /// Header, which matches the query and the rows.
     pub header: Header,
-    /// The measures of its first and its last row.
+    /// Measures of the first and the last row; `None` if the value has no rows.
     pub first_and_last: Option<(Units, Units)>,
 }
 
-/// Checks a value in one pass, without keeping its rows.
+/// Validates a value in one pass, without keeping its rows.
 ///
 /// # Errors
-/// Says why the value is refused.
+/// Returns the reason for rejecting the value.
 pub fn check(text: &str, query: &Query, expected: &Expected) -> Result<CheckedValue, InvalidValue> {
     let value = Value::read(text)?;
     let header = &value.header;
     if header.range != expected.range {
         return Err(InvalidValue::WrongRange(header.range));
     }
-    if header.version != header.until {
-        return Err(InvalidValue::MixedVersions(header.version, header.until));
+    if header.version != header.version_at_end {
+        return Err(InvalidValue::MixedVersions(header.version, header.version_at_end));
     }
     if let Some(least) = expected.at_least.filter(|&least| header.version < least) {
         return Err(InvalidValue::StaleVersion(header.version, least));
@@ -64,7 +64,7 @@
     Ok(CheckedValue { header: value.header, first_and_last })
 }
 
-/// Checks a value that consists of a total alone.
+/// Validates a value that consists of a total without rows.
 fn check_total_only(value: &Value<'_>) -> Result<(), InvalidValue> {
     let header = &value.header;
     let total = header.total.ok_or_else(|| malformed("a total is expected"))?;
@@ -74,7 +74,8 @@
     check_aggregate(&total.aggregate())
 }
 
-/// Checks an aggregate by itself: no figures without rows, and a sum that its rows, minimum and maximum allow.
+/// Checks that an aggregate is consistent: no minimum, maximum or sum without rows, and a sum that is possible with the
+/// row count, minimum and maximum.
 fn check_aggregate(aggregate: &Aggregate) -> Result<(), InvalidValue> {
     match (aggregate.rows, aggregate.min_max) {
         (0, None) if aggregate.sum == Units(0) => Ok(()),
@@ -82,7 +83,7 @@
             let within = |low: Units, high: Units| low <= aggregate.sum && aggregate.sum <= high;
             match (min.times(aggregate.rows), max.times(aggregate.rows)) {
                 (Ok(low), Ok(high)) if within(low, high) => Ok(()),
-                // Rows that cannot add up to a figure that fits.
+                // The sum is out of bounds, or a bound does not fit 128 bits.
                 _ => Err(inconsistent("the sum does not fit the rows, the least and the greatest")),
             }
         }
@@ -90,7 +91,7 @@
     }
 }
 
-/// Whether a row may follow another one.
+/// Whether `next` may follow `last` in a value.
 fn is_in_order<'a, R: CheckedRow<'a>>(last: &R, next: &R, query: &Query) -> bool {
     if query.op == Op::Rank {
         ranks_before(query.order, (last.measure(), last.key()), (next.measure(), next.key()))
@@ -99,7 +100,7 @@
     }
 }
 
-/// A row as the checks see it.
+/// The properties of a row that validation needs.
 trait CheckedRow<'a>: Row<'a> {
     fn measure(&self) -> Units;
     fn aggregate(&self) -> Result<Aggregate, InvalidValue>;
@@ -129,7 +130,7 @@
     }
 }
 
-/// Checks the rows of a value one by one: their count, their order, and that they begin at the expected position.
+/// Validates the rows of a value one at a time: their count, their order, and that they begin at the expected position.
 struct RowChecker<'c, R> {
     query: &'c Query,
     expected: &'c Expected,
@@ -168,7 +169,7 @@
     }
 }
 
-/// Checks the rows of a value against its header and the query; returns the measures of the first and last row.
+/// Validates the rows of a value against its header and the query. Returns the measures of the first and last row.
 fn check_rows<'a, R: CheckedRow<'a>>(
     value: &Value<'a>,
     query: &Query,
@@ -190,28 +191,32 @@
     }
     let last_measure = checker.last.map(|row| row.measure());
     check_remainder(header, query, last_measure)?;
-    // A total is over all rows of the range: only a value that begins at the start can be compared with it.
+    // A total covers all rows of the range, so it is comparable only with a value that begins at the start.
     if let Some(total) = header.total.as_ref().filter(|_| expected.position == Position::Start) {
         check_total_matches(total, &checker.aggregate, header.remainder.as_ref())?;
     }
     Ok(checker.first_measure.zip(last_measure))
 }
 
-/// Checks the bounds of the remainder; in a ranking none of its rows may be better than the last row.
+/// Checks the bounds of the remainder. In a ranking, none of its rows may be better than the last row of the value.
 fn check_remainder(header: &Header, query: &Query, last: Option<Units>) -> Result<(), InvalidValue> {
-    let (Some(rest), Some(last)) = (&header.remainder, last) else { return Ok(()) };
-    if rest.rows == Some(0) {
+    let (Some(remainder), Some(last)) = (&header.remainder, last) else { return Ok(()) };
+    if remainder.rows == Some(0) {
         return Err(inconsistent("no rows follow, and yet some do"));
     }
-    if rest.max.zip(rest.min).is_some_and(|(most, least)| least > most) {
+    if remainder.max.zip(remainder.min).is_some_and(|(most, least)| least > most) {
         return Err(inconsistent("the bounds of what follows are the wrong way round"));
     }
     if query.op != Op::Rank {
         return Ok(());
     }
     let better = match query.order {
-        Order::Desc => rest.max.is_some_and(|most| most > last) || rest.min.is_some_and(|least| least > last),
-        Order::Asc => rest.min.is_some_and(|least| least < last) || rest.max.is_some_and(|most| most < last),
+        Order::Desc => {
+            remainder.max.is_some_and(|most| most > last) || remainder.min.is_some_and(|least| least > last)
+        }
+        Order::Asc => {
+            remainder.min.is_some_and(|least| least < last) || remainder.max.is_some_and(|most| most < last)
+        }
     };
     match better {
         true => Err(inconsistent("what follows is better than the last row")),
@@ -219,33 +224,33 @@
     }
 }
 
-/// Checks a total over the whole range against the rows that are given and the remainder.
+/// Checks a total over the whole range against the rows in the value and the remainder.
 fn check_total_matches(
     total: &Total,
     given: &Aggregate,
-    rest: Option<&Remainder>,
+    remainder: Option<&Remainder>,
 ) -> Result<(), InvalidValue> {
-    let wrong = || inconsistent("the total does not match the rows");
+    let mismatch = || inconsistent("the total does not match the rows");
     let all = total.aggregate();
     check_aggregate(&all)?;
-    let follow = all.rows.checked_sub(given.rows).ok_or_else(wrong)?;
-    let fits = match rest {
+    let remaining_rows = all.rows.checked_sub(given.rows).ok_or_else(mismatch)?;
+    let is_match = match remainder {
         None => all == *given,
-        Some(rest) => {
-            let sum = all.sum.minus(given.sum).map_err(|_| wrong())?;
-            let within = |bound: Option<Units>, low: bool| match bound.map(|b| b.times(follow)) {
+        Some(remainder) => {
+            let sum = all.sum.minus(given.sum).map_err(|_| mismatch())?;
+            let within = |bound: Option<Units>, low: bool| match bound.map(|b| b.times(remaining_rows)) {
                 None => true,
                 Some(Ok(b)) => (b <= sum) == low || b == sum,
                 Some(Err(_)) => false,
             };
-            follow > 0
-                && rest.rows.is_none_or(|rows| rows == follow)
-                && within(rest.min, true)
-                && within(rest.max, false)
+            remaining_rows > 0
+                && remainder.rows.is_none_or(|rows| rows == remaining_rows)
+                && within(remainder.min, true)
+                && within(remainder.max, false)
         }
     };
-    match fits {
+    match is_match {
         true => Ok(()),
-        false => Err(wrong()),
+        false => Err(mismatch()),
     }
 }
--- a/crates/merge/src/value/header.rs
+++ b/crates/merge/src/value/header.rs
@@ -1,4 +1,4 @@
-//! The header of a value: versions, totals and what is left out.
+//! The header of a value: versions, totals and the rows that the value omits.
 
 use serde::Deserialize;
 
@@ -10,70 +10,72 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
-    pub(super) v: u8,
-    /// The range that the value speaks for.
+    #[serde(rename = "v")]
+    pub(super) format_version: u8,
+    /// Range that the value belongs to.
     pub range: Range,
-    /// The version of the range's data when reading began.
+    /// Version of the range's data when the data node began to read it.
     pub version: Version,
-    /// The version when reading ended; another one than `version` makes the value invalid.
-    pub(super) until: Version,
-    /// Decimals of the measure.
+    /// Version of the data when reading ended; the value is invalid if it differs from `version`.
+    #[serde(rename = "until")]
+    pub(super) version_at_end: Version,
+    /// Number of decimals of the measure.
     pub(super) scale: u8,
-    /// Rows that follow this line.
+    /// Number of rows after the header.
     #[serde(default)]
     pub rows: usize,
-    /// Rows of the range that follow the value's last one.
+    /// The matching rows of the range after the value's last row; `None` if there are none.
     #[serde(default, rename = "rest")]
     pub remainder: Option<Remainder>,
-    /// All rows of the range that match, whatever the value holds of them.
+    /// Exact aggregate over all matching rows of the range, including those that the value omits.
     #[serde(default)]
     pub total: Option<Total>,
-    /// A row that does not fit a value, so that no replica can return it.
+    /// A row that exceeds the size limit of a value, so no replica can return it.
     #[serde(default)]
     pub too_large: Option<TooLarge>,
 }
 
-/// The rows of a range that follow the last row of its value.
+/// The rows of a range after the last row of its value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(from = "super::wire::Rest")]
 pub struct Remainder {
-    /// How many, where the range knows.
+    /// Number of rows; `None` if unknown to the data node.
     pub rows: Option<u64>,
-    /// Upper bound of their measures.
+    /// Upper bound of the measures; `None` if unbounded.
     pub max: Option<Units>,
-    /// Lower bound of their measures.
+    /// Lower bound of the measures; `None` if unbounded.
     pub min: Option<Units>,
 }
 
-/// Exact figures over all rows of a range.
+/// Exact aggregate over all matching rows of a range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Total {
-    /// How many rows.
+    /// Number of rows.
     pub rows: u64,
-    /// The sum of the measure.
+    /// Sum of the measure.
     pub sum: Units,
-    /// The least; none where there are no rows.
+    /// Minimum of the measure; `None` if there are no rows.
     #[serde(default)]
     pub min: Option<Units>,
-    /// The greatest; none where there are no rows.
+    /// Maximum of the measure; `None` if there are no rows.
     #[serde(default)]
     pub max: Option<Units>,
 }
 
-/// A row that does not fit a value.
+/// A row that exceeds the size limit of a value.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TooLarge {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its bytes.
+    /// Size of the row, in bytes; 0 if not given.
     #[serde(default)]
     pub bytes: u64,
 }
 
 impl Total {
-    /// The same figures as an aggregate.
+    /// Converts to an aggregate.
     pub fn aggregate(&self) -> Aggregate {
         Aggregate { rows: self.rows, sum: self.sum, min_max: self.min.zip(self.max) }
     }
--- a/crates/merge/src/value/row.rs
+++ b/crates/merge/src/value/row.rs
@@ -14,30 +14,30 @@
 /// A row of a ranking or a listing: `["key", measure]` or `["key", measure, body]`.
 #[derive(Debug, Clone)]
 pub struct Entry<'a> {
-    /// Its key: unique within its range.
+    /// Key, unique within the range.
     pub key: Cow<'a, str>,
-    /// Its measure.
+    /// Measure in units of the query's scale.
     pub measure: Units,
-    /// Its body, passed on unchanged.
+    /// Body, returned unchanged; `None` if the row has none.
     pub body: Option<&'a RawValue>,
 }
 
-/// A row of a grouped figure: `["key", rows, sum, min, max]`.
+/// A row of a grouped aggregate: `["key", rows, sum, min, max]`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group<'a> {
-    /// The group's key.
+    /// Key of the group, unique within the range.
     pub key: Cow<'a, str>,
-    /// The figures of the group's rows in this range.
+    /// Aggregate over the group's rows in this range.
     pub aggregate: Aggregate,
 }
 
-/// A row with a key.
+/// A row that can be merged in key order.
 pub trait RowKey<'a> {
-    /// Its key.
+    /// The key that the rows are ordered by.
     fn key(&self) -> &Cow<'a, str>;
 }
 
-/// A row that can be read from a value.
+/// A row that can be parsed from a value.
 pub trait Row<'a>: Deserialize<'a> + RowKey<'a> + 'a {}
 
 impl<'a> Row<'a> for Entry<'a> {}
@@ -56,7 +56,7 @@
     }
 }
 
-/// A key that borrows from the text where it can.
+/// A key that borrows from the text unless it contains escape sequences.
 struct Key<'a>(Cow<'a, str>);
 
 struct KeyVisitor<'a>(PhantomData<&'a ()>);
--- a/crates/merge/src/value/tests.rs
+++ b/crates/merge/src/value/tests.rs
@@ -23,18 +23,18 @@
     Expected { range: 4, position: Position::Start, at_least: Some(7) }
 }
 
-fn fit(op: Op, text: &str) -> Result<CheckedValue, InvalidValue> {
+fn check_value(op: Op, text: &str) -> Result<CheckedValue, InvalidValue> {
     check(text, &query(op), &expected())
 }
 
-const GOOD: &str = r#"{"v":1,"range":4,"version":7,"until":7,"scale":2,"rows":2,"rest":{"rows":1,"most":5,"least":1},"total":{"rows":3,"sum":28,"min":3,"max":15}}
+const VALID: &str = r#"{"v":1,"range":4,"version":7,"until":7,"scale":2,"rows":2,"rest":{"rows":1,"most":5,"least":1},"total":{"rows":3,"sum":28,"min":3,"max":15}}
 ["b",15,{"name": "B"}]
 ["a",10]"#;
 
 #[test]
-fn a_good_value_is_read_row_by_row() {
-    fit(Op::Rank, GOOD).unwrap();
-    let value = Value::read(GOOD).unwrap();
+fn valid_value_is_parsed_row_by_row() {
+    check_value(Op::Rank, VALID).unwrap();
+    let value = Value::read(VALID).unwrap();
     let rows: Vec<Entry> = value.rows().map(Result::unwrap).collect();
     assert_eq!(
         (&*rows[0].key, rows[0].measure, rows[0].body.unwrap().get()),
@@ -44,9 +44,9 @@
     assert!(rows[1].body.is_none());
 }
 
-/// Each changes one thing in a value that is good.
+/// Each case changes one thing in a valid value.
 #[test]
-fn spoilt_values_never_count() {
+fn invalid_values_are_rejected() {
     for (from, to, why) in [
         ("\"v\":1", "\"v\":2", "form 2"),
         ("\"range\":4", "\"range\":5", "speaks for range 5"),
@@ -69,16 +69,16 @@
         ("[\"a\",10]", "[\"a\",10", "malformed"),
         ("\"rows\":2", "\"rows\":2,\"more\":1", "unknown field"),
     ] {
-        assert!(GOOD.contains(from), "{from}");
-        let fault = fit(Op::Rank, &GOOD.replacen(from, to, 1)).unwrap_err().to_string();
-        assert!(fault.contains(why), "{to}: {fault}");
+        assert!(VALID.contains(from), "{from}");
+        let error = check_value(Op::Rank, &VALID.replacen(from, to, 1)).unwrap_err().to_string();
+        assert!(error.contains(why), "{to}: {error}");
     }
 }
 
 #[test]
-fn totals_and_groups_are_checked() {
+fn inconsistent_totals_and_groups_are_rejected() {
     let head = r#"{"v":1,"range":4,"version":7,"until":7,"scale":2"#;
-    let total = |t: &str| fit(Op::Sum, &format!("{head},\"total\":{t}}}"));
+    let total = |t: &str| check_value(Op::Sum, &format!("{head},\"total\":{t}}}"));
     assert!(total(r#"{"rows":2,"sum":5,"min":2,"max":3}"#).is_ok());
     assert!(total(r#"{"rows":0,"sum":0}"#).is_ok());
     for bad in [
@@ -94,12 +94,12 @@
     let groups = |rows: &str| check(&format!("{head},\"rows\":2}}\n{rows}"), &grouped, &expected());
     assert!(groups("[\"a\",2,5,2,3]\n[\"b\",1,9,9,9]").is_ok());
     assert!(groups("[\"b\",1,9,9,9]\n[\"a\",2,5,2,3]").is_err(), "out of order");
-    assert!(groups("[\"a\",2,9,2,3]\n[\"b\",1,9,9,9]").is_err(), "a sum that cannot be");
+    assert!(groups("[\"a\",2,9,2,3]\n[\"b\",1,9,9,9]").is_err(), "an impossible sum");
     assert!(groups("[\"a\",0,0,0,0]\n[\"b\",1,9,9,9]").is_err(), "a group without rows");
 }
 
 #[test]
-fn a_page_begins_where_it_was_asked_to() {
+fn page_must_begin_at_the_requested_position() {
     let head = r#"{"v":1,"range":4,"version":7,"until":7,"scale":2,"rows":1}"#;
     let page = |position, key: &str| {
         check(&format!("{head}\n[\"{key}\",1]"), &query(Op::List), &Expected { position, ..expected() })
@@ -113,14 +113,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Nothing that a data node sends may panic, and a changed byte is found or harmless.
+    /// Data nodes can send any text; validation must not panic on it.
     #[test]
-    fn any_text_is_checked_without_panic(at in 0..GOOD.len(), byte in 32..127u8, text in "\\PC{0,60}") {
-        let mut changed = GOOD.as_bytes().to_vec();
+    fn arbitrary_text_does_not_panic(at in 0..VALID.len(), byte in 32..127u8, text in "\\PC{0,60}") {
+        let mut changed = VALID.as_bytes().to_vec();
         changed[at] = byte;
         let changed = String::from_utf8(changed).unwrap();
         for op in [Op::Rank, Op::List, Op::Sum] {
-            let _ = (fit(op, &changed), fit(op, &text));
+            let _ = (check_value(op, &changed), check_value(op, &text));
         }
     }
 }
--- a/crates/merge/src/value/wire.rs
+++ b/crates/merge/src/value/wire.rs
@@ -1,11 +1,11 @@
-//! The parts of a header whose keys differ from the names of the code (`docs/merge-format.md`).
+//! Parts of a header whose JSON keys differ from the field names in the code (`docs/merge-format.md`).
 
 use serde::Deserialize;
 
 use super::header::Remainder;
 use crate::units::Units;
 
-/// A [`Remainder`] by its keys.
+/// The JSON form of a [`Remainder`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rest {
