--- a/crates/merge/benches/merge.rs
+++ b/crates/merge/benches/merge.rs
@@ -1,4 +1,4 @@
-//! The merges against a baseline in the same run that concatenates all rows and sorts them.
+//! Compares the merges with a baseline, measured in the same run, that concatenates and sorts all rows.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 }
 
 const RANGES: u32 = 200;
-const ROWS: usize = 1000;
+const ROWS_PER_RANGE: usize = 1000;
 
-/// A value of a range, its rows by rank or by key.
+/// The value of a range, with its rows in the order of a ranking or of their keys.
 fn value(range: u32, rows: usize, by_rank: bool, groups: bool) -> String {
     let mut rng = fastrand::Rng::with_seed(range.into());
     let mut rows: Vec<(String, i64)> = (0..rows)
@@ -39,10 +39,10 @@
 }
 
 fn read(texts: &[String]) -> Vec<Value<'_>> {
-    texts.iter().map(|t| Value::read(t).expect("a value")).collect()
+    texts.iter().map(|t| Value::read(t).expect("a valid value")).collect()
 }
 
-/// All rows of all ranges, sorted: what a client without the merge would do.
+/// Sorts the rows of all ranges, as a client without the merge would do.
 fn concatenate(texts: &[String], limit: usize, by: impl Fn(&Entry, &Entry) -> std::cmp::Ordering) -> usize {
     let values = read(texts);
     let mut rows: Vec<Entry> = values.iter().flat_map(|v| v.rows().map(|r| r.expect("a row"))).collect();
@@ -61,14 +61,14 @@
 
     #[divan::bench]
     fn merge(bencher: divan::Bencher) {
-        let texts = values(ROWS, true, false);
+        let texts = values(ROWS_PER_RANGE, true, false);
         bencher.bench(|| rank::merge(&read(&texts), &[], Order::Desc, 10).expect("a ranking").rows.len());
     }
 
-    /// What each value costs as it comes, in all.
+    /// Validates the values of all ranges, as on their arrival.
     #[divan::bench]
-    fn check_as_they_come(bencher: divan::Bencher) {
-        let texts = values(ROWS, true, false);
+    fn check_values(bencher: divan::Bencher) {
+        let texts = values(ROWS_PER_RANGE, true, false);
         let query = Query {
             set: "s".into(),
             op: Op::Rank,
@@ -76,20 +76,20 @@
             scale: 2,
             order: Order::Desc,
             grouped: false,
-            limit: ROWS,
+            limit: ROWS_PER_RANGE,
             filter: BTreeMap::new(),
         };
         bencher.bench(|| {
             for (range, text) in (0..).zip(&texts) {
                 let expected = Expected { range, position: Position::Start, at_least: None };
-                check(text, &query, &expected).expect("a good value");
+                check(text, &query, &expected).expect("a valid value");
             }
         });
     }
 
     #[divan::bench]
     fn baseline(bencher: divan::Bencher) {
-        let texts = values(ROWS, true, false);
+        let texts = values(ROWS_PER_RANGE, true, false);
         bencher.bench(|| concatenate(&texts, 10, by_measure));
     }
 }
@@ -100,13 +100,13 @@
 
     #[divan::bench]
     fn merge(bencher: divan::Bencher) {
-        let texts = values(ROWS, false, false);
+        let texts = values(ROWS_PER_RANGE, false, false);
         bencher.bench(|| page::list(&read(&texts), 1000).expect("a page").rows.len());
     }
 
     #[divan::bench]
     fn baseline(bencher: divan::Bencher) {
-        let texts = values(ROWS, false, false);
+        let texts = values(ROWS_PER_RANGE, false, false);
         bencher.bench(|| concatenate(&texts, 1000, |a, b| a.key.cmp(&b.key)));
     }
 }
@@ -117,14 +117,14 @@
 
     #[divan::bench]
     fn merge(bencher: divan::Bencher) {
-        let texts = values(ROWS, false, true);
+        let texts = values(ROWS_PER_RANGE, false, true);
         bencher.bench(|| page::groups(&read(&texts), 1000).expect("a page").rows.len());
     }
 
-    /// All groups of all ranges in one map.
+    /// Sums the groups of all ranges in one map.
     #[divan::bench]
     fn baseline(bencher: divan::Bencher) {
-        let texts = values(ROWS, false, true);
+        let texts = values(ROWS_PER_RANGE, false, true);
         bencher.bench(|| {
             let values = read(&texts);
             let mut sums: BTreeMap<String, i128> = BTreeMap::new();
@@ -137,7 +137,7 @@
     }
 }
 
-/// What the top 10 holds at its most must not grow with the ranges' length: see the bytes allocated.
+/// The peak memory of the top 10 must not grow with the number of rows in the ranges: see the allocated bytes.
 #[divan::bench_group(sample_count = 5)]
 mod memory_of_the_top_10 {
     use super::*;
--- a/crates/merge/examples/merge_check/run.rs
+++ b/crates/merge/examples/merge_check/run.rs
@@ -1,4 +1,4 @@
-//! One seed: a fleet of stand-ins with data that changes, and queries whose answers are checked.
+//! Runs one seed: simulated replicas with changing data, and queries whose answers are checked.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::checker::{self, Asked, Walk};
 use super::stand_in::{answer, History, Manner, Row};
 
-/// A bug planted in the answers, to show that the checker can fail.
+/// An error injected into the answers, to show that the checker detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sabotage {
     Whole,
@@ -29,12 +29,12 @@
     pub const ALL: [Self; 6] =
         [Self::Whole, Self::Certain, Self::Sum, Self::Repeat, Self::Skip, Self::Version];
 
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|s| format!("{s:?}").eq_ignore_ascii_case(name))
     }
 
-    /// Spoils an answer, and says whether there was anything to spoil.
-    fn spoil(self, answer: &mut Json) {
+    /// Injects the error into an answer; leaves answers unchanged that lack the affected field.
+    fn apply(self, answer: &mut Json) {
         match self {
             Self::Whole => answer["whole"] = true.into(),
             Self::Certain => {
@@ -66,13 +66,13 @@
     }
 }
 
-/// Runs so many seeds on the machine's cores; returns those that failed, and why.
-pub fn seeds(first: u64, count: u64, sabotage: Option<Sabotage>) -> Vec<(u64, String)> {
+/// Runs `count` seeds in parallel; returns the failed ones with their errors.
+pub fn run_seeds(first: u64, count: u64, sabotage: Option<Sabotage>) -> Vec<(u64, String)> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from).min(8) as u64;
     let mut failed: Vec<(u64, String)> = std::thread::scope(|scope| {
         let run = |core| {
             let own = (first..first + count).filter(move |s| s % cores == core);
-            own.filter_map(|seed| one(seed, sabotage).err().map(|why| (seed, why))).collect::<Vec<_>>()
+            own.filter_map(|seed| run_seed(seed, sabotage).err().map(|e| (seed, e))).collect::<Vec<_>>()
         };
         let threads: Vec<_> = (0..cores).map(|core| scope.spawn(move || run(core))).collect();
         threads.into_iter().flat_map(|t| t.join().unwrap_or_else(|_| vec![(0, "panicked".into())])).collect()
@@ -84,25 +84,24 @@
 struct Fleet {
     rng: Rng,
     data: Vec<History>,
-    /// By range: the version that each replica serves; none: it is dead.
+    /// By range: the version that each replica serves; `None` for a dead replica.
     replicas: Vec<Vec<Option<u64>>>,
     cache: RangeCache,
     now: u64,
     sabotage: Option<Sabotage>,
 }
 
-/// An answer, and where the next page begins.
-type Paged = (Json, Option<Vec<RangeProgress>>);
+/// An answer, and the progress at which the next page begins.
+type AnswerPage = (Json, Option<Vec<RangeProgress>>);
 
 const STEPS: usize = 12;
 const SCALE: u8 = 2;
 
-/// One seed.
-pub fn one(seed: u64, sabotage: Option<Sabotage>) -> Result<(), String> {
+pub fn run_seed(seed: u64, sabotage: Option<Sabotage>) -> Result<(), String> {
     let mut rng = Rng::with_seed(seed);
     let ranges = rng.usize(1..9);
     let mut data = vec![History::default(); ranges];
-    // Some fleets have few keys and measures, so that there are ties and shared groups; some have many.
+    // Small numbers of keys and measures cause ties and groups in several ranges.
     let (keys, measures) = (rng.i64(2..60), rng.i64(1..500));
     for history in &mut data {
         let rows = rng.usize(0..40);
@@ -114,7 +113,7 @@
     for step in 0..STEPS {
         fleet.now += fleet.rng.u64(0..3000);
         fleet.change(keys, measures);
-        fleet.ask(keys, measures).map_err(|why| format!("step {step}: {why}"))?;
+        fleet.run_query(keys, measures).map_err(|error| format!("step {step}: {error}"))?;
     }
     Ok(())
 }
@@ -127,7 +126,7 @@
 }
 
 impl Fleet {
-    /// The data changes, replicas follow or fall behind, die and come back.
+    /// Changes the data; replicas follow or fall behind, die and return.
     fn change(&mut self, keys: i64, measures: i64) {
         for (range, history) in self.data.iter_mut().enumerate() {
             if self.rng.u8(..) < 60 {
@@ -148,19 +147,19 @@
                     _ => replica.or_else(|| Some(self.rng.u64(1..=history.latest()))),
                 };
             }
-            // A process that starts anew may have older data: the list tells of it.
+            // A restarted data node may have older data; the endpoint list reports the restart.
             if self.rng.u8(..) < 10 {
                 self.cache.invalidate_range(range as u32);
             }
         }
     }
 
-    fn ask(&mut self, keys: i64, measures: i64) -> Result<(), String> {
+    fn run_query(&mut self, keys: i64, measures: i64) -> Result<(), String> {
         let ops = [Op::Rank, Op::Sum, Op::Count, Op::Min, Op::Max, Op::Mean, Op::List];
         let op = ops[self.rng.usize(..ops.len())];
         let order = if self.rng.bool() { Order::Desc } else { Order::Asc };
         let grouped = op != Op::List && self.rng.bool();
-        let floor = if self.rng.bool() { 0.5 } else { 1.0 };
+        let min_coverage = if self.rng.bool() { 0.5 } else { 1.0 };
         let limit = self.rng.usize(1..12);
         let query = Query {
             set: "s".into(),
@@ -174,29 +173,29 @@
         };
         let name = ["rank", "sum", "count", "min", "max", "mean", "list"]
             [ops.iter().position(|o| *o == op).unwrap_or(0)];
-        let asked = Asked { op: name, descending: order == Order::Desc, grouped, limit, floor };
+        let asked = Asked { op: name, descending: order == Order::Desc, grouped, limit, floor: min_coverage };
         if !query.paged() {
             let mut merger = QueryMerger::new(query, self.data.len() as u32);
-            return self.round(&mut merger, &asked).map(drop);
+            return self.run_attempts(&mut merger, &asked).map(drop);
         }
-        self.walk(&query, &asked, keys, measures)
+        self.check_pages(&query, &asked, keys, measures)
     }
 
-    /// Follows a listing to its end while the data changes below it.
-    fn walk(&mut self, query: &Query, asked: &Asked, keys: i64, measures: i64) -> Result<(), String> {
+    /// Reads all pages of a listing while the data changes.
+    fn check_pages(&mut self, query: &Query, asked: &Asked, keys: i64, measures: i64) -> Result<(), String> {
         let cursors = Keys::fresh([self.rng.u8(..); 32]);
         let mut walk = Walk::default();
         let ranges = self.data.len();
         let mut merger = QueryMerger::new(query.clone(), ranges as u32);
         for page in 0..4000 {
             if page > 60 {
-                // Let the walk come to an end.
+                // Stops the changes, so that the listing ends.
                 self.replicas.iter_mut().zip(&self.data).for_each(|(r, d)| r.fill(Some(d.latest())));
             } else {
                 self.change(keys, measures);
             }
-            let Some((answer, next)) = self.round(&mut merger, asked)? else { continue };
-            walk.page(asked, &answer, &self.data).map_err(|why| format!("page {page}: {why}"))?;
+            let Some((answer, next)) = self.run_attempts(&mut merger, asked)? else { continue };
+            walk.page(asked, &answer, &self.data).map_err(|error| format!("page {page}: {error}"))?;
             let Some(progress) = next else { return Ok(()) };
             let cursor = Cursor { query: query.digest(), until: 1000, ranges: progress };
             let text = cursors.seal(&cursor);
@@ -209,17 +208,22 @@
         Err("a listing does not end".into())
     }
 
-    /// One query: each range is tried a few times, and what comes is offered as the core would.
-    fn round(&mut self, merger: &mut QueryMerger, asked: &Asked) -> Result<Option<Paged>, String> {
+    /// Sends up to three attempts to each range, passes the values to the merger as the core does, and checks the
+    /// answer. `None` if the coverage is below the minimum.
+    fn run_attempts(
+        &mut self,
+        merger: &mut QueryMerger,
+        asked: &Asked,
+    ) -> Result<Option<AnswerPage>, String> {
         let mut values: Vec<(u32, Arc<str>)> = Vec::new();
         for range in 0..self.data.len() as u32 {
             for _ in 0..self.rng.usize(1..4) {
                 let Some(text) = self.attempt(merger, range)? else { continue };
                 values.push((range, text.into()));
-                // A twin whose answer comes all the same: it must add nothing.
+                // A hedged attempt that returns a second value, which must be ignored.
                 if self.rng.u8(..) < 40 {
-                    if let Some(twin) = self.attempt(merger, range)? {
-                        values.push((range, twin.into()));
+                    if let Some(second) = self.attempt(merger, range)? {
+                        values.push((range, second.into()));
                     }
                 }
                 break;
@@ -229,7 +233,7 @@
             Ok(MergeResult { answer, next }) => {
                 let mut json: Json = serde_json::from_str(&answer.text()).map_err(|e| e.to_string())?;
                 if let Some(sabotage) = self.sabotage {
-                    sabotage.spoil(&mut json);
+                    sabotage.apply(&mut json);
                 }
                 checker::check(asked, &json, &self.data)?;
                 Ok(Some((json, next)))
@@ -237,14 +241,15 @@
             Err(MergeError::BelowMinimumCoverage(coverage))
                 if coverage.meets_minimum(asked.floor) && !coverage.versions.is_empty() =>
             {
-                Err("given up above the floor".into())
+                Err("query failed although the coverage meets the minimum".into())
             }
             Err(MergeError::BelowMinimumCoverage(_)) => Ok(None),
-            Err(fault) => Err(fault.to_string()),
+            Err(error) => Err(error.to_string()),
         }
     }
 
-    /// One replica's answer, if it is alive and its value counts. A spoilt one must not.
+    /// Returns the value of one replica if the replica is alive and its value is accepted. Some values are corrupted
+    /// and must be rejected.
     fn attempt(&mut self, merger: &mut QueryMerger, range: u32) -> Result<Option<String>, String> {
         let replicas = &self.replicas[range as usize];
         let Some(version) = replicas[self.rng.usize(..replicas.len())] else { return Ok(None) };
@@ -256,19 +261,19 @@
         };
         let snapshot = self.data[range as usize].at(version);
         let text = answer(snapshot, version, &merger.request_text(range), manner)
-            .ok_or("a text that cannot be used")?;
+            .ok_or("the replica rejected the request")?;
         if self.rng.u8(..) < 25 {
-            let spoilt = self.spoil(&text);
-            if merger.accept_value(range, &spoilt).is_ok() && spoilt != text {
-                return Err(format!("a spoilt value counts: {spoilt}"));
+            let corrupted = self.corrupt(&text);
+            if merger.accept_value(range, &corrupted).is_ok() && corrupted != text {
+                return Err(format!("a corrupted value was accepted: {corrupted}"));
             }
             return Ok(None);
         }
         Ok(merger.accept_value(range, &text).is_ok().then_some(text))
     }
 
-    /// One thing is wrong with it that must be noticed.
-    fn spoil(&mut self, text: &str) -> String {
+    /// Corrupts one thing in a value that validation must detect.
+    fn corrupt(&mut self, text: &str) -> String {
         let (head, rows) = text.split_once('\n').unwrap_or((text, ""));
         match self.rng.u8(0..6) {
             0 => text.replacen("\"v\":1", "\"v\":7", 1),
--- a/crates/merge/examples/merge_check/stand_in.rs
+++ b/crates/merge/examples/merge_check/stand_in.rs
@@ -1,12 +1,12 @@
-//! A stand-in for what data nodes do with a mergeable query, written from `docs/merge-format.md` alone: it shares no
-//! code with the program. A range's data has versions; a replica serves one of them.
+//! A simulated data node for mergeable queries, implemented from `docs/merge-format.md` alone, without code of the
+//! program. A range's data has versions; a replica serves one of them.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value as Json};
 
-/// A row: its measure, and a body to be passed on.
+/// A row: its measure, and an optional JSON body that answers return unchanged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
     pub measure: i64,
@@ -16,7 +16,7 @@
 /// A range's rows at one version, by key.
 pub type Snapshot = BTreeMap<String, Row>;
 
-/// A range's data, one snapshot a version: version 1 is the first.
+/// A range's data, one snapshot per version, beginning with version 1.
 #[derive(Debug, Clone, Default)]
 pub struct History(pub Vec<Snapshot>);
 
@@ -29,7 +29,7 @@
         &self.0[version as usize - 1]
     }
 
-    /// Changes the data: one version more.
+    /// Applies a change to a copy of the latest snapshot and appends it as a new version.
     pub fn change(&mut self, change: impl FnOnce(&mut Snapshot)) {
         let mut next = self.0.last().cloned().unwrap_or_default();
         change(&mut next);
@@ -37,16 +37,16 @@
     }
 }
 
-/// How a replica answers.
+/// Options of a replica's values.
 #[derive(Debug, Clone, Copy)]
 pub struct Manner {
-    /// It says nothing of what follows beyond that something does.
+    /// Omits the row count and the bounds of the remainder.
     pub terse: bool,
-    /// It gives no total.
+    /// Omits the total.
     pub no_total: bool,
-    /// At most so many rows fit what it may send.
+    /// Maximum number of rows in a value.
     pub room: usize,
-    /// Bytes that a value may have; a row that cannot be sent is named instead.
+    /// Maximum size of a value, in bytes; if the first row exceeds it, the value reports that row as too large.
     pub bytes: usize,
 }
 
@@ -62,12 +62,12 @@
     json!({"rows": measures.len(), "sum": sum, "min": measures.iter().min(), "max": measures.iter().max()})
 }
 
-fn quoted(key: &str) -> String {
+fn to_json_string(key: &str) -> String {
     Json::from(key).to_string()
 }
 
-/// The measures of rows that a key has in common.
-fn grouped(rows: &Snapshot) -> BTreeMap<String, Vec<i64>> {
+/// The measures of each group's rows.
+fn group_measures(rows: &Snapshot) -> BTreeMap<String, Vec<i64>> {
     let mut groups: BTreeMap<String, Vec<i64>> = BTreeMap::new();
     for (key, row) in rows {
         let group = key.split('#').next().unwrap_or(key).to_string();
@@ -76,68 +76,70 @@
     groups
 }
 
-/// A row as it is sent: key, measure and JSON.
-type Line = (String, i64, String);
+/// A row in a value: key, measure and JSON.
+type EncodedRow = (String, i64, String);
 
-/// The rows or groups as they are sent, in key order.
-fn lines(rows: &Snapshot, grouped_by: bool, folds: bool) -> Vec<Line> {
-    if grouped_by {
-        let line = |(key, m): (String, Vec<i64>)| {
+/// Encodes the rows or groups in key order.
+fn encode_rows(rows: &Snapshot, grouped: bool, aggregates: bool) -> Vec<EncodedRow> {
+    if grouped {
+        let encode = |(key, m): (String, Vec<i64>)| {
             let sum: i64 = m.iter().sum();
-            let row = match folds {
+            let row = match aggregates {
                 true => format!(
                     "[{},{},{sum},{},{}]",
-                    quoted(&key),
+                    to_json_string(&key),
                     m.len(),
                     m.iter().min().unwrap_or(&0),
                     m.iter().max().unwrap_or(&0)
                 ),
-                false => format!("[{},{sum}]", quoted(&key)),
+                false => format!("[{},{sum}]", to_json_string(&key)),
             };
             (key, sum, row)
         };
-        grouped(rows).into_iter().map(line).collect()
+        group_measures(rows).into_iter().map(encode).collect()
     } else {
-        let line = |(key, row): (&String, &Row)| {
+        let encode = |(key, row): (&String, &Row)| {
             let body = row.body.as_ref().map(|b| format!(",{b}")).unwrap_or_default();
-            (key.clone(), row.measure, format!("[{},{}{body}]", quoted(key), row.measure))
+            (key.clone(), row.measure, format!("[{},{}{body}]", to_json_string(key), row.measure))
         };
-        rows.iter().map(line).collect()
+        rows.iter().map(encode).collect()
     }
 }
 
-/// How many lines fit what the replica may send.
-fn count_fitting(lines: &[Line], limit: usize, manner: Manner) -> usize {
-    let mut given = 0;
+/// Counts the leading rows that fit into a value.
+fn count_fitting(rows: &[EncodedRow], limit: usize, manner: Manner) -> usize {
+    let mut count = 0;
     let mut bytes = 300;
-    while given < lines.len().min(limit).min(manner.room) && bytes + lines[given].2.len() < manner.bytes {
-        bytes += lines[given].2.len() + 1;
-        given += 1;
+    while count < rows.len().min(limit).min(manner.room) && bytes + rows[count].2.len() < manner.bytes {
+        bytes += rows[count].2.len() + 1;
+        count += 1;
     }
-    given
+    count
 }
 
-/// What the header says of the lines that are not sent, if there are any.
-fn remainder(lines: &[Line], manner: Manner) -> Option<Json> {
-    let left: Vec<i64> = lines.iter().map(|l| l.1).collect();
-    if left.is_empty() {
+/// The header's description of the omitted rows; `None` if there are none.
+fn remainder(omitted: &[EncodedRow], manner: Manner) -> Option<Json> {
+    let measures: Vec<i64> = omitted.iter().map(|row| row.1).collect();
+    if measures.is_empty() {
         return None;
     }
     Some(match manner.terse {
         true => json!({}),
-        false => json!({"rows": left.len(), "most": left.iter().max(), "least": left.iter().min()}),
+        false => {
+            json!({"rows": measures.len(), "most": measures.iter().max(), "least": measures.iter().min()})
+        }
     })
 }
 
-/// A replica's value for a query's text; rows whose keys begin alike before a `#` are one group. None where it
-/// cannot use the text, or has no data that is new enough.
+/// A replica's value for a request text. Rows whose keys are equal up to a `#` form one group. `None` if the request is
+/// malformed or has another format version.
 pub fn answer(rows: &Snapshot, version: u64, text: &str, manner: Manner) -> Option<String> {
     let query: Json = serde_json::from_str(text).ok()?;
     if query["v"] != 1 {
         return None;
     }
     let (op, descending) = (query["op"].as_str()?, query["order"] == "desc");
-    let (limit, grouped_by) = (query["limit"].as_u64()? as usize, query["grouped"] == true);
+    let (limit, grouped) = (query["limit"].as_u64()? as usize, query["grouped"] == true);
     let admits = |key: &str| match (query["after"].as_str(), query["from"].as_str()) {
         (Some(after), _) => key > after,
         (_, Some(from)) => key >= from,
@@ -147,37 +149,37 @@
         "v": 1, "range": query["range"], "version": version, "until": version, "scale": query["scale"],
     });
     let all: Vec<i64> = rows.values().map(|r| r.measure).collect();
-    let folds = !matches!(op, "rank" | "list");
-    if folds && !grouped_by {
+    let aggregates = !matches!(op, "rank" | "list");
+    if aggregates && !grouped {
         head["total"] = total(&all);
         return Some(head.to_string());
     }
-    let mut lines = lines(rows, grouped_by, folds);
+    let mut encoded = encode_rows(rows, grouped, aggregates);
     if op == "rank" {
-        lines.sort_by(|a, b| if descending { b.1.cmp(&a.1) } else { a.1.cmp(&b.1) }.then(a.0.cmp(&b.0)));
+        encoded.sort_by(|a, b| if descending { b.1.cmp(&a.1) } else { a.1.cmp(&b.1) }.then(a.0.cmp(&b.0)));
     } else {
-        lines.retain(|l| admits(&l.0));
+        encoded.retain(|row| admits(&row.0));
     }
-    if !folds && !manner.no_total && query["after"].is_null() && query["from"].is_null() {
-        let measures: Vec<i64> = lines.iter().map(|l| l.1).collect();
+    if !aggregates && !manner.no_total && query["after"].is_null() && query["from"].is_null() {
+        let measures: Vec<i64> = encoded.iter().map(|row| row.1).collect();
         head["total"] = total(&measures);
     }
-    let given = count_fitting(&lines, limit, manner);
-    if given == 0 && !lines.is_empty() {
-        head["too_large"] = json!({"key": lines[0].0, "bytes": lines[0].2.len()});
+    let count = count_fitting(&encoded, limit, manner);
+    if count == 0 && !encoded.is_empty() {
+        head["too_large"] = json!({"key": encoded[0].0, "bytes": encoded[0].2.len()});
         if let Some(head) = head.as_object_mut() {
             head.remove("total");
         }
         return Some(head.to_string());
     }
-    if let Some(remainder) = remainder(&lines[given..], manner) {
+    if let Some(remainder) = remainder(&encoded[count..], manner) {
         head["rest"] = remainder;
     }
-    head["rows"] = json!(given);
+    head["rows"] = json!(count);
     let mut text = head.to_string();
-    for line in &lines[..given] {
+    for row in &encoded[..count] {
         text.push('\n');
-        text.push_str(&line.2);
+        text.push_str(&row.2);
     }
     Some(text)
 }
--- a/crates/merge/tests/seeds.rs
+++ b/crates/merge/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! A fixed set of seeds of `merge_check`, and its checker held against planted bugs.
+//! Runs a fixed set of seeds of `merge_check`, and verifies that its checker detects injected errors.
 
 #[allow(unreachable_pub)]
 #[path = "../examples/merge_check/checker.rs"]
@@ -11,16 +11,16 @@
 mod stand_in;
 
 #[test]
-fn answers_are_exact_and_claims_hold() {
-    let failed = run::seeds(1, 200, None);
+fn answers_match_the_exact_ones() {
+    let failed = run::run_seeds(1, 200, None);
     assert!(failed.is_empty(), "{failed:?}");
 }
 
-/// The checker must find each planted bug, or it could not fail.
+/// A checker that misses errors would let every seed pass: each kind of injected error must be detected.
 #[test]
-fn the_checker_finds_planted_bugs() {
+fn checker_detects_injected_errors() {
     for sabotage in run::Sabotage::ALL {
-        let failed = run::seeds(1, 20, Some(sabotage));
-        assert!(failed.len() > 10, "{sabotage:?} was found for {} of 20 seeds", failed.len());
+        let failed = run::run_seeds(1, 20, Some(sabotage));
+        assert!(failed.len() > 10, "{sabotage:?} was detected for {} of 20 seeds", failed.len());
     }
 }
