--- a/crates/merge/src/coverage.rs
+++ b/crates/merge/src/coverage.rs
@@ -60,7 +60,7 @@
         self.missing.is_empty() && !self.versions.is_empty()
     }
 
-    /// The share of the ranges that are in, in millionths and rounded down: a million only where all are.
+    /// The ratio of included ranges in millionths, rounded down: 1,000,000 only if no range is missing.
     pub fn ratio_millionths(&self) -> u32 {
         let (included, all) =
             (self.versions.len() as u128, (self.versions.len() + self.missing.len()) as u128);
--- a/crates/merge/src/page.rs
+++ b/crates/merge/src/page.rs
@@ -107,7 +107,7 @@
         let range = next_key.range;
         let row = match source.following.next().transpose()? {
             Some(next) => {
-                // The heap is sifted once, when this is dropped.
+                // Dropping `next_key` sifts the heap once.
                 next_key.key = next.key().clone();
                 std::mem::replace(&mut source.row, next)
             }
