--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,7 +1,7 @@
-//! A client of curlewdeck's desk front.
+//! Client of curlewdeck's aggregation frontend.
 //!
-//! [`walk::Walk`] decides, without I/O or a clock, what comes next: ask for a page, wait for as long as the service
-//! said, or end. [`http::run`] carries it out over HTTP; [`table`] prints what came.
+//! [`walk::Walk`] is a state machine without I/O or a clock. It decides the next step: request a page, wait before a
+//! retry, or end. [`http::run`] executes the steps over HTTP; [`table`] formats the pages as text.
 //!
 //! ```no_run
 //! use curlewdeck_client::{http::Service, query::Query, walk::{Budget, Walk}};
--- a/crates/client/src/table.rs
+++ b/crates/client/src/table.rs
@@ -1,11 +1,11 @@
-//! A page as a table with its coverage line.
+//! Formats pages as text tables.
 
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
 
 use crate::query::Page;
 
-/// The table of a page's rows, or its figure, with its coverage below.
+/// Formats a page: its figure and its rows, followed by a line on its coverage.
 pub fn render(page: &Page) -> String {
     let mut text = String::new();
     if let Some(figure) = &page.figure {
@@ -24,10 +24,10 @@
     text
 }
 
-/// A plain table under a head.
-pub fn columns(head: &[String], rows: &[Vec<String>]) -> String {
+/// Formats rows in aligned columns below a header line.
+pub fn columns(header: &[String], rows: &[Vec<String>]) -> String {
     let mut table = Table::new();
-    table.load_preset(NOTHING).set_header(head);
+    table.load_preset(NOTHING).set_header(header);
     for row in rows {
         table.add_row(row);
     }
@@ -58,7 +58,7 @@
     table.trim_fmt()
 }
 
-/// One line on the ranges that the page covers.
+/// Describes in one line which ranges the page covers and which are missing.
 pub fn coverage(page: &Page) -> String {
     let all = page.ranges.len() + page.missing.len();
     let mut line = match page.complete {
--- a/crates/client/src/table/tests.rs
+++ b/crates/client/src/table/tests.rs
@@ -1,9 +1,9 @@
-//! Tables as they are printed.
+//! Text of formatted pages.
 
 use super::*;
 
 #[test]
-fn a_table_says_what_it_rests_on() {
+fn table_ends_with_its_coverage_and_marks_rows_that_may_be_displaced() {
     let page: Page = serde_json::from_str(
         r#"{"op":"rank","whole":false,"coverage":"0.666666","ranges":[{"range":0,"version":1},{"range":2,"version":1}],
         "missing":[{"range":1,"reason":"no-answer","detail":"d"}],"certain":1,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_figure_says_whether_it_is_exact() {
+fn inexact_figure_is_marked_and_shows_its_bounds() {
     let page: Page = serde_json::from_str(
         r#"{"op":"sum","whole":false,"coverage":"0.5","ranges":[{"range":0,"version":1}],
         "missing":[{"range":1,"reason":"behind","detail":"d"}],
--- a/crates/client/src/walk.rs
+++ b/crates/client/src/walk.rs
@@ -1,24 +1,24 @@
-//! What a client does next: a state machine without I/O and without a clock.
+//! State machine that pages through a query, without I/O and without a clock.
 //!
-//! A page is requested until it is received: a rejection is retried after the time that the service gave, other failures
-//! with exponential backoff, with jitter so that clients that failed together do not retry together. A listing continues
-//! from the last cursor received, so no page is requested twice.
+//! A failed page request is retried: a rejection after the delay that the service gave, other failures after an
+//! exponential backoff. Jitter keeps clients that failed together from retrying together. A listing continues from the
+//! last cursor received, so no page is requested again once it is received.
 
 use crate::query::{Page, Problem, Query, Reply};
 
-/// Attempts after which the backoff no longer doubles.
+/// Number of attempts after which the backoff stops doubling.
 const MAX_ATTEMPTS_DOUBLED: u32 = 16;
 
 /// Limits of the retries and pages of a walk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budget {
-    /// Attempts of one page.
+    /// Maximum attempts for one page.
     pub attempts: u32,
-    /// Milliseconds of all waits together.
+    /// Maximum sum of all waits, in milliseconds.
     pub total_wait_ms: u64,
-    /// Milliseconds of the first backoff, where the service gives no time.
+    /// First backoff in milliseconds, used if the service gives no delay.
     pub backoff_ms: u64,
-    /// Pages; 0: all.
+    /// Maximum number of pages; 0 means no limit.
     pub pages: u32,
 }
 
@@ -28,35 +28,35 @@
     }
 }
 
-/// What to do next.
+/// The next action of the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Send this request.
     Request(Query),
-    /// Wait for so many milliseconds, then continue.
+    /// Wait for this number of milliseconds, then call [`Walk::wait_elapsed`].
     Wait(u64),
-    /// The walk has ended.
+    /// Stop: the walk has ended.
     End(End),
 }
 
-/// How a walk ended; its exit status tells them apart.
+/// How a walk ended; each end has its own [exit status](End::status).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
     /// All pages were received and are complete.
     Complete,
     /// All pages were received, and some are not complete.
     Partial,
-    /// The service rejected the last attempt; a later one is safe.
+    /// The service rejected the last attempt; the query can be retried later.
     Rejected(Problem),
-    /// The service failed or could not be reached at the last attempt.
+    /// The last attempt failed, or the service could not be reached.
     Failed(String),
-    /// The query is not valid.
+    /// The service considers the query invalid; a retry is of no use.
     InvalidQuery(Problem),
 }
 
 impl End {
-    /// The exit status of a program: 0 complete, 2 partial, 3 rejected, 4 failed, 5 an invalid query. 1 is left for its
-    /// own errors.
+    /// Exit status of the program: 0 complete, 2 partial, 3 rejected, 4 failed, 5 invalid query. 1 is reserved for the
+    /// program's own errors.
     pub fn status(&self) -> u8 {
         match self {
             Self::Complete => 0,
@@ -82,31 +82,31 @@
 }
 
 impl Walk {
-    /// A walk that has not begun; `seed` is for the jitter.
+    /// Creates a walk; `seed` initializes the jitter.
     pub fn new(query: Query, budget: Budget, seed: u64) -> Self {
         let next = Step::Request(query.clone());
         let rng = fastrand::Rng::with_seed(seed);
         Self { query, budget, rng, attempts: 0, waited_ms: 0, pages: 0, complete: true, next }
     }
 
-    /// What to do now.
+    /// The action that the walk expects now.
     pub fn step(&self) -> &Step {
         &self.next
     }
 
-    /// The cursor from which a later walk continues the listing.
+    /// Cursor from which a later walk can continue the listing.
     pub fn cursor(&self) -> Option<&str> {
         self.query.cursor.as_deref()
     }
 
-    /// The wait is over.
+    /// Signals that the requested wait is over; the next step is the retry.
     pub fn wait_elapsed(&mut self) {
         if let Step::Wait(_) = self.next {
             self.next = Step::Request(self.query.clone());
         }
     }
 
-    /// Handles the reply to the last request; returns its page, if it has one.
+    /// Handles the reply to the last request; returns the page if there is one.
     pub fn handle_reply(&mut self, reply: Reply) -> Option<Box<Page>> {
         self.attempts += 1;
         match reply {
@@ -123,7 +123,7 @@
             Reply::Problem(status, problem, retry_after_ms) => {
                 self.retry(retry_after_ms, End::Failed(format!("{status}: {}", problem.detail)));
             }
-            Reply::Lost(why) => self.retry(None, End::Failed(why)),
+            Reply::Failed(cause) => self.retry(None, End::Failed(cause)),
         }
         None
     }
@@ -135,25 +135,26 @@
         self.pages += 1;
         self.complete &= page.complete;
         let more = page.next.is_some();
-        // At the end the last cursor stays: there is nowhere else to continue from.
+        // The last page has no cursor; the previous one is kept so that the listing can be continued from there.
         if more {
             self.query.cursor.clone_from(&page.next);
         }
-        let enough = self.budget.pages > 0 && self.pages >= self.budget.pages;
-        self.next = match (more && !enough, page.rows.is_empty()) {
+        let limit_reached = self.budget.pages > 0 && self.pages >= self.budget.pages;
+        self.next = match (more && !limit_reached, page.rows.is_empty()) {
             (false, _) => Step::End(if self.complete { End::Complete } else { End::Partial }),
-            // Only missing ranges are left: an immediate request would flood the service.
+            // An empty page means that only missing ranges are left. Repeating the request at once would flood the
+            // service.
             (true, true) => return self.retry(None, End::Partial),
             (true, false) => Step::Request(self.query.clone()),
         };
     }
 
-    /// Retries after the time that the service gave, or after a backoff; ends the walk if the budget is used up.
+    /// Schedules a retry after the service's delay or a backoff, or ends the walk if the budget is exhausted.
     fn retry(&mut self, retry_after_ms: Option<u64>, end: End) {
         let doublings = self.attempts.clamp(1, MAX_ATTEMPTS_DOUBLED).saturating_sub(1);
         let backoff_ms = self.budget.backoff_ms.saturating_mul(1 << doublings);
         let base_ms = retry_after_ms.unwrap_or(backoff_ms).max(1);
-        // Never earlier than the service allows.
+        // Jitter only lengthens the wait: a retry before the service's delay would be rejected again.
         let wait_ms = base_ms.saturating_add(self.rng.u64(0..=base_ms / 2));
         let total_wait_ms = self.waited_ms.saturating_add(wait_ms);
         if self.attempts >= self.budget.attempts || total_wait_ms > self.budget.total_wait_ms {
