--- a/crates/accounting/src/attempt_counts.rs
+++ b/crates/accounting/src/attempt_counts.rs
@@ -1,8 +1,8 @@
-//! Attempts by outcome.
+//! Counts of attempts by outcome.
 
 use curlewdeck_core::api::Outcome;
 
-/// The outcomes of attempts with their names, in the order in which they are counted and stored.
+/// The outcomes of attempts and their names in logs and in the MIB, in the order of stored counts.
 pub const ATTEMPT_OUTCOMES: [(Outcome, &str); 9] = [
     (Outcome::Success, "pass"),
     (Outcome::ServerError, "fault"),
@@ -15,48 +15,48 @@
     (Outcome::NotSent, "staleSend"),
 ];
 
-/// An outcome's index in [`ATTEMPT_OUTCOMES`].
+/// Index of an outcome in [`ATTEMPT_OUTCOMES`].
 fn outcome_index(outcome: Outcome) -> usize {
     ATTEMPT_OUTCOMES.iter().position(|o| o.0 == outcome).unwrap_or(ATTEMPT_OUTCOMES.len() - 1)
 }
 
-/// How many attempts were started and how they ended.
+/// Counts of attempts started and ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AttemptCounts {
-    /// Started.
+    /// Attempts started, including retries and hedges.
     pub started: u64,
-    /// Of them: not the first one of their part.
+    /// Attempts started after the first one of their part; hedges included.
     pub retries: u64,
-    /// Of them: started while another one of their part was in flight.
+    /// Attempts started while an earlier attempt of the same part was in flight.
     pub hedges: u64,
-    /// Ended, in the order of [`ATTEMPT_OUTCOMES`].
+    /// Attempts ended, by outcome in the order of [`ATTEMPT_OUTCOMES`].
     pub ended: [u64; ATTEMPT_OUTCOMES.len()],
 }
 
 impl AttemptCounts {
-    /// Counts an attempt that starts, by its number in its part (0 is the first one).
+    /// Counts the start of an attempt; `number` is its number in its part, from 0.
     pub(crate) fn record_start(&mut self, number: u32, hedge: bool) {
         self.started += 1;
         self.retries += u64::from(number > 0);
         self.hedges += u64::from(hedge);
     }
 
-    /// Counts an attempt that has ended.
+    /// Counts the end of an attempt.
     pub(crate) fn record_end(&mut self, outcome: Outcome) {
         self.ended[outcome_index(outcome)] += 1;
     }
 
-    /// All that have ended.
+    /// Number of attempts that have ended, with any outcome.
     pub fn total_ended(&self) -> u64 {
         self.ended.iter().sum()
     }
 
-    /// Those that are in flight.
+    /// Number of attempts started but not ended.
     pub fn in_flight(&self) -> u64 {
         self.started - self.total_ended()
     }
 
-    /// Those that ended with this outcome.
+    /// Number of attempts that ended with this outcome.
     pub fn ended_with(&self, outcome: Outcome) -> u64 {
         self.ended[outcome_index(outcome)]
     }
--- a/crates/accounting/src/class_totals.rs
+++ b/crates/accounting/src/class_totals.rs
@@ -1,4 +1,4 @@
-//! The totals of one class of queries.
+//! Totals of the queries of one class.
 
 use curlewdeck_core::api::{Class, Nanos};
 use hdrhistogram::Histogram;
@@ -7,33 +7,33 @@
 use crate::query_value::QueryValue;
 use crate::saved::SavedClass;
 
-/// The quantiles of the latency of answers in a [`ClassRow`], in thousandths.
+/// Latency quantiles reported in a [`ClassRow`], in thousandths.
 pub const LATENCY_QUANTILES: [u32; 5] = [500, 900, 950, 990, 1000];
 
-/// A longer latency is counted as this one.
+/// Longer latencies are recorded as this one.
 const MAX_LATENCY_MS: u64 = 3_600_000;
-/// Two digits take about 10 KB a class.
+/// Precision of the latency histogram; two digits take about 10 KB per class.
 const LATENCY_SIGNIFICANT_DIGITS: u8 = 2;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// The totals of one class.
+/// Totals of one class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassRow {
-    /// The class's name.
+    /// Name of the class in the settings.
     pub name: String,
-    /// Queries accepted.
+    /// Queries accepted, including those still open.
     pub accepted: u64,
-    /// Queries rejected because the queue was full; they are not among those accepted.
+    /// Queries rejected because the queue was full; not counted as accepted.
     pub queue_full: u64,
-    /// Queries that have ended, in the order of [`QueryEnd::ALL`].
+    /// Queries that have ended, by end in the order of [`QueryEnd::ALL`].
     pub ended: [u64; QueryEnd::ALL.len()],
-    /// Value requested by all that were accepted, in millionths.
+    /// Value requested by all accepted queries, in millionths.
     pub value_requested: u64,
-    /// Value served, in millionths.
+    /// Value served by answers, in millionths.
     pub value_served: u64,
-    /// The [quantiles](LATENCY_QUANTILES) of the latency of answers, in milliseconds; none where there is no answer.
+    /// [Quantiles](LATENCY_QUANTILES) of the latency of answers, in milliseconds; `None` before the first answer.
     pub latency_ms: Option<[u64; LATENCY_QUANTILES.len()]>,
-    /// The sum of the latencies of answers, in milliseconds.
+    /// Sum of the latencies of answers, in milliseconds.
     pub latency_sum_ms: u64,
 }
 
@@ -51,18 +51,18 @@
         }
     }
 
-    /// Queries that are open.
+    /// Number of queries accepted but not ended.
     pub fn open(&self) -> u64 {
         self.accepted - self.ended.iter().sum::<u64>()
     }
 
-    /// Queries that ended in this way.
+    /// Number of queries that ended in this way.
     pub fn ended_with(&self, end: QueryEnd) -> u64 {
-        Self::nth(&self.ended, end)
+        Self::count_of(&self.ended, end)
     }
 
-    /// One of several counts that are in the order of [`QueryEnd::ALL`].
-    pub fn nth(ended: &[u64; QueryEnd::ALL.len()], end: QueryEnd) -> u64 {
+    /// Looks up the count of one end in counts that are in the order of [`QueryEnd::ALL`].
+    pub fn count_of(ended: &[u64; QueryEnd::ALL.len()], end: QueryEnd) -> u64 {
         QueryEnd::ALL.iter().zip(ended).find(|(e, _)| **e == end).map_or(0, |(_, n)| *n)
     }
 }
@@ -73,7 +73,7 @@
     row: ClassRow,
     value: QueryValue,
     latency_ms: Histogram<u64>,
-    /// Of `row.queue_full`: what an earlier process had counted.
+    /// The share of `row.queue_full` that was restored from an earlier process.
     restored_queue_full: u64,
 }
 
@@ -83,37 +83,37 @@
             class: class.clone(),
             row: ClassRow::new(name),
             value: QueryValue::of_class(class),
-            // The bounds are constants that a histogram can have.
+            // The bounds are constants within the limits of a histogram.
             latency_ms: Histogram::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_SIGNIFICANT_DIGITS)
-                .expect("bounds of a histogram"),
+                .expect("valid histogram bounds"),
             restored_queue_full: 0,
         }
     }
 
-    /// The totals, without the quantiles of the latency.
+    /// The totals without latency quantiles.
     pub(crate) fn row(&self) -> &ClassRow {
         &self.row
     }
 
-    /// The totals.
+    /// The totals with latency quantiles.
     pub(crate) fn snapshot(&self) -> ClassRow {
         let quantile = |q: u32| self.latency_ms.value_at_quantile(f64::from(q) / 1000.0);
         let latency_ms = (!self.latency_ms.is_empty()).then(|| LATENCY_QUANTILES.map(quantile));
         ClassRow { latency_ms, ..self.row.clone() }
     }
 
-    /// Counts a query that is accepted.
+    /// Counts an accepted query and the value that it requests.
     pub(crate) fn record_accepted(&mut self) {
         self.row.accepted += 1;
         self.row.value_requested = self.row.value_requested.saturating_add(self.value.full);
     }
 
-    /// Sets how many queries this process has rejected because the queue was full.
+    /// Sets the number of queries that this process rejected because the queue was full. The total never decreases.
     pub(crate) fn set_queue_full(&mut self, count: u64) {
         self.row.queue_full = self.row.queue_full.max(self.restored_queue_full.saturating_add(count));
     }
 
-    /// Counts an answer: its latency, whether it is complete, and otherwise which share of the weight it covers.
+    /// Counts an answer by its latency, its completeness and the share of the weight that it covers.
     pub(crate) fn record_answer(&mut self, latency: Nanos, complete: bool, coverage: f64) -> QueryEnd {
         let in_time = latency <= self.class.latency_objective;
         let end = match (complete, in_time) {
@@ -130,13 +130,13 @@
         end
     }
 
-    /// Counts the end of a query.
+    /// Counts the end of a query without a value.
     pub(crate) fn record_end(&mut self, end: QueryEnd) {
         let index = QueryEnd::ALL.iter().position(|e| *e == end).unwrap_or(0);
         self.row.ended[index] += 1;
     }
 
-    /// What outlives the process: the queries that have ended.
+    /// The totals to store; queries that are still open are left out.
     pub(crate) fn save(&self) -> SavedClass {
         let value_of_open = self.value.full.saturating_mul(self.row.open());
         SavedClass {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Continues from what an earlier process saved.
+    /// Continues from the totals stored by an earlier process.
     pub(crate) fn restore(&mut self, saved: &SavedClass) {
         let row = &mut self.row;
         row.ended = saved.ended;
--- a/crates/accounting/src/ledger_snapshot.rs
+++ b/crates/accounting/src/ledger_snapshot.rs
@@ -1,4 +1,4 @@
-//! All counts at one moment, and what must hold among them.
+//! Snapshots of all counts, and their consistency check.
 
 use curlewdeck_core::api::Nanos;
 
@@ -6,30 +6,30 @@
 use crate::class_totals::ClassRow;
 use crate::node_table::NodeRow;
 
-/// All counts at one moment.
+/// All counts at one point in time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LedgerSnapshot {
-    /// The moment.
+    /// When the snapshot was taken.
     pub at: Nanos,
-    /// By class, in the order of the settings.
+    /// Totals by class, in the order of the settings.
     pub classes: Vec<ClassRow>,
-    /// All attempts, including those at nodes that were removed since.
+    /// All attempts, including those at nodes that have been removed.
     pub attempts: AttemptCounts,
-    /// By node, in the order of their indices.
+    /// Counts by node, ordered by index.
     pub nodes: Vec<NodeRow>,
-    /// Rows of removed nodes that were evicted before their retention was over.
+    /// Number of rows of removed nodes evicted before their retention had passed.
     pub nodes_evicted: u64,
-    /// Nodes for which there was no row; their attempts count in the totals only.
+    /// Number of nodes that got no row because the table was full; their attempts count only in the totals.
     pub nodes_unlisted: u64,
 }
 
-/// What does not hold in a [`LedgerSnapshot`].
+/// A violated invariant of a [`LedgerSnapshot`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InconsistentLedger {
     /// More queries of a class have ended than were accepted.
-    #[error("class {class}: {ended} ended of {accepted} taken")]
+    #[error("class {class}: {ended} queries ended, but only {accepted} were accepted")]
     MoreQueriesEnded {
-        /// The class's name.
+        /// Name of the class.
         class: String,
         /// Queries that have ended.
         ended: u64,
@@ -37,9 +37,9 @@
         accepted: u64,
     },
     /// More value of a class was served than was requested.
-    #[error("class {class}: {served} earned of {requested} asked")]
+    #[error("class {class}: value {served} was served, but only {requested} was requested (in millionths)")]
     MoreValueServed {
-        /// The class's name.
+        /// Name of the class.
         class: String,
         /// Value served, in millionths.
         served: u64,
@@ -47,7 +47,7 @@
         requested: u64,
     },
     /// More attempts have ended than were started.
-    #[error("{ended} attempts ended of {started} started")]
+    #[error("{ended} attempts ended, but only {started} were started")]
     MoreAttemptsEnded {
         /// Attempts that have ended.
         ended: u64,
@@ -55,13 +55,13 @@
         started: u64,
     },
     /// More attempts at a node have ended than were started there.
-    #[error("node {node}: more attempts ended than started")]
+    #[error("node {node}: more attempts ended than were started")]
     MoreAttemptsEndedAtNode {
-        /// The node's name.
+        /// Name of the node in the endpoint list.
         node: String,
     },
     /// More attempts were started at all nodes together than in total.
-    #[error("{at_nodes} attempts at nodes of {started} in all")]
+    #[error("{at_nodes} attempts were started at nodes, but only {started} in total")]
     MoreAttemptsAtNodes {
         /// Attempts started at nodes.
         at_nodes: u64,
@@ -71,15 +71,15 @@
 }
 
 impl LedgerSnapshot {
-    /// A count summed over all classes.
+    /// Sums a count over all classes.
     pub fn sum(&self, count: impl Fn(&ClassRow) -> u64) -> u64 {
         self.classes.iter().map(count).sum()
     }
 
-    /// Checks what must hold in every snapshot.
+    /// Checks the invariants of a snapshot.
     ///
     /// # Errors
-    /// The first thing that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), InconsistentLedger> {
         self.classes.iter().try_for_each(check_class)?;
         let (started, ended) = (self.attempts.started, self.attempts.total_ended());
--- a/crates/accounting/src/lib.rs
+++ b/crates/accounting/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a coordinator has served, counted once.
+//! Accounting of the queries and attempts of a coordinator.
 //!
-//! A query is counted when it is accepted and at its one end, by class and by [`QueryEnd`], with the value that it
-//! requested and the value that was served. An attempt is counted when it starts and at its one end, by
-//! [outcome](ATTEMPT_OUTCOMES) and by node. In every [`LedgerSnapshot`] what was accepted is what has ended and what is
-//! open, for queries by class and for attempts by node; and no more value was served than was requested. The crate reads
-//! no clock.
+//! A query is counted when it is accepted and once when it ends, by class and by [`QueryEnd`], with the value requested
+//! and the value served. An attempt is counted when it starts and once when it ends, by [outcome](ATTEMPT_OUTCOMES) and
+//! by node. Every [`LedgerSnapshot`] is balanced: the queries accepted in a class are those ended plus those open, the
+//! attempts started at a node are those ended plus those in flight, and the value served is at most the value
+//! requested. The crate reads no clock.
 
 mod attempt_counts;
 mod class_totals;
--- a/crates/accounting/src/node_table.rs
+++ b/crates/accounting/src/node_table.rs
@@ -1,7 +1,7 @@
-//! The counts of data nodes: a bounded number of rows, with indices that are never used for another node.
+//! Counts by data node, in a bounded number of rows whose indices are never reused.
 //!
-//! A removed node keeps its row for the retention; its attempts stay in the totals after that. If the table is full, the
-//! row of the node that was removed first is evicted, which is counted.
+//! The row of a removed node is kept for the retention time; its attempts stay in the totals after that. If the table
+//! is full, the row of the node removed first is evicted, and the eviction is counted.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -12,41 +12,41 @@
 /// Bounds of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeBounds {
-    /// How many rows there are at most.
+    /// Maximum number of rows.
     pub max_rows: usize,
-    /// How long a removed node keeps its row.
+    /// How long the row of a removed node is kept.
     pub retention: Nanos,
 }
 
-/// The counts of one node.
+/// State and counts of one node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeRow {
-    /// Its index, from 1; never used for another node.
+    /// Index of the row, from 1; never reused for another node.
     pub index: u32,
-    /// Its name in the endpoint list.
+    /// Name of the node in the endpoint list.
     pub name: String,
-    /// Its state in the endpoint list.
+    /// State of the node in the endpoint list.
     pub state: EndpointState,
-    /// Since when it is in that state.
+    /// When the node entered that state.
     pub state_since: Nanos,
-    /// When it got its row: its counts begin there.
+    /// When the row was created and counting began.
     pub created: Nanos,
-    /// How often it began to drain.
+    /// How often the node began to drain.
     pub drains: u64,
-    /// Its attempts.
+    /// Attempts at this node since `created`.
     pub attempts: AttemptCounts,
-    /// Since when the core no longer knows it.
+    /// When the core removed the node; `None` while the core knows it.
     pub removed_at: Option<Nanos>,
 }
 
-/// The rows of the nodes.
+/// The table of node rows.
 pub struct NodeTable {
     bounds: NodeBounds,
     rows: BTreeMap<u32, NodeRow>,
-    /// The indices of the nodes that the core knows, by their ids.
+    /// Row indices of the nodes that the core knows.
     by_id: HashMap<ServerId, u32>,
-    /// Nodes that get no row as long as the core knows them: a row that came later would count the ends of attempts
-    /// whose starts it has not counted.
+    /// Nodes that get no row while the core knows them. A row created later would count ends of attempts whose starts
+    /// it did not count.
     unlisted_ids: HashSet<ServerId>,
     next_index: u32,
     evicted: u64,
@@ -54,7 +54,7 @@
 }
 
 impl NodeTable {
-    /// A table without rows.
+    /// Creates an empty table.
     pub fn new(bounds: NodeBounds) -> Self {
         Self {
             bounds,
@@ -67,40 +67,40 @@
         }
     }
 
-    /// The index of the next node.
+    /// Index that the next new row gets.
     pub fn next_index(&self) -> u32 {
         self.next_index
     }
 
-    /// Continues from the counts of an earlier process.
+    /// Continues from the indices and counts of an earlier process.
     pub fn restore(&mut self, next_index: u32, evicted: u64, unlisted: u64) {
         (self.next_index, self.evicted, self.unlisted) = (self.next_index.max(next_index), evicted, unlisted);
     }
 
-    /// Rows that were evicted before their retention was over.
+    /// Number of rows evicted before their retention had passed.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Nodes for which there was no row.
+    /// Number of nodes that got no row because the table was full.
     pub fn unlisted(&self) -> u64 {
         self.unlisted
     }
 
-    /// The row of a node at which an attempt starts; a node that has none by now gets none any more.
-    pub fn row_to_start(&mut self, id: ServerId) -> Option<&mut NodeRow> {
+    /// The row of a node at which an attempt starts. A node that has no row at its first attempt stays without one.
+    pub fn row_for_attempt_start(&mut self, id: ServerId) -> Option<&mut NodeRow> {
         if !self.by_id.contains_key(&id) {
             self.unlisted_ids.insert(id);
         }
         self.row(id)
     }
 
-    /// A node's row.
+    /// The row of a node that the core knows.
     pub fn row(&mut self, id: ServerId) -> Option<&mut NodeRow> {
         self.rows.get_mut(self.by_id.get(&id)?)
     }
 
-    /// Takes note of a node's state. A node that is removed when it is first seen gets no row.
+    /// Records a node's state, and creates its row if needed. A node first seen as removed gets no row.
     pub fn update_state(&mut self, now: Nanos, id: ServerId, name: &str, state: EndpointState) {
         if !self.by_id.contains_key(&id) {
             if state == EndpointState::Removed || self.unlisted_ids.contains(&id) {
@@ -127,7 +127,7 @@
             self.rows.remove(&oldest);
             self.evicted += 1;
         }
-        // No process ever sees as many nodes as there are indices.
+        // Saturation is unreachable: no process sees as many nodes as there are indices.
         let index = self.next_index;
         self.next_index = self.next_index.saturating_add(1);
         let row = NodeRow {
@@ -144,8 +144,8 @@
         self.by_id.insert(id, index);
     }
 
-    /// Takes note that the core no longer knows a node.
-    pub fn removed(&mut self, now: Nanos, id: ServerId) {
+    /// Records that the core has removed a node.
+    pub fn mark_removed(&mut self, now: Nanos, id: ServerId) {
         self.unlisted_ids.remove(&id);
         let Some(index) = self.by_id.remove(&id) else { return };
         if let Some(row) = self.rows.get_mut(&index) {
@@ -156,13 +156,13 @@
         }
     }
 
-    /// Drops the rows whose retention is over.
+    /// Removes rows whose retention has passed.
     fn prune(&mut self, now: Nanos) {
         let retention = self.bounds.retention;
         self.rows.retain(|_, r| r.removed_at.is_none_or(|at| now.saturating_sub(at) <= retention));
     }
 
-    /// All rows, in the order of their indices.
+    /// All rows within their retention, ordered by index.
     pub fn rows(&mut self, now: Nanos) -> Vec<NodeRow> {
         self.prune(now);
         self.rows.values().cloned().collect()
--- a/crates/accounting/src/process_stats.rs
+++ b/crates/accounting/src/process_stats.rs
@@ -1,4 +1,4 @@
-//! The counts of this process that operators fetch from the second address, one a line.
+//! Process statistics that operators fetch from the control address, one value per line.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,44 +8,45 @@
 use crate::request_ledger::RequestLedger;
 use crate::saved::SavedLedger;
 
-/// What the request ledger does not count.
+/// Values that the request ledger does not count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ProcessGauges {
-    /// Attempts whose frame was written to a data node completely.
+    /// Attempts whose frame was completely written to a data node.
     pub attempts_written: u64,
     /// Data nodes in the endpoint list.
     pub nodes_known: usize,
-    /// Those of them that get no attempts now.
+    /// Data nodes in the endpoint list that currently receive no attempts.
     pub nodes_excluded: usize,
-    /// Configurations that were applied at SIGHUP.
+    /// Reloads by SIGHUP whose configuration was applied.
     pub reloads_ok: u64,
-    /// Configurations that were rejected at SIGHUP.
+    /// Reloads by SIGHUP whose configuration was rejected.
     pub reloads_failed: u64,
 }
 
-/// How the queries of a class ended, as their clients saw it.
+/// Counts of the queries of a class by their outcome for the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct OutcomeCounts {
-    /// Answered.
+    /// Queries answered, completely or in part.
     pub served: u64,
-    /// Rejected.
+    /// Queries rejected, including those rejected because the queue was full.
     pub rejected: u64,
-    /// Given up.
+    /// Queries accepted but abandoned without an answer.
     pub failed: u64,
 }
 
-/// The counts of this process at one moment.
+/// Statistics of this process at one point in time.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ProcessStats {
-    /// By the name of the class. A class that was removed, or has other rules since, keeps its counts.
+    /// Counts by class name. A class that was removed, or whose rules have changed, keeps its counts.
     pub classes: BTreeMap<String, OutcomeCounts>,
-    /// Queries that were accepted and have not ended.
+    /// Number of queries accepted but not ended.
     pub in_flight: usize,
-    /// What the request ledger does not count.
+    /// Values that the request ledger does not count.
     pub gauges: ProcessGauges,
 }
 
-/// The counts of this process: what was restored from an earlier one is subtracted, so that every process counts from 0.
+/// Computes the statistics of this process. Counts restored from an earlier process are subtracted, so that every
+/// process counts from 0.
 pub fn process_stats(
     ledger: &RequestLedger,
     restored: Option<&SavedLedger>,
@@ -60,7 +61,7 @@
     }
     for saved in restored.iter().flat_map(|s| &s.classes) {
         let Some(counts) = classes.get_mut(&saved.name) else { continue };
-        let ended = |end| ClassRow::nth(&saved.ended, end);
+        let ended = |end| ClassRow::count_of(&saved.ended, end);
         counts.served = counts.served.saturating_sub(answered(ended));
         counts.rejected = counts.rejected.saturating_sub(ended(QueryEnd::Rejected) + saved.queue_full);
         counts.failed = counts.failed.saturating_sub(ended(QueryEnd::Failed));
@@ -68,13 +69,13 @@
     ProcessStats { classes, in_flight: ledger.open_queries(), gauges }
 }
 
-/// Queries that were answered, completely or in part.
+/// Number of queries answered, completely or in part.
 fn answered(ended: impl Fn(QueryEnd) -> u64) -> u64 {
     ended(QueryEnd::CompleteInTime) + ended(QueryEnd::CompleteLate) + ended(QueryEnd::Partial)
 }
 
 impl ProcessStats {
-    /// The counts as text, one `edge_lb.NAME=VALUE` a line.
+    /// Formats the statistics as lines of `edge_lb.NAME=VALUE`.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
--- a/crates/accounting/src/query_end.rs
+++ b/crates/accounting/src/query_end.rs
@@ -1,24 +1,24 @@
-//! How a query ends.
+//! Final states of queries.
 
-/// How a query ended.
+/// The final state of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum QueryEnd {
     /// Answered completely, within the class's latency objective.
     CompleteInTime,
-    /// Answered completely, after it.
+    /// Answered completely, after the class's latency objective.
     CompleteLate,
-    /// Answered in part.
+    /// Answered with part of the data.
     Partial,
-    /// Rejected: the client may retry without harm.
+    /// Rejected; the client can safely retry. Rejections by a full queue are counted separately.
     Rejected,
-    /// Given up.
+    /// Abandoned without an answer.
     Failed,
-    /// Its client disconnected.
+    /// The client disconnected before an answer was sent.
     ClientDisconnected,
 }
 
 impl QueryEnd {
-    /// All ends, in the order in which they are counted and stored.
+    /// All ends, in the order of stored counts.
     pub const ALL: [Self; 6] = [
         Self::CompleteInTime,
         Self::CompleteLate,
@@ -28,7 +28,7 @@
         Self::ClientDisconnected,
     ];
 
-    /// Its name in logs and in the management information base.
+    /// The name used in logs and in the MIB.
     pub fn name(self) -> &'static str {
         match self {
             Self::CompleteInTime => "wholeInTime",
--- a/crates/accounting/src/query_value.rs
+++ b/crates/accounting/src/query_value.rs
@@ -1,25 +1,25 @@
-//! The value of an answer, as the deployment counts it: the full value within the latency objective, a share of it after
-//! that, and for a partial answer a share of it by what the answer covers.
+//! The value of an answer as configured for its class: the full value within the latency objective, a fraction of it
+//! after that, and for a partial answer a fraction that depends on its coverage.
 
 use curlewdeck_core::api::Class;
 
-/// The value of a query of a class, in millionths: integers, so that sums are exact.
+/// The value of a query of one class, in integer millionths so that sums are exact.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueryValue {
-    /// Of a complete answer within the latency objective: what a query requests.
+    /// Value of a complete answer within the latency objective, which is the value that a query requests.
     pub full: u64,
     late_ratio: f64,
     partial_ratio: f64,
     complete_coverage: f64,
 }
 
-/// Millionths in a value of one.
+/// Number of millionths in a value of 1.
 pub const MILLIONTHS: f64 = 1e6;
 
 impl QueryValue {
-    /// The value of a query of a class.
+    /// Computes the value of the queries of a class.
     pub fn of_class(class: &Class) -> Self {
-        // The priority weight is finite and not negative: the settings are checked.
+        // Validation of the settings ensures that the priority weight is finite and not negative.
         let full = (class.priority_weight * MILLIONTHS).round() as u64;
         Self {
             full,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// The value of an answer that covers this share of the weight of its parts: rounded down, and never more than
-    /// [`full`](Self::full).
+    /// The value of an answer; `coverage` is the share of the weight of its parts that it covers. Rounded down, and at
+    /// most [`full`](Self::full).
     pub fn served(&self, complete: bool, in_time: bool, coverage: f64) -> u64 {
         let time_ratio = if in_time { 1.0 } else { self.late_ratio };
         let coverage_ratio = match complete {
--- a/crates/accounting/src/request_ledger.rs
+++ b/crates/accounting/src/request_ledger.rs
@@ -1,4 +1,4 @@
-//! The counts of one process.
+//! The request ledger of a process.
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 use crate::query_end::QueryEnd;
 use crate::saved::SavedLedger;
 
-/// Counts queries and attempts.
+/// Counts queries by class and attempts by node.
 pub struct RequestLedger {
     classes: Vec<ClassTotals>,
     open_queries: HashMap<QueryId, OpenQuery>,
@@ -26,7 +26,7 @@
 }
 
 impl RequestLedger {
-    /// A ledger of these classes, with all counts at 0.
+    /// Creates a ledger of these classes with all counts at 0.
     pub fn new(classes: &[Class], names: &[String], bounds: NodeBounds) -> Self {
         let mut ledger = Self {
             classes: Vec::new(),
@@ -38,33 +38,33 @@
         ledger
     }
 
-    /// Adds the classes behind those that the ledger has: the index of a class never becomes another one's.
+    /// Adds the classes whose index is beyond those of the ledger. The index of a class is never reused.
     pub fn add_classes(&mut self, classes: &[Class], names: &[String]) {
         let added = classes.iter().zip(names).skip(self.classes.len());
         self.classes.extend(added.map(|(class, name)| ClassTotals::new(class, name)));
     }
 
-    /// The totals of the classes, without the quantiles of the latency.
+    /// The totals of the classes, without latency quantiles.
     pub fn rows(&self) -> impl Iterator<Item = &ClassRow> {
         self.classes.iter().map(ClassTotals::row)
     }
 
-    /// Counts a query that is accepted.
+    /// Counts an accepted query. A query of an unknown class is ignored.
     pub fn query_accepted(&mut self, now: Nanos, query: QueryId, class: ClassId) {
         let Some(totals) = self.classes.get_mut(class.0) else { return };
         totals.record_accepted();
         self.open_queries.insert(query, OpenQuery { class, accepted_at: now });
     }
 
-    /// Sets how many queries of a class this process has rejected in all because the queue was full.
+    /// Sets the total number of queries of a class that this process rejected because the queue was full.
     pub fn queries_rejected_queue_full(&mut self, class: ClassId, count: u64) {
         if let Some(totals) = self.classes.get_mut(class.0) {
             totals.set_queue_full(count);
         }
     }
 
-    /// Counts the answer of a query, which covers this share of the weight of its parts. Only the first end of a query
-    /// counts; returns it.
+    /// Counts the answer of a query; `coverage` is the share of the weight of its parts that it covers. Returns the end
+    /// that was counted; `None` if the query is not open, since only its first end counts.
     pub fn query_answered(
         &mut self,
         now: Nanos,
@@ -77,23 +77,24 @@
         Some(totals.record_answer(now.saturating_sub(open.accepted_at), complete, coverage))
     }
 
-    /// Counts the end of a query that is not answered. Only the first end of a query counts; returns it.
+    /// Counts the end of a query without an answer. Returns the end that was counted; `None` if the query is not open,
+    /// since only its first end counts.
     pub fn query_ended(&mut self, query: QueryId, end: QueryEnd) -> Option<QueryEnd> {
         let open = self.open_queries.remove(&query)?;
         self.classes.get_mut(open.class.0)?.record_end(end);
         Some(end)
     }
 
-    /// Counts an attempt that starts at a node: its number in its part (0 is the first one), and whether another one of
-    /// the part is in flight.
+    /// Counts the start of an attempt at a node; `number` is its number in its part, from 0, and `hedge` whether an
+    /// earlier attempt of the part is in flight.
     pub fn attempt_started(&mut self, node: ServerId, number: u32, hedge: bool) {
         self.attempts.record_start(number, hedge);
-        if let Some(row) = self.nodes.row_to_start(node) {
+        if let Some(row) = self.nodes.row_for_attempt_start(node) {
             row.attempts.record_start(number, hedge);
         }
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt at a node.
     pub fn attempt_ended(&mut self, node: ServerId, outcome: Outcome) {
         self.attempts.record_end(outcome);
         if let Some(row) = self.nodes.row(node) {
@@ -101,17 +102,17 @@
         }
     }
 
-    /// Takes note of a node's state in the endpoint list.
+    /// Records a node's state in the endpoint list.
     pub fn node_state(&mut self, now: Nanos, node: ServerId, name: &str, state: EndpointState) {
         self.nodes.update_state(now, node, name, state);
     }
 
-    /// Takes note that the core has removed a node: none of its attempts is in flight, and its id is not used again.
+    /// Records that the core has removed a node. None of its attempts is in flight, and its id is not reused.
     pub fn node_removed(&mut self, now: Nanos, node: ServerId) {
-        self.nodes.removed(now, node);
+        self.nodes.mark_removed(now, node);
     }
 
-    /// What outlives the process: what has ended. The next process will not answer what is open now.
+    /// The counts to store. Open queries and attempts are left out: the next process cannot complete them.
     pub fn save(&self) -> SavedLedger {
         let ended = self.attempts.total_ended();
         SavedLedger {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Continues from what an earlier process saved: the totals, by the names of the classes, and the nodes' indices,
-    /// which are not used again. To be called before anything is counted.
+    /// Continues from the counts stored by an earlier process: totals, matched by class name, and the next node index,
+    /// so that indices are not reused. Must be called before anything is counted.
     pub fn restore(&mut self, saved: &SavedLedger) {
         for totals in &mut self.classes {
             if let Some(class) = saved.classes.iter().find(|c| c.name == totals.row().name) {
@@ -140,22 +141,22 @@
         self.nodes.restore(saved.next_node_index, saved.nodes_evicted, saved.nodes_unlisted);
     }
 
-    /// How many queries are open.
+    /// Number of queries accepted but not ended.
     pub fn open_queries(&self) -> usize {
         self.open_queries.len()
     }
 
-    /// All attempts.
+    /// Counts of the attempts at all nodes.
     pub fn attempts(&self) -> &AttemptCounts {
         &self.attempts
     }
 
-    /// A count summed over all classes, without a snapshot.
+    /// Sums a count over all classes, without taking a snapshot.
     pub fn sum(&self, count: impl Fn(&ClassRow) -> u64) -> u64 {
         self.rows().map(count).sum()
     }
 
-    /// All counts as of now.
+    /// Takes a snapshot of all counts.
     pub fn snapshot(&mut self, now: Nanos) -> LedgerSnapshot {
         LedgerSnapshot {
             at: now,
--- a/crates/accounting/src/saved.rs
+++ b/crates/accounting/src/saved.rs
@@ -1,49 +1,49 @@
-//! What outlives a process, in its stored form: postcard, so that the order and the types of the fields must stay. The
-//! words by which serde knows the fields are those of the first version.
+//! The stored form of the counts. It is encoded with postcard, so the order and the types of the fields must not
+//! change. The serde names of the fields are those of the first version.
 
 use serde::{Deserialize, Serialize};
 
 use crate::attempt_counts::ATTEMPT_OUTCOMES;
 use crate::query_end::QueryEnd;
 
-/// The totals of one class.
+/// Stored totals of one class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedClass {
-    /// Its name, by which the next process knows it.
+    /// Name of the class, by which the next process matches it.
     pub name: String,
     /// Queries rejected because the queue was full.
     #[serde(rename = "full")]
     pub queue_full: u64,
-    /// Queries that have ended, in the order of [`QueryEnd::ALL`].
+    /// Queries that have ended, by end in the order of [`QueryEnd::ALL`].
     pub ended: [u64; QueryEnd::ALL.len()],
-    /// Value requested by those, in millionths.
+    /// Value requested by the queries that have ended, in millionths.
     #[serde(rename = "asked")]
     pub value_requested: u64,
-    /// Value served, in millionths.
+    /// Value served by answers, in millionths.
     #[serde(rename = "earned")]
     pub value_served: u64,
-    /// The sum of the latencies of answers, in milliseconds.
+    /// Sum of the latencies of answers, in milliseconds.
     pub latency_sum_ms: u64,
 }
 
-/// The totals of what has ended, and the node index that is used next.
+/// Stored totals of ended queries and attempts, and the next node index.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SavedLedger {
-    /// By class.
+    /// Totals by class, in the order of the settings.
     pub classes: Vec<SavedClass>,
-    /// Attempts that were not the first one of their part.
+    /// Attempts started after the first one of their part.
     #[serde(rename = "repeats")]
     pub retries: u64,
-    /// Attempts that were started while another one of their part was in flight.
+    /// Attempts started while an earlier attempt of the same part was in flight.
     #[serde(rename = "copies")]
     pub hedges: u64,
-    /// Attempts that have ended, in the order of [`ATTEMPT_OUTCOMES`].
+    /// Attempts that have ended, by outcome in the order of [`ATTEMPT_OUTCOMES`].
     pub ended: [u64; ATTEMPT_OUTCOMES.len()],
-    /// The index of the next node.
+    /// Index that the next new node row gets.
     #[serde(rename = "next_node")]
     pub next_node_index: u32,
-    /// Rows of removed nodes that were evicted before their retention was over.
+    /// Number of rows of removed nodes evicted before their retention had passed.
     pub nodes_evicted: u64,
-    /// Nodes for which there was no row.
+    /// Number of nodes that got no row because the table was full.
     pub nodes_unlisted: u64,
 }
--- a/crates/accounting/tests/common/mod.rs
+++ b/crates/accounting/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A class of queries, as the tests use it.
+//! The query class used by the tests.
 
 use curlewdeck_core::api::{Class, Nanos, RetrySafety};
 
--- a/crates/accounting/tests/process_stats.rs
+++ b/crates/accounting/tests/process_stats.rs
@@ -1,4 +1,4 @@
-//! The counts that operators fetch from the second address.
+//! Process statistics that operators fetch from the control address.
 
 mod common;
 
@@ -13,7 +13,7 @@
     RequestLedger::new(&vec![class(); names.len()], &names, NodeBounds { max_rows: 4, retention: 1 })
 }
 
-/// Accepts a query and ends it: with an answer where no other end is given.
+/// Accepts a query and ends it, with an answer if no other end is given.
 fn end(ledger: &mut RequestLedger, id: u64, class: usize, end: Option<QueryEnd>) {
     ledger.query_accepted(1, QueryId(id), ClassId(class));
     match end {
@@ -22,9 +22,10 @@
     };
 }
 
-/// Guards the form, and that a class that went and came again under other rules has one figure.
+/// Fixes the text format. A class that was removed and added again with other rules is listed once, with the sum of
+/// its counts.
 #[test]
-fn a_class_has_one_figure_whatever_its_rules_were() {
+fn counts_of_classes_with_the_same_name_are_added() {
     let mut ledger = ledger(&["a", "b", "a"]);
     for (id, class, ended) in
         [(1, 0, None), (2, 2, None), (3, 2, Some(QueryEnd::Rejected)), (4, 1, Some(QueryEnd::Failed))]
@@ -48,9 +49,9 @@
     assert_eq!(lines.join(" "), expected);
 }
 
-/// Guards against counting what an earlier process had saved.
+/// Counts restored from an earlier process must not appear in the statistics of this process.
 #[test]
-fn every_process_counts_from_0() {
+fn each_process_counts_from_0() {
     let mut first = ledger(&["a"]);
     end(&mut first, 1, 0, None);
     end(&mut first, 2, 0, Some(QueryEnd::Rejected));
@@ -58,9 +59,10 @@
     let saved = first.save();
     let mut second = ledger(&["a"]);
     second.restore(&saved);
-    let ends = |a: &RequestLedger| process_stats(a, Some(&saved), ProcessGauges::default()).classes["a"];
-    assert_eq!(ends(&second), OutcomeCounts::default());
+    let counts =
+        |ledger: &RequestLedger| process_stats(ledger, Some(&saved), ProcessGauges::default()).classes["a"];
+    assert_eq!(counts(&second), OutcomeCounts::default());
     end(&mut second, 3, 0, Some(QueryEnd::Failed));
     second.queries_rejected_queue_full(ClassId(0), 1);
-    assert_eq!(ends(&second), OutcomeCounts { served: 0, rejected: 1, failed: 1 });
+    assert_eq!(counts(&second), OutcomeCounts { served: 0, rejected: 1, failed: 1 });
 }
--- a/crates/accounting/tests/request_ledger.rs
+++ b/crates/accounting/tests/request_ledger.rs
@@ -1,4 +1,4 @@
-//! The request ledger: what was counted, in whatever order, is consistent, and continues after a restart.
+//! Consistency of the request ledger for any order of events, and its continuation after a restart.
 
 mod common;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_end_is_counted_once_with_its_value() {
+fn query_end_is_counted_once_with_its_value() {
     let mut a = ledger();
     for n in 0..4 {
         a.query_accepted(0, QueryId(n), ClassId(0));
@@ -27,7 +27,7 @@
     let s = a.snapshot(0);
     let row = &s.classes[0];
     assert_eq!((row.accepted, row.open(), row.value_requested), (4, 1, 12_000_000));
-    // 3 in time, 3 * 0.3 late, 3 * 0.8 * 0.9 in part.
+    // 3 for the answer in time, 3 * 0.3 for the late one, 3 * 0.8 * 0.9 for the partial one.
     assert_eq!(row.value_served, 3_000_000 + 900_000 + 2_160_000);
     assert_eq!(row.latency_ms.map(|l| (l[0], l[4])), Some((60, 101)));
     assert_eq!(s.classes[1].accepted, 0);
@@ -36,13 +36,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is counted in whatever order: every snapshot is consistent, and counts never fall.
+    /// For any order of events, every snapshot is consistent and counts never decrease.
     #[test]
     fn every_snapshot_is_consistent(steps in proptest::collection::vec((0..9u8, 0..12u64, 0..300u64), 0..200)) {
         let (mut a, mut now, mut next) = (ledger(), 0, 0u64);
         let mut out: Vec<(ServerId, u64)> = Vec::new();
         let mut before = a.snapshot(0);
-        // The core uses an id once, and removes a node only when none of its attempts is in flight.
+        // The core never reuses an id, and removes a node only when none of its attempts is in flight.
         let mut ids = [0, 1, 2, 3, 4, 5, 6];
         for (kind, pick, span) in steps {
             now += span * MS / 10;
@@ -85,9 +85,9 @@
     }
 }
 
-/// After a restart counts continue from what was saved, never above what was served, and are consistent.
+/// After a restart, counts continue from the stored ones. Queries and attempts that were still open are not included.
 #[test]
-fn a_restart_continues_from_what_had_ended() {
+fn restart_continues_from_the_stored_counts() {
     let mut a = ledger();
     for n in 0..3 {
         a.query_accepted(0, QueryId(n), ClassId(0));
@@ -114,34 +114,35 @@
     let s = b.snapshot(0);
     assert_eq!((s.classes[0].queue_full, s.nodes[0].index), (5, 2));
     assert_eq!(b.save().next_node_index, 3);
-    // Another deployment's classes are not mixed in.
+    // Totals of a class with another name are not restored.
     let mut c = RequestLedger::new(&[class()], &["other".into()], NodeBounds { max_rows: 1, retention: 1 });
     c.restore(&saved);
     assert_eq!(c.snapshot(0).classes[0].accepted, 0);
 }
 
-/// The check itself must be able to fail.
+/// The consistency check must detect each kind of violation.
 #[test]
-fn an_inconsistent_snapshot_is_named() {
+fn check_names_the_violated_invariant() {
     let mut a = ledger();
     a.query_accepted(0, QueryId(0), ClassId(0));
     a.node_state(0, ServerId(0), "s", EndpointState::Active);
     let good = a.snapshot(0);
-    let spoil = |change: fn(&mut LedgerSnapshot)| {
+    let error_after = |change: fn(&mut LedgerSnapshot)| {
         let mut s = good.clone();
         change(&mut s);
         s.check().unwrap_err().to_string()
     };
-    assert!(spoil(|s| s.classes[0].ended[0] = 2).contains("2 ended of 1 taken"));
-    assert!(spoil(|s| s.classes[0].value_served = u64::MAX).contains("earned"));
-    assert!(spoil(|s| s.attempts.ended[0] = 1).contains("attempts ended"));
-    assert!(spoil(|s| s.nodes[0].attempts.ended[0] = 1).contains("node s"));
-    assert!(spoil(|s| s.nodes[0].attempts.started = 1).contains("at nodes"));
+    assert!(error_after(|s| s.classes[0].ended[0] = 2).contains("2 queries ended, but only 1 were accepted"));
+    assert!(error_after(|s| s.classes[0].value_served = u64::MAX).contains("was served, but only"));
+    assert!(error_after(|s| s.attempts.ended[0] = 1).contains("attempts ended"));
+    assert!(error_after(|s| s.nodes[0].attempts.ended[0] = 1).contains("node s"));
+    assert!(error_after(|s| s.nodes[0].attempts.started = 1).contains("at nodes"));
 }
 
-/// Guards the stored form: the words and the order of the fields are those of the first version.
+/// The names and the order of the stored fields must stay those of the first version; otherwise stored counts cannot be
+/// read after an update.
 #[test]
-fn the_stored_form_keeps_its_words() {
+fn stored_fields_keep_their_names_and_order() {
     let mut a = ledger();
     a.query_accepted(0, QueryId(0), ClassId(0));
     a.query_answered(50 * MS, QueryId(0), true, 1.0);
