--- a/crates/snmp/src/agent.rs
+++ b/crates/snmp/src/agent.rs
@@ -1,6 +1,6 @@
-//! The agent: requests of versions 2c and 3 are read, then answered from a tree.
+//! The agent: decodes requests of versions 2c and 3, and answers them from a tree.
 //!
-//! Reading and answering are two steps, since which tree answers depends on who asks ([`crate::walkers`]).
+//! Decoding and answering are separate steps because the tree depends on the requester ([`crate::walkers`]).
 
 mod response;
 mod security;
@@ -17,45 +17,45 @@
 
 use self::security::SecurityError;
 
-/// Bounds of messages.
+/// Size limits of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Bindings of a request, and of an answer.
+    /// Maximum number of bindings in a request and in a response.
     pub bindings: usize,
-    /// Bytes of an answer.
+    /// Maximum size of a response in bytes.
     pub bytes: usize,
 }
 
-/// An agent: its engine, and the managers that it serves.
+/// An SNMP agent with its engine and the credentials that it accepts.
 pub struct Agent {
     bounds: Bounds,
     community: Option<(String, View)>,
     users: Vec<(User, Keys)>,
     engine: Vec<u8>,
     boots: u32,
-    /// The names of all objects that can be read, without instances.
-    known: Vec<Oid>,
-    /// The counts of `usmStats`.
-    stats: [u32; STATS],
+    /// Identifiers of all objects that can be read, without instances.
+    object_names: Vec<Oid>,
+    /// The counters of `usmStats`.
+    usm_stats: [u32; USM_STATS_COUNT],
     salt: u64,
 }
 
-/// `usmStats` of RFC 3414, section 5: below this, objects 1 to 6.
+/// `usmStats` (RFC 3414, section 5), the parent of objects 1 to 6.
 const USM_STATS: [u32; 9] = [1, 3, 6, 1, 6, 3, 15, 1, 1];
-const STATS: usize = 6;
+const USM_STATS_COUNT: usize = 6;
 /// The version number in a version 2c message.
 pub(crate) const VERSION_2C: u32 = 1;
-/// `snmpEngine` of RFC 3411, section 5: id, boots, time and the largest message.
+/// `snmpEngine` (RFC 3411, section 5), the parent of id, boots, time and maximum message size.
 const ENGINE: [u32; 9] = [1, 3, 6, 1, 6, 3, 10, 2, 1];
 
-/// Where and how a response goes back.
+/// The data from a request that is needed to encode its response.
 #[derive(Debug, Clone)]
 enum ReplyTo {
     V2c { community: OctetString },
     V3 { message_id: Integer, user: String, level: SecurityLevel, context: v3::ScopedPdu, max_bytes: usize },
 }
 
-/// How a version 3 message is secured, and the index of the user whose keys do it.
+/// Security level of a version 3 message, with the index of the user whose keys secure it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SecurityLevel {
     NoAuth,
@@ -63,7 +63,7 @@
     Privacy(usize),
 }
 
-/// A request that may be answered.
+/// A request that passed the security checks.
 #[derive(Debug, Clone)]
 pub struct Request {
     pdus: Pdus,
@@ -71,19 +71,19 @@
     view: View,
 }
 
-/// A message that was read.
+/// Result of reading a datagram.
 #[derive(Debug)]
 pub enum Incoming {
-    /// Nothing that is answered.
+    /// The datagram is not answered.
     Drop,
-    /// A report, which needs no tree.
+    /// An encoded report to send back; no tree is needed.
     Reply(Vec<u8>),
-    /// A request.
+    /// A request to answer with [`Agent::answer`].
     Request(Box<Request>),
 }
 
 impl Request {
-    /// For a walk: the name after which the next object is requested.
+    /// The object identifier after which a `GetNext` or `GetBulk` request continues; `None` for other requests.
     pub fn walk_position(&self) -> Option<Oid> {
         let bindings = match &self.pdus {
             Pdus::GetNextRequest(r) => &r.0.variable_bindings,
@@ -95,25 +95,27 @@
 }
 
 impl Agent {
-    /// An agent that serves nobody yet; `known` are the names of the objects it serves, without instances.
-    pub fn new(bounds: Bounds, engine: Vec<u8>, boots: u32, known: Vec<Oid>) -> Self {
-        let (community, users, stats) = (None, Vec::new(), [0; STATS]);
-        Self { bounds, community, users, engine, boots, known, stats, salt: 0 }
+    /// Creates an agent that accepts no credentials yet. `object_names` are the identifiers of the objects that it
+    /// serves, without instances.
+    pub fn new(bounds: Bounds, engine: Vec<u8>, boots: u32, object_names: Vec<Oid>) -> Self {
+        let (community, users, usm_stats) = (None, Vec::new(), [0; USM_STATS_COUNT]);
+        Self { bounds, community, users, engine, boots, object_names, usm_stats, salt: 0 }
     }
 
-    /// A community of version 2c may read what the view shows.
+    /// Allows a community of version 2c to read the objects in a view.
     pub fn admit_community(&mut self, community: String, view: View) {
         self.community = Some((community, view));
     }
 
-    /// A user of version 3 may read what its view shows. Salts begin at a number that no earlier process used with these keys.
+    /// Allows a user of version 3 to read the objects in its view. Salts for encryption follow `salt`; no earlier process
+    /// may have used them with the same keys.
     pub fn admit_user(&mut self, user: User, salt: u64) {
         let keys = Keys::new(&user, &self.engine);
         self.users.push((user, keys));
         self.salt = salt;
     }
 
-    /// The objects of the engine, and of the security errors it has counted.
+    /// The objects of the engine and the counters of security errors, with their values.
     pub fn objects(&self, time_s: u32) -> Vec<(Oid, Value)> {
         let scalar = |base: &[u32], arc: u32| [base, &[arc, 0]].concat();
         let mut all = vec![
@@ -122,14 +124,17 @@
             (scalar(&ENGINE, 3), Value::Integer(time_s as i32)),
             (scalar(&ENGINE, 4), Value::Integer(self.bounds.bytes as i32)),
         ];
-        all.extend((1..).zip(self.stats).map(|(n, count)| (scalar(&USM_STATS, n), Value::Counter32(count))));
+        all.extend(
+            (1..).zip(self.usm_stats).map(|(n, count)| (scalar(&USM_STATS, n), Value::Counter32(count))),
+        );
         all
     }
 
-    /// Messages of version 3 that were not served for their security, other than those that only discover the engine.
+    /// Number of version 3 messages denied by security checks, except those for an unknown engine, which managers send
+    /// to discover the engine.
     pub fn denied(&self) -> u64 {
         let discovery = SecurityError::UnknownEngine.index();
-        self.stats
+        self.usm_stats
             .iter()
             .enumerate()
             .filter(|(n, _)| *n != discovery)
@@ -137,7 +142,7 @@
             .sum()
     }
 
-    /// Reads a message, at this time of the engine in seconds.
+    /// Decodes and verifies a datagram; `time_s` is the time of the engine in seconds.
     pub fn read(&mut self, bytes: &[u8], time_s: u32) -> Incoming {
         if let Ok(message) = rasn::ber::decode::<v2c::Message<Pdus>>(bytes) {
             return self.read_v2c(message);
@@ -149,15 +154,15 @@
     }
 
     fn read_v2c(&self, message: v2c::Message<Pdus>) -> Incoming {
-        let known = self.community.as_ref().filter(|c| c.0.as_bytes() == message.community.as_ref());
-        let (Some((_, view)), true) = (known, message.version == Integer::from(VERSION_2C)) else {
+        let accepted = self.community.as_ref().filter(|c| c.0.as_bytes() == message.community.as_ref());
+        let (Some((_, view)), true) = (accepted, message.version == Integer::from(VERSION_2C)) else {
             return Incoming::Drop;
         };
         let reply_to = ReplyTo::V2c { community: message.community };
         accept(message.data, reply_to, view.clone())
     }
 
-    /// Encodes a version 3 message to a user.
+    /// Encodes a version 3 message to a user, secured at this level.
     fn encode_v3(
         &mut self,
         message_id: &Integer,
@@ -187,7 +192,7 @@
     }
 }
 
-/// A request that may be answered; other messages are dropped.
+/// Accepts PDUs that are requests, and drops all others.
 fn accept(pdus: Pdus, reply_to: ReplyTo, view: View) -> Incoming {
     match pdus {
         Pdus::GetRequest(_) | Pdus::GetNextRequest(_) | Pdus::GetBulkRequest(_) | Pdus::SetRequest(_) => {
--- a/crates/snmp/src/agent/response.rs
+++ b/crates/snmp/src/agent/response.rs
@@ -7,14 +7,14 @@
 use crate::codec::{self, bind};
 use crate::tree::{Tree, View};
 
-/// Bytes of a version 2c message beside its community and bindings, at the most.
+/// Upper bound on the size of a version 2c message without its community and bindings.
 const V2C_OVERHEAD_BYTES: usize = 64;
-/// Bytes of a version 3 message beside its names, engine ids and bindings, at the most.
+/// Upper bound on the size of a version 3 message without its names, engine ids and bindings.
 const V3_OVERHEAD_BYTES: usize = 160;
-/// The size of a binding that cannot be encoded: it fits nowhere, and sums of it do not overflow.
+/// Size assumed for a binding that cannot be encoded: it exceeds every limit, and small sums of it do not overflow.
 const UNENCODABLE_BYTES: usize = usize::MAX / 4;
 
-/// The bindings of a response that must not exceed a size.
+/// Bindings of a response, limited in size and number.
 struct BoundedBindings {
     bindings: Vec<VarBind>,
     bytes: usize,
@@ -27,7 +27,7 @@
         Self { bindings: Vec::new(), bytes: 0, max_bytes, max_bindings }
     }
 
-    /// Adds a binding; false if it does not fit.
+    /// Adds a binding; returns false if it does not fit.
     fn push(&mut self, binding: VarBind) -> bool {
         self.bytes += encoded_bytes(&binding);
         let fits = self.bytes <= self.max_bytes && self.bindings.len() < self.max_bindings;
@@ -39,7 +39,7 @@
 }
 
 impl Agent {
-    /// Answers a request from a tree, at this time of the engine in seconds.
+    /// Answers a request from a tree; `time_s` is the time of the engine in seconds.
     pub fn answer(&mut self, request: &Request, tree: &Tree, time_s: u32) -> Option<Vec<u8>> {
         let (request_id, requested) = request_parts(&request.pdus)?;
         let max_message_bytes = match &request.reply_to {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Bytes of a response beside its bindings, at the most.
+    /// Upper bound on the size of a response without its bindings.
     fn overhead_bytes(&self, reply_to: &ReplyTo) -> usize {
         match reply_to {
             ReplyTo::V2c { community } => V2C_OVERHEAD_BYTES + community.len(),
@@ -107,8 +107,8 @@
         let name = codec::oid(requested);
         let value = match tree.get(&name) {
             Some(value) if view.admits(&name) => VarBindValue::Value(codec::syntax(value)),
-            // The object is there, but not this instance of it.
-            _ if view.admits(&name) && self.known.iter().any(|k| name.starts_with(k)) => {
+            // The object exists, but not this instance.
+            _ if view.admits(&name) && self.object_names.iter().any(|object| name.starts_with(object)) => {
                 VarBindValue::NoSuchInstance
             }
             _ => VarBindValue::NoSuchObject,
@@ -116,7 +116,7 @@
         VarBind { name: requested.name.clone(), value }
     }
 
-    /// RFC 3416, section 4.2.3: as many repetitions as were requested, as long as they fit.
+    /// Answers a `GetBulk` request (RFC 3416, section 4.2.3) with as many of the requested repetitions as fit.
     fn bulk(&self, tree: &Tree, view: &View, request: &BulkPdu, max_bytes: usize) -> Vec<VarBind> {
         let requested = &request.variable_bindings;
         let (single, repeated) = requested.split_at((request.non_repeaters as usize).min(requested.len()));
@@ -141,7 +141,7 @@
     }
 }
 
-/// The id and the bindings of a request.
+/// The request id and the bindings of a request; `None` for other PDUs.
 fn request_parts(pdus: &Pdus) -> Option<(i32, &[VarBind])> {
     match pdus {
         Pdus::GetRequest(r) => Some((r.0.request_id, &r.0.variable_bindings)),
--- a/crates/snmp/src/agent/security.rs
+++ b/crates/snmp/src/agent/security.rs
@@ -1,4 +1,5 @@
-//! Security of incoming version 3 messages (RFC 3414, section 3.2): who sent them, and reports of what is wrong.
+//! Security checks of incoming version 3 messages (RFC 3414, section 3.2): authentication, time window, decryption, and
+//! reports of errors.
 
 use rasn::types::{Integer, OctetString};
 use rasn_snmp::v2::{Pdu, Pdus, Report};
@@ -10,10 +11,10 @@
 use crate::usm::{in_time, Keys};
 use crate::v3_message::{has_valid_digest, FLAG_AUTH, FLAG_PRIVACY, FLAG_REPORTABLE, VERSION_3};
 
-/// The least that every peer accepts (RFC 3412, section 6).
+/// Minimum message size that every peer must accept (RFC 3412, section 6).
 const MIN_MESSAGE_BYTES: usize = 484;
 
-/// What is wrong with a message's security, by the number of its object below `usmStats`.
+/// Security errors; the discriminant is the arc of the error's counter below `usmStats`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SecurityError {
     UnsupportedLevel = 1,
@@ -25,28 +26,28 @@
 }
 
 impl SecurityError {
-    /// The place of its count among the agent's.
+    /// Index of the error's counter in the agent.
     pub(super) fn index(self) -> usize {
         self as usize - 1
     }
 }
 
-/// Why a message is not served.
+/// Why a message is rejected.
 enum Rejection {
-    /// It cannot be read.
+    /// The message cannot be decoded; no report is sent.
     Malformed,
-    /// It is reported, in a message of this level.
+    /// A security error, to be reported in a message of this security level.
     Report(SecurityError, SecurityLevel),
 }
 
 impl From<SecurityError> for Rejection {
-    /// A message that is not secured as its flags say is reported in clear text.
+    /// Reports the error in clear text, since the message is not secured as its flags indicate.
     fn from(error: SecurityError) -> Self {
         Self::Report(error, SecurityLevel::NoAuth)
     }
 }
 
-/// A version 3 message whose header has been read.
+/// A version 3 message with its decoded header.
 struct SecuredMessage<'a> {
     bytes: &'a [u8],
     scoped_data: &'a v3::ScopedPduData,
@@ -77,7 +78,7 @@
         self.flags & FLAG_PRIVACY != 0
     }
 
-    /// The boots and the time of the engine that the message names.
+    /// The engine boots and engine time that the message contains.
     fn engine_time(&self) -> Option<(u32, u32)> {
         let number = |n: &Integer| u32::try_from(n.clone()).ok();
         let boots = number(&self.usm.authoritative_engine_boots)?;
@@ -85,7 +86,8 @@
         Some((boots, time_s))
     }
 
-    /// The message's content, decrypted where the flags say that it is encrypted.
+    /// The scoped PDU, decrypted if the flags mark it as encrypted. Returns `None` if flags and content do not match or
+    /// decryption fails.
     fn scoped_pdu(&self, keys: &Keys, (boots, time_s): (u32, u32)) -> Option<v3::ScopedPdu> {
         match (self.scoped_data, self.wants_privacy()) {
             (v3::ScopedPduData::CleartextPdu(scoped), false) => Some(scoped.clone()),
@@ -101,7 +103,7 @@
 }
 
 impl Agent {
-    /// Reads a version 3 message, at this time of the engine in seconds.
+    /// Verifies a version 3 message; `time_s` is the time of the engine in seconds.
     pub(super) fn read_v3(&mut self, bytes: &[u8], message: &v3::Message, time_s: u32) -> Option<Incoming> {
         let message = SecuredMessage::read(bytes, message)?;
         match self.verify(&message, time_s) {
@@ -119,7 +121,7 @@
         let index = self.users.iter().position(|(user, _)| user.name.as_bytes() == name);
         let index = index.ok_or(SecurityError::UnknownUser)?;
         let (user, keys) = &self.users[index];
-        // Whoever has keys must use them: nothing is served for a name alone.
+        // A user must use all of its keys; a user name without authentication gives no access.
         if !message.wants_auth() || message.wants_privacy() != keys.has_privacy() {
             return Err(SecurityError::UnsupportedLevel.into());
         }
@@ -146,7 +148,7 @@
         Ok(accept(pdus, reply_to, user.view.clone()))
     }
 
-    /// Counts an error, and reports it if the message allows that.
+    /// Counts an error, and returns a report if the message is reportable.
     fn report(
         &mut self,
         message: &SecuredMessage,
@@ -154,7 +156,7 @@
         level: SecurityLevel,
         time_s: u32,
     ) -> Incoming {
-        let count = &mut self.stats[error.index()];
+        let count = &mut self.usm_stats[error.index()];
         *count = count.wrapping_add(1);
         let object = [&USM_STATS[..], &[error as u32, 0]].concat();
         let pdu = Pdu {
--- a/crates/snmp/src/codec.rs
+++ b/crates/snmp/src/codec.rs
@@ -1,4 +1,4 @@
-//! Between this crate's values and the `rasn` crates' messages.
+//! Conversion between the values of this crate and the message types of the `rasn` crates.
 
 use rasn::types::ObjectIdentifier;
 use rasn_smi::v1::{Counter, Gauge, TimeTicks};
@@ -8,12 +8,12 @@
 use crate::tree::Value;
 use crate::Oid;
 
-/// A name for messages.
+/// Converts an object identifier to its message type.
 pub fn name(oid: &[u32]) -> ObjectIdentifier {
     ObjectIdentifier::new_unchecked(oid.to_vec().into())
 }
 
-/// A value for messages.
+/// Converts a value to its message type.
 pub fn syntax(value: &Value) -> ObjectSyntax {
     let simple = ObjectSyntax::Simple;
     let wide = ObjectSyntax::ApplicationWide;
@@ -28,7 +28,7 @@
     }
 }
 
-/// A value of a message; none for kinds that are not served here.
+/// Converts a value from its message type; `None` for types that [`Value`] does not have.
 pub fn value(syntax: &ObjectSyntax) -> Option<Value> {
     Some(match syntax {
         ObjectSyntax::Simple(SimpleSyntax::Integer(n)) => Value::Integer(i32::try_from(n.clone()).ok()?),
@@ -44,17 +44,17 @@
     })
 }
 
-/// A binding of a name and a value.
+/// Builds a variable binding with a value, as in a response.
 pub fn bind(oid: &[u32], value: &Value) -> VarBind {
     VarBind { name: name(oid), value: VarBindValue::Value(syntax(value)) }
 }
 
-/// A binding of a requested name, without a value.
+/// Builds a variable binding without a value, as in a request.
 pub fn unset(oid: &[u32]) -> VarBind {
     VarBind { name: name(oid), value: VarBindValue::Unspecified }
 }
 
-/// A binding's name.
+/// The object identifier of a variable binding.
 pub fn oid(binding: &VarBind) -> Oid {
     binding.name.to_vec()
 }
--- a/crates/snmp/src/manager.rs
+++ b/crates/snmp/src/manager.rs
@@ -1,4 +1,4 @@
-//! The manager, without I/O: it encodes requests, reads replies, and walks subtrees.
+//! An SNMP manager without I/O: encodes requests, decodes replies, and walks subtrees.
 
 use std::fmt;
 
@@ -16,22 +16,22 @@
 /// The credentials of a manager at an agent.
 #[derive(Debug, Clone)]
 pub enum Security {
-    /// Version 2c.
+    /// The community of version 2c.
     Community(String),
-    /// Version 3.
+    /// A user of version 3.
     User(User),
 }
 
-/// What an agent answered for a name.
+/// The value of a variable binding in a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BindingValue {
-    /// Its value.
+    /// The value of the object instance.
     Value(Value),
-    /// There is no such object.
+    /// `noSuchObject`: the agent has no such object, or it is outside the view.
     NoObject,
-    /// There is the object, but not this instance.
+    /// `noSuchInstance`: the object exists, but not this instance.
     NoInstance,
-    /// Nothing follows.
+    /// `endOfMibView`: no object follows.
     End,
 }
 
@@ -46,113 +46,113 @@
     }
 }
 
-/// A request.
+/// A request to an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// These objects.
+    /// Reads these objects.
     Get(Vec<Oid>),
-    /// The objects after these.
+    /// Reads the object after each of these.
     Next(Vec<Oid>),
-    /// The objects after these, in so many repetitions.
+    /// Reads the objects after each of these, with this maximum number of repetitions.
     Bulk(Vec<Oid>, u32),
 }
 
 /// The outcome of a datagram received for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// Bindings.
+    /// The response to the request.
     Bindings(Vec<(Oid, BindingValue)>),
-    /// The request has to be sent again: the agent's engine, or its time, is known now.
+    /// The request must be encoded and sent again, since the agent reported its engine id or its time.
     Retry,
-    /// It answers another request.
+    /// The datagram answers another request.
     NotOurs,
 }
 
 /// Why a request failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ManagerError {
-    /// The agent's answer cannot be read.
+    /// The reply cannot be decoded.
     Malformed,
-    /// An error status of RFC 3416, and the binding that it is about.
+    /// An error status (RFC 3416), and the index of the binding that caused it.
     Status(u32, u32),
-    /// A report of the agent: the security is wrong; the name of the object.
+    /// A report of a security error; the identifier of its counter below `usmStats`.
     Report(Oid),
-    /// The reply was changed, or is from somebody else.
+    /// The reply is not authenticated by the agent's key: it was modified or forged.
     WrongDigest,
-    /// An object does not follow the one before: a walk would not end.
+    /// An object does not follow the previous one, so that a walk might not end.
     Backwards(Oid),
 }
 
 impl fmt::Display for ManagerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Malformed => f.write_str("the answer cannot be read"),
-            Self::Status(1, _) => f.write_str("the answer would be too big"),
+            Self::Malformed => f.write_str("the reply cannot be decoded"),
+            Self::Status(1, _) => f.write_str("the response would exceed the maximum message size"),
             Self::Status(status, index) => write!(f, "error status {status} for binding {index}"),
-            Self::Report(oid) => f.write_str(match oid.get(USM_STATS_ARC) {
-                Some(1) => "the agent does not serve this security level to this user",
-                Some(2) => "the agent's time differs too much",
+            Self::Report(oid) => f.write_str(match oid.get(USM_STATS_ERROR_ARC) {
+                Some(1) => "the agent does not support this security level for this user",
+                Some(2) => "the message is outside the agent's time window",
                 Some(3) => "the agent does not know this user",
-                Some(4) => "the agent's engine is another one",
-                Some(5) => "the agent finds the digest wrong: a wrong secret?",
-                Some(6) => "the agent cannot decrypt: a wrong privacy secret?",
-                _ => return write!(f, "the agent reports {}", dotted(oid)),
+                Some(4) => "the agent has a different engine id",
+                Some(5) => "the agent rejected the message digest: the authentication secret may be wrong",
+                Some(6) => "the agent failed to decrypt the message: the privacy secret may be wrong",
+                _ => return write!(f, "the agent sent a report of {}", dotted(oid)),
             }),
-            Self::WrongDigest => f.write_str("the answer's digest is wrong"),
-            Self::Backwards(oid) => write!(f, "the agent goes backwards at {}", dotted(oid)),
+            Self::WrongDigest => f.write_str("the digest of the reply is wrong"),
+            Self::Backwards(oid) => write!(f, "the agent returned {} out of order", dotted(oid)),
         }
     }
 }
 
 impl std::error::Error for ManagerError {}
 
-/// What is known of an agent's engine.
+/// The engine of an agent, as last reported.
 #[derive(Debug, Clone)]
 struct Engine {
     id: Vec<u8>,
     keys: Keys,
     boots: u32,
-    /// Its time, and ours at that moment, in seconds.
-    time: (u32, u32),
+    /// The engine's time and the local time at which it was reported, in seconds.
+    reported_time: (u32, u32),
 }
 
-/// A manager and one agent.
+/// The state of a manager's requests to one agent.
 #[derive(Debug, Clone)]
 pub struct Session {
     security: Security,
     engine: Option<Engine>,
-    request: i32,
+    request_id: i32,
     salt: u64,
-    /// Reports that were followed for the open request.
-    reports_followed: u32,
+    /// Number of reports handled for the current request.
+    reports_handled: u32,
 }
 
-/// The largest payload of a UDP datagram over IPv4.
+/// Maximum payload of a UDP datagram over IPv4.
 const MAX_MESSAGE_BYTES: usize = 65_507;
-/// Discovery and one correction of the time.
-const MAX_REPORTS_FOLLOWED: u32 = 2;
-/// The place of the error's number in the name of an object of `usmStats`.
-const USM_STATS_ARC: usize = 9;
-/// Errors of `usmStats` that a manager recovers from.
+/// One report for discovery and one for time correction.
+const MAX_REPORTS_HANDLED: u32 = 2;
+/// Index of the arc that identifies the error in an object identifier below `usmStats`.
+const USM_STATS_ERROR_ARC: usize = 9;
+/// Arcs of the `usmStats` errors that a manager can recover from.
 const NOT_IN_TIME_WINDOW: u32 = 2;
 const UNKNOWN_ENGINE: u32 = 4;
 
 impl Session {
-    /// A session without requests; requests are numbered from `first`, salts from `salt`.
-    pub fn new(security: Security, first: i32, salt: u64) -> Self {
-        Self { security, engine: None, request: first, salt, reports_followed: 0 }
+    /// Creates a session. Request ids follow `last_request_id`, and salts for encryption follow `last_salt`.
+    pub fn new(security: Security, last_request_id: i32, last_salt: u64) -> Self {
+        Self { security, engine: None, request_id: last_request_id, salt: last_salt, reports_handled: 0 }
     }
 
-    /// Begins a further request.
+    /// Begins a new request; replies to earlier ones are ignored.
     pub fn begin(&mut self) {
-        self.request = self.request.wrapping_add(1) & i32::MAX;
-        self.reports_followed = 0;
+        self.request_id = self.request_id.wrapping_add(1) & i32::MAX;
+        self.reports_handled = 0;
     }
 
-    /// The bytes of the request, at this time of ours in seconds; for an agent whose engine is not known yet, those of
-    /// its discovery.
-    pub fn write(&mut self, what: &Request, now: u32) -> Option<Vec<u8>> {
-        let data = pdus(what, self.request);
+    /// Encodes the request; `now` is the local time in seconds. If the engine of a version 3 agent is not known yet,
+    /// encodes a discovery request instead. Returns `None` if encoding fails.
+    pub fn write(&mut self, request: &Request, now: u32) -> Option<Vec<u8>> {
+        let data = pdus(request, self.request_id);
         match &self.security {
             Security::Community(community) => {
                 let community: OctetString = community.as_bytes().to_vec().into();
@@ -168,15 +168,15 @@
         }
     }
 
-    /// A request of version 3 to a known engine.
+    /// Encodes a version 3 request to a known engine.
     fn write_v3(&self, user: &User, engine: &Engine, data: Pdus, now: u32) -> Option<Vec<u8>> {
         let privacy_flag = if user.privacy.is_some() { FLAG_PRIVACY } else { 0 };
         let header = Header {
-            message_id: &Integer::from(self.request),
+            message_id: &Integer::from(self.request_id),
             flags: FLAG_REPORTABLE | FLAG_AUTH | privacy_flag,
             engine_id: &engine.id,
             boots: engine.boots,
-            time_s: engine.time.0.saturating_add(now.saturating_sub(engine.time.1)),
+            time_s: engine.reported_time.0.saturating_add(now.saturating_sub(engine.reported_time.1)),
             user: &user.name,
             salt: self.salt,
             max_bytes: MAX_MESSAGE_BYTES,
@@ -186,10 +186,10 @@
         v3_message::encode(&header, Some(&engine.keys), scoped)
     }
 
-    /// A request that the agent answers with a report of its engine (RFC 3414, section 4).
+    /// Encodes a request that the agent answers with a report of its engine id (RFC 3414, section 4).
     fn write_discovery(&self) -> Option<Vec<u8>> {
         let header = Header {
-            message_id: &Integer::from(self.request),
+            message_id: &Integer::from(self.request_id),
             flags: FLAG_REPORTABLE,
             engine_id: &[],
             boots: 0,
@@ -201,15 +201,15 @@
         let scoped = v3::ScopedPdu {
             engine_id: OctetString::default(),
             name: OctetString::default(),
-            data: pdus(&Request::Get(Vec::new()), self.request),
+            data: pdus(&Request::Get(Vec::new()), self.request_id),
         };
         v3_message::encode(&header, None, scoped)
     }
 
-    /// Reads a datagram received for the open request.
+    /// Decodes a datagram received for the current request; `now` is the local time in seconds.
     ///
     /// # Errors
-    /// The request has failed.
+    /// Returns why the request failed.
     pub fn read(&mut self, bytes: &[u8], now: u32) -> Result<Reply, ManagerError> {
         match self.security.clone() {
             Security::Community(_) => {
@@ -225,50 +225,50 @@
         let message: v3::Message = rasn::ber::decode(bytes).map_err(|_| ManagerError::Malformed)?;
         let usm: v3::USMSecurityParameters =
             message.decode_security_parameters(rasn::Codec::Ber).map_err(|_| ManagerError::Malformed)?;
-        if message.global_data.message_id != Integer::from(self.request) {
+        if message.global_data.message_id != Integer::from(self.request_id) {
             return Ok(Reply::NotOurs);
         }
         let number = |n: &Integer| u32::try_from(n.clone()).map_err(|_| ManagerError::Malformed);
         let (boots, time) =
             (number(&usm.authoritative_engine_boots)?, number(&usm.authoritative_engine_time)?);
         let flags = message.global_data.flags.first().copied().unwrap_or(0);
-        let known = self.engine.as_ref().filter(|e| e.id == usm.authoritative_engine_id.as_ref());
+        let known_engine = self.engine.as_ref().filter(|e| e.id == usm.authoritative_engine_id.as_ref());
         let authenticated = flags & FLAG_AUTH != 0;
-        if authenticated && !known.is_some_and(|engine| has_valid_digest(bytes, &engine.keys)) {
+        if authenticated && !known_engine.is_some_and(|engine| has_valid_digest(bytes, &engine.keys)) {
             return Err(ManagerError::WrongDigest);
         }
-        let scoped = decrypted(&message.scoped_data, &usm, known, (boots, time))?;
+        let scoped = decrypted(&message.scoped_data, &usm, known_engine, (boots, time))?;
         let Pdus::Report(report) = &scoped.data else {
-            // A reply that is not authenticated is not accepted.
+            // Only reports may arrive unauthenticated.
             authenticated.then_some(()).ok_or(ManagerError::WrongDigest)?;
             return self.bindings(&scoped.data);
         };
         let oid = report.0.variable_bindings.first().map(codec::oid).unwrap_or_default();
-        let error = oid.get(USM_STATS_ARC);
+        let error = oid.get(USM_STATS_ERROR_ARC);
         let engine_discovered = error == Some(&UNKNOWN_ENGINE);
         let time_corrected = error == Some(&NOT_IN_TIME_WINDOW) && authenticated;
-        self.reports_followed += 1;
-        if self.reports_followed > MAX_REPORTS_FOLLOWED || !(engine_discovered || time_corrected) {
+        self.reports_handled += 1;
+        if self.reports_handled > MAX_REPORTS_HANDLED || !(engine_discovered || time_corrected) {
             return Err(ManagerError::Report(oid));
         }
         let id = usm.authoritative_engine_id.to_vec();
-        let keys = known.map_or_else(|| Keys::new(user, &id), |e| e.keys.clone());
-        self.engine = Some(Engine { id, keys, boots, time: (time, now) });
+        let keys = known_engine.map_or_else(|| Keys::new(user, &id), |e| e.keys.clone());
+        self.engine = Some(Engine { id, keys, boots, reported_time: (time, now) });
         Ok(Reply::Retry)
     }
 
     fn bindings(&self, data: &Pdus) -> Result<Reply, ManagerError> {
-        let Pdus::Response(answer) = data else { return Err(ManagerError::Malformed) };
-        let answer = &answer.0;
-        if answer.request_id != self.request {
+        let Pdus::Response(response) = data else { return Err(ManagerError::Malformed) };
+        let response = &response.0;
+        if response.request_id != self.request_id {
             return Ok(Reply::NotOurs);
         }
-        if answer.error_status != 0 {
-            return Err(ManagerError::Status(answer.error_status, answer.error_index));
+        if response.error_status != 0 {
+            return Err(ManagerError::Status(response.error_status, response.error_index));
         }
-        let mut found = Vec::with_capacity(answer.variable_bindings.len());
-        for binding in &answer.variable_bindings {
-            let got = match &binding.value {
+        let mut bindings = Vec::with_capacity(response.variable_bindings.len());
+        for binding in &response.variable_bindings {
+            let value = match &binding.value {
                 VarBindValue::Value(value) => {
                     BindingValue::Value(codec::value(value).ok_or(ManagerError::Malformed)?)
                 }
@@ -277,13 +277,13 @@
                 VarBindValue::EndOfMibView => BindingValue::End,
                 VarBindValue::Unspecified => return Err(ManagerError::Malformed),
             };
-            found.push((codec::oid(binding), got));
+            bindings.push((codec::oid(binding), value));
         }
-        Ok(Reply::Bindings(found))
+        Ok(Reply::Bindings(bindings))
     }
 }
 
-/// The content of a message, decrypted with the keys of its engine where it is encrypted.
+/// The scoped PDU of a message, decrypted with the keys of its engine if it is encrypted.
 fn decrypted(
     scoped_data: &v3::ScopedPduData,
     usm: &v3::USMSecurityParameters,
@@ -307,7 +307,7 @@
     }
 }
 
-fn pdus(what: &Request, request_id: i32) -> Pdus {
+fn pdus(request: &Request, request_id: i32) -> Pdus {
     let bindings = |names: &[Oid]| names.iter().map(|n| unset(n)).collect();
     let pdu = |names: &[Oid]| Pdu {
         request_id,
@@ -315,7 +315,7 @@
         error_index: 0,
         variable_bindings: bindings(names),
     };
-    match what {
+    match request {
         Request::Get(names) => Pdus::GetRequest(GetRequest(pdu(names))),
         Request::Next(names) => Pdus::GetNextRequest(GetNextRequest(pdu(names))),
         Request::Bulk(names, max_repetitions) => Pdus::GetBulkRequest(GetBulkRequest(BulkPdu {
@@ -337,20 +337,20 @@
 }
 
 impl Walk {
-    /// A walk through what lies below `root`, in requests of so many repetitions.
+    /// Creates a walk through the objects below `root`, in `GetBulk` requests of `max_repetitions` (at least 1).
     pub fn new(root: Oid, max_repetitions: u32) -> Self {
         Self { position: root.clone(), root, max_repetitions: max_repetitions.max(1), done: false }
     }
 
-    /// The next request; none at the end.
+    /// The next request; `None` once the walk has ended.
     pub fn next_request(&self) -> Option<Request> {
         (!self.done).then(|| Request::Bulk(vec![self.position.clone()], self.max_repetitions))
     }
 
-    /// Handles an answer; returns the objects of the subtree.
+    /// Handles the response to the last request; returns its objects that belong to the subtree.
     ///
     /// # Errors
-    /// The agent goes backwards, or answers nothing.
+    /// The response has no bindings, or its objects are not in ascending order.
     pub fn handle_answer(
         &mut self,
         bindings: Vec<(Oid, BindingValue)>,
@@ -358,9 +358,9 @@
         if bindings.is_empty() {
             return Err(ManagerError::Malformed);
         }
-        let mut found = Vec::new();
-        for (oid, got) in bindings {
-            let BindingValue::Value(value) = got else {
+        let mut objects = Vec::new();
+        for (oid, value) in bindings {
+            let BindingValue::Value(value) = value else {
                 self.done = true;
                 break;
             };
@@ -372,19 +372,19 @@
                 break;
             }
             self.position.clone_from(&oid);
-            found.push((oid, value));
+            objects.push((oid, value));
         }
-        Ok(found)
+        Ok(objects)
     }
 }
 
-/// The increase of a 64 bit counter between two readings, over one wrap; none after a discontinuity, which its
-/// discontinuity time shows.
+/// The increase of a 64-bit counter between two readings with at most one wrap. Returns `None` if the counter's
+/// discontinuity time changed between the readings (`discontinuity`).
 pub fn counter_increase(before: u64, after: u64, discontinuity: bool) -> Option<u64> {
     (!discontinuity).then(|| after.wrapping_sub(before))
 }
 
-/// The increase of a 32 bit counter, as [`counter_increase`].
+/// The increase of a 32-bit counter; see [`counter_increase`].
 pub fn counter32_increase(before: u32, after: u32, discontinuity: bool) -> Option<u32> {
     (!discontinuity).then(|| after.wrapping_sub(before))
 }
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -1,6 +1,6 @@
-//! Notifications (RFC 3416, sections 4.2.6 and 4.2.7): rate limits, and retries of informs.
+//! Notifications (RFC 3416, sections 4.2.6 and 4.2.7) with rate limits and retries of informs.
 //!
-//! A state machine without I/O: what has happened and when goes in, messages to send come out.
+//! [`Notifier`] is a state machine without I/O: it takes events with their times, and returns messages to send.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,62 +13,62 @@
 use crate::tree::Value;
 use crate::Oid;
 
-/// Nanoseconds of one clock that never runs backwards.
+/// A time or duration in nanoseconds of a monotonic clock.
 pub type Nanos = u64;
 
-/// `sysUpTime.0` and `snmpTrapOID.0`, which begin every notification.
+/// `sysUpTime.0` and `snmpTrapOID.0`, the first two bindings of every notification.
 const UP_TIME: [u32; 9] = [1, 3, 6, 1, 2, 1, 1, 3, 0];
 const TRAP_OID: [u32; 11] = [1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0];
-/// Doublings of the retry delay, at the most.
+/// Maximum number of doublings of the retry delay.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// An event that receivers are notified of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Notice {
-    /// The notification's name.
+    /// Object identifier of the notification.
     pub oid: Oid,
-    /// What it is about, such as a node's name: each subject has a rate limit of its own.
+    /// The subject of the notification, such as the name of a node. Rate limits apply per notification and subject.
     pub subject: String,
-    /// Its objects.
+    /// The objects that the notification carries, with their values.
     pub objects: Vec<(Oid, Value)>,
 }
 
-/// Bounds of what is sent.
+/// Rate limits, retry policy and memory limits of a [`Notifier`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The least time between two notices of one notification and subject.
+    /// Minimum time between two notices of the same notification and subject.
     pub min_interval: Nanos,
-    /// Notices that may be sent at once: the capacity of the token bucket.
+    /// Maximum number of notices sent in a burst, which is the capacity of the token bucket.
     pub burst: u32,
-    /// Time after which the bucket gains a token.
+    /// Time in which the bucket gains one token.
     pub refill_interval: Nanos,
-    /// Informs that may wait for their acknowledgement; a new one replaces the oldest.
+    /// Maximum number of unacknowledged informs; a new one beyond it replaces the oldest.
     pub max_pending_informs: usize,
-    /// Time until an inform is first retried; it doubles with each retry.
+    /// Delay before the first retry of an inform; doubles with each retry.
     pub retry_delay: Nanos,
-    /// Attempts of an inform in all.
+    /// Maximum number of attempts to send an inform, including the first.
     pub max_attempts: u32,
-    /// Subjects that are remembered; a new one replaces the one notified longest ago.
+    /// Maximum number of subjects tracked for rate limiting; a new one replaces the one notified least recently.
     pub max_subjects: usize,
 }
 
 /// A receiver of notifications.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its address, in whatever form the embedder sends to.
+    /// Address of the receiver, in a form that the embedder can send to.
     pub to: String,
-    /// The community.
+    /// The version 2c community that messages are sent with.
     pub community: String,
-    /// Whether it acknowledges notifications.
+    /// Whether to send acknowledged informs instead of traps.
     pub inform: bool,
 }
 
-/// A message that is to be sent.
+/// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Send {
-    /// Where.
+    /// Address of the [`Target`].
     pub to: String,
-    /// The message.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
@@ -81,13 +81,13 @@
     pub retried: u64,
     /// Informs that were acknowledged.
     pub acknowledged: u64,
-    /// Informs that were given up.
+    /// Informs abandoned without acknowledgement.
     pub unacknowledged: u64,
-    /// Notices that were not sent because of the rate limits.
+    /// Notices suppressed by the rate limits.
     pub rate_limited: u64,
 }
 
-/// An inform that waits for its acknowledgement.
+/// An inform that is not acknowledged yet.
 struct PendingInform {
     request_id: i32,
     to: String,
@@ -110,8 +110,8 @@
 }
 
 impl Notifier {
-    /// Notifies these targets; requests are numbered from `first_request_id`.
-    pub fn new(bounds: Bounds, targets: Vec<Target>, first_request_id: i32) -> Self {
+    /// Creates a notifier for these targets. Request ids follow `last_request_id`.
+    pub fn new(bounds: Bounds, targets: Vec<Target>, last_request_id: i32) -> Self {
         Self {
             bounds,
             targets,
@@ -119,17 +119,18 @@
             tokens: bounds.burst,
             refilled_at: 0,
             pending: VecDeque::new(),
-            last_request_id: first_request_id & i32::MAX,
+            last_request_id: last_request_id & i32::MAX,
             counts: Counts::default(),
         }
     }
 
-    /// What has become of notices so far.
+    /// Counts since the notifier was created.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Handles an event at `up_time` hundredths of a second after the agent's start; returns the messages to send.
+    /// Handles an event and returns the messages to send. `up_time` is the time since the agent's start, in hundredths
+    /// of a second.
     pub fn notice(&mut self, now: Nanos, up_time: u32, notice: &Notice) -> Vec<Send> {
         if !self.admit(now, notice) {
             self.counts.rate_limited += 1;
@@ -152,7 +153,7 @@
         messages
     }
 
-    /// Whether the rate limits allow a notice; if so, it counts against them.
+    /// Checks whether the rate limits allow a notice, and if so counts it against them.
     fn admit(&mut self, now: Nanos, notice: &Notice) -> bool {
         let key = (notice.oid.clone(), notice.subject.clone());
         let notified_at = self.notified.get(&key);
@@ -186,15 +187,15 @@
 
     fn refill(&mut self, now: Nanos) {
         let interval = self.bounds.refill_interval.max(1);
-        let passed = now.saturating_sub(self.refilled_at) / interval;
-        if passed > 0 {
-            let more = u32::try_from(passed).unwrap_or(u32::MAX);
-            self.tokens = self.tokens.saturating_add(more).min(self.bounds.burst);
-            self.refilled_at = self.refilled_at.saturating_add(passed * interval);
+        let intervals = now.saturating_sub(self.refilled_at) / interval;
+        if intervals > 0 {
+            let added = u32::try_from(intervals).unwrap_or(u32::MAX);
+            self.tokens = self.tokens.saturating_add(added).min(self.bounds.burst);
+            self.refilled_at = self.refilled_at.saturating_add(intervals * interval);
         }
     }
 
-    /// Reads a datagram from a target: the acknowledgement of an inform, or nothing of interest.
+    /// Handles a datagram from a target. Anything but the acknowledgement of a pending inform is ignored.
     pub fn acknowledge(&mut self, from: &str, bytes: &[u8]) {
         let Ok(message) = rasn::ber::decode::<v2c::Message<Pdus>>(bytes) else { return };
         let Pdus::Response(response) = message.data else { return };
@@ -203,12 +204,12 @@
         self.counts.acknowledged += (before - self.pending.len()) as u64;
     }
 
-    /// When [`Notifier::tick`] is next due.
+    /// When to call [`Notifier::tick`] next; `None` if no inform is pending.
     pub fn due(&self) -> Option<Nanos> {
         self.pending.iter().map(|inform| inform.due).min()
     }
 
-    /// Retries or gives up informs that were not acknowledged in time; returns the messages to send.
+    /// Retries or abandons informs that were not acknowledged in time; returns the messages to send.
     pub fn tick(&mut self, now: Nanos) -> Vec<Send> {
         let (bounds, counts) = (self.bounds, &mut self.counts);
         let mut messages = Vec::new();
@@ -231,7 +232,7 @@
     }
 }
 
-/// The message that notifies a target: a trap, or an inform.
+/// Encodes a trap or an inform, depending on the target.
 fn encode(target: &Target, request_id: i32, variable_bindings: Vec<VarBind>) -> Option<Vec<u8>> {
     let pdu = Pdu { request_id, error_status: 0, error_index: 0, variable_bindings };
     let data = match target.inform {
@@ -242,10 +243,10 @@
     rasn::ber::encode(&v2c::Message { version: VERSION_2C.into(), community, data }).ok()
 }
 
-/// A notification as its receiver reads it: the name, the objects, and for an inform its acknowledgement.
+/// A decoded notification: its object identifier, its objects, and for an inform the encoded acknowledgement.
 pub type Received = (Oid, Vec<(Oid, Value)>, Option<Vec<u8>>);
 
-/// Reads a notification; none for any other message.
+/// Decodes a notification; returns `None` for any other message.
 pub fn receive(bytes: &[u8]) -> Option<Received> {
     let message: v2c::Message<Pdus> = rasn::ber::decode(bytes).ok()?;
     let (pdu, inform) = match message.data {
@@ -263,12 +264,12 @@
             value => objects.push((oid, value)),
         }
     }
-    let answer = inform.then(|| {
+    let acknowledgement = inform.then(|| {
         let data = Pdus::Response(Response(pdu.clone()));
         rasn::ber::encode(&v2c::Message { version: VERSION_2C.into(), community: message.community, data })
             .ok()
     });
-    Some((name?, objects, answer.flatten()))
+    Some((name?, objects, acknowledgement.flatten()))
 }
 
 #[cfg(test)]
--- a/crates/snmp/src/notify/tests.rs
+++ b/crates/snmp/src/notify/tests.rs
@@ -1,4 +1,4 @@
-//! Rates, repeats and bounds of notifications.
+//! Rate limits, retries and memory bounds of notifications.
 
 use super::*;
 use proptest::prelude::*;
@@ -24,16 +24,17 @@
 }
 
 #[test]
-fn a_notification_is_read_as_it_was_sent() {
+fn received_notification_equals_the_one_sent() {
     let sent = notifier(false).notice(0, 5, &notice("x"));
     let (name, objects, answer) = receive(&sent[0].bytes).unwrap();
     assert_eq!((name, answer), (vec![1, 3, 9], None));
     assert_eq!(objects, [(UP_TIME.to_vec(), Value::Ticks(5)), (vec![1, 3, 5], Value::Gauge(7))]);
 }
 
-/// A flapping node does not flood: the same is told once a minute, and all together at a bounded rate.
+/// A flapping node must not flood receivers: the same notice is sent at most once a minute, and all notices together at
+/// a bounded rate.
 #[test]
-fn rates_are_bounded() {
+fn notices_are_rate_limited() {
     let mut n = notifier(false);
     let notified = |n: &mut Notifier, at, subject: &str| n.notice(at, 0, &notice(subject)).len();
     assert_eq!(
@@ -41,21 +42,21 @@
         (1, 0, 1)
     );
     let all: usize = (0..100).map(|i| notified(&mut n, 70 * S, &format!("y{i}"))).sum();
-    assert_eq!(all, 3, "more than a burst");
+    assert_eq!(all, 3, "not limited to the burst");
     assert_eq!(n.counts().rate_limited, 1 + 97);
     assert_eq!((notified(&mut n, 79 * S, "z"), notified(&mut n, 80 * S, "z")), (0, 1));
 }
 
 #[test]
-fn an_inform_is_repeated_until_it_is_answered_or_given_up() {
+fn inform_is_retried_until_it_is_acknowledged_or_abandoned() {
     let mut n = notifier(true);
     let sent = n.notice(0, 0, &notice("x"));
     assert!(n.tick(S - 1).is_empty());
     assert_eq!(n.tick(S).len(), 1);
-    assert!(n.tick(3 * S - 1).is_empty(), "after twice as long");
+    assert!(n.tick(3 * S - 1).is_empty(), "the second delay is twice the first");
     let answer = receive(&sent[0].bytes).unwrap().2.unwrap();
     n.acknowledge("b", &answer);
-    assert_eq!(n.counts().acknowledged, 0, "from somebody else");
+    assert_eq!(n.counts().acknowledged, 0, "the acknowledgement is from another address");
     n.acknowledge("a", &answer);
     assert_eq!((n.counts().acknowledged, n.due()), (1, None));
     n.notice(S, 0, &notice("y"));
@@ -66,10 +67,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens: what waits and what is remembered stays bounded, each inform ends once, and nothing that
-    /// comes may panic.
+    /// For any sequence of events, pending informs and tracked subjects stay bounded, each inform ends once, and no
+    /// received datagram causes a panic.
     #[test]
-    fn everything_stays_bounded(steps in proptest::collection::vec((0..4u8, 0..20u8, 0..30u64), 0..150), noise in proptest::collection::vec(any::<u8>(), 0..60)) {
+    fn memory_stays_bounded_for_any_events(steps in proptest::collection::vec((0..4u8, 0..20u8, 0..30u64), 0..150), noise in proptest::collection::vec(any::<u8>(), 0..60)) {
         let (mut n, mut now, mut out) = (notifier(true), 0, Vec::new());
         for (kind, pick, span) in steps {
             now += span * S;
--- a/crates/snmp/src/registry.rs
+++ b/crates/snmp/src/registry.rs
@@ -1,5 +1,5 @@
-//! Definitions of a MIB's objects: their names, syntax and meaning. The MIB's text (SMIv2, RFC 2578 to 2580) is written
-//! from them, and tests compare the objects that an agent serves with them.
+//! Definitions of the objects of a MIB: names, syntax and meaning. The text of the MIB (SMIv2, RFC 2578 to 2580) is
+//! generated from them, and tests compare them with the objects that an agent serves.
 
 use std::fmt::Write;
 
@@ -9,19 +9,19 @@
 /// The syntax of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Syntax {
-    /// A count that wraps after 2^64.
+    /// A count that wraps after 2^64 - 1.
     Counter64,
-    /// A count that wraps after 2^32.
+    /// A count that wraps after 2^32 - 1.
     Counter32,
-    /// A figure that goes up and down.
+    /// A value that can increase and decrease.
     Gauge32,
-    /// A row's number.
+    /// A row index, from 1.
     Unsigned32,
-    /// Hundredths of a second of `sysUpTime` at which something happened.
+    /// The `sysUpTime` of an event, in hundredths of a second.
     TimeStamp,
-    /// A text.
+    /// Human-readable text.
     DisplayString,
-    /// One of these, by number.
+    /// An enumeration of these labels and numbers.
     Enum(&'static [(&'static str, i32)]),
 }
 
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The name of its type alone, as a row's sequence has it.
-    fn base(self) -> String {
+    /// The type name without ranges and labels, as used in the sequence of a table row.
+    fn type_name(self) -> String {
         match self {
             Self::Enum(_) => "INTEGER".into(),
             Self::Unsigned32 => "Unsigned32".into(),
@@ -64,59 +64,59 @@
     }
 }
 
-/// One object, or one column of a table.
+/// A scalar object, or a column of a table.
 #[derive(Debug, Clone)]
 pub struct Object {
-    /// Its name.
+    /// Descriptor in the MIB, unique in the module.
     pub name: String,
-    /// Its number below its parent.
+    /// Last arc of the object identifier, below the group or the table row.
     pub arc: u32,
-    /// Its syntax.
+    /// Type of the value, with its range or labels.
     pub syntax: Syntax,
-    /// Its unit, if it has one.
+    /// Unit of the value; empty if it has none.
     pub units: &'static str,
-    /// What its value means, and when it is counted.
+    /// Meaning of the value, and when it is counted.
     pub description: String,
 }
 
-/// Scalars below one parent.
+/// Scalar objects below one parent.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// The parent's name.
+    /// Descriptor of the parent.
     pub name: &'static str,
-    /// Its number below the module.
+    /// Arc of the parent below the module's root.
     pub arc: u32,
-    /// The name of its conformance group.
+    /// Descriptor of the conformance group.
     pub conformance: &'static str,
-    /// Its objects.
+    /// The scalars of the group.
     pub objects: Vec<Object>,
 }
 
-/// A table. Columns that are its own index come first and are not accessible.
+/// A table. Columns that are part of its index come first and are not accessible.
 #[derive(Debug, Clone)]
 pub struct Table {
-    /// Its name without `Table`: rows are called by it with `Entry`.
+    /// Descriptor without the suffix `Table`; the row object has the suffix `Entry` instead.
     pub name: &'static str,
-    /// Its number below `tables`.
+    /// Arc of the table below [`Module::tables_arc`].
     pub arc: u32,
-    /// What a row is.
+    /// Meaning of a row.
     pub description: &'static str,
-    /// The objects that make its index, of this table or another.
+    /// Descriptors of the index objects, of this table or another.
     pub index: Vec<&'static str>,
-    /// Its columns.
+    /// The columns, including index columns.
     pub columns: Vec<Object>,
 }
 
-/// A notification, below the root's object 0 (RFC 2578, section 8.5).
+/// A notification, below arc 0 of the module's root (RFC 2578, section 8.5).
 #[derive(Debug, Clone)]
 pub struct Notification {
-    /// Its name.
+    /// Descriptor in the MIB.
     pub name: &'static str,
-    /// Its number.
+    /// Last arc of the object identifier.
     pub arc: u32,
-    /// The objects that it carries.
+    /// Descriptors of the objects that it carries.
     pub objects: Vec<&'static str>,
-    /// When it is sent.
+    /// When the notification is sent.
     pub description: &'static str,
 }
 
@@ -133,37 +133,37 @@
 /// A MIB module.
 #[derive(Debug, Clone)]
 pub struct Module {
-    /// The module's name.
+    /// Name of the module, such as `CURLEWDECK-MIB`.
     pub name: &'static str,
-    /// The name of its root object.
+    /// Descriptor of the root object.
     pub root_name: &'static str,
-    /// The root's full name; it stands below `enterprises`.
+    /// Object identifier of the root, below `enterprises`.
     pub root: Oid,
-    /// Changes of the module, the newest first: when (UTC, `YYYYMMDDHHMMZ`) and what.
+    /// Revisions of the module, newest first: the time (UTC, `YYYYMMDDHHMMZ`) and a description.
     pub revisions: Vec<(&'static str, &'static str)>,
-    /// What it is about.
+    /// Purpose of the module.
     pub description: &'static str,
-    /// Its scalars.
+    /// Groups of scalars.
     pub groups: Vec<Group>,
-    /// The arc of its tables.
+    /// Arc of the parent of all tables, below the root.
     pub tables_arc: u32,
-    /// Its tables.
+    /// Tables, in the order of the MIB's text.
     pub tables: Vec<Table>,
-    /// Its notifications.
+    /// Notifications, in the order of the MIB's text.
     pub notifications: Vec<Notification>,
-    /// The arc of its conformance statements.
+    /// Arc of the conformance statements, below the root.
     pub conformance_arc: u32,
 }
 
-/// The number of arcs of `enterprises`.
-const ENTERPRISES: usize = 6;
+/// Number of arcs in the object identifier of `enterprises`.
+const ENTERPRISES_ARCS: usize = 6;
 
 impl Module {
     fn below(&self, arcs: &[u32]) -> Oid {
         [&self.root[..], arcs].concat()
     }
 
-    /// All objects that can be read: their full names without an instance, and their definitions. In the order of names.
+    /// All readable objects with their object identifiers without instance, ordered by identifier.
     pub fn objects(&self) -> Vec<(Oid, &Object)> {
         let scalars =
             self.groups.iter().flat_map(|g| g.objects.iter().map(move |o| (self.below(&[g.arc, o.arc]), o)));
@@ -175,28 +175,28 @@
         all
     }
 
-    /// The full name of an object, without an instance.
+    /// The object identifier of a readable object, without instance.
     pub fn name_of(&self, name: &str) -> Option<Oid> {
         self.objects().into_iter().find(|o| o.1.name == name).map(|o| o.0)
     }
 
-    /// The object that a full name belongs to, and its instance.
+    /// The descriptor of the object that an object identifier belongs to, and the instance part of the identifier.
     pub fn object_of<'a>(&self, name: &'a [u32]) -> Option<(String, &'a [u32])> {
         let found = self.objects().into_iter().rfind(|o| name.starts_with(&o.0));
         found.map(|(oid, object)| (object.name.clone(), &name[oid.len()..]))
     }
 
-    /// The full name of a notification.
+    /// The object identifier of a notification.
     pub fn notification(&self, name: &str) -> Option<Oid> {
         self.notifications.iter().find(|n| n.name == name).map(|n| self.below(&[0, n.arc]))
     }
 
-    /// The notification of this full name.
+    /// The notification with this object identifier.
     pub fn notification_of(&self, oid: &[u32]) -> Option<&Notification> {
         self.notifications.iter().find(|n| self.below(&[0, n.arc]) == oid)
     }
 
-    /// The module's text.
+    /// The text of the module in SMIv2.
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string cannot fail.
@@ -245,12 +245,12 @@
         for (when, what) in &self.revisions {
             writeln!(out, "    REVISION     \"{when}\"\n    DESCRIPTION  \"{what}\"")?;
         }
-        let arcs = &self.root[ENTERPRISES.min(self.root.len())..];
+        let arcs = &self.root[ENTERPRISES_ARCS.min(self.root.len())..];
         let arcs: Vec<String> = arcs.iter().map(u32::to_string).collect();
         writeln!(out, "    ::= {{ enterprises {} }}\n", arcs.join(" "))
     }
 
-    /// The parents of scalars, conformance statements, notifications and tables.
+    /// Writes the parents of scalars, conformance statements, notifications and tables.
     fn write_parents(&self, out: &mut String) -> std::fmt::Result {
         let root = self.root_name;
         for group in &self.groups {
@@ -273,7 +273,7 @@
         Ok(())
     }
 
-    /// The names of conformance groups and of their objects.
+    /// Descriptors of the conformance groups and of their objects.
     fn conformance_groups(&self) -> Vec<(String, Vec<String>)> {
         let scalars = self.groups.iter().map(|group| {
             let objects = group.objects.iter().map(|o| o.name.clone()).collect();
@@ -289,7 +289,8 @@
     fn write_conformance(&self, out: &mut String) -> std::fmt::Result {
         let groups = self.conformance_groups();
         for (index, (name, objects)) in groups.iter().enumerate() {
-            // The first group and the compliance statement keep their first numbers.
+            // The first group and the compliance statement keep the arcs 1 and 2 of the first revision, so later groups
+            // follow from 3.
             let arc = if index == 0 { 1 } else { index + 2 };
             let objects = objects.join(",\n                  ");
             writeln!(out, "\n{name} OBJECT-GROUP\n    OBJECTS     {{ {objects} }}")?;
@@ -328,7 +329,7 @@
     writeln!(out, "    MAX-ACCESS  not-accessible\n    STATUS      current")?;
     writeln!(out, "    DESCRIPTION \"A row.\"\n    INDEX       {{ {} }}", table.index.join(", "))?;
     writeln!(out, "    ::= {{ {name}Table 1 }}\n\n{entry}Entry ::= SEQUENCE {{")?;
-    let column = |column: &Object| format!("    {} {}", column.name, column.syntax.base());
+    let column = |column: &Object| format!("    {} {}", column.name, column.syntax.type_name());
     let columns: Vec<String> = table.columns.iter().map(column).collect();
     writeln!(out, "{}\n}}", columns.join(",\n"))?;
     let parent = format!("{name}Entry");
--- a/crates/snmp/src/tree/tests.rs
+++ b/crates/snmp/src/tree/tests.rs
@@ -1,14 +1,14 @@
-//! Order and views of a tree.
+//! Order of trees, and views.
 
 use super::*;
 
 #[test]
-fn the_longest_subtree_decides() {
+fn longest_matching_subtree_decides_visibility() {
     let view = View { include: vec![vec![1, 3]], exclude: vec![vec![1, 3, 6], vec![1, 4]] };
-    for (name, seen) in
+    for (name, visible) in
         [(vec![1, 3, 5], true), (vec![1, 3, 6, 1], false), (vec![1, 4], false), (vec![2], false)]
     {
-        assert_eq!(view.admits(&name), seen, "{name:?}");
+        assert_eq!(view.admits(&name), visible, "{name:?}");
     }
     assert!(View::default().admits(&[1, 3]));
     let all_but = View { exclude: vec![vec![1, 3, 6]], ..View::default() };
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn next_goes_over_what_is_hidden() {
+fn next_skips_hidden_objects() {
     let object = |arcs: &[u32]| (arcs.to_vec(), Value::Gauge(arcs[0]));
     let tree = Tree::new(vec![object(&[1, 3]), object(&[1, 1]), object(&[1, 2, 1]), object(&[1, 2, 2])]);
     let hidden = View { exclude: vec![vec![1, 2]], ..View::default() };
--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -1,4 +1,4 @@
-//! The user-based security model (RFC 3414) with HMAC-SHA-256 cut to 192 bits (RFC 7860,
+//! The user-based security model (RFC 3414) with HMAC-SHA-256 truncated to 192 bits (RFC 7860,
 //! `usmHMAC192SHA256AuthProtocol`) and AES-128 in CFB mode (RFC 3826, `usmAesCfb128Protocol`).
 
 use std::fmt;
@@ -11,49 +11,49 @@
 
 use crate::tree::View;
 
-/// Bytes of a message's digest.
+/// Length of a message digest in bytes.
 pub const DIGEST_BYTES: usize = 24;
 const KEY_BYTES: usize = 32;
-const AES_BYTES: usize = 16;
-/// A message is in time within so many seconds (RFC 3414, section 2.2.3).
+const AES_KEY_BYTES: usize = 16;
+/// Time window of messages in seconds (RFC 3414, section 2.2.3).
 pub const WINDOW_S: u32 = 150;
-/// Bytes that a passphrase is repeated to (RFC 3414, appendix A.2).
+/// Length to which a passphrase is repeated for key derivation (RFC 3414, appendix A.2).
 const EXPANDED_PASSPHRASE_BYTES: usize = 1_048_576;
-/// Least characters of a passphrase (RFC 3414, section 11.2).
+/// Minimum length of a passphrase (RFC 3414, section 11.2).
 const MIN_PASSPHRASE_CHARS: usize = 8;
-/// Most bytes of a user's name (RFC 3414, section 5).
+/// Maximum length of a user name (RFC 3414, section 5).
 const MAX_USER_NAME_BYTES: usize = 32;
 
-/// X.690 tags of the elements in which a message holds its digest.
+/// X.690 tags of the elements that enclose the digest of a message.
 const SEQUENCE_TAG: u8 = 0x30;
 const OCTET_STRING_TAG: u8 = 0x04;
 
-/// A passphrase's key (RFC 3414, appendix A.2.2), before it is localised.
-pub fn key_of<D: Digest>(passphrase: &[u8]) -> Vec<u8> {
+/// Derives a key from a passphrase (RFC 3414, appendix A.2.2); the key is not localised yet.
+pub fn key_from_passphrase<D: Digest>(passphrase: &[u8]) -> Vec<u8> {
     let mut digest = D::new();
-    let mut left = EXPANDED_PASSPHRASE_BYTES;
-    // In pieces that hold the passphrase whole, so that each begins where the last one ended.
-    let times = (4096 / passphrase.len().max(1)).max(1);
-    let piece = passphrase.repeat(times);
-    while left > 0 && !piece.is_empty() {
-        let take = piece.len().min(left);
-        digest.update(&piece[..take]);
-        left -= take;
+    let mut remaining = EXPANDED_PASSPHRASE_BYTES;
+    // Hashes chunks of complete repetitions of the passphrase, so that consecutive chunks continue the sequence.
+    let repetitions = (4096 / passphrase.len().max(1)).max(1);
+    let chunk = passphrase.repeat(repetitions);
+    while remaining > 0 && !chunk.is_empty() {
+        let length = chunk.len().min(remaining);
+        digest.update(&chunk[..length]);
+        remaining -= length;
     }
     digest.finalize().to_vec()
 }
 
-/// A key for one engine (RFC 3414, section 2.6).
+/// Localises a key for one engine (RFC 3414, section 2.6).
 pub fn localize<D: Digest>(key: &[u8], engine: &[u8]) -> Vec<u8> {
     D::new().chain_update(key).chain_update(engine).chain_update(key).finalize().to_vec()
 }
 
-/// A user's secret. It never reaches a log.
+/// The secret of a user. Its `Debug` output does not contain the secret, so that logs cannot leak it.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Secret {
-    /// A key is derived from it for each engine.
+    /// A passphrase from which a key is derived for each engine.
     Passphrase(String),
-    /// The key for the engine that it is used with.
+    /// A key already localised for the engine that it is used with.
     Localized(Vec<u8>),
 }
 
@@ -64,49 +64,51 @@
 }
 
 impl Secret {
-    /// Reads `pass:TEXT` or `key:HEX`.
+    /// Parses `pass:TEXT` or `key:HEX`.
     ///
     /// # Errors
-    /// Says what is expected, and nothing of what was given.
-    pub fn read(text: &str) -> Result<Self, &'static str> {
+    /// Describes the expected form, without any part of the secret.
+    pub fn parse(text: &str) -> Result<Self, &'static str> {
         if let Some(pass) = text.strip_prefix("pass:") {
             return match pass.chars().count() >= MIN_PASSPHRASE_CHARS {
                 true => Ok(Self::Passphrase(pass.to_string())),
-                false => Err("a passphrase needs 8 characters or more"),
+                false => Err("a passphrase must have at least 8 characters"),
             };
         }
-        let digits = text.strip_prefix("key:").ok_or("a secret is pass:TEXT or key:HEX")?;
+        let digits = text.strip_prefix("key:").ok_or("a secret must be pass:TEXT or key:HEX")?;
         let key = hex::decode(digits).ok().filter(|key| key.len() == KEY_BYTES);
-        key.map(Self::Localized).ok_or("a localised key has 64 hexadecimal digits")
+        key.map(Self::Localized).ok_or("a localised key must have 64 hexadecimal digits")
     }
 
-    /// The key for one engine.
+    /// The key localised for an engine.
     pub fn key(&self, engine: &[u8]) -> Vec<u8> {
         match self {
-            Self::Passphrase(text) => localize::<Sha256>(&key_of::<Sha256>(text.as_bytes()), engine),
+            Self::Passphrase(text) => {
+                localize::<Sha256>(&key_from_passphrase::<Sha256>(text.as_bytes()), engine)
+            }
             Self::Localized(key) => key.clone(),
         }
     }
 }
 
-/// A user and its secrets.
+/// A user of SNMP version 3.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct User {
-    /// Its name.
+    /// User name of the security model, at most 32 bytes.
     pub name: String,
-    /// The secret of its authentication.
+    /// Secret for authentication.
     pub auth: Secret,
-    /// The secret of its encryption; without it the user's messages are in clear text.
+    /// Secret for encryption; with `None` the user's messages are authenticated but not encrypted.
     pub privacy: Option<Secret>,
-    /// What it may see.
+    /// The objects that the user may read.
     pub view: View,
 }
 
 impl User {
-    /// Reads the operator's file: a user a line, `NAME auth SECRET [priv SECRET]`; `#` begins a comment line.
+    /// Parses a user file: one user per line, `NAME auth SECRET [priv SECRET]`. Lines that begin with `#` are comments.
     ///
     /// # Errors
-    /// Names the line and the fault, never a secret.
+    /// Returns the line number and the error, without any secret.
     pub fn read_all(text: &str) -> Result<Vec<Self>, String> {
         let mut users: Vec<Self> = Vec::new();
         for (n, line) in (1..).zip(text.lines()) {
@@ -115,17 +117,17 @@
                 continue;
             }
             let words: Vec<&str> = line.split_whitespace().collect();
-            let secret = |word| Secret::read(word).map_err(|why| format!("line {n}: {why}"));
+            let secret = |word| Secret::parse(word).map_err(|error| format!("line {n}: {error}"));
             let (name, auth, privacy) = match words[..] {
                 [name, "auth", auth] => (name, secret(auth)?, None),
                 [name, "auth", auth, "priv", privacy] => (name, secret(auth)?, Some(secret(privacy)?)),
-                _ => return Err(format!("line {n}: NAME auth SECRET [priv SECRET] is expected")),
+                _ => return Err(format!("line {n}: expected NAME auth SECRET [priv SECRET]")),
             };
             if name.len() > MAX_USER_NAME_BYTES {
-                return Err(format!("line {n}: a user's name has at most 32 bytes"));
+                return Err(format!("line {n}: a user name must have at most 32 bytes"));
             }
             if users.iter().any(|u| u.name == name) {
-                return Err(format!("line {n}: the user '{name}' stands in the file already"));
+                return Err(format!("line {n}: the user '{name}' is already defined"));
             }
             users.push(Self { name: name.to_string(), auth, privacy, view: View::default() });
         }
@@ -133,11 +135,11 @@
     }
 }
 
-/// A user's keys at one engine.
+/// The keys of a user, localised for one engine.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys {
     auth: Vec<u8>,
-    privacy: Option<[u8; AES_BYTES]>,
+    privacy: Option<[u8; AES_KEY_BYTES]>,
 }
 
 impl fmt::Debug for Keys {
@@ -147,22 +149,22 @@
 }
 
 impl Keys {
-    /// The keys of a user at an engine.
+    /// Localises the keys of a user for an engine.
     pub fn new(user: &User, engine: &[u8]) -> Self {
-        let cut = |key: Vec<u8>| {
-            let mut short = [0; AES_BYTES];
-            short.copy_from_slice(&key[..AES_BYTES]);
-            short
+        let truncate = |key: Vec<u8>| {
+            let mut truncated = [0; AES_KEY_BYTES];
+            truncated.copy_from_slice(&key[..AES_KEY_BYTES]);
+            truncated
         };
-        Self { auth: user.auth.key(engine), privacy: user.privacy.as_ref().map(|p| cut(p.key(engine))) }
+        Self { auth: user.auth.key(engine), privacy: user.privacy.as_ref().map(|p| truncate(p.key(engine))) }
     }
 
-    /// Whether messages can be encrypted.
+    /// Whether the user has a key for encryption.
     pub fn has_privacy(&self) -> bool {
         self.privacy.is_some()
     }
 
-    /// The digest of a message whose own digest is all zeros.
+    /// Computes the digest of a message whose digest field is filled with zeros.
     pub fn digest(&self, message: &[u8]) -> [u8; DIGEST_BYTES] {
         let mut digest = [0; DIGEST_BYTES];
         if let Ok(mac) = Hmac::<Sha256>::new_from_slice(&self.auth) {
@@ -171,14 +173,15 @@
         digest
     }
 
-    /// Whether a digest is that of a message, in constant time.
+    /// Verifies the digest of a message in constant time.
     pub fn verifies(&self, message: &[u8], digest: &[u8]) -> bool {
         digest.len() == DIGEST_BYTES
             && Hmac::<Sha256>::new_from_slice(&self.auth)
                 .is_ok_and(|mac| mac.chain_update(message).verify_truncated_left(digest).is_ok())
     }
 
-    /// Encrypts in place, for an engine's boots and time and a salt that never comes twice.
+    /// Encrypts data in place, with the boots and time of an engine and a salt that must not be reused. Returns false
+    /// without a key for encryption.
     pub fn encrypt(&self, boots: u32, time: u32, salt: u64, data: &mut [u8]) -> bool {
         let Some(key) = &self.privacy else { return false };
         cfb_mode::Encryptor::<Aes128>::new(key.into(), &iv(boots, time, salt.to_be_bytes()).into())
@@ -186,7 +189,7 @@
         true
     }
 
-    /// Decrypts in place.
+    /// Decrypts data in place. Returns false without a key for encryption.
     pub fn decrypt(&self, boots: u32, time: u32, salt: [u8; 8], data: &mut [u8]) -> bool {
         let Some(key) = &self.privacy else { return false };
         cfb_mode::Decryptor::<Aes128>::new(key.into(), &iv(boots, time, salt).into()).decrypt(data);
@@ -194,7 +197,7 @@
     }
 }
 
-/// RFC 3826, section 3.1.2.1.
+/// Initialization vector (RFC 3826, section 3.1.2.1).
 fn iv(boots: u32, time: u32, salt: [u8; 8]) -> [u8; 16] {
     let mut iv = [0; 16];
     iv[..4].copy_from_slice(&boots.to_be_bytes());
@@ -203,32 +206,33 @@
     iv
 }
 
-/// Whether an authenticated message is in time (RFC 3414, section 3.2, step 7a).
+/// Whether an authenticated message is within the time window (RFC 3414, section 3.2, step 7a). Both arguments are
+/// pairs of boots and time in seconds.
 pub fn in_time(own: (u32, u32), theirs: (u32, u32)) -> bool {
     own.0 != i32::MAX as u32 && own.0 == theirs.0 && own.1.abs_diff(theirs.1) <= WINDOW_S
 }
 
-/// Where the digest of a version 3 message stands in its bytes; none where the message has another form. Lengths that
-/// point outside the message are rejected.
-pub fn digest_at(message: &[u8]) -> Option<std::ops::Range<usize>> {
+/// Byte range of the digest in a version 3 message; `None` if the message has another structure or a length points
+/// outside the message.
+pub fn digest_range(message: &[u8]) -> Option<std::ops::Range<usize>> {
     let content = element(message, 0, SEQUENCE_TAG)?;
     let version = any_element(message, content.start)?;
     let header = element(message, version.end, SEQUENCE_TAG)?;
     let security = element(message, header.end, OCTET_STRING_TAG)?;
     let mut at = element(message, security.start, SEQUENCE_TAG)?.start;
-    // Engine, boots, time and user stand before it.
+    // Engine id, boots, time and user name precede the digest.
     for _ in 0..4 {
         at = any_element(message, at)?.end;
     }
     element(message, at, OCTET_STRING_TAG).filter(|digest| digest.end <= security.end)
 }
 
-/// The content of the element at this place, which must have this tag.
+/// Byte range of the content of the element at an offset, which must have this tag.
 fn element(bytes: &[u8], at: usize, tag: u8) -> Option<std::ops::Range<usize>> {
     (bytes.get(at) == Some(&tag)).then(|| any_element(bytes, at))?
 }
 
-/// The content of the element at this place (X.690, definite lengths).
+/// Byte range of the content of the element at an offset (X.690, definite lengths).
 fn any_element(bytes: &[u8], at: usize) -> Option<std::ops::Range<usize>> {
     let first = *bytes.get(at.checked_add(1)?)?;
     let (length, start) = match first {
--- a/crates/snmp/src/usm/tests.rs
+++ b/crates/snmp/src/usm/tests.rs
@@ -8,8 +8,8 @@
 
 /// RFC 3414, appendix A.3.2.
 #[test]
-fn keys_are_localised_as_the_rfc_shows() {
-    let key = key_of::<sha1::Sha1>(b"maplesyrup");
+fn localised_keys_match_the_rfc_example() {
+    let key = key_from_passphrase::<sha1::Sha1>(b"maplesyrup");
     assert_eq!(key, hex("9fb5cc03 81497b37 93528939 ff788d5d 79145211"));
     let engine = hex("00000000 00000000 00000002");
     assert_eq!(localize::<sha1::Sha1>(&key, &engine), hex("6695febc 9288e362 82235fc7 151f1284 97b38f3f"));
@@ -19,9 +19,9 @@
     Keys { auth: auth.to_vec(), privacy }
 }
 
-/// RFC 4231, test cases 1 and 2, cut to 192 bits.
+/// RFC 4231, test cases 1 and 2, truncated to 192 bits.
 #[test]
-fn digests_are_as_the_rfc_shows() {
+fn digests_match_the_rfc_test_vectors() {
     let digest = keys(&[0x0b; 20], None).digest(b"Hi There");
     assert_eq!(digest.to_vec(), hex("b0344c61d8db38535ca8afceaf0bf12b881dc200c9833da7"));
     let jefe = keys(b"Jefe", None);
@@ -35,7 +35,7 @@
 
 /// NIST SP 800-38A, F.3.13: CFB128-AES128.
 #[test]
-fn encryption_is_as_nist_shows() {
+fn encryption_matches_the_nist_test_vector() {
     let mut key = [0; 16];
     key.copy_from_slice(&hex("2b7e151628aed2a6abf7158809cf4f3c"));
     let keys = keys(b"", Some(key));
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn a_file_of_users_is_checked() {
+fn user_file_errors_name_the_line_and_no_secret() {
     let users = User::read_all(
         "# comment\nnoc auth pass:maplesyrup priv pass:maplesyrup2\nro auth pass:longenough\n",
     );
     let users = users.unwrap();
     assert_eq!((users.len(), users[0].privacy.is_some(), users[1].privacy.is_some()), (2, true, false));
-    assert!(!format!("{users:?}").contains("maple"), "a secret in a log");
+    assert!(!format!("{users:?}").contains("maple"), "debug output contains a secret");
     for (text, why) in [
         ("a auth pass:short", "line 1: a passphrase"),
         ("\na auth key:00", "line 2: a localised key"),
@@ -68,10 +68,10 @@
 }
 
 #[test]
-fn a_message_is_in_time_within_the_window() {
+fn message_is_in_time_only_within_the_window() {
     assert!(in_time((3, 1000), (3, 850)) && in_time((3, 1000), (3, 1150)));
     assert!(
         !in_time((3, 1000), (3, 849)) && !in_time((3, 1000), (3, 1151)) && !in_time((3, 1000), (2, 1000))
     );
-    assert!(!in_time((i32::MAX as u32, 5), (i32::MAX as u32, 5)), "boots at their end");
+    assert!(!in_time((i32::MAX as u32, 5), (i32::MAX as u32, 5)), "the boots counter is at its maximum");
 }
--- a/crates/snmp/src/v3_message.rs
+++ b/crates/snmp/src/v3_message.rs
@@ -3,20 +3,20 @@
 use rasn::types::{Integer, OctetString};
 use rasn_snmp::v3;
 
-use crate::usm::{digest_at, Keys, DIGEST_BYTES};
+use crate::usm::{digest_range, Keys, DIGEST_BYTES};
 
-/// `msgFlags`: the message is authenticated.
+/// `msgFlags` bit: the message is authenticated.
 pub(crate) const FLAG_AUTH: u8 = 1;
-/// `msgFlags`: the message is encrypted.
+/// `msgFlags` bit: the message is encrypted.
 pub(crate) const FLAG_PRIVACY: u8 = 2;
-/// `msgFlags`: a report may be sent in reply.
+/// `msgFlags` bit: the receiver may reply with a report.
 pub(crate) const FLAG_REPORTABLE: u8 = 4;
 /// The version number in a version 3 message.
 pub(crate) const VERSION_3: u32 = 3;
 /// `msgSecurityModel`: the user-based security model.
 const SECURITY_MODEL_USM: u32 = 3;
 
-/// The header fields of a version 3 message that is to be encoded.
+/// Header fields of a version 3 message to encode.
 pub(crate) struct Header<'a> {
     pub message_id: &'a Integer,
     pub flags: u8,
@@ -24,13 +24,14 @@
     pub boots: u32,
     pub time_s: u32,
     pub user: &'a str,
-    /// Of the encryption; used if the flags ask for privacy.
+    /// Salt for the encryption; used only if the flags request privacy.
     pub salt: u64,
-    /// The largest message that the sender accepts.
+    /// Maximum message size that the sender accepts.
     pub max_bytes: usize,
 }
 
-/// Encodes a message, encrypted and authenticated as the flags say; none without the keys for it.
+/// Encodes a message, and encrypts and authenticates it as its flags request. Returns `None` if the required keys are
+/// missing or encoding fails.
 pub(crate) fn encode(header: &Header, keys: Option<&Keys>, scoped: v3::ScopedPdu) -> Option<Vec<u8>> {
     let encrypted = header.flags & FLAG_PRIVACY != 0;
     let scoped_data = match encrypted {
@@ -52,7 +53,7 @@
     let mut bytes = rasn::ber::encode(&message).ok()?;
     if header.flags & FLAG_AUTH != 0 {
         let digest = keys?.digest(&bytes);
-        let range = digest_at(&bytes).filter(|range| range.len() == DIGEST_BYTES)?;
+        let range = digest_range(&bytes).filter(|range| range.len() == DIGEST_BYTES)?;
         bytes[range].copy_from_slice(&digest);
     }
     Some(bytes)
@@ -63,7 +64,7 @@
     keys.encrypt(header.boots, header.time_s, header.salt, &mut data).then_some(data)
 }
 
-/// The security parameters, with zeros in the place of the digest.
+/// The security parameters, with a digest filled with zeros.
 fn security_parameters(header: &Header) -> v3::USMSecurityParameters {
     let digest = if header.flags & FLAG_AUTH != 0 { vec![0; DIGEST_BYTES] } else { Vec::new() };
     let salt = if header.flags & FLAG_PRIVACY != 0 { header.salt.to_be_bytes().to_vec() } else { Vec::new() };
@@ -77,10 +78,10 @@
     }
 }
 
-/// Whether the digest in the bytes of a message is right.
+/// Verifies the digest contained in a message.
 pub(crate) fn has_valid_digest(bytes: &[u8], keys: &Keys) -> bool {
-    let Some(range) = digest_at(bytes).filter(|range| range.len() == DIGEST_BYTES) else { return false };
-    let mut blank = bytes.to_vec();
-    blank[range.clone()].fill(0);
-    keys.verifies(&blank, &bytes[range])
+    let Some(range) = digest_range(bytes).filter(|range| range.len() == DIGEST_BYTES) else { return false };
+    let mut zeroed = bytes.to_vec();
+    zeroed[range.clone()].fill(0);
+    keys.verifies(&zeroed, &bytes[range])
 }
--- a/crates/snmp/src/walkers.rs
+++ b/crates/snmp/src/walkers.rs
@@ -1,5 +1,5 @@
-//! Consistent walks: a walker sees the tree that its walk began with, for a limited time. Walks that begin at about the
-//! same time share a tree; walkers and trees are bounded in number.
+//! Consistent walks: requests of a walk are answered from the tree with which the walk began, for a limited time. Walks
+//! that begin at about the same time share a tree. Walkers and the objects of their trees are bounded in number.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -8,21 +8,21 @@
 use crate::tree::Tree;
 use crate::Oid;
 
-/// Nanoseconds of one clock that never runs backwards.
+/// A time or duration in nanoseconds of a monotonic clock.
 pub type Nanos = u64;
 
-/// Bounds of what is kept.
+/// Memory and time limits of walks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Walkers.
+    /// Maximum number of walks in progress.
     pub max_walkers: usize,
-    /// Objects of all trees that walks hold, the newest tree not counted.
+    /// Maximum number of objects in all trees held by walks, except the newest tree.
     pub max_objects: usize,
-    /// A walker without a request for this long has ended its walk.
+    /// Time without a request after which a walk is considered to have ended.
     pub idle_timeout: Nanos,
-    /// A walk that lasts longer continues with a newer tree.
+    /// Maximum age of a walk's tree; after that the walk continues with a newer tree.
     pub max_walk_age: Nanos,
-    /// A tree that is no older is shared by all who begin a walk.
+    /// Maximum age at which the newest tree is used for further walks and requests.
     pub max_shared_age: Nanos,
 }
 
@@ -52,12 +52,12 @@
 }
 
 impl<K: Eq + Hash + Clone> Walkers<K> {
-    /// Without walks in progress.
+    /// Creates a table without walks.
     pub fn new(bounds: Bounds) -> Self {
         Self { bounds, newest: None, walkers: HashMap::new() }
     }
 
-    /// Walks in progress.
+    /// Number of walks in progress.
     pub fn len(&self) -> usize {
         self.walkers.len()
     }
@@ -67,7 +67,8 @@
         self.walkers.is_empty()
     }
 
-    /// The tree for a request of a walker: for the object after `position`, or with none for objects by name.
+    /// The tree from which to answer a walker's request. `position` is the name after which a walk continues; `None`
+    /// for a request of objects by name.
     pub fn tree_for(&mut self, now: Nanos, walker: &K, position: Option<&[u32]>) -> TreeSource {
         let bounds = self.bounds;
         if let (Some(walk), Some(position)) = (self.walkers.get_mut(walker), position) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Adds the tree that was created for a walker's request.
+    /// Adds the tree that was created for a walker's request, as the newest one.
     pub fn add_tree(&mut self, now: Nanos, walker: &K, position: Option<&[u32]>, tree: Tree) -> Arc<Tree> {
         let tree = Arc::new(tree);
         self.newest = Some((now, tree.clone()));
@@ -114,8 +115,8 @@
         while self.older_objects() > self.bounds.max_objects && self.drop_oldest_tree() {}
     }
 
-    /// Removes idle walks, or the one idle for longest, where there is no room for a further walker. A walk that is
-    /// removed continues with a newer tree.
+    /// If the table is full, removes idle walks, or else the least recently active one. A removed walk continues with a
+    /// newer tree.
     fn make_room(&mut self, now: Nanos, walker: &K) {
         if self.has_room(walker) {
             return;
@@ -135,7 +136,7 @@
         self.walkers.contains_key(walker) || self.walkers.len() < self.bounds.max_walkers
     }
 
-    /// Objects of the trees that only walks hold.
+    /// Number of objects in the trees held by walks, except the newest tree.
     fn older_objects(&self) -> usize {
         let newest = self.newest.as_ref().map(|n| Arc::as_ptr(&n.1));
         let trees: HashMap<*const Tree, usize> =
@@ -143,7 +144,7 @@
         trees.iter().filter(|t| Some(*t.0) != newest).map(|t| t.1).sum()
     }
 
-    /// Drops the oldest tree, unless it is the newest: the walks on it continue with a newer one.
+    /// Drops the oldest tree unless it is the newest. Its walks continue with a newer tree.
     fn drop_oldest_tree(&mut self) -> bool {
         let newest = self.newest.as_ref().map(|n| n.1.clone());
         let older =
--- a/crates/snmp/src/walkers/tests.rs
+++ b/crates/snmp/src/walkers/tests.rs
@@ -19,41 +19,41 @@
 }
 
 #[test]
-fn a_walk_sees_one_tree_and_a_new_one_the_newest() {
+fn walk_keeps_its_tree_and_new_walk_gets_the_newest() {
     let mut w = Walkers::new(BOUNDS);
     assert_eq!(w.tree_for(0, &'a', Some(&[1])), TreeSource::New);
     w.add_tree(0, &'a', Some(&[1]), tree(1));
-    assert_eq!(number(w.tree_for(5, &'b', Some(&[1]))), Some(1), "walkers who come together share");
-    assert_eq!(w.tree_for(50, &'c', None), TreeSource::New, "an old tree answers nobody else");
+    assert_eq!(number(w.tree_for(5, &'b', Some(&[1]))), Some(1), "walks that begin together share a tree");
+    assert_eq!(w.tree_for(50, &'c', None), TreeSource::New, "an old tree is not used for new requests");
     w.add_tree(50, &'c', None, tree(2));
-    assert_eq!(number(w.tree_for(60, &'a', Some(&[1, 1]))), Some(1), "its walk goes on");
+    assert_eq!(number(w.tree_for(60, &'a', Some(&[1, 1]))), Some(1), "the walk continues with its tree");
     assert_eq!(number(w.tree_for(60, &'a', Some(&[1]))), Some(2), "a new walk");
-    assert_eq!(w.tree_for(161, &'a', Some(&[1, 1])), TreeSource::New, "after a long silence");
+    assert_eq!(w.tree_for(161, &'a', Some(&[1, 1])), TreeSource::New, "the walk was idle for too long");
 }
 
 #[test]
-fn walkers_are_bounded() {
+fn number_of_walkers_is_bounded() {
     let mut w = Walkers::new(BOUNDS);
-    for who in 0..1000u32 {
-        if w.tree_for(who.into(), &who, Some(&[1])) == TreeSource::New {
-            w.add_tree(who.into(), &who, Some(&[1]), tree(who));
+    for walker in 0..1000u32 {
+        if w.tree_for(walker.into(), &walker, Some(&[1])) == TreeSource::New {
+            w.add_tree(walker.into(), &walker, Some(&[1]), tree(walker));
         }
         assert!(w.len() <= 2);
     }
     assert_eq!(tree(1).next(&[1, 2], &View::default()), None);
 }
 
-/// Guards memory where there are many data nodes and managers: each of many walks may hold a tree of its own.
+/// With many data nodes and managers, each walk may hold its own large tree; their total size must stay bounded.
 #[test]
-fn trees_are_bounded_by_their_objects() {
+fn held_trees_are_bounded_by_their_number_of_objects() {
     let mut w = Walkers::new(Bounds { max_walkers: 64, max_objects: 5, idle_timeout: 1_000_000, ..BOUNDS });
-    for who in 0..64u32 {
-        let now = u64::from(who) * 20;
-        assert_eq!(w.tree_for(now, &who, Some(&[1])), TreeSource::New);
-        w.add_tree(now, &who, Some(&[1]), tree(who));
-        // The newest, and as many older ones of two objects as fit.
-        assert_eq!(w.len(), 3.min(who as usize + 1));
+    for walker in 0..64u32 {
+        let now = u64::from(walker) * 20;
+        assert_eq!(w.tree_for(now, &walker, Some(&[1])), TreeSource::New);
+        w.add_tree(now, &walker, Some(&[1]), tree(walker));
+        // The newest tree, and as many older trees of two objects as fit.
+        assert_eq!(w.len(), 3.min(walker as usize + 1));
     }
-    assert_eq!(number(w.tree_for(1270, &62, Some(&[1, 1]))), Some(62), "the latest walks go on");
-    assert_eq!(w.tree_for(1290, &3, Some(&[1, 1])), TreeSource::New, "the oldest ones with a newer tree");
+    assert_eq!(number(w.tree_for(1270, &62, Some(&[1, 1]))), Some(62), "the latest walks keep their tree");
+    assert_eq!(w.tree_for(1290, &3, Some(&[1, 1])), TreeSource::New, "the oldest walks get a newer tree");
 }
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The manager's half against the agent: every object once and in order, both versions, and the hard cases.
+//! Exchanges between the manager and the agent in both versions: walks, views, security errors and malformed messages.
 
 use curlewdeck_snmp::agent::{Agent, Bounds, Incoming};
 use curlewdeck_snmp::manager::{
@@ -13,7 +13,7 @@
 const ENGINE: &[u8] = &[0x80, 0, 0x7e, 0xd9, 5, 1, 2, 3, 4, 5, 6, 7, 8];
 
 fn user(name: &str, auth: &str, privacy: Option<&str>) -> User {
-    // Keys as they are: drawing a passphrase out takes long, and has its own test.
+    // Localised keys: key derivation from a passphrase is slow, and has its own test.
     let secret = |text: &str| Secret::Localized(text.bytes().cycle().take(32).collect());
     User { name: name.into(), auth: secret(auth), privacy: privacy.map(secret), view: View::default() }
 }
@@ -33,30 +33,30 @@
     agent
 }
 
-/// What a request comes to, at the agent's time and the manager's.
+/// Exchanges a request with the agent; `times` are the agent's and the manager's time in seconds.
 fn exchange(
     agent: &mut Agent,
     tree: &Tree,
     session: &mut Session,
-    what: &Request,
+    request: &Request,
     times: (u32, u32),
 ) -> Result<Vec<(Oid, BindingValue)>, ManagerError> {
     session.begin();
     for _ in 0..4 {
-        let bytes = session.write(what, times.1).unwrap();
+        let bytes = session.write(request, times.1).unwrap();
         let answer = match agent.read(&bytes, times.0) {
             Incoming::Drop => return Err(ManagerError::Malformed),
             Incoming::Reply(bytes) => bytes,
-            Incoming::Request(request) => agent.answer(&request, tree, times.0).unwrap(),
+            Incoming::Request(accepted) => agent.answer(&accepted, tree, times.0).unwrap(),
         };
         assert!(answer.len() <= BOUNDS.bytes, "{} bytes", answer.len());
         match session.read(&answer, times.1)? {
             Reply::Bindings(bindings) => return Ok(bindings),
             Reply::Retry => {}
-            Reply::NotOurs => panic!("not ours"),
+            Reply::NotOurs => panic!("the reply is to another request"),
         }
     }
-    panic!("it does not end");
+    panic!("too many retries");
 }
 
 fn sessions() -> Vec<Session> {
@@ -68,36 +68,41 @@
     ]
 }
 
-fn walked(
+fn walk_objects(
     agent: &mut Agent,
     tree: &Tree,
     session: &mut Session,
     root: &[u32],
-    rounds: u32,
+    max_repetitions: u32,
 ) -> Vec<(Oid, Value)> {
-    let (mut walk, mut met) = (Walk::new(root.to_vec(), rounds), Vec::new());
-    while let Some(what) = walk.next_request() {
-        met.extend(walk.handle_answer(exchange(agent, tree, session, &what, (5, 5)).unwrap()).unwrap());
+    let (mut walk, mut objects) = (Walk::new(root.to_vec(), max_repetitions), Vec::new());
+    while let Some(request) = walk.next_request() {
+        objects
+            .extend(walk.handle_answer(exchange(agent, tree, session, &request, (5, 5)).unwrap()).unwrap());
     }
-    met
+    objects
 }
 
-/// Every object once and in order, whatever the rounds, in every version; an answer never outgrows its bound.
+/// A walk must return every object once and in order, for any number of repetitions and each version. `exchange` checks
+/// that no response exceeds the size limit.
 #[test]
-fn a_walk_meets_every_object() {
+fn walk_returns_every_object_once_in_order() {
     let (tree, mut agent) = (tree(60), agent());
     for mut session in sessions() {
-        for rounds in [1, 3, 20, 100_000, u32::MAX >> 1] {
-            assert_eq!(walked(&mut agent, &tree, &mut session, &[1, 3], rounds), tree.objects());
+        for max_repetitions in [1, 3, 20, 100_000, u32::MAX >> 1] {
+            assert_eq!(
+                walk_objects(&mut agent, &tree, &mut session, &[1, 3], max_repetitions),
+                tree.objects()
+            );
         }
         let below: Vec<_> =
             tree.objects().iter().filter(|o| o.0.starts_with(&[1, 3, 6, 1, 2])).cloned().collect();
-        assert_eq!(walked(&mut agent, &tree, &mut session, &[1, 3, 6, 1, 2], 5), below);
+        assert_eq!(walk_objects(&mut agent, &tree, &mut session, &[1, 3, 6, 1, 2], 5), below);
     }
 }
 
 #[test]
-fn objects_are_read_by_name_in_every_version() {
+fn get_and_next_work_in_each_version() {
     let (tree, mut agent) = (tree(9), agent());
     let names = vec![vec![1, 3, 6, 1, 1, 4], vec![1, 3, 6, 1, 1, 99], vec![1, 4, 1]];
     for mut session in sessions() {
@@ -116,7 +121,7 @@
         assert_eq!(last[0].1, BindingValue::End);
         let many = Request::Get(vec![vec![1, 3, 7]; 201]);
         assert_eq!(exchange(&mut agent, &tree, &mut session, &many, (5, 5)), Err(ManagerError::Status(1, 0)));
-        // Ten texts of 300 bytes do not fit: too big, and nothing is cut off in silence.
+        // Ten texts of 300 bytes do not fit: the response must be tooBig, not silently truncated.
         let large = Request::Get(vec![vec![1, 3, 7]; 10]);
         assert_eq!(
             exchange(&mut agent, &tree, &mut session, &large, (5, 5)),
@@ -126,7 +131,7 @@
 }
 
 #[test]
-fn a_passphrase_is_made_a_key_of_the_engine() {
+fn passphrase_is_localised_for_the_engine() {
     let mut agent = Agent::new(BOUNDS, ENGINE.to_vec(), 1, Vec::new());
     let pass = |text: &str| Secret::Passphrase(text.to_string());
     let user = User {
@@ -142,13 +147,16 @@
     assert_eq!(got[0].1, BindingValue::Value(Value::Text(vec![b'x'; 300])));
 }
 
-/// A user whose view hides a subtree meets nothing of it, by name or in a walk.
+/// A user whose view excludes a subtree must not get its objects, neither by name nor in a walk.
 #[test]
-fn a_view_hides_a_subtree() {
+fn excluded_subtree_is_hidden_from_get_and_walk() {
     let (tree, mut agent) = (tree(30), agent());
     let mut session = Session::new(Security::User(user("some", "longenough", None)), 1, 7);
-    let met = walked(&mut agent, &tree, &mut session, &[1, 3], 7);
-    assert!(met.iter().all(|o| !o.0.starts_with(&[1, 3, 6, 1, 2])) && met.len() == tree.objects().len() - 7);
+    let objects = walk_objects(&mut agent, &tree, &mut session, &[1, 3], 7);
+    assert!(
+        objects.iter().all(|o| !o.0.starts_with(&[1, 3, 6, 1, 2]))
+            && objects.len() == tree.objects().len() - 7
+    );
     let hidden = Request::Get(vec![vec![1, 3, 6, 1, 2, 7]]);
     assert_eq!(
         exchange(&mut agent, &tree, &mut session, &hidden, (5, 5)).unwrap()[0].1,
@@ -156,7 +164,7 @@
     );
 }
 
-fn fault(agent: &mut Agent, user: User) -> ManagerError {
+fn request_error(agent: &mut Agent, user: User) -> ManagerError {
     let mut session = Session::new(Security::User(user), 1, 7);
     exchange(agent, &tree(3), &mut session, &Request::Get(vec![vec![1, 3, 7]]), (5, 5)).unwrap_err()
 }
@@ -166,9 +174,9 @@
     agent.objects(5).into_iter().find(|o| o.0 == name).unwrap().1
 }
 
-/// What is wrong with a message's security is reported, and counted in its usmStats.
+/// Each security error must be reported to the manager and counted in its `usmStats` object.
 #[test]
-fn wrong_secrets_and_levels_are_reported() {
+fn wrong_secrets_and_security_levels_are_reported() {
     let mut agent = agent();
     for (user, n) in [
         (user("nobody", "maplesyrup", None), 3),
@@ -177,7 +185,7 @@
         (user("ro", "wrongsecret", None), 5),
         (user("noc", "maplesyrup", Some("wrongsecret")), 6),
     ] {
-        let ManagerError::Report(oid) = fault(&mut agent, user) else { panic!("no report") };
+        let ManagerError::Report(oid) = request_error(&mut agent, user) else { panic!("expected a report") };
         assert_eq!(oid[9], n);
     }
     assert_eq!((stat(&agent, 1), stat(&agent, 4)), (Value::Counter32(2), Value::Counter32(5)));
@@ -188,23 +196,24 @@
     );
 }
 
-/// A request replayed outside of the window is not answered; a manager whose clock is off finds the agent's time.
+/// A request replayed outside the time window must not be answered. A manager whose clock differs learns the agent's
+/// time from the report.
 #[test]
-fn a_replay_outside_the_window_is_not_answered() {
+fn replay_outside_the_time_window_is_not_answered() {
     let (tree, mut agent) = (tree(3), agent());
     let mut session = Session::new(Security::User(user("ro", "longenough", None)), 1, 7);
     let what = Request::Get(vec![vec![1, 3, 7]]);
     exchange(&mut agent, &tree, &mut session, &what, (1000, 5)).unwrap();
-    let caught = session.write(&what, 5).unwrap();
-    assert!(matches!(agent.read(&caught, 1150), Incoming::Request(_)));
-    assert!(matches!(agent.read(&caught, 1151), Incoming::Reply(_)));
+    let captured = session.write(&what, 5).unwrap();
+    assert!(matches!(agent.read(&captured, 1150), Incoming::Request(_)));
+    assert!(matches!(agent.read(&captured, 1151), Incoming::Reply(_)));
     assert_eq!(stat(&agent, 2), Value::Counter32(1));
     exchange(&mut agent, &tree, &mut session, &what, (9000, 6)).unwrap();
 }
 
-/// A forged engine is found out again, and one changed byte anywhere in a message is never served.
+/// Neither a message for another engine nor a message with one modified byte at any position may be accepted.
 #[test]
-fn forged_messages_are_not_served() {
+fn modified_messages_are_not_accepted() {
     let (tree, mut agent) = (tree(3), agent());
     let mut session = Session::new(Security::User(user("noc", "maplesyrup", Some("buckwheat"))), 1, 7);
     let what = Request::Get(vec![vec![1, 3, 7]]);
@@ -212,54 +221,54 @@
     let mut other = Agent::new(BOUNDS, vec![1; 12], 1, Vec::new());
     other.admit_user(user("noc", "maplesyrup", Some("buckwheat")), 1);
     let bytes = session.write(&what, 5).unwrap();
-    assert!(matches!(other.read(&bytes, 5), Incoming::Reply(_)), "for another engine");
+    assert!(matches!(other.read(&bytes, 5), Incoming::Reply(_)), "the message is for another engine");
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(!matches!(agent.read(&changed, 5), Incoming::Request(_)), "byte {at} was changed");
+        assert!(!matches!(agent.read(&changed, 5), Incoming::Request(_)), "byte {at} was modified");
     }
     assert!(matches!(agent.read(&bytes, 5), Incoming::Request(_)));
-    // The answer likewise: one changed byte, and the manager does not believe it.
-    let Incoming::Request(request) = agent.read(&bytes, 5) else { panic!("not asked") };
+    // The manager likewise rejects a response with one modified byte.
+    let Incoming::Request(request) = agent.read(&bytes, 5) else { panic!("the request was not accepted") };
     let answer = agent.answer(&request, &tree, 5).unwrap();
     for at in 0..answer.len() {
         let mut changed = answer.clone();
         changed[at] ^= 1;
         assert!(
             !matches!(session.clone().read(&changed, 5), Ok(Reply::Bindings(_))),
-            "byte {at} was changed"
+            "byte {at} was modified"
         );
     }
 }
 
-/// A table that shrinks and grows during a walk: names only go forward, and the walk ends.
+/// If a table shrinks and grows during a walk, names must still ascend and the walk must end.
 #[test]
-fn a_walk_goes_forward_while_the_table_changes() {
+fn walk_ascends_while_the_table_changes() {
     let mut agent = agent();
     for mut session in sessions() {
-        let (mut walk, mut met, mut n) = (Walk::new(vec![1, 3], 3), Vec::new(), 60u32);
-        while let Some(what) = walk.next_request() {
+        let (mut walk, mut objects, mut n) = (Walk::new(vec![1, 3], 3), Vec::new(), 60u32);
+        while let Some(request) = walk.next_request() {
             n = (n * 7 + 3) % 61;
-            met.extend(
-                walk.handle_answer(exchange(&mut agent, &tree(n), &mut session, &what, (5, 5)).unwrap())
+            objects.extend(
+                walk.handle_answer(exchange(&mut agent, &tree(n), &mut session, &request, (5, 5)).unwrap())
                     .unwrap(),
             );
         }
-        assert!(met.windows(2).all(|w| w[0].0 < w[1].0));
+        assert!(objects.windows(2).all(|w| w[0].0 < w[1].0));
     }
     let mut walk = Walk::new(vec![1, 3], 3);
     walk.handle_answer(vec![(vec![1, 3, 5], BindingValue::Value(Value::Gauge(1)))]).unwrap();
-    let back = vec![(vec![1, 3, 5], BindingValue::Value(Value::Gauge(1)))];
+    let repeated = vec![(vec![1, 3, 5], BindingValue::Value(Value::Gauge(1)))];
     assert_eq!(
-        walk.handle_answer(back),
+        walk.handle_answer(repeated),
         Err(ManagerError::Backwards(vec![1, 3, 5])),
-        "an agent that goes in a circle"
+        "an agent that repeats an object"
     );
 }
 
-/// Counters past their wrap, and one that began anew: told apart by the discontinuity, never by the figures.
+/// A wrapped counter and a restarted counter both decrease; only the discontinuity distinguishes them.
 #[test]
-fn rates_are_right_over_a_wrap_and_a_restart() {
+fn counter_increase_handles_a_wrap_and_a_restart() {
     assert_eq!(counter_increase(u64::MAX - 4, 5, false), Some(10));
     assert_eq!(counter32_increase(u32::MAX - 4, 5, false), Some(10));
     assert_eq!((counter_increase(1000, 5, true), counter32_increase(1000, 5, true)), (None, None));
@@ -268,9 +277,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Nothing that comes may panic: random bytes, changed bytes, bytes cut off, lengths that lie.
+    /// Random, modified and truncated datagrams, including wrong lengths, must not cause a panic.
     #[test]
-    fn any_bytes_are_read_without_panic(
+    fn malformed_datagrams_do_not_panic(
         noise in proptest::collection::vec(any::<u8>(), 0..200),
         changes in proptest::collection::vec((any::<usize>(), any::<u8>()), 0..6),
         cut in any::<usize>(), which in 0..3usize,
