--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -1,7 +1,8 @@
-//! A listening socket that the process inherited.
+//! A listening socket inherited from a parent process.
 //!
-//! Other processes hold the same socket: two versions of a program serve side by side at one address. So a connection
-//! is accepted only when there is a place for it, and whoever stops leaves what has not been accepted to the others.
+//! Several processes can share the socket, such as two versions of a program that serve the same address. Therefore a
+//! process should accept a connection only when it has capacity for it; when a process stops, connections that it has
+//! not accepted are left to the others.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -12,53 +13,57 @@
 use nix::sys::socket::getsockopt;
 use nix::sys::socket::sockopt::AcceptConn;
 
-/// Descriptors below this are the standard streams.
-const FIRST: u16 = 3;
+/// Lower descriptors are the standard streams.
+const FIRST_INHERITED_FD: u16 = 3;
 
-/// A listening TCP socket that others may hold too.
+/// A listening TCP socket that other processes may share.
 #[derive(Debug)]
 pub struct Inherited(TcpListener);
 
 impl Inherited {
-    /// Takes over the socket of this descriptor. To be called once, before there are other threads.
+    /// Takes ownership of the socket with this descriptor number. Must be called once, before other threads are
+    /// started, since it sets environment variables.
     ///
     /// # Errors
-    /// Says in one line why it cannot be.
+    /// Returns a one-line description of why the descriptor is not usable.
     pub fn take(text: &str) -> Result<Self, String> {
-        let bad = |why: &str| format!("descriptor '{text}': {why}");
-        let number: u16 = text.parse().map_err(|_| bad("this is no number of a descriptor"))?;
-        let at = number.checked_sub(FIRST).ok_or_else(|| bad("this is a standard stream"))?;
-        // The crate reads its own variable for how many descriptors from the first on were handed over.
+        let error = |cause: &str| format!("descriptor '{text}': {cause}");
+        let number: u16 = text.parse().map_err(|_| error("not a descriptor number"))?;
+        let offset =
+            number.checked_sub(FIRST_INHERITED_FD).ok_or_else(|| error("reserved for a standard stream"))?;
+        // `listenfd` reads the number of inherited descriptors from LISTEN_FDS, and checks LISTEN_PID only if it is
+        // set.
         std::env::remove_var("LISTEN_PID");
-        std::env::set_var("LISTEN_FDS", (at + 1).to_string());
-        let taken = listenfd::ListenFd::from_env().take_tcp_listener(usize::from(at));
+        std::env::set_var("LISTEN_FDS", (offset + 1).to_string());
+        let taken = listenfd::ListenFd::from_env().take_tcp_listener(usize::from(offset));
         match taken {
             Ok(Some(listener)) => {
                 if !getsockopt(&listener, AcceptConn).unwrap_or(false) {
-                    return Err(bad("this is no listening TCP socket"));
+                    return Err(error("not a listening TCP socket"));
                 }
-                listener.set_nonblocking(true).map_err(|e| bad(&e.to_string()))?;
+                listener.set_nonblocking(true).map_err(|e| error(&e.to_string()))?;
                 Ok(Self(listener))
             }
-            Ok(None) => Err(bad("no such descriptor was handed over")),
-            Err(_) => Err(bad("this is no listening TCP socket")),
+            Ok(None) => Err(error("no such descriptor was inherited")),
+            Err(_) => Err(error("not a listening TCP socket")),
         }
     }
 
-    /// Where it listens.
+    /// The local address of the socket.
     ///
     /// # Errors
-    /// The socket is of no use.
+    /// Fails if the socket's address cannot be read.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// Waits for a connection, for so long at most; returns whether there may be one. Not called from a coroutine.
+    /// Waits until a connection is pending or the timeout expires; returns whether one may be pending. Blocks the
+    /// thread, so it must not be called from a coroutine.
     ///
     /// # Errors
-    /// The socket is of no use.
-    pub fn waits(&self, within: Duration) -> io::Result<bool> {
-        let millis = PollTimeout::try_from(within).unwrap_or(PollTimeout::MAX);
+    /// Fails if the socket cannot be polled.
+    pub fn waits(&self, timeout: Duration) -> io::Result<bool> {
+        let millis = PollTimeout::try_from(timeout).unwrap_or(PollTimeout::MAX);
         let mut fds = [PollFd::new(self.0.as_fd(), PollFlags::POLLIN)];
         match poll(&mut fds, millis) {
             Ok(ready) => Ok(ready > 0),
@@ -67,14 +72,14 @@
         }
     }
 
-    /// A connection, if there is one: another process may have been first.
+    /// Accepts a pending connection; returns `None` if there is none, such as when another process accepted it first.
     ///
     /// # Errors
-    /// The socket cannot be accepted from.
+    /// Fails if accepting a connection fails for another reason.
     pub fn accept(&self) -> io::Result<Option<may::net::TcpStream>> {
         match self.0.accept() {
-            Ok((stream, _)) => Ok(Some(adopt(stream))),
-            // Another process was first, or the client has left again.
+            Ok((stream, _)) => Ok(Some(to_coroutine_stream(stream))),
+            // Another process accepted the connection first, or the client has closed it.
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::ConnectionAborted) => {
                 Ok(None)
             }
@@ -83,9 +88,9 @@
     }
 }
 
-fn adopt(stream: std::net::TcpStream) -> may::net::TcpStream {
-    // SAFETY: `into_raw_fd` gives up the ownership of an open TCP socket, which `from_raw_fd` takes: it has one owner
-    // before and after.
+fn to_coroutine_stream(stream: std::net::TcpStream) -> may::net::TcpStream {
+    // SAFETY: `into_raw_fd` releases the ownership of an open TCP socket and `from_raw_fd` takes it, so the descriptor
+    // has exactly one owner.
     unsafe { may::net::TcpStream::from_raw_fd(stream.into_raw_fd()) }
 }
 
--- a/crates/listener/src/tests.rs
+++ b/crates/listener/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::io::{Read, Write};
 
-fn pair() -> (Inherited, Inherited, SocketAddr) {
+fn shared_listeners() -> (Inherited, Inherited, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let addr = listener.local_addr().unwrap();
@@ -9,10 +9,11 @@
     (Inherited(listener), Inherited(other), addr)
 }
 
-/// Guards the hand-over of a socket between the two libraries: it stays open and is closed once, with its owner.
+/// Converting an accepted socket from the standard library to `may` must keep it open, and close it exactly once with
+/// its new owner.
 #[test]
-fn an_accepted_connection_is_whole() {
-    let (one, two, addr) = pair();
+fn accepted_connection_stays_open_until_it_is_dropped() {
+    let (one, two, addr) = shared_listeners();
     assert!(one.accept().unwrap().is_none() && !one.waits(Duration::ZERO).unwrap());
     let mut client = std::net::TcpStream::connect(addr).unwrap();
     assert!(one.waits(Duration::from_secs(60)).unwrap() && two.waits(Duration::ZERO).unwrap());
@@ -25,23 +26,26 @@
     assert_eq!(got, "whole");
 }
 
-/// Guards a start with what is no listening socket: one line that says so.
+/// A start with a descriptor that is not a listening TCP socket must fail with a message that names the cause.
 #[test]
-fn what_is_no_listener_is_named() {
-    for (text, why) in
-        [("x", "no number"), ("-1", "no number"), ("1", "standard stream"), ("4000", "descriptor")]
-    {
-        let said = Inherited::take(text).unwrap_err();
-        assert!(said.contains(why) && said.contains(text), "{said}");
+fn unusable_descriptors_are_rejected_with_the_cause() {
+    for (text, cause) in [
+        ("x", "not a descriptor number"),
+        ("-1", "not a descriptor number"),
+        ("1", "standard stream"),
+        ("4000", "descriptor"),
+    ] {
+        let error = Inherited::take(text).unwrap_err();
+        assert!(error.contains(cause) && error.contains(text), "{error}");
     }
-    // A connection is a TCP socket too, and a file is none.
+    // A connected TCP socket and a file are not listening sockets.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let file = std::fs::File::open("Cargo.toml").unwrap();
     for fd in [client.into_raw_fd(), file.into_raw_fd()] {
-        assert!(Inherited::take(&fd.to_string()).unwrap_err().contains("no listening TCP socket"));
+        assert!(Inherited::take(&fd.to_string()).unwrap_err().contains("not a listening TCP socket"));
     }
-    let (one, _, addr) = pair();
+    let (one, _, addr) = shared_listeners();
     let taken = Inherited::take(&one.0.into_raw_fd().to_string()).unwrap();
     assert_eq!(taken.local_addr().unwrap(), addr);
 }
--- a/crates/testkit/src/history.rs
+++ b/crates/testkit/src/history.rs
@@ -1,55 +1,55 @@
-//! A checker of linearizability for histories of registers, key by key (Wing and Gong's search with the memo of Lowe,
-//! as in Porcupine): is there one order of the operations, each placed between its call and its completion, in which every
-//! read returns the last write before it?
+//! A linearizability checker for histories of registers (Wing and Gong's search with Lowe's memoization, as in
+//! Porcupine). A history is linearizable if its operations have a total order in which each operation takes effect
+//! between its call and its completion, and every read returns the last write before it.
 //!
-//! An operation that has not completed (the client gave up, or its outcome is unknown) may have taken effect at any moment
-//! after its call, or never. Keys are checked one by one, which is sound since a history is linearizable if and only if that
-//! of each key is (locality, Herlihy and Wing).
+//! An operation that has not completed (the client gave up, or its outcome is unknown) may take effect at any time
+//! after its call, or never. Keys are checked separately, which is sound because a history is linearizable if and only
+//! if the history of each key is (locality, Herlihy and Wing).
 
 use std::collections::{BTreeMap, HashSet};
 
-/// What an operation did to its key.
+/// The effect of an operation on its key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Set this value.
+    /// Sets the key to this value.
     Write(Vec<u8>),
-    /// Removed the key.
+    /// Removes the key.
     Remove,
-    /// Returned this value; none if the key was absent.
+    /// Returns this value; `None` if the key is absent.
     Read(Option<Vec<u8>>),
 }
 
-/// One operation of a history. All times are of one clock.
+/// One operation of a history. All times are from the same clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operation {
-    /// The key.
+    /// The register that the operation reads or writes.
     pub key: String,
-    /// What it did.
+    /// The effect of the operation, and the value that a read returned.
     pub action: Action,
-    /// When it was called.
+    /// When the client started the operation.
     pub called_at: u64,
-    /// When it completed; none if that is not known, and it may have taken effect or not.
+    /// When the operation completed; `None` if its outcome is unknown.
     pub completed_at: Option<u64>,
 }
 
-/// Why a history is not linearizable.
+/// A key whose history is not linearizable.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("no order of the {} operations on {key} fits what clients saw", .operations.len())]
+#[error("the {} operations on {key} are not linearizable", .operations.len())]
 pub struct Violation {
-    /// The key whose operations admit no order.
+    /// The key whose operations have no valid order.
     pub key: String,
-    /// Its operations, as given.
+    /// The operations on the key, in the order of the history.
     pub operations: Vec<Operation>,
 }
 
-/// More operations on one key are not searched: a set of them is a bit mask of this width.
+/// Maximum number of operations per key, since the search represents a set of operations as a 64-bit mask.
 pub const MAX_OPERATIONS_PER_KEY: usize = 64;
 
-/// Checks a history; returns how many keys it has.
+/// Checks a history and returns its number of keys.
 ///
 /// # Errors
-/// The first key, in order, whose operations admit no linear order. A key with more than [`MAX_OPERATIONS_PER_KEY`]
-/// operations is returned as a violation too, so that a test never passes unchecked.
+/// Returns the first key, in lexical order, whose operations are not linearizable. A key with more than
+/// [`MAX_OPERATIONS_PER_KEY`] operations is also reported as a violation, so that no test passes unchecked.
 pub fn check(history: &[Operation]) -> Result<usize, Violation> {
     let mut by_key: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
     for operation in history {
@@ -66,10 +66,10 @@
     Ok(by_key.len())
 }
 
-/// The operations that are placed already, as a bit mask, and the register's value after them.
+/// The set of operations already placed in the order, as a bit mask, and the register's value after them.
 type SearchState = (u64, Option<Vec<u8>>);
 
-/// Searches depth-first for an order of the operations on one key.
+/// Searches depth-first for a valid order of the operations on one key.
 fn is_linearizable(operations: &[&Operation]) -> bool {
     let bit = |i: usize| 1_u64 << i;
     let all = 0..operations.len();
@@ -85,10 +85,10 @@
         if !visited.insert((placed, value.clone())) {
             continue;
         }
-        // An operation may be next only if it was called before every other one that is not placed has completed.
-        let is_open = |&i: &usize| placed & bit(i) == 0;
-        let first_completion = all.clone().filter(is_open).map(completion).min().unwrap_or(u64::MAX);
-        for i in all.clone().filter(is_open) {
+        // An operation can be placed next only if it was called before the first completion among the unplaced ones.
+        let is_unplaced = |&i: &usize| placed & bit(i) == 0;
+        let first_completion = all.clone().filter(is_unplaced).map(completion).min().unwrap_or(u64::MAX);
+        for i in all.clone().filter(is_unplaced) {
             if operations[i].called_at > first_completion {
                 continue;
             }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! For tests and benches of several processes: [`history`] checks whether what clients saw is linearizable, and [`proxy`]
-//! injects faults between processes on loopback.
+//! Tools for tests and benchmarks with several processes: [`history`] checks operation histories for linearizability,
+//! and [`proxy`] injects network faults between processes on loopback.
 
 pub mod history;
 pub mod proxy;
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -1,8 +1,8 @@
-//! A TCP proxy on loopback that injects faults: it listens on a port that the system chooses, forwards each connection to one
-//! target, and delays, drops or reorders what it forwards, or closes connections, as a test says.
+//! A fault-injecting TCP proxy on loopback. It listens on an ephemeral port, forwards each connection to one target,
+//! and on a test's request delays, drops or reorders data or closes connections.
 //!
-//! It is bounded: at most [`MAX_CONNECTIONS`] at once (more are closed at once), two threads a connection and one that
-//! accepts. All of them end within [`POLL_INTERVAL`] after the proxy is dropped.
+//! Resources are bounded: at most [`MAX_CONNECTIONS`] concurrent connections (further ones are closed immediately), two
+//! threads per connection and one that accepts. All threads end within [`POLL_INTERVAL`] after the proxy is dropped.
 
 mod forward;
 mod message_filter;
@@ -17,51 +17,51 @@
 
 use forward::Direction;
 
-/// Connections at once.
+/// Maximum number of concurrent connections.
 pub const MAX_CONNECTIONS: usize = 64;
-/// How often a thread checks whether it should end or the faults have changed.
+/// Interval at which threads check for the end of the proxy and for changed faults.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The faults that are injected.
+/// Faults to inject; none by default.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Each chunk that is read waits this long before it is forwarded, in both directions; order is kept.
+    /// Delay before each chunk of data is forwarded, in both directions; the order is kept.
     pub delay: Duration,
-    /// Bytes from the client to the target are dropped.
+    /// Drops all bytes from the client to the target.
     pub drop_forward: bool,
-    /// Bytes from the target to the client are dropped.
+    /// Drops all bytes from the target to the client.
     pub drop_backward: bool,
-    /// New connections are closed at once.
+    /// Closes new connections immediately.
     pub refuse_connections: bool,
-    /// Now and then a whole message from the client to the target is duplicated or overtaken by the next one. Which one is
-    /// chosen by the number of the message, so that a run is the same for the same messages.
+    /// Duplicates some messages from the client to the target, and swaps some with their successor. Messages are
+    /// selected by their sequence number, so that a run is reproducible for the same messages.
     pub reorder: Option<MessageLength>,
-    /// These messages from the client to the target are dropped, each as a whole. Where `reorder` is set too, the others
-    /// are what is reordered. A connection's bytes must begin with a message when this is set.
+    /// Drops selected messages from the client to the target. If `reorder` is set too, it applies to the remaining
+    /// ones. Must be set at a message boundary of each connection.
     pub drop_messages: Option<DroppedMessages>,
 }
 
-/// Which messages are dropped.
+/// Selects the messages to drop.
 #[derive(Debug, Clone, Copy)]
 pub struct DroppedMessages {
-    /// Where a message ends.
+    /// Determines the message boundaries.
     pub length: MessageLength,
-    /// Whether this whole message is dropped. Called once for each message, before it is forwarded.
+    /// Returns whether to drop a message. Called once per complete message, before it is forwarded.
     pub is_dropped: fn(&[u8]) -> bool,
 }
 
-/// How many bytes the first message takes; none while that is not known.
+/// Returns the length in bytes of the first message in a buffer; `None` while the length cannot be determined.
 pub type MessageLength = fn(&[u8]) -> Option<usize>;
 
 impl Faults {
-    /// Drops everything in both directions, and refuses new connections.
+    /// A network partition: drops all data in both directions, and closes new connections.
     pub fn partition() -> Self {
         Self { drop_forward: true, drop_backward: true, refuse_connections: true, ..Self::default() }
     }
 }
 
-/// Bytes by direction.
+/// Byte counts by direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ByteCounts {
     /// From the client to the target.
@@ -96,11 +96,11 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // No thread leaves a value half-written when it panics.
+    // Poisoning is ignored, since a panicking thread never leaves a value half-written.
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// A running proxy; dropping it ends its threads and closes its connections.
+/// A running proxy. Dropping it closes its connections and ends its threads.
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -108,10 +108,11 @@
 }
 
 impl Proxy {
-    /// Listens on `127.0.0.1:0` and forwards to `target`; without one, connections are closed until there is one.
+    /// Starts a proxy that forwards to `target`. Without a target, connections are closed until
+    /// [`Proxy::forward_to`] sets one.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// Fails if the proxy cannot listen on loopback or start its thread.
     pub fn start(target: Option<SocketAddr>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -124,27 +125,27 @@
         Ok(Self { address, shared, accept_thread: Some(accept_thread) })
     }
 
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Forwards new connections to another target, such as the new port of a process that was started again.
+    /// Forwards new connections to another target, such as the new port of a restarted process.
     pub fn forward_to(&self, target: SocketAddr) {
         *lock(&self.shared.target) = Some(target);
     }
 
-    /// Injects these faults, from the next chunk on.
+    /// Replaces the injected faults, effective from the next chunk of data.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.shared.faults) = faults;
     }
 
-    /// The faults that are injected now.
+    /// The faults currently injected.
     pub fn faults(&self) -> Faults {
         *lock(&self.shared.faults)
     }
 
-    /// Injects no faults any more.
+    /// Stops injecting faults.
     pub fn clear_faults(&self) {
         self.set_faults(Faults::default());
     }
@@ -156,12 +157,12 @@
         }
     }
 
-    /// Bytes forwarded so far.
+    /// Bytes forwarded since the start; a duplicated message counts once.
     pub fn bytes_forwarded(&self) -> ByteCounts {
         *lock(&self.shared.forwarded)
     }
 
-    /// Bytes dropped so far.
+    /// Bytes dropped since the start.
     pub fn bytes_dropped(&self) -> ByteCounts {
         *lock(&self.shared.dropped)
     }
@@ -186,7 +187,7 @@
             Ok((client, _)) => forwarders.extend(forward_connection(client, &shared)),
             Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(POLL_INTERVAL),
             Err(e) => {
-                log::warn!(target: "proxy", error:% = e; "cannot accept a connection");
+                log::warn!(target: "proxy", error:% = e; "failed to accept a connection");
                 thread::sleep(POLL_INTERVAL);
             }
         }
@@ -196,10 +197,10 @@
     }
 }
 
-/// Connects a client to the target, and starts the threads that forward in both directions.
+/// Connects a client to the target, and starts one forwarding thread per direction.
 fn forward_connection(client: TcpStream, shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
-    let refuses = lock(&shared.faults).refuse_connections;
-    let target = if refuses { None } else { *lock(&shared.target) };
+    let refused = lock(&shared.faults).refuse_connections;
+    let target = if refused { None } else { *lock(&shared.target) };
     let connect = |target: SocketAddr| TcpStream::connect_timeout(&target, CONNECT_TIMEOUT).ok();
     let Some(server) = target.and_then(connect) else {
         close(&client);
--- a/crates/testkit/src/proxy/forward.rs
+++ b/crates/testkit/src/proxy/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards one direction of a connection, with the faults that are injected.
+//! Forwards one direction of a connection and applies the injected faults.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -10,7 +10,7 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// A direction of a connection.
+/// A direction of data flow in a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Direction {
     /// From the client to the target.
@@ -28,7 +28,7 @@
     }
 }
 
-/// Forwards until one side closes the connection or the proxy stops; closes both sides then.
+/// Forwards data until one side closes the connection or the proxy stops, then closes both sides.
 pub(super) fn forward(mut from: TcpStream, mut to: TcpStream, direction: Direction, shared: &Shared) {
     let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = vec![0; BUFFER_BYTES];
@@ -49,7 +49,7 @@
             thread::sleep(faults.delay);
         }
         let kept = match faults.drop_messages.filter(|_| direction == Direction::Forward) {
-            Some(dropped_messages) => filter.keep(&buffer[..read], dropped_messages),
+            Some(dropped_messages) => filter.filter(&buffer[..read], dropped_messages),
             None => [&filter.take_incomplete(), &buffer[..read]].concat(),
         };
         lock(&shared.dropped).add(direction, filter.take_dropped_bytes());
@@ -62,7 +62,7 @@
         }
         lock(&shared.forwarded).add(direction, kept.len());
     }
-    // What one side still had to say is lost, as with a process that is killed.
+    // Data still in flight in the other direction is lost, as when a process is killed.
     close(&to);
     close(&from);
 }
--- a/crates/testkit/src/proxy/message_filter.rs
+++ b/crates/testkit/src/proxy/message_filter.rs
@@ -1,19 +1,19 @@
-//! Drops whole messages.
+//! Drops selected messages.
 
 use super::DroppedMessages;
 
-/// Drops whole messages of one direction.
+/// Drops selected messages of one direction of a connection.
 #[derive(Default)]
 pub(super) struct MessageFilter {
-    /// Bytes of a message that is not complete.
+    /// Bytes received of an incomplete message.
     incomplete: Vec<u8>,
-    /// Bytes dropped since they were last taken note of.
+    /// Bytes dropped since the last call of `take_dropped_bytes`.
     dropped_bytes: usize,
 }
 
 impl MessageFilter {
-    /// Takes bytes that have arrived, and returns those to forward: always whole messages.
-    pub(super) fn keep(&mut self, bytes: &[u8], dropped_messages: DroppedMessages) -> Vec<u8> {
+    /// Adds received bytes, and returns the complete messages that are not dropped.
+    pub(super) fn filter(&mut self, bytes: &[u8], dropped_messages: DroppedMessages) -> Vec<u8> {
         let DroppedMessages { length, is_dropped } = dropped_messages;
         self.incomplete.extend_from_slice(bytes);
         let mut kept = Vec::new();
@@ -28,12 +28,12 @@
         kept
     }
 
-    /// Takes what is held, to forward it before anything else once no messages are dropped any longer.
+    /// Takes the bytes of an incomplete message, to be forwarded first once message dropping is turned off.
     pub(super) fn take_incomplete(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.incomplete)
     }
 
-    /// Bytes dropped since the last call.
+    /// Returns the number of bytes dropped since the last call.
     pub(super) fn take_dropped_bytes(&mut self) -> usize {
         std::mem::take(&mut self.dropped_bytes)
     }
--- a/crates/testkit/src/proxy/reorder.rs
+++ b/crates/testkit/src/proxy/reorder.rs
@@ -1,47 +1,47 @@
-//! Duplicates and reorders whole messages.
+//! Duplicates and reorders messages.
 
 use super::MessageLength;
 
-/// Every so many messages one is overtaken by the next one.
-const OVERTAKEN_EVERY: u64 = 3;
-/// Every so many messages one is sent twice.
-const DUPLICATED_EVERY: u64 = 4;
+/// Every third message is forwarded after its successor.
+const REORDER_INTERVAL_MESSAGES: u64 = 3;
+/// Every fourth message is forwarded twice.
+const DUPLICATION_INTERVAL_MESSAGES: u64 = 4;
 
-/// Duplicates and reorders whole messages of one direction.
+/// Duplicates and reorders messages of one direction of a connection.
 #[derive(Default)]
 pub(super) struct Reorderer {
-    /// Bytes of a message that is not complete.
+    /// Bytes received of an incomplete message.
     incomplete: Vec<u8>,
-    /// A message that waits to be overtaken.
-    overtaken: Option<Vec<u8>>,
+    /// A message held back until its successor is forwarded.
+    delayed: Option<Vec<u8>>,
     messages: u64,
 }
 
 impl Reorderer {
-    /// Takes bytes that have arrived, and returns those to forward: always whole messages.
+    /// Adds received bytes, and returns the complete messages to forward.
     pub(super) fn forward(&mut self, bytes: &[u8], message_length: MessageLength) -> Vec<u8> {
         self.incomplete.extend_from_slice(bytes);
         let mut out = Vec::new();
         while let Some(length) = message_length(&self.incomplete).filter(|&n| n <= self.incomplete.len()) {
             let message: Vec<u8> = self.incomplete.drain(..length).collect();
             self.messages += 1;
-            if self.messages.is_multiple_of(OVERTAKEN_EVERY) && self.overtaken.is_none() {
-                self.overtaken = Some(message);
+            if self.messages.is_multiple_of(REORDER_INTERVAL_MESSAGES) && self.delayed.is_none() {
+                self.delayed = Some(message);
                 continue;
             }
             out.extend_from_slice(&message);
-            if self.messages.is_multiple_of(DUPLICATED_EVERY) {
+            if self.messages.is_multiple_of(DUPLICATION_INTERVAL_MESSAGES) {
                 out.extend_from_slice(&message);
             }
-            out.extend(self.overtaken.take().into_iter().flatten());
+            out.extend(self.delayed.take().into_iter().flatten());
         }
         out
     }
 
-    /// Takes what is held, to forward it before anything else once messages are reordered no longer.
+    /// Takes the held bytes, to be forwarded first once reordering is turned off.
     pub(super) fn take_held(&mut self) -> Vec<u8> {
-        let overtaken = self.overtaken.take().unwrap_or_default();
-        [overtaken, std::mem::take(&mut self.incomplete)].concat()
+        let delayed = self.delayed.take().unwrap_or_default();
+        [delayed, std::mem::take(&mut self.incomplete)].concat()
     }
 }
 
--- a/crates/testkit/src/proxy/reorder/tests.rs
+++ b/crates/testkit/src/proxy/reorder/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn reordering_loses_no_message_and_tears_none() {
+fn reordering_keeps_every_message_intact() {
     let message_length: MessageLength = |bytes| bytes.first().map(|&n| usize::from(n) + 1);
     let messages: Vec<Vec<u8>> =
         (1..=40_u8).map(|n| [vec![n % 5 + 1], vec![n; usize::from(n % 5) + 1]].concat()).collect();
@@ -14,7 +14,7 @@
         got.push(out[at..at + length].to_vec());
         at += length;
     }
-    assert!(got.len() > messages.len() && got != messages, "nothing came twice");
-    assert!(got.windows(2).any(|w| w[0][1] > w[1][1]), "none was overtaken");
+    assert!(got.len() > messages.len() && got != messages, "no message was duplicated");
+    assert!(got.windows(2).any(|w| w[0][1] > w[1][1]), "no message was reordered");
     assert!(messages.iter().all(|m| got.contains(m)));
 }
--- a/crates/testkit/tests/history.rs
+++ b/crates/testkit/tests/history.rs
@@ -1,4 +1,4 @@
-//! The checker of histories.
+//! The linearizability checker.
 
 use curlewdeck_testkit::history::{check, Action, Operation, MAX_OPERATIONS_PER_KEY};
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_read_after_a_write_must_return_it() {
+fn read_after_completed_write_must_return_it() {
     assert!(
         check(&[operation("a", write("1"), 0, Some(2)), operation("a", read(Some("1")), 3, Some(4))]).is_ok()
     );
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn overlapping_operations_may_go_either_way() {
+fn overlapping_operations_may_take_effect_in_either_order() {
     assert!(check(&[operation("a", write("1"), 0, Some(5)), operation("a", read(None), 1, Some(2))]).is_ok());
     assert!(
         check(&[operation("a", write("1"), 0, Some(5)), operation("a", read(Some("1")), 1, Some(2))]).is_ok()
@@ -31,18 +31,18 @@
 }
 
 #[test]
-fn reads_may_not_go_back() {
+fn stale_read_after_a_newer_read_is_a_violation() {
     let history = [
         operation("a", write("1"), 0, Some(1)),
         operation("a", write("2"), 2, None),
         operation("a", read(Some("2")), 3, Some(4)),
         operation("a", read(Some("1")), 5, Some(6)),
     ];
-    assert!(check(&history).is_err(), "stale read after a newer one was seen");
+    assert!(check(&history).is_err(), "a stale read after a newer value was read");
 }
 
 #[test]
-fn a_write_that_has_not_completed_may_take_effect_late_or_never() {
+fn incomplete_write_may_take_effect_late_or_never() {
     let late = [
         operation("a", write("1"), 0, None),
         operation("a", read(None), 1, Some(2)),
@@ -51,12 +51,12 @@
     assert!(check(&late).is_ok());
     let never = [operation("a", write("1"), 0, None), operation("a", read(None), 10, Some(11))];
     assert!(check(&never).is_ok());
-    let from_nowhere = [operation("a", read(Some("9")), 0, Some(1))];
-    assert!(check(&from_nowhere).is_err());
+    let never_written = [operation("a", read(Some("9")), 0, Some(1))];
+    assert!(check(&never_written).is_err());
 }
 
 #[test]
-fn keys_are_checked_apart_and_too_many_operations_on_one_are_a_violation() {
+fn keys_are_checked_separately_and_too_many_operations_on_a_key_are_a_violation() {
     let ok = [operation("a", write("1"), 0, Some(1)), operation("b", read(None), 2, Some(3))];
     assert_eq!(check(&ok), Ok(2));
     let many: Vec<Operation> =
--- a/crates/testkit/tests/proxy.rs
+++ b/crates/testkit/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy between an echo server and its client.
+//! Fault injection between an echo server and its client.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let handle = thread::spawn(move || {
-        // Two connections, then it ends: the test is bounded.
+        // The server ends after two connections, so that the test terminates.
         for stream in listener.incoming().take(2) {
             let Ok(mut stream) = stream else { continue };
             thread::spawn(move || {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bytes_are_forwarded_or_dropped_and_a_reset_ends_the_connection() {
+fn bytes_are_forwarded_or_dropped_and_reset_closes_the_connection() {
     let (target, server) = echo();
     let proxy = Proxy::start(Some(target)).unwrap();
     let mut stream = TcpStream::connect(proxy.address()).unwrap();
@@ -43,7 +43,7 @@
     assert_eq!(roundtrip(&mut stream, b"one").unwrap(), b"one");
     proxy.set_faults(Faults { drop_backward: true, ..Faults::default() });
     stream.write_all(b"lost").unwrap();
-    // The echo of "lost" is dropped on its way back, whatever the timing: the next answer is "two" alone.
+    // Waits until the echo of "lost" is dropped, so that the next data received is "two" alone.
     while proxy.bytes_dropped().backward < 4 {
         thread::sleep(POLL_INTERVAL);
     }
@@ -51,11 +51,14 @@
     assert_eq!(roundtrip(&mut stream, b"two").unwrap(), b"two");
     proxy.reset_connections();
     let mut buf = [0; 8];
-    assert!(matches!(stream.read(&mut buf), Ok(0) | Err(_)), "a reset connection still reads");
+    assert!(matches!(stream.read(&mut buf), Ok(0) | Err(_)), "the connection is still open after the reset");
     proxy.set_faults(Faults::partition());
     let mut refused = TcpStream::connect(proxy.address()).unwrap();
     refused.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    assert!(matches!(refused.read(&mut buf), Ok(0) | Err(_)), "a partition let a connection in");
+    assert!(
+        matches!(refused.read(&mut buf), Ok(0) | Err(_)),
+        "a connection was accepted during the partition"
+    );
     proxy.clear_faults();
     let mut again = TcpStream::connect(proxy.address()).unwrap();
     again.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -65,12 +68,13 @@
     server.join().unwrap();
 }
 
-/// Guards against a message that is dropped in part, and against one that is dropped or held back though it wasn't chosen.
+/// Selected messages must be dropped completely; all others must be neither dropped nor delayed. Messages arrive split
+/// and joined at arbitrary positions.
 #[test]
-fn only_the_chosen_messages_are_dropped_and_each_as_a_whole() {
+fn only_selected_messages_are_dropped_and_completely() {
     let (target, server) = echo();
     let proxy = Proxy::start(Some(target)).unwrap();
-    // A message is its length and so many bytes; those of `x` are dropped.
+    // A message is a length byte and that many bytes of content; messages that begin with `x` are dropped.
     let dropped_messages = DroppedMessages {
         length: |bytes| bytes.first().map(|&n| usize::from(n) + 1),
         is_dropped: |message| message[1] == b'x',
@@ -80,7 +84,7 @@
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let sent = b"\x03one\x02xx\x03two\x01x\x02xy\x05three";
-    // Piece by piece: messages are torn and joined on the way.
+    // Pieces of 4 bytes split some messages and join others.
     for piece in sent.chunks(4) {
         stream.write_all(piece).unwrap();
         thread::sleep(POLL_INTERVAL);
@@ -89,7 +93,7 @@
     stream.read_exact(&mut got).unwrap();
     assert_eq!(&got, b"\x03one\x03two\x05three");
     assert_eq!(proxy.bytes_dropped(), ByteCounts { forward: 8, backward: 0 });
-    // The beginning of a message is held until the rest comes, and is forwarded once none are dropped any longer.
+    // An incomplete message is held until the rest arrives; it is forwarded once message dropping is turned off.
     stream.write_all(b"\x03x").unwrap();
     thread::sleep(5 * POLL_INTERVAL);
     proxy.clear_faults();
