--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -1,5 +1,5 @@
-//! Unreadable lines in the endpoint list, on real sockets: what can be read of it is in force, and discovery is not
-//! called more often for them.
+//! Tests malformed lines in the endpoint list on real sockets: the readable part of the list applies, and malformed
+//! lines cause no additional calls to discovery.
 
 mod harness;
 
@@ -18,32 +18,32 @@
 
 /// Both modes of discovery.
 const DISCOVERY_MODES: [&str; 2] = ["on_request", "pushed"];
-/// An update that was written is in force within this, on a busy machine, too.
+/// Limit for a written update to apply, also on a busy machine.
 const APPLIED_WITHIN: Duration = Duration::from_secs(5);
-/// How long calls are counted, and the most that a coordinator may make in that time.
+/// Time in which calls are counted, and the most that a coordinator may make in it.
 const COUNTING_TIME: Duration = Duration::from_secs(2);
 const MAX_CALLS: usize = 8;
-/// Queries that show where parts go; so many are sent at once, as one at a time may all go to the same data node.
+/// Number of queries that show where parts go, and how many run at once; single queries may all use the same data node.
 const QUERIES: usize = 40;
 const CONCURRENT: usize = 8;
-/// A data node takes this long for a part.
+/// Time that a data node takes for a part.
 const WORK: Duration = Duration::from_millis(2);
-/// A watch looks for updates this often, and sends a heartbeat where there is none.
+/// Interval at which a watch checks for updates; without one it sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A watch ends at the latest after so many heartbeats.
+/// Number of heartbeats after which a watch ends.
 const MAX_HEARTBEATS: usize = 600;
 
-/// What discovery has.
+/// Content of the discovery service.
 struct Membership {
     version: u32,
-    /// The lines of the snapshot.
+    /// Lines of the snapshot.
     lines: Vec<String>,
-    /// What watches were sent, object by object.
+    /// Objects that were sent to watches.
     watch_objects: Vec<String>,
     calls: usize,
 }
 
-/// Discovery: it has a snapshot for each call, and sends watches whatever the test publishes.
+/// Discovery service that answers calls with a snapshot and sends watches the text that a test publishes.
 struct ScriptedDiscovery(Arc<Mutex<Membership>>);
 
 impl ScriptedDiscovery {
@@ -68,7 +68,7 @@
         self.state().calls
     }
 
-    /// Sends to watches; snapshots have these lines from now on.
+    /// Sends a text to watches; snapshots have these lines from now on.
     fn publish(&self, text: String, lines: Vec<String>) {
         let mut state = self.state();
         state.version += 1;
@@ -76,7 +76,7 @@
         state.watch_objects.push(text);
     }
 
-    /// A coordinator that copes with an unreadable update calls for it now and then at most.
+    /// Asserts that a malformed update does not make the coordinator call again and again.
     fn assert_few_calls(&self) {
         let before = self.calls();
         thread::sleep(COUNTING_TIME);
@@ -85,7 +85,7 @@
     }
 }
 
-/// An update in one line.
+/// Formats an update as one line.
 fn update(version: u32, complete: bool, lines: &[String]) -> String {
     format!(r#"{{"rev":{version},"all":{complete},"targets":[{}]}}"#, lines.join(",")) + "\n"
 }
@@ -108,9 +108,9 @@
     }
     for _ in 0..MAX_HEARTBEATS {
         thread::sleep(HEARTBEAT_INTERVAL);
-        let news = state.lock().unwrap().watch_objects[sent..].to_vec();
-        sent += news.len();
-        let text = if news.is_empty() { "\n".to_string() } else { news.concat() };
+        let updates = state.lock().unwrap().watch_objects[sent..].to_vec();
+        sent += updates.len();
+        let text = if updates.is_empty() { "\n".to_string() } else { updates.concat() };
         if stream.write_all(&chunk(&text)).is_err() {
             return;
         }
@@ -121,7 +121,7 @@
     format!(r#"{{"uid":"{uid}","endpoint":"{addr}","pod_group":0,"state":"{state}"}}"#)
 }
 
-/// A line of which only name and state can be read.
+/// Formats a line of which only the uid and the state are readable.
 fn partial(uid: &str, state: &str) -> String {
     format!(r#"{{"uid":"{uid}","endpoint":null,"pod_group":0,"state":"{state}"}}"#)
 }
@@ -130,7 +130,7 @@
     TestCluster { cells: 1, in_a_row: 1, ranges: 1, discovery: mode, ..TestCluster::default() }
 }
 
-/// Sends queries, some at once; all are answered.
+/// Sends queries, `CONCURRENT` at a time, and asserts that all are answered.
 fn send_queries(coordinator: &Coordinator) {
     let addr = coordinator.listen;
     let in_turn = || {
@@ -141,7 +141,7 @@
     thread::scope(|scope| (0..CONCURRENT).for_each(|_| drop(scope.spawn(in_turn))));
 }
 
-/// The coordinator comes into service.
+/// Waits until the coordinator is in service.
 fn wait_until_ready(coordinator: &Coordinator) {
     let begun = Instant::now();
     while !stand_in::get(coordinator.listen, "/_health").is_ok_and(|a| a.status == 200) {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Data nodes that share one shard.
+/// Starts data nodes that share one shard.
 fn nodes() -> [DataNode; 3] {
     let work = |part: &Part| {
         thread::sleep(WORK);
@@ -159,38 +159,38 @@
     std::array::from_fn(|_| DataNode::start(work))
 }
 
-/// Sends queries until each of these data nodes has had a part: its gate is open.
-fn assert_gates_open(coordinator: &Coordinator, open: &[&DataNode]) {
+/// Sends queries until each of these data nodes has received a part, which shows that its gate is open.
+fn assert_gates_open(coordinator: &Coordinator, nodes: &[&DataNode]) {
     let begun = Instant::now();
-    while open.iter().any(|node| node.parts().is_empty()) {
-        assert!(begun.elapsed() < APPLIED_WITHIN, "one has no part after {APPLIED_WITHIN:?}");
+    while nodes.iter().any(|node| node.parts().is_empty()) {
+        assert!(begun.elapsed() < APPLIED_WITHIN, "a node has received no part after {APPLIED_WITHIN:?}");
         send_queries(coordinator);
     }
 }
 
-/// Whether queries in a row send these data nodes nothing.
-fn receive_nothing(coordinator: &Coordinator, shut: &[&DataNode]) -> bool {
-    let parts = || shut.iter().map(|node| node.parts().len()).sum::<usize>();
+/// Sends queries and returns whether these data nodes receive nothing.
+fn receive_nothing(coordinator: &Coordinator, nodes: &[&DataNode]) -> bool {
+    let parts = || nodes.iter().map(|node| node.parts().len()).sum::<usize>();
     let before = parts();
     send_queries(coordinator);
     parts() == before
 }
 
-/// Waits until these data nodes are sent nothing, and sees that it stays so.
-fn assert_gates_closed(coordinator: &Coordinator, shut: &[&DataNode]) {
+/// Waits until these data nodes receive nothing, and asserts that later queries send them nothing either.
+fn assert_gates_closed(coordinator: &Coordinator, nodes: &[&DataNode]) {
     let begun = Instant::now();
-    while !receive_nothing(coordinator, shut) {
-        assert!(begun.elapsed() < APPLIED_WITHIN, "still sent to after {APPLIED_WITHIN:?}");
+    while !receive_nothing(coordinator, nodes) {
+        assert!(begun.elapsed() < APPLIED_WITHIN, "parts are still sent after {APPLIED_WITHIN:?}");
     }
-    (0..3).for_each(|_| assert!(receive_nothing(coordinator, shut), "sent to again"));
+    (0..3).for_each(|_| assert!(receive_nothing(coordinator, nodes), "parts are sent again"));
 }
 
-/// Guards against the fault that one line with `"endpoint":null` cost a delta, and every snapshot that followed. Discovery
-/// goes on having that line. The same delta brings the data node that is asked from then on.
+/// One line with `"endpoint":null` once caused a whole delta, and every later snapshot, to be rejected. Discovery keeps
+/// that line here, and the same delta adds the data node that receives the parts from then on.
 #[test]
-fn a_delta_with_a_bad_line_shuts_the_gates_that_it_names() {
+fn delta_with_a_malformed_line_closes_the_gates_that_it_names() {
     for mode in DISCOVERY_MODES {
-        let [good, part, comes] = nodes();
+        let [good, part, added] = nodes();
         let (service, addr) =
             ScriptedDiscovery::start(vec![line("part", part.addr, "up"), line("good", good.addr, "up")]);
         let coordinator = cluster(mode).start(addr, "");
@@ -200,7 +200,7 @@
             partial("part", "draining"),
             line("good", good.addr, "draining"),
             "null".to_string(),
-            line("comes", comes.addr, "up"),
+            line("added", added.addr, "up"),
         ];
         service.publish(update(2, false, &lines), lines);
         assert_gates_closed(&coordinator, &[&good, &part]);
@@ -208,9 +208,9 @@
     }
 }
 
-/// Guards against a coordinator that never comes into service beside one bad line.
+/// Catches a coordinator that never gets into service because of one malformed line in the snapshot.
 #[test]
-fn a_snapshot_with_bad_lines_teaches_the_rest() {
+fn snapshot_with_malformed_lines_applies_the_valid_ones() {
     for mode in DISCOVERY_MODES {
         let [first, second, drains] = nodes();
         let lines = vec![
@@ -230,38 +230,41 @@
     }
 }
 
-/// Guards against a snapshot in which a known data node's line cannot be read whole: it is not gone, and what shuts
-/// it counts.
+/// A snapshot has only partly readable lines of known data nodes. It must not remove these nodes, and a state that
+/// closes one of them must apply.
 #[test]
-fn a_snapshot_keeps_what_it_names_in_part() {
+fn snapshot_keeps_nodes_with_partly_readable_lines() {
     for mode in DISCOVERY_MODES {
-        let [kept, shut, gone] = nodes();
-        let all =
-            vec![line("kept", kept.addr, "up"), line("shut", shut.addr, "up"), line("gone", gone.addr, "up")];
+        let [kept, drained, omitted] = nodes();
+        let all = vec![
+            line("kept", kept.addr, "up"),
+            line("drained", drained.addr, "up"),
+            line("omitted", omitted.addr, "up"),
+        ];
         let (service, addr) = ScriptedDiscovery::start(all);
         let coordinator = cluster(mode).start(addr, "");
         wait_until_ready(&coordinator);
-        assert_gates_open(&coordinator, &[&kept, &shut, &gone]);
-        let bad = vec![partial("kept", "up"), partial("shut", "draining")];
-        service.publish(update(2, true, &bad), bad);
-        assert_gates_closed(&coordinator, &[&shut, &gone]);
+        assert_gates_open(&coordinator, &[&kept, &drained, &omitted]);
+        let partial_lines = vec![partial("kept", "up"), partial("drained", "draining")];
+        service.publish(update(2, true, &partial_lines), partial_lines);
+        assert_gates_closed(&coordinator, &[&drained, &omitted]);
         let before = kept.parts().len();
         send_queries(&coordinator);
         assert_eq!(kept.parts().len(), before + QUERIES, "{mode}");
-        // A change that names it in part does not open its gate either.
+        // A delta with a partly readable line does not open the gate either.
         service.publish(
-            update(3, false, &[partial("shut", "up")]),
-            vec![partial("kept", "up"), partial("shut", "up")],
+            update(3, false, &[partial("drained", "up")]),
+            vec![partial("kept", "up"), partial("drained", "up")],
         );
         thread::sleep(5 * HEARTBEAT_INTERVAL);
-        assert!(receive_nothing(&coordinator, &[&shut, &gone]), "{mode}");
+        assert!(receive_nothing(&coordinator, &[&drained, &omitted]), "{mode}");
         service.assert_few_calls();
     }
 }
 
-/// Guards against a line that is no object, and takes the one behind it along.
+/// Catches a line that is not an object and causes the next line to be lost.
 #[test]
-fn a_line_that_is_no_object_costs_that_line_only() {
+fn line_that_is_not_an_object_is_skipped_alone() {
     for mode in DISCOVERY_MODES {
         let [drains, stays, _] = nodes();
         let lines = |state: &str| vec![line("drains", drains.addr, state), line("stays", stays.addr, "up")];
@@ -270,16 +273,16 @@
         wait_until_ready(&coordinator);
         assert_gates_open(&coordinator, &[&drains, &stays]);
         let delta = update(2, false, &lines("draining")[..1]);
-        // Nothing but the object behind the nonsense tells that it drains.
+        // Only the object after the invalid line reports the drain.
         service.publish(format!("nonsense\n{delta}"), vec!["{".to_string()]);
         assert_gates_closed(&coordinator, &[&drains]);
         service.assert_few_calls();
     }
 }
 
-/// Guards against a configuration that cannot be used for one line of the list that was held.
+/// Catches a configuration that is rejected because of one malformed line in its saved list.
 #[test]
-fn a_file_with_a_bad_line_in_the_list_that_was_held_can_be_used() {
+fn configuration_with_a_malformed_line_in_its_saved_list_is_accepted() {
     let text = cluster("pushed").config("127.0.0.1:1".parse().unwrap());
     let lines =
         [partial("part", "up"), "null".to_string(), line("good", "127.0.0.1:2".parse().unwrap(), "up")];
