--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -1,6 +1,6 @@
-//! Every way by which a part may reach a data node, crossed with the news that the data node drains, is gone, or is at
-//! another address: first sends, retries, copies, the second step, frames that wait for a connection or for room in a
-//! socket, pages of features, a second process on an inherited listener, the desk. Each crossing is forced on real
+//! Tests every path of a part to a data node while the list changes: the node drains, is removed or moves to another
+//! address. The paths are first sends, retries, hedges, the second step, frames that wait for a connection or for room
+//! in a socket, pages of features, a second process on an inherited listener, and the desk. Each race is forced on real
 //! sockets.
 
 #[allow(unreachable_pub)]
@@ -23,34 +23,35 @@
 };
 use harness::{held_back, member, query, query_bytes, ready, served, until, Program, TestCluster};
 
-/// A data node that drains may be sent something new for this long after the word.
+/// Time after a drain in which the data node may still receive new parts.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// Far longer than another try takes, and far shorter than a connection that does not come up is waited for.
-const AT_ONCE: Duration = Duration::from_secs(20);
-/// A part may be held back for this long: it is up to chance when the next one goes to its data node.
-const HELD_FOR: Duration = Duration::from_secs(60);
-/// Queries enough for each data node to come first several times.
-const TURNS: u32 = 40;
-/// The shard whose parts are held back.
-const HELD: u32 = 3;
-
-/// One cell with every shard. Nothing is chased or copied, and a connection may take a minute to come up.
-fn patient(discovery: SocketAddr) -> String {
+/// Limit for an answer: far longer than a retry takes, and far shorter than the connect timeout.
+const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+/// Longest time for which a part is held; the time until the next part goes to its data node is random.
+const HELD_PART_LIMIT: Duration = Duration::from_secs(60);
+/// Number of queries after which each data node has been the first choice several times.
+const QUERIES: u32 = 40;
+/// Shard whose parts are held.
+const HELD_SHARD: u32 = 3;
+
+/// One cell with every shard, without hedges and with a connect timeout of one minute.
+fn long_timeouts(discovery: SocketAddr) -> String {
     config(&TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }, discovery)
 }
 
-/// The same with as many ranges as one data node is sent at once when nothing is known of it.
-fn patient_features(discovery: SocketAddr) -> String {
+/// The same with as many ranges as a data node without measurements is sent at once.
+fn features_with_long_timeouts(discovery: SocketAddr) -> String {
     config(&TestCluster { cells: 1, in_a_row: 1, ranges: RANGES as u32, ..TestCluster::default() }, discovery)
 }
 
 fn config(cluster: &TestCluster, discovery: SocketAddr) -> String {
     let config = cluster.config(discovery).replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#);
-    let waits = config.replace(r#""connect_timeout_ns":2000000000"#, r#""connect_timeout_ns":60000000000"#);
-    assert_ne!(waits, config);
-    // Who has just started is soon warm: what is sent to it then is not what is looked at here.
-    let warm = waits.replace(r#""cold_ns":17000000000"#, r#""cold_ns":1000000"#);
-    assert_ne!(warm, waits);
+    let connecting =
+        config.replace(r#""connect_timeout_ns":2000000000"#, r#""connect_timeout_ns":60000000000"#);
+    assert_ne!(connecting, config);
+    // A short warm-up: the parts sent to a cold node are not tested here.
+    let warm = connecting.replace(r#""cold_ns":17000000000"#, r#""cold_ns":1000000"#);
+    assert_ne!(warm, connecting);
     warm
 }
 
@@ -62,13 +63,13 @@
     Member { state, ..up(uid, addr) }
 }
 
-/// A coordinator in this process, and the list that it follows.
-struct Fleet {
+/// Coordinator in this process, and the discovery service of its list.
+struct Fixture {
     coordinator: Coordinator,
     discovery: Discovery,
 }
 
-impl Fleet {
+impl Fixture {
     fn start(config: impl Fn(SocketAddr) -> String, edge: &str, members: Vec<Member>) -> Self {
         let discovery = Discovery::start("127.0.0.1:0", members);
         let coordinator = harness::start(&config(discovery.addr), edge);
@@ -77,39 +78,39 @@
         Self { coordinator, discovery }
     }
 
-    fn patient(members: Vec<Member>) -> Self {
-        Self::start(patient, "", members)
+    fn long_timeouts(members: Vec<Member>) -> Self {
+        Self::start(long_timeouts, "", members)
     }
 
     fn addr(&self) -> SocketAddr {
         self.coordinator.listen
     }
 
-    /// Tells news of the list, and waits until it is heard; returns the moment before it was told.
-    fn tell(&self, news: impl FnOnce(&Discovery)) -> Instant {
+    /// Updates the list and waits until the coordinator has applied it; returns the moment before the update.
+    fn update_list(&self, update: impl FnOnce(&Discovery)) -> Instant {
         let changes = || self.coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
-        let (before, told) = (changes(), Instant::now());
-        news(&self.discovery);
-        until("the list's news", || changes() > before);
-        told
+        let (before, updated_at) = (changes(), Instant::now());
+        update(&self.discovery);
+        until("the list change", || changes() > before);
+        updated_at
     }
 
     fn change(&self, members: &[Member]) -> Instant {
-        self.tell(|discovery| discovery.change(members))
+        self.update_list(|discovery| discovery.change(members))
     }
 
-    /// Queries, one after the other, until the grace is over and then some turns more.
-    fn ask_past_the_grace(&self, told: Instant) {
-        while told.elapsed() <= DRAIN_GRACE {
-            self.ask(1);
+    /// Sends queries one after the other until the grace is over, then `QUERIES` more.
+    fn query_past_the_grace(&self, updated_at: Instant) {
+        while updated_at.elapsed() <= DRAIN_GRACE {
+            self.send_queries(1);
         }
-        self.ask(TURNS);
+        self.send_queries(QUERIES);
     }
 
-    /// Queries of two parts at once, for which two data nodes are wanted: one alone goes where a connection is open.
-    fn ask(&self, turns: u32) {
+    /// Sends queries of two parts, which use two data nodes; a single part goes to a node with an open connection.
+    fn send_queries(&self, turns: u32) {
         for turn in 0..turns {
-            let shards = [turn % HELD, (turn + 1) % HELD];
+            let shards = [turn % HELD_SHARD, (turn + 1) % HELD_SHARD];
             assert_eq!(query(self.addr(), "tag-lookup", &shards).unwrap().status, 200);
         }
     }
@@ -119,12 +120,12 @@
     }
 }
 
-/// A query that is answered within a time, or is not: it does not wait for more.
-fn asked(addr: SocketAddr, class: &'static str, shards: &'static [u32]) -> JoinHandle<Option<Answer>> {
-    asked_within(AT_ONCE, addr, class, shards)
+/// Sends a query from a new thread; the result is `None` without an answer within `ANSWER_LIMIT`.
+fn spawn_query(addr: SocketAddr, class: &'static str, shards: &'static [u32]) -> JoinHandle<Option<Answer>> {
+    spawn_query_within(ANSWER_LIMIT, addr, class, shards)
 }
 
-fn asked_within(
+fn spawn_query_within(
     within: Duration,
     addr: SocketAddr,
     class: &'static str,
@@ -138,202 +139,210 @@
     })
 }
 
-fn answered(asked: JoinHandle<Option<Answer>>, what: &str) -> Answer {
-    let answer = asked.join().unwrap().unwrap_or_else(|| panic!("not answered at once: {what}"));
-    assert_eq!(answer.status, 200, "{what}: {}", answer.body);
+fn expect_answer(query: JoinHandle<Option<Answer>>, description: &str) -> Answer {
+    let answer = query.join().unwrap().unwrap_or_else(|| panic!("no answer in time: {description}"));
+    assert_eq!(answer.status, 200, "{description}: {}", answer.body);
     answer
 }
 
-/// Serves, but for the parts of one shard, which it holds until it is released.
+/// Serves parts, but holds those of `HELD_SHARD` until the release.
 fn holding(release: &Arc<AtomicBool>) -> impl Fn(&Part) -> NodeReply + Send + Sync + 'static {
     let release = release.clone();
     move |part: &Part| {
-        until("the release", || part.shard != HELD || release.load(Ordering::SeqCst));
+        until("the release", || part.shard != HELD_SHARD || release.load(Ordering::SeqCst));
         served(part)
     }
 }
 
-/// How the list says that a data node takes nothing new.
+/// Update of the list after which a data node receives nothing new.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Word {
+enum ClosingUpdate {
     Draining,
     Removed,
-    LeftOut,
+    Omitted,
 }
 
-const WORDS: [Word; 3] = [Word::Draining, Word::Removed, Word::LeftOut];
+const CLOSING_UPDATES: [ClosingUpdate; 3] =
+    [ClosingUpdate::Draining, ClosingUpdate::Removed, ClosingUpdate::Omitted];
 
-impl Word {
-    /// Tells it of one, and that others are up.
-    fn tell(self, fleet: &Fleet, of: (&str, SocketAddr), others: &[Member]) -> Instant {
+impl ClosingUpdate {
+    /// Applies the update to one node; `others` remain in the list.
+    fn apply(self, fixture: &Fixture, of: (&str, SocketAddr), others: &[Member]) -> Instant {
         match self {
-            Self::Draining => fleet.change(&[in_state("draining", of.0, of.1)]),
-            Self::Removed => fleet.change(&[in_state("removed", of.0, of.1)]),
-            Self::LeftOut => fleet.tell(|discovery| discovery.replace(others.to_vec())),
+            Self::Draining => fixture.change(&[in_state("draining", of.0, of.1)]),
+            Self::Removed => fixture.change(&[in_state("removed", of.0, of.1)]),
+            Self::Omitted => fixture.update_list(|discovery| discovery.replace(others.to_vec())),
         }
     }
 }
 
-// ---- Frames that wait for a connection. ----
+// ---- Frames that wait for a connection ----
 
-/// Guards a part that waits for a connection which hangs when its data node drains or is gone: it goes to another one at
-/// once, and nothing is written once the connection comes up.
+/// A part waits for a connection that hangs, and its data node drains or is removed. The part must go to another node
+/// at once, and must not be written when the connection opens late.
 #[test]
-fn what_waits_for_a_connection_goes_elsewhere_at_once() {
-    for word in WORDS {
+fn part_waiting_for_a_connection_is_rerouted_at_once() {
+    for update in CLOSING_UPDATES {
         let (late, stays) = (StallingDataNode::unreachable(served), StallingDataNode::serving(served));
-        let fleet = Fleet::patient(vec![up("late", late.addr)]);
-        let waiting = asked(fleet.addr(), "tag-lookup", &[0]);
-        until("the dial", || fleet.dials() == 1);
-        fleet.change(&[up("stays", stays.addr)]);
-        let told = word.tell(&fleet, ("late", late.addr), &[up("stays", stays.addr)]);
-        answered(waiting, "the part that waited for a connection");
-        fleet.ask_past_the_grace(told);
+        let fixture = Fixture::long_timeouts(vec![up("late", late.addr)]);
+        let waiting = spawn_query(fixture.addr(), "tag-lookup", &[0]);
+        until("the dial", || fixture.dials() == 1);
+        fixture.change(&[up("stays", stays.addr)]);
+        let updated_at = update.apply(&fixture, ("late", late.addr), &[up("stays", stays.addr)]);
+        expect_answer(waiting, "the part that waited for a connection");
+        fixture.query_past_the_grace(updated_at);
         late.accepts();
-        if word == Word::Draining {
+        if update == ClosingUpdate::Draining {
             until("the late connection", || late.connections() == 1);
         }
-        // One that is up again is sent what is asked from then on, and nothing from before.
+        // A node that is up again receives parts of later queries only.
         let again = Instant::now();
-        fleet.change(&[up("late", late.addr)]);
-        until("a part at the one that is up again", || {
-            fleet.ask(1);
+        fixture.change(&[up("late", late.addr)]);
+        until("a part at the node that is up again", || {
+            fixture.send_queries(1);
             !late.arrivals().is_empty()
         });
         let early: Vec<_> = late.arrivals().into_iter().filter(|a| a.begun < again).collect();
-        assert_eq!(early, [], "{word:?}");
+        assert_eq!(early, [], "{update:?}");
     }
 }
 
-/// Guards a part that waits for a connection to an address which its data node has left: it goes over a new connection
-/// to the new address, and the old one is closed when it comes up.
+/// A part waits for a connection to an address that its data node has left. The part must go over a new connection to
+/// the new address, and the old connection must be closed when it opens.
 #[test]
-fn what_waits_for_a_connection_to_an_earlier_address_goes_to_the_new_one() {
+fn part_waiting_for_an_earlier_address_is_sent_to_the_new_one() {
     let (old, new) = (StallingDataNode::unreachable(served), StallingDataNode::serving(served));
-    let fleet = Fleet::patient(vec![up("moves", old.addr)]);
-    let waiting = asked(fleet.addr(), "tag-lookup", &[0]);
-    until("the dial", || fleet.dials() == 1);
-    fleet.change(&[up("moves", new.addr)]);
-    answered(waiting, "the part that waited for a connection to the earlier address");
+    let fixture = Fixture::long_timeouts(vec![up("moves", old.addr)]);
+    let waiting = spawn_query(fixture.addr(), "tag-lookup", &[0]);
+    until("the dial", || fixture.dials() == 1);
+    fixture.change(&[up("moves", new.addr)]);
+    expect_answer(waiting, "the part that waited for a connection to the earlier address");
     old.accepts();
-    until("the late connection's end", || old.connections() == 1 && old.open() == 0);
-    fleet.ask(TURNS);
+    until("the end of the late connection", || old.connections() == 1 && old.open() == 0);
+    fixture.send_queries(QUERIES);
     assert_eq!(old.arrivals(), []);
 }
 
-// ---- Addresses. ----
+// ---- Addresses ----
 
-/// Guards a data node that moves while parts are out on its connection: these may finish there, nothing new begins, and
-/// the connection is closed once it is at rest.
+/// A data node moves while parts are in flight on its connection. The parts may finish there, nothing new may start,
+/// and the connection must be closed once it is idle.
 #[test]
-fn a_busy_connection_to_an_earlier_address_takes_nothing_new() {
+fn busy_connection_to_an_earlier_address_receives_nothing_new() {
     let release = Arc::new(AtomicBool::new(false));
     let (old, new) = (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(served));
-    let fleet = Fleet::patient(vec![up("moves", old.addr)]);
-    let held = asked(fleet.addr(), "tag-lookup", &[HELD]);
+    let fixture = Fixture::long_timeouts(vec![up("moves", old.addr)]);
+    let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
     until("the held part", || old.arrivals().len() == 1);
-    fleet.ask(1);
+    fixture.send_queries(1);
     assert_eq!((old.arrivals().len(), old.connections()), (3, 1));
-    let told = fleet.change(&[up("moves", new.addr)]);
-    fleet.ask_past_the_grace(told);
-    assert_eq!(old.begun_after(told + DRAIN_GRACE), [], "sent to the earlier address");
-    assert!(new.arrivals().len() >= 2 * TURNS as usize);
-    assert_eq!(old.open(), 1, "closed under a part");
+    let updated_at = fixture.change(&[up("moves", new.addr)]);
+    fixture.query_past_the_grace(updated_at);
+    assert_eq!(old.begun_after(updated_at + DRAIN_GRACE), [], "sent to the earlier address");
+    assert!(new.arrivals().len() >= 2 * QUERIES as usize);
+    assert_eq!(old.open(), 1, "closed with a part in flight");
     release.store(true, Ordering::SeqCst);
-    assert_eq!(answered(held, "the held part").body, r#"{"exact":true,"rows":[{"id":3,"data":"v3"}]}"#);
-    until("the end of the connection at rest", || old.open() == 0);
-    fleet.ask(TURNS);
+    assert_eq!(expect_answer(held, "the held part").body, r#"{"exact":true,"rows":[{"id":3,"data":"v3"}]}"#);
+    until("the end of the idle connection", || old.open() == 0);
+    fixture.send_queries(QUERIES);
     assert_eq!(old.arrivals().len(), 3);
 }
 
-/// Guards an address that passes from a data node that is gone to a new one: what is out at the one may finish, the other
-/// has connections of its own, and news of the one does not shut the other.
+/// An address passes from a removed data node to a new one. Parts in flight at the first may finish, the second must
+/// get its own connections, and updates of the first must not close the second.
 #[test]
-fn an_address_that_passes_to_another_data_node_keeps_the_two_apart() {
-    for word in WORDS {
+fn data_nodes_that_share_an_address_in_turn_stay_separate() {
+    for update in CLOSING_UPDATES {
         let release = Arc::new(AtomicBool::new(false));
         let node = StallingDataNode::serving(holding(&release));
-        let fleet = Fleet::patient(vec![up("first", node.addr)]);
-        let held = asked(fleet.addr(), "tag-lookup", &[HELD]);
+        let fixture = Fixture::long_timeouts(vec![up("first", node.addr)]);
+        let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
         until("the held part", || node.arrivals().len() == 1);
         let of_first = node.arrivals()[0].connection;
-        // In one object, in either order: there is no moment without a data node.
-        match word {
-            Word::Draining => {
-                fleet.change(&[in_state("draining", "first", node.addr), up("second", node.addr)])
+        // One object carries both entries, in either order, so that there is always a data node.
+        match update {
+            ClosingUpdate::Draining => {
+                fixture.change(&[in_state("draining", "first", node.addr), up("second", node.addr)])
             }
-            Word::Removed => {
-                fleet.change(&[up("second", node.addr), in_state("removed", "first", node.addr)])
+            ClosingUpdate::Removed => {
+                fixture.change(&[up("second", node.addr), in_state("removed", "first", node.addr)])
+            }
+            ClosingUpdate::Omitted => {
+                fixture.update_list(|discovery| discovery.replace(vec![up("second", node.addr)]))
             }
-            Word::LeftOut => fleet.tell(|discovery| discovery.replace(vec![up("second", node.addr)])),
         };
         let before = node.arrivals().len();
-        fleet.ask(TURNS);
-        // The first is told gone once more, at the address that is the second's by now.
-        fleet.change(&[in_state("removed", "first", node.addr)]);
-        fleet.ask(TURNS);
+        fixture.send_queries(QUERIES);
+        // Removes the first node once more, at the address that the second one has now.
+        fixture.change(&[in_state("removed", "first", node.addr)]);
+        fixture.send_queries(QUERIES);
         let since = node.arrivals().split_off(before);
-        assert_eq!(since.len(), 4 * TURNS as usize, "{word:?}");
-        assert!(since.iter().all(|a| a.connection != of_first), "{word:?}: on the first one's connection");
+        assert_eq!(since.len(), 4 * QUERIES as usize, "{update:?}");
+        assert!(
+            since.iter().all(|a| a.connection != of_first),
+            "{update:?}: sent on the connection of the first node"
+        );
         release.store(true, Ordering::SeqCst);
-        answered(held, "the part out at the first");
-        // And the drain of the second is its own.
+        expect_answer(held, "the part in flight at the first");
+        // The second node can be drained separately.
         let stays = StallingDataNode::serving(served);
-        fleet.change(&[up("stays", stays.addr)]);
-        let told = fleet.change(&[in_state("draining", "second", node.addr)]);
-        fleet.ask_past_the_grace(told);
-        assert_eq!(node.begun_after(told + DRAIN_GRACE), [], "{word:?}");
+        fixture.change(&[up("stays", stays.addr)]);
+        let updated_at = fixture.change(&[in_state("draining", "second", node.addr)]);
+        fixture.query_past_the_grace(updated_at);
+        assert_eq!(node.begun_after(updated_at + DRAIN_GRACE), [], "{update:?}");
     }
 }
 
-/// Guards a name that is gone and comes back as a process that has just started, with a part of the earlier one still out
-/// or nothing, in two objects or in one: it is served from anew, and its next drain shuts it.
+/// A removed node returns as a new process, with or without a part of the earlier process in flight, in one object or
+/// in two. The node must receive parts again, and its next drain must close it.
 #[test]
-fn a_name_that_is_gone_and_comes_back_is_opened_and_shut_as_any_other() {
-    for (part_out, at_once) in [(false, false), (false, true), (true, false), (true, true)] {
+fn removed_node_that_returns_is_used_and_drained_like_any_other() {
+    for (part_in_flight, at_once) in [(false, false), (false, true), (true, false), (true, true)] {
         let release = Arc::new(AtomicBool::new(false));
         let (old, stays) = (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(served));
         let new = StallingDataNode::serving(served);
-        let fleet = Fleet::patient(vec![up("back", old.addr)]);
-        fleet.ask(1);
-        let held = part_out.then(|| asked_within(HELD_FOR, fleet.addr(), "tag-lookup", &[HELD]));
-        until("the parts", || old.arrivals().len() == 2 + usize::from(part_out));
-        fleet.change(&[up("stays", stays.addr)]);
+        let fixture = Fixture::long_timeouts(vec![up("back", old.addr)]);
+        fixture.send_queries(1);
+        let held = part_in_flight
+            .then(|| spawn_query_within(HELD_PART_LIMIT, fixture.addr(), "tag-lookup", &[HELD_SHARD]));
+        until("the parts", || old.arrivals().len() == 2 + usize::from(part_in_flight));
+        fixture.change(&[up("stays", stays.addr)]);
         let gone = in_state("removed", "back", old.addr);
         let back = Member { boot_ms: 1_700_000_000_000, ..up("back", new.addr) };
-        let told = if at_once {
-            fleet.change(&[gone, back.clone()])
+        let updated_at = if at_once {
+            fixture.change(&[gone, back.clone()])
         } else {
-            let told = fleet.change(&[gone]);
-            fleet.ask_past_the_grace(told);
-            fleet.change(std::slice::from_ref(&back));
-            told
+            let updated_at = fixture.change(&[gone]);
+            fixture.query_past_the_grace(updated_at);
+            fixture.change(std::slice::from_ref(&back));
+            updated_at
         };
-        until("a part at the one that is back", || {
-            fleet.ask(1);
+        until("a part at the node that is back", || {
+            fixture.send_queries(1);
             !new.arrivals().is_empty()
         });
-        let drained = fleet.change(&[Member { state: "draining", ..back.clone() }]);
-        fleet.ask_past_the_grace(drained);
-        assert_eq!(new.begun_after(drained + DRAIN_GRACE), [], "{part_out} {at_once}");
-        let left_out = fleet.tell(|discovery| discovery.replace(vec![up("stays", stays.addr)]));
-        fleet.ask_past_the_grace(left_out);
-        assert_eq!(new.begun_after(drained + DRAIN_GRACE), [], "{part_out} {at_once}");
-        assert_eq!(old.begun_after(told + DRAIN_GRACE), [], "{part_out} {at_once}");
+        let drained = fixture.change(&[Member { state: "draining", ..back.clone() }]);
+        fixture.query_past_the_grace(drained);
+        assert_eq!(new.begun_after(drained + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
+        let omitted = fixture.update_list(|discovery| discovery.replace(vec![up("stays", stays.addr)]));
+        fixture.query_past_the_grace(omitted);
+        assert_eq!(new.begun_after(drained + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
+        assert_eq!(old.begun_after(updated_at + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
         release.store(true, Ordering::SeqCst);
         let released = Instant::now();
-        held.into_iter().for_each(|held| drop(answered(held, "the part out at the earlier process")));
-        assert!(released.elapsed() < AT_ONCE, "{part_out} {at_once}");
+        held.into_iter()
+            .for_each(|held| drop(expect_answer(held, "the part in flight at the earlier process")));
+        assert!(released.elapsed() < ANSWER_LIMIT, "{part_in_flight} {at_once}");
     }
 }
 
-// ---- Further attempts. ----
+// ---- Further attempts ----
 
-/// A data node whose parts of one shard wait for the test, and end as it says then.
+/// Starts a data node that holds parts of `HELD_SHARD` until the release and then fails them.
 fn failing_once_released(release: &Arc<AtomicBool>) -> StallingDataNode {
     let release = release.clone();
     StallingDataNode::serving(move |part: &Part| {
-        if part.shard != HELD {
+        if part.shard != HELD_SHARD {
             return served(part);
         }
         until("the release", || release.load(Ordering::SeqCst));
@@ -341,61 +350,63 @@
     })
 }
 
-/// Guards retries: attempts that fail after the drain of one of the other data nodes go to the one that stays.
+/// Attempts fail after one of the other data nodes has drained. Their retries must go to the remaining node.
 #[test]
-fn retries_do_not_go_to_one_that_drains() {
+fn retries_skip_a_draining_node() {
     const RETRIES: usize = 12;
     let release = Arc::new(AtomicBool::new(false));
     let fails = failing_once_released(&release);
     let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
-    let fleet = Fleet::patient(vec![up("fails", fails.addr)]);
-    let held: Vec<_> = (0..RETRIES).map(|_| asked(fleet.addr(), "tag-lookup", &[HELD])).collect();
+    let fixture = Fixture::long_timeouts(vec![up("fails", fails.addr)]);
+    let held: Vec<_> =
+        (0..RETRIES).map(|_| spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD])).collect();
     let out = || fails.arrivals().len();
     until("the held parts", || out() >= 3);
-    fleet.change(&[up("drains", drains.addr), up("stays", stays.addr)]);
-    fleet.ask(TURNS);
+    fixture.change(&[up("drains", drains.addr), up("stays", stays.addr)]);
+    fixture.send_queries(QUERIES);
     assert!(!drains.arrivals().is_empty());
-    let told = fleet.change(&[in_state("draining", "drains", drains.addr)]);
-    fleet.ask_past_the_grace(told);
+    let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
+    fixture.query_past_the_grace(updated_at);
     release.store(true, Ordering::SeqCst);
-    held.into_iter().for_each(|held| drop(answered(held, "a retried part")));
-    assert_eq!(drains.begun_after(told + DRAIN_GRACE), []);
+    held.into_iter().for_each(|held| drop(expect_answer(held, "a retried part")));
+    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
 }
 
-/// Guards copies of parts that are overdue: they go to the data node that stays.
+/// Parts are overdue after a data node has drained. Their hedges must go to the remaining node.
 #[test]
-fn copies_do_not_go_to_one_that_drains() {
+fn hedges_skip_a_draining_node() {
     let release = Arc::new(AtomicBool::new(false));
     let holds = StallingDataNode::serving(holding(&release));
     let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
     let members = vec![up("holds", holds.addr), up("drains", drains.addr), up("stays", stays.addr)];
     let short_aim =
         |discovery| TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery);
-    let fleet = Fleet::start(short_aim, "", members);
-    fleet.ask(TURNS);
-    let told = fleet.change(&[in_state("draining", "drains", drains.addr)]);
-    fleet.ask_past_the_grace(told);
-    let copies = || -> u64 {
-        let books = fleet.coordinator.ledger_snapshot().expect("the core answers");
-        books.nodes.iter().map(|node| node.attempts.hedges).sum()
+    let fixture = Fixture::start(short_aim, "", members);
+    fixture.send_queries(QUERIES);
+    let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
+    fixture.query_past_the_grace(updated_at);
+    let hedges = || -> u64 {
+        let ledger = fixture.coordinator.ledger_snapshot().expect("the core answers");
+        ledger.nodes.iter().map(|node| node.attempts.hedges).sum()
     };
-    until("two copies", || {
-        // First sends keep pace: copies stay under a tenth of them.
-        fleet.ask(TURNS);
-        let held = asked(fleet.addr(), "tag-lookup", &[HELD]);
-        answered(held, "a part that was held at one");
-        copies() >= 2
+    until("two hedges", || {
+        // First sends continue, because hedges are limited to a tenth of them.
+        fixture.send_queries(QUERIES);
+        let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
+        expect_answer(held, "a part that one node holds");
+        hedges() >= 2
     });
-    assert_eq!(drains.begun_after(told + DRAIN_GRACE), []);
+    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
     release.store(true, Ordering::SeqCst);
 }
 
-/// Guards the second step: its parts are decided on after the drain, whoever answered the first step.
+/// A data node drains between the two steps of a query. The parts of the second step must go to the remaining node,
+/// whichever node answered the first step.
 #[test]
-fn the_second_step_does_not_go_to_one_that_drains() {
+fn second_step_skips_a_draining_node() {
     let (release, slow) = held_back();
     let (drains, stays) = (StallingDataNode::serving(slow.clone()), StallingDataNode::serving(slow));
-    let fleet = Fleet::patient(vec![up("drains", drains.addr), up("stays", stays.addr)]);
+    let fixture = Fixture::long_timeouts(vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let parts = || drains.arrivals().len() + stays.arrivals().len();
     let mut held = Vec::new();
     until("a first step at each", || {
@@ -403,24 +414,24 @@
             return true;
         }
         let before = parts();
-        held.push(asked(fleet.addr(), "monthly-settle", &[0, 1, 2, 3]));
+        held.push(spawn_query(fixture.addr(), "monthly-settle", &[0, 1, 2, 3]));
         until("the parts of the first step", || parts() > before);
         false
     });
-    let told = fleet.change(&[in_state("draining", "drains", drains.addr)]);
-    // Nobody answers before the release: the grace is waited for.
-    until("the end of the grace", || told.elapsed() > DRAIN_GRACE);
+    let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
+    // Nothing is answered before the release, so no queries can fill the grace.
+    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     release.store(true, Ordering::SeqCst);
-    held.into_iter().for_each(|held| drop(answered(held, "a query in two steps")));
-    assert_eq!(drains.begun_after(told + DRAIN_GRACE), []);
+    held.into_iter().for_each(|held| drop(expect_answer(held, "a query in two steps")));
+    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
     assert!(stays.arrivals().iter().any(|a| a.id.ends_with(".fetch")));
 }
 
-// ---- Frames that wait for room in a socket. ----
+// ---- Frames that wait for room in a socket ----
 
-/// Parts of a query whose call fills more than a socket, and the text of each.
+/// Number of parts and text size of a query whose call exceeds a socket's buffer.
 const LARGE_PARTS: usize = 80;
-const LARGE_TEXT: usize = 60_000;
+const LARGE_TEXT_BYTES: usize = 60_000;
 
 fn sized_query_bytes(name: &str, parts: usize, text: usize) -> Vec<u8> {
     let (text, weight) = ("x".repeat(text), 1.0 / parts as f64);
@@ -433,8 +444,8 @@
     (head + &body).into_bytes()
 }
 
-/// Calls of many parts, and connections that carry many.
-fn wide(discovery: SocketAddr) -> String {
+/// Settings for calls of many parts and connections with many parts in flight.
+fn large_calls(discovery: SocketAddr) -> String {
     let cluster = TestCluster {
         cells: 1,
         in_a_row: 1,
@@ -447,92 +458,95 @@
     config.replace(r#""multiplex":32"#, r#""multiplex":1000"#)
 }
 
-/// Guards frames behind a socket that is full when the data node drains or is gone: the one whose first byte was written
-/// may go on, no other begins, and what waited is answered by others. A connection is given up once a write has taken
-/// half a second: where that came before the word, nothing waited behind it, and the crossing is forced anew.
+/// Frames wait behind a full socket, and the data node drains or is removed. A frame whose first byte is written may
+/// continue, no other may start, and other nodes must answer the waiting parts. The coordinator closes a connection
+/// once a write has taken half a second; if that happens before the update, nothing waits, and the test tries again.
 #[test]
-fn frames_behind_a_full_socket_do_not_begin_after_the_word() {
-    const TRIES: usize = 20;
-    for word in WORDS {
-        assert!((0..TRIES).any(|_| crosses_a_full_socket(word)), "{word:?}: never forced");
+fn frames_behind_a_full_socket_do_not_start_after_the_update() {
+    const MAX_TRIES: usize = 20;
+    for update in CLOSING_UPDATES {
+        assert!(
+            (0..MAX_TRIES).any(|_| updates_while_a_frame_waits(update)),
+            "{update:?}: no try hit the wait"
+        );
     }
 }
 
-/// Returns whether the word came while the frame waited.
-fn crosses_a_full_socket(word: Word) -> bool {
+/// Returns whether the update arrived while the frame was waiting.
+fn updates_while_a_frame_waits(update: ClosingUpdate) -> bool {
     let (full, stays) = (StallingDataNode::unread(served), StallingDataNode::serving(served));
-    let fleet = Fleet::start(wide, "", vec![up("full", full.addr)]);
-    let addr = fleet.addr();
+    let fixture = Fixture::start(large_calls, "", vec![up("full", full.addr)]);
+    let addr = fixture.addr();
     let started = || -> usize {
-        let books = fleet.coordinator.ledger_snapshot().expect("the core answers");
-        books.nodes.iter().map(|node| node.attempts.started as usize).sum()
+        let ledger = fixture.coordinator.ledger_snapshot().expect("the core answers");
+        ledger.nodes.iter().map(|node| node.attempts.started as usize).sum()
     };
     let ask = |name: &'static str, parts, text| {
         let before = started();
         let client = thread::spawn(move || {
             let mut stream = TcpStream::connect(addr).unwrap();
-            stream.set_read_timeout(Some(AT_ONCE)).unwrap();
+            stream.set_read_timeout(Some(ANSWER_LIMIT)).unwrap();
             stream.write_all(&sized_query_bytes(name, parts, text)).unwrap();
             read_answer(&mut BufReader::new(stream)).ok()
         });
-        until("its call", || started() >= before + parts);
+        until("the call to start", || started() >= before + parts);
         client
     };
-    // What was begun may be lost with its connection, and more of it than may be tried again.
-    drop(ask("large", LARGE_PARTS, LARGE_TEXT));
-    drop(ask("larger", LARGE_PARTS, LARGE_TEXT));
+    // These may fail: more parts may be lost with the connection than can be retried.
+    drop(ask("large", LARGE_PARTS, LARGE_TEXT_BYTES));
+    drop(ask("larger", LARGE_PARTS, LARGE_TEXT_BYTES));
     let waiting = ask("waits", 1, 8);
-    fleet.change(&[up("stays", stays.addr)]);
-    let dials = fleet.dials();
-    let told = word.tell(&fleet, ("full", full.addr), &[up("stays", stays.addr)]);
-    // Behind the word, the other one is dialled at once: what counts is another connection to this one.
+    fixture.change(&[up("stays", stays.addr)]);
+    let dials = fixture.dials();
+    let updated_at = update.apply(&fixture, ("full", full.addr), &[up("stays", stays.addr)]);
+    // The coordinator dials the other node right after the update; only a second connection to this one counts.
     if dials > 1 || full.connections() > 1 {
         return false;
     }
-    answered(waiting, "the call that waited for room");
-    until("the end of the grace", || told.elapsed() > DRAIN_GRACE);
-    assert!(stays.arrivals().iter().any(|a| a.id == "waits.0"), "{word:?}");
+    expect_answer(waiting, "the call that waited for room");
+    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
+    assert!(stays.arrivals().iter().any(|a| a.id == "waits.0"), "{update:?}");
     full.reads();
-    // The frame that had begun comes whole, or its connection was given up meanwhile.
+    // The frame that had started arrives complete, or its connection was closed meanwhile.
     let ended = || full.connections() > 0 && full.open() == 0;
-    until("the frame that had begun", || full.arrivals().len() >= LARGE_PARTS || ended());
+    until("the frame that had started", || full.arrivals().len() >= LARGE_PARTS || ended());
     let begun: Vec<_> = full.arrivals().into_iter().filter(|a| a.id == "waits.0").collect();
-    assert_eq!(begun, [], "{word:?}");
+    assert_eq!(begun, [], "{update:?}");
     true
 }
 
-// ---- Other processes and fronts. ----
+// ---- Other processes and interfaces ----
 
-/// Guards an older process that ends beside a newer one on the same listener: it hears of drains up to its end.
+/// An older process ends while a newer one runs on the same listener. The older one must apply drains until it ends.
 #[test]
-fn an_older_process_beside_a_newer_one_hears_of_drains() {
+fn older_process_on_a_shared_listener_applies_drains() {
     let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
     let discovery = Discovery::start("127.0.0.1:0", vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let config = patient(discovery.addr);
+    let config = long_timeouts(discovery.addr);
     let older = Program::start_with(&config, Some(&listener));
-    // Each is used once after the word: an older process asks its clients to go.
+    // Each connection is used once after the drain, because the ending process asks its clients to close.
     let connect = |addr: SocketAddr| -> Vec<TcpStream> {
-        let open = (0..TURNS).map(|_| TcpStream::connect(addr).unwrap());
-        open.map(|mut stream| (ask(&mut stream), stream).1).collect()
+        let open = (0..QUERIES).map(|_| TcpStream::connect(addr).unwrap());
+        open.map(|mut stream| (query_on(&mut stream), stream).1).collect()
     };
     let of_older = connect(older.addr);
     let newer = Program::start_with(&config, Some(&listener));
     until("both watches", || discovery.watches() == 2);
     older.signal("TERM");
-    let told = Instant::now();
+    let updated_at = Instant::now();
     discovery.set("drains", "draining");
-    until("the end of the grace", || told.elapsed() > DRAIN_GRACE);
-    let answered = of_older.into_iter().filter_map(|mut stream| ask(&mut stream)).count();
-    assert!(answered > 0, "the older process answered nobody");
-    (0..TURNS).for_each(|_| assert_eq!(query(newer.addr, "tag-lookup", &[0, 1]).unwrap().status, 200));
-    assert_eq!(drains.begun_after(told + DRAIN_GRACE), []);
-    assert_eq!(stays.begun_after(told + DRAIN_GRACE).len(), 2 * (answered + TURNS as usize));
+    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
+    let answered = of_older.into_iter().filter_map(|mut stream| query_on(&mut stream)).count();
+    assert!(answered > 0, "the older process answered no query");
+    (0..QUERIES).for_each(|_| assert_eq!(query(newer.addr, "tag-lookup", &[0, 1]).unwrap().status, 200));
+    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
+    assert_eq!(stays.begun_after(updated_at + DRAIN_GRACE).len(), 2 * (answered + QUERIES as usize));
     older.ended();
 }
 
-/// One query on a connection; none where that has been closed.
-fn ask(stream: &mut TcpStream) -> Option<u16> {
+/// Sends one query on a connection; returns the status, or `None` if the connection was closed.
+fn query_on(stream: &mut TcpStream) -> Option<u16> {
     stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).ok()?;
     read_answer(&mut BufReader::new(stream.try_clone().unwrap())).ok().map(|answer| answer.status)
 }
@@ -547,20 +561,21 @@
 measures = [{ name = "balance", scale = 2 }]
 "#;
 
-/// A value of the desk's form, of a set without rows.
+/// Answers with a desk value of a set without rows.
 fn desk_value(part: &Part) -> NodeReply {
     let mut history = History::default();
     history.change(|_| {});
     let value = desk_stand_in::answer(history.at(1), 1, &part.text, Manner::default());
-    NodeReply::Answer(200, 0, value.expect("a text of the desk's form"))
+    NodeReply::Answer(200, 0, value.expect("a text in the form of the desk"))
 }
 
-/// Guards the desk's calls: they are queries of the core as any others.
+/// Desk requests are queries of the core like any others and must follow the drain rule.
 #[test]
-fn the_desk_does_not_send_to_one_that_drains() {
+fn desk_queries_skip_a_draining_node() {
     let (drains, stays) = (StallingDataNode::serving(desk_value), StallingDataNode::serving(desk_value));
-    let fleet = Fleet::start(patient, DESK, vec![up("drains", drains.addr), up("stays", stays.addr)]);
-    let desk = fleet.coordinator.aggregation.unwrap();
+    let fixture =
+        Fixture::start(long_timeouts, DESK, vec![up("drains", drains.addr), up("stays", stays.addr)]);
+    let desk = fixture.coordinator.aggregation.unwrap();
     let ask = || {
         let answer = exchange(desk, &post_bytes("/v1/sets/accounts/query", r#"{"op":"rank"}"#)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
@@ -569,15 +584,15 @@
         ask();
         !drains.arrivals().is_empty() && !stays.arrivals().is_empty()
     });
-    let told = fleet.change(&[in_state("draining", "drains", drains.addr)]);
-    until("the end of the grace", || told.elapsed() > DRAIN_GRACE);
+    let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
+    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     let before = stays.arrivals().len();
-    (0..TURNS).for_each(|_| ask());
-    assert!(stays.arrivals().len() >= before + TURNS as usize);
-    assert_eq!(drains.begun_after(told + DRAIN_GRACE), []);
+    (0..QUERIES).for_each(|_| ask());
+    assert!(stays.arrivals().len() >= before + QUERIES as usize);
+    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
 }
 
-// ---- Feature servers. ----
+// ---- Feature servers ----
 
 const FEATURES: &str = r#"
 [nodes]
@@ -591,70 +606,70 @@
 bbox = [26.0, 36.0, 45.0, 42.0]
 "#;
 const RANGES: usize = 3;
-/// Features of a range, and on a page.
-const COUNT: usize = 5;
-const PAGE: usize = 2;
+/// Number of features of a range and of a page.
+const RANGE_FEATURES: usize = 5;
+const PAGE_FEATURES: usize = 2;
 
-fn features(addr: SocketAddr) -> JoinHandle<Option<Answer>> {
+fn request_features(addr: SocketAddr) -> JoinHandle<Option<Answer>> {
     thread::spawn(move || {
         let mut stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(AT_ONCE)).unwrap();
+        stream.set_read_timeout(Some(ANSWER_LIMIT)).unwrap();
         let request = "GET /collections/plazas/items?limit=100 HTTP/1.1\r\nHost: edge\r\n\r\n";
         stream.write_all(request.as_bytes()).unwrap();
         read_answer(&mut BufReader::new(stream)).ok()
     })
 }
 
-fn whole(asked: JoinHandle<Option<Answer>>, what: &str) {
-    let body = answered(asked, what).body;
-    for (range, number) in (0..RANGES).flat_map(|r| (0..COUNT).map(move |n| (r, n))) {
-        assert!(body.contains(&format!(r#""{range}-{number}""#)), "{what}: {range}-{number}");
+fn expect_all_features(query: JoinHandle<Option<Answer>>, description: &str) {
+    let body = expect_answer(query, description).body;
+    for (range, number) in (0..RANGES).flat_map(|r| (0..RANGE_FEATURES).map(move |n| (r, n))) {
+        assert!(body.contains(&format!(r#""{range}-{number}""#)), "{description}: {range}-{number}");
     }
 }
 
-/// Guards pages that wait for a connection which hangs when their server drains, is gone or moves: the ranges are read
-/// elsewhere at once.
+/// Pages wait for a connection that hangs, and their server drains, is removed or moves. The ranges must be read from
+/// another server at once.
 #[test]
-fn features_that_wait_for_a_connection_are_read_elsewhere_at_once() {
-    for word in WORDS.map(Some).into_iter().chain([None]) {
+fn pages_waiting_for_a_connection_are_rerouted_at_once() {
+    for update in CLOSING_UPDATES.map(Some).into_iter().chain([None]) {
         let late = StallingDataNode::unreachable(served);
-        let stays = FeatureServer::start(|query| store(query, COUNT, PAGE));
-        let fleet = Fleet::start(patient_features, FEATURES, vec![up("late", late.addr)]);
-        let waiting = features(fleet.coordinator.features.unwrap());
-        until("the dials", || fleet.dials() > 0);
-        match word {
-            Some(word) => {
-                fleet.change(&[up("stays", stays.addr)]);
-                word.tell(&fleet, ("late", late.addr), &[up("stays", stays.addr)]);
+        let stays = FeatureServer::start(|query| store(query, RANGE_FEATURES, PAGE_FEATURES));
+        let fixture = Fixture::start(features_with_long_timeouts, FEATURES, vec![up("late", late.addr)]);
+        let waiting = request_features(fixture.coordinator.features.unwrap());
+        until("the dials", || fixture.dials() > 0);
+        match update {
+            Some(update) => {
+                fixture.change(&[up("stays", stays.addr)]);
+                update.apply(&fixture, ("late", late.addr), &[up("stays", stays.addr)]);
             }
-            None => drop(fleet.change(&[up("late", stays.addr)])),
+            None => drop(fixture.change(&[up("late", stays.addr)])),
         }
-        whole(waiting, &format!("{word:?}"));
+        expect_all_features(waiting, &format!("{update:?}"));
     }
 }
 
-/// Guards a feature server that moves while it is asked for pages: no page is asked for where it was, neither of the
-/// range that is being read there nor, on the connection that is at rest afterwards, of another.
+/// A feature server moves while pages are requested from it. No further page may be requested from its earlier address,
+/// neither of the range being read nor, on the connection that is idle afterwards, of another range.
 #[test]
-fn no_page_is_asked_for_at_an_earlier_address() {
+fn no_page_is_requested_from_an_earlier_address() {
     let release = Arc::new(AtomicBool::new(false));
     let held = release.clone();
     let old = FeatureServer::start(move |query| {
         until("the release", || held.load(Ordering::SeqCst));
-        store(query, COUNT, COUNT)
+        store(query, RANGE_FEATURES, RANGE_FEATURES)
     });
-    let new = FeatureServer::start(|query| store(query, COUNT, PAGE));
-    let fleet = Fleet::start(patient_features, FEATURES, vec![up("moves", old.addr)]);
-    let ogc = fleet.coordinator.features.unwrap();
-    let reading = features(ogc);
-    // The first of each range: what is asked for later was asked for after the move.
+    let new = FeatureServer::start(|query| store(query, RANGE_FEATURES, PAGE_FEATURES));
+    let fixture = Fixture::start(features_with_long_timeouts, FEATURES, vec![up("moves", old.addr)]);
+    let ogc = fixture.coordinator.features.unwrap();
+    let reading = request_features(ogc);
+    // The first page of each range; all later pages are requested after the move.
     until("the pages", || old.seen().len() == RANGES);
-    fleet.change(&[up("moves", new.addr)]);
+    fixture.change(&[up("moves", new.addr)]);
     release.store(true, Ordering::SeqCst);
-    whole(reading, "what was being read");
-    for _ in 0..TURNS {
-        whole(features(ogc), "what is asked for afterwards");
+    expect_all_features(reading, "the collection that was being read");
+    for _ in 0..QUERIES {
+        expect_all_features(request_features(ogc), "the collection requested after the move");
     }
     let after = old.seen().split_off(RANGES);
-    assert!(after.is_empty(), "{} pages asked for at the earlier address", after.len());
+    assert!(after.is_empty(), "{} pages requested from the earlier address", after.len());
 }
