--- a/tests/drain_faults.rs
+++ b/tests/drain_faults.rs
@@ -1,5 +1,5 @@
-//! The drain rule while calls of discovery fail or take long: nothing new goes to a data node that drains or is gone once
-//! its coordinator counts as notified and the grace is over, and queries are answered from the nodes that stay.
+//! Tests the drain rule while discovery calls fail or are slow: once the coordinator counts as notified and the grace
+//! is over, it sends nothing new to a draining or removed data node, and the remaining nodes answer the queries.
 
 mod harness;
 
@@ -8,145 +8,153 @@
 
 use harness::discovery_faults::{CallFault, Pieces};
 use harness::drain_check::{Delivery, NodeState};
-use harness::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
+use harness::drain_trial::{assert_all_pass, within, Trial, TrialResult, BOTH_DELIVERIES, WAIT_LIMIT};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// The faults that end a call, or leave it hanging.
+/// Faults that end a call or leave it without an answer.
 const FAILURES: [CallFault; 4] =
-    [CallFault::Unavailable, CallFault::Reset, CallFault::HalfAnswer, CallFault::Silent];
+    [CallFault::Unavailable, CallFault::Reset, CallFault::HalfAnswer, CallFault::NoAnswer];
 
-// ---- Restarted coordinators. ----
+// ---- Restarted coordinators ----
 
-/// How the first calls of a restarted coordinator end.
+/// Fault of the first calls of a restarted coordinator.
 #[derive(Debug, Clone, Copy)]
 enum FirstCalls {
     Fail(CallFault),
-    /// All calls in the first 4 s.
+    /// All calls in the first 4 s fail.
     FailFor4s(CallFault),
-    /// The service's address is closed for a while.
+    /// Connections are refused for this time.
     RefusedFor(Duration),
-    /// Every call takes so long.
-    Late(Duration),
+    /// Every answer is delayed by this time.
+    Delayed(Duration),
 }
 
-/// A coordinator starts with a list from before, in which a node that drains and one that is gone are up.
-fn restarted(first: FirstCalls, delivery: Delivery) -> Verdict {
+/// Starts a coordinator with an old list, in which a node that drains now and one that is removed are up.
+fn restarted(first: FirstCalls, delivery: Delivery) -> TrialResult {
     let nodes = ["drains", "removed", "stays-1", "stays-2"];
     let mut trial = Trial::new(&format!("restart {first:?}"), delivery, &nodes);
-    trial.shut_long_ago("drains", "removed");
+    trial.drain_and_remove_long_ago("drains", "removed");
     let service = trial.service();
     let begun = Instant::now();
     let mut longest = ms(0);
     match first {
-        FirstCalls::Fail(fault) => service.faults(|f| f.next.push_back(fault)),
+        FirstCalls::Fail(fault) => service.faults(|f| f.next_calls.push_back(fault)),
         FirstCalls::FailFor4s(fault) => {
-            service.faults(|f| f.all = Some(fault));
+            service.faults(|f| f.all_calls = Some(fault));
             longest = ms(4000);
         }
         FirstCalls::RefusedFor(span) => {
-            service.go_down();
+            service.take_offline();
             longest = span;
         }
-        FirstCalls::Late(delay) => {
-            service.faults(|f| f.all = Some(CallFault::HeadDelayed(delay)));
+        FirstCalls::Delayed(delay) => {
+            service.faults(|f| f.all_calls = Some(CallFault::HeadDelayed(delay)));
             longest = delay;
         }
     }
-    trial.start_again(&service);
+    trial.start_with_first_list(&service);
     thread::sleep((begun + longest).saturating_duration_since(Instant::now()));
     match first {
-        FirstCalls::FailFor4s(_) => service.faults(|f| f.all = None),
-        FirstCalls::RefusedFor(_) => service.come_back(),
-        FirstCalls::Fail(_) | FirstCalls::Late(_) => {}
+        FirstCalls::FailFor4s(_) => service.faults(|f| f.all_calls = None),
+        FirstCalls::RefusedFor(_) => service.bring_online(),
+        FirstCalls::Fail(_) | FirstCalls::Delayed(_) => {}
     }
-    trial.finish_after(PATIENCE)
+    trial.finish_after(WAIT_LIMIT)
 }
 
-/// Guards the list from before the start: what was said while the coordinator was away counts from its first moment,
-/// whatever becomes of its first call.
+/// A restarted coordinator reads an old list from its configuration. A change made while it was not running counts from
+/// its start, even if its first call fails. Catches a coordinator that sends parts to drained nodes by the old list.
 #[test]
-fn a_restarted_coordinator_whose_first_call_fails_sends_nothing_to_who_drained() {
-    let kinds = FAILURES.iter().flat_map(|&fault| BOTH.map(|way| (FirstCalls::Fail(fault), way)));
-    all_pass(kinds.collect(), |(first, way)| restarted(first, way));
+fn restarted_coordinator_skips_drained_nodes_when_its_first_call_fails() {
+    let kinds = FAILURES
+        .iter()
+        .flat_map(|&fault| BOTH_DELIVERIES.map(|delivery| (FirstCalls::Fail(fault), delivery)));
+    assert_all_pass(kinds.collect(), |(first, delivery)| restarted(first, delivery));
 }
 
-/// The same where all calls fail for a while.
+/// All calls of the first 4 s fail.
 #[test]
-fn a_restarted_coordinator_whose_calls_fail_for_4_s_sends_nothing_to_who_drained() {
-    let kinds = FAILURES.iter().flat_map(|&fault| BOTH.map(|way| (FirstCalls::FailFor4s(fault), way)));
-    all_pass(kinds.collect(), |(first, way)| restarted(first, way));
+fn restarted_coordinator_skips_drained_nodes_when_calls_fail_for_4_s() {
+    let kinds = FAILURES
+        .iter()
+        .flat_map(|&fault| BOTH_DELIVERIES.map(|delivery| (FirstCalls::FailFor4s(fault), delivery)));
+    assert_all_pass(kinds.collect(), |(first, delivery)| restarted(first, delivery));
 }
 
-/// The same where discovery refuses connections at first.
+/// Discovery refuses connections at first.
 #[test]
-fn a_restarted_coordinator_that_is_refused_at_first_sends_nothing_to_who_drained() {
-    let kinds =
-        [ms(1500), ms(7500)].into_iter().flat_map(|span| BOTH.map(|way| (FirstCalls::RefusedFor(span), way)));
-    all_pass(kinds.collect(), |(first, way)| restarted(first, way));
+fn restarted_coordinator_skips_drained_nodes_when_connections_are_refused_at_first() {
+    let kinds = [ms(1500), ms(7500)]
+        .into_iter()
+        .flat_map(|span| BOTH_DELIVERIES.map(|delivery| (FirstCalls::RefusedFor(span), delivery)));
+    assert_all_pass(kinds.collect(), |(first, delivery)| restarted(first, delivery));
 }
 
-/// The same where discovery answers late.
+/// Discovery answers with a delay.
 #[test]
-fn a_restarted_coordinator_that_is_answered_late_sends_nothing_to_who_drained() {
-    let kinds = DELAYS.iter().flat_map(|&delay| BOTH.map(|way| (FirstCalls::Late(delay), way)));
-    all_pass(kinds.collect(), |(first, way)| restarted(first, way));
+fn restarted_coordinator_skips_drained_nodes_when_answers_are_delayed() {
+    let kinds = DELAYS
+        .iter()
+        .flat_map(|&delay| BOTH_DELIVERIES.map(|delivery| (FirstCalls::Delayed(delay), delivery)));
+    assert_all_pass(kinds.collect(), |(first, delivery)| restarted(first, delivery));
 }
 
-// ---- Slow discovery. ----
+// ---- Slow discovery ----
 
 const DELAYS: [Duration; 4] = [ms(1000), ms(2500), ms(4000), ms(5500)];
 
-/// Where a slow answer loses its time.
+/// Part of an answer that is delayed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Slow {
+enum SlowStage {
     Head,
     Body,
-    /// The head's, and calls are handled one at a time.
-    InTurn,
-    /// Besides, all comes in pieces.
+    /// The head, while calls are handled one at a time.
+    SerialCalls,
+    /// The head, and everything is sent in small pieces.
     InPieces,
 }
 
-/// A watch ends, every later call takes long, and a node drains.
-fn slow(slow: Slow, delay: Duration, delivery: Delivery) -> Verdict {
-    let name = format!("slow {slow:?} {delay:?}");
+/// Closes the watch, delays every later answer and drains a node.
+fn slow_discovery(stage: SlowStage, delay: Duration, delivery: Delivery) -> TrialResult {
+    let name = format!("slow {stage:?} {delay:?}");
     let mut trial = Trial::new(&name, delivery, &["drains", "stays-1", "stays-2"]);
     let service = trial.service();
     trial.start(&service);
-    trial.in_use(&["drains", "stays-1", "stays-2"]);
+    trial.wait_until_used(&["drains", "stays-1", "stays-2"]);
     service.faults(|f| {
-        f.in_turn = slow == Slow::InTurn;
-        f.pieces = (slow == Slow::InPieces).then_some(Pieces { bytes: 64, gap: ms(10) });
-        let body = slow == Slow::Body;
-        f.all = Some(if body { CallFault::BodyDelayed(delay) } else { CallFault::HeadDelayed(delay) });
+        f.serial_calls = stage == SlowStage::SerialCalls;
+        f.pieces = (stage == SlowStage::InPieces).then_some(Pieces { bytes: 64, gap: ms(10) });
+        let body = stage == SlowStage::Body;
+        f.all_calls = Some(if body { CallFault::BodyDelayed(delay) } else { CallFault::HeadDelayed(delay) });
     });
     let written = service.writes().len();
     service.end_connections();
     if delivery == Delivery::Pushed {
-        // What the agent has counts at once: the watch is up again by then.
+        // Changes that the agent has count at once, so the new watch must be open before the node drains.
         within(delay * 2 + ms(2000), || service.writes().len() > written);
     }
     trial.catalog.set("drains", NodeState::Draining);
-    trial.finish_after(PATIENCE + ms(1000))
+    trial.finish_after(WAIT_LIMIT + ms(1000))
 }
 
-fn slow_kinds(delivery: Delivery) {
-    let places = [Slow::Head, Slow::Body, Slow::InTurn, Slow::InPieces];
-    let kinds = places.iter().flat_map(|&place| DELAYS.map(|delay| (place, delay)));
-    all_pass(kinds.collect(), |(place, delay)| self::slow(place, delay, delivery));
+fn assert_slow_discovery_passes(delivery: Delivery) {
+    let stages = [SlowStage::Head, SlowStage::Body, SlowStage::SerialCalls, SlowStage::InPieces];
+    let kinds = stages.iter().flat_map(|&stage| DELAYS.map(|delay| (stage, delay)));
+    assert_all_pass(kinds.collect(), |(stage, delay)| slow_discovery(stage, delay, delivery));
 }
 
-/// Guards against calls that are given up before discovery has answered, for good.
+/// Catches a coordinator that abandons every call before a slow discovery service has answered, and so never gets a
+/// list.
 #[test]
-fn a_slow_discovery_is_heard_in_time_where_it_is_polled() {
-    slow_kinds(Delivery::OnRequest);
+fn drain_is_applied_in_time_with_slow_on_request_discovery() {
+    assert_slow_discovery_passes(Delivery::OnRequest);
 }
 
-/// The same where lists are pushed: the watch comes up, however slowly, and what drains from then on is learnt at once.
+/// With pushed lists the watch opens slowly; drains after that are applied at once.
 #[test]
-fn a_slow_discovery_is_heard_in_time_where_it_pushes() {
-    slow_kinds(Delivery::Pushed);
+fn drain_is_applied_in_time_with_slow_pushed_discovery() {
+    assert_slow_discovery_passes(Delivery::Pushed);
 }
--- a/tests/drain_lease.rs
+++ b/tests/drain_lease.rs
@@ -1,5 +1,6 @@
-//! The drain rule while no update of the list arrives, whatever the cause: the list is used no longer than an unheard
-//! change may be, and again from the next update on. A discovery that is out of reach ends nothing.
+//! Tests the drain rule while the coordinator receives no list updates: its list expires once a missed change would
+//! count as notified, and is valid again from the next update on. A list does not expire while discovery is
+//! unreachable.
 
 mod harness;
 
@@ -9,214 +10,220 @@
 
 use harness::discovery_faults::CallFault;
 use harness::drain_check::{Delivery, NodeState};
-use harness::drain_trial::{all_pass, Trial, Verdict, BOTH};
+use harness::drain_trial::{assert_all_pass, Trial, TrialResult, BOTH_DELIVERIES};
 use harness::faulty_discovery::FaultyDiscovery;
 use harness::until;
 
 const NODES: [&str; 4] = ["drains", "removed", "stays-1", "stays-2"];
-const SHUT: [(&str, NodeState); 2] = [("drains", NodeState::Draining), ("removed", NodeState::Removed)];
+const DRAINED_AND_REMOVED: [(&str, NodeState); 2] =
+    [("drains", NodeState::Draining), ("removed", NodeState::Removed)];
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// What becomes of calls from a moment on.
+/// Fault of all calls from a moment on.
 #[derive(Debug, Clone, Copy)]
-enum Calls {
-    /// Every call takes so long.
-    Late(CallFault),
-    /// Calls fail for so long.
+enum CallFailure {
+    /// Every call is delayed, until the end of the trial.
+    Delayed(CallFault),
+    /// Calls fail for this time.
     FailFor(CallFault, Duration),
 }
 
-impl Calls {
+impl CallFailure {
     fn fault(self) -> CallFault {
         match self {
-            Self::Late(fault) | Self::FailFor(fault, _) => fault,
+            Self::Delayed(fault) | Self::FailFor(fault, _) => fault,
         }
     }
 
-    /// Waits until calls that fail are over, and has them well again; calls that are late stay so.
-    fn pass(self, service: &FaultyDiscovery) {
+    /// Waits until the time of failing calls is over and ends the fault; delayed calls stay delayed.
+    fn wait_until_over(self, service: &FaultyDiscovery) {
         if let Self::FailFor(_, span) = self {
             thread::sleep(span);
-            service.faults(|f| f.all = None);
+            service.faults(|f| f.all_calls = None);
         }
     }
 }
 
-/// Coordinators of a fleet, whose size spreads their calls.
+/// Numbers of coordinators in the settings; calls are spread more widely in larger fleets.
 const FLEETS: [u32; 2] = [1, 40];
-/// After the last fault has ended, for calls and queries to be well again.
+/// Time after the last fault for calls and queries to recover.
 const RECOVERY: Duration = ms(10_000);
 
-/// A coordinator that asks for its list, follows a watch and sends to all data nodes: its trial, service and number.
-fn following(name: &str, fleet: u32) -> (Trial, Arc<FaultyDiscovery>, usize) {
-    following_by(Delivery::OnRequest, name, fleet)
+/// Starts a coordinator with on-request lists and waits until it uses all data nodes; returns its trial, service and
+/// number.
+fn start_following(name: &str, fleet: u32) -> (Trial, Arc<FaultyDiscovery>, usize) {
+    start_following_by(Delivery::OnRequest, name, fleet)
 }
 
-/// The same with a list that comes so.
-fn following_by(delivery: Delivery, name: &str, fleet: u32) -> (Trial, Arc<FaultyDiscovery>, usize) {
+/// Does the same with the given delivery.
+fn start_following_by(delivery: Delivery, name: &str, fleet: u32) -> (Trial, Arc<FaultyDiscovery>, usize) {
     let mut trial = Trial::new(name, delivery, &NODES);
     trial.fleet = fleet;
     let service = trial.service();
     let number = trial.start(&service);
-    trial.in_use(&NODES);
+    trial.wait_until_used(&NODES);
     (trial, service, number)
 }
 
-// ---- Watches that end instead of telling. ----
+// ---- Watches that end without delivering a change ----
 
-fn ended_watch(calls: Calls, fleet: u32) -> Verdict {
-    let name = format!("watch ended instead of telling, fleet of {fleet}, {calls:?}");
-    let (trial, service, _) = following(&name, fleet);
-    service.faults(|f| f.all = Some(calls.fault()));
-    service.end_watches_instead_of_telling(|catalog| catalog.set_all(&SHUT, Duration::ZERO));
-    calls.pass(&service);
+fn ended_watch(calls: CallFailure, fleet: u32) -> TrialResult {
+    let name = format!("watch ended without delivering, fleet of {fleet}, {calls:?}");
+    let (trial, service, _) = start_following(&name, fleet);
+    service.faults(|f| f.all_calls = Some(calls.fault()));
+    service.end_watches_without_delivering(|catalog| catalog.set_all(&DRAINED_AND_REMOVED, Duration::ZERO));
+    calls.wait_until_over(&service);
     trial.finish_after(RECOVERY)
 }
 
-/// Guards against a list that is used on after its watch has ended, while the next call is not answered: what the watch
-/// should have told counts 2 s after its end.
+/// Catches a list that stays in use after its watch has ended while the next call is not answered. The change that the
+/// watch did not deliver counts 2 s after its end.
 #[test]
-fn a_list_whose_watch_has_ended_is_used_no_longer_than_its_changes_may_be_unheard() {
+fn list_expires_in_time_after_its_watch_ends() {
     let calls = [
-        Calls::Late(CallFault::HeadDelayed(ms(3500))),
-        Calls::Late(CallFault::BodyDelayed(ms(5000))),
-        Calls::FailFor(CallFault::Silent, ms(4000)),
-        Calls::FailFor(CallFault::Unavailable, ms(4500)),
-        Calls::FailFor(CallFault::Reset, ms(4500)),
-        Calls::FailFor(CallFault::HalfAnswer, ms(4000)),
+        CallFailure::Delayed(CallFault::HeadDelayed(ms(3500))),
+        CallFailure::Delayed(CallFault::BodyDelayed(ms(5000))),
+        CallFailure::FailFor(CallFault::NoAnswer, ms(4000)),
+        CallFailure::FailFor(CallFault::Unavailable, ms(4500)),
+        CallFailure::FailFor(CallFault::Reset, ms(4500)),
+        CallFailure::FailFor(CallFault::HalfAnswer, ms(4000)),
     ];
     let kinds = calls.into_iter().flat_map(|calls| FLEETS.map(|fleet| (calls, fleet)));
-    all_pass(kinds.collect(), |(calls, fleet)| ended_watch(calls, fleet));
+    assert_all_pass(kinds.collect(), |(calls, fleet)| ended_watch(calls, fleet));
 }
 
-// ---- Watches that fall silent. ----
+// ---- Silent watches ----
 
-fn silent_watch(calls: Calls, fleet: u32) -> Verdict {
-    let (trial, service, _) = following(&format!("silent watch, fleet of {fleet}, {calls:?}"), fleet);
-    service.faults(|f| f.all = Some(calls.fault()));
+fn silent_watch(calls: CallFailure, fleet: u32) -> TrialResult {
+    let (trial, service, _) = start_following(&format!("silent watch, fleet of {fleet}, {calls:?}"), fleet);
+    service.faults(|f| f.all_calls = Some(calls.fault()));
     service.silence_watches();
-    trial.catalog.set_all(&SHUT, Duration::ZERO);
-    calls.pass(&service);
+    trial.catalog.set_all(&DRAINED_AND_REMOVED, Duration::ZERO);
+    calls.wait_until_over(&service);
     trial.finish_after(RECOVERY)
 }
 
-/// Guards against a list that is used on after its watch has fallen silent, while the calls beside it fail: what the
-/// watch should have told counts 6 s after it fell silent.
+/// Catches a list that stays in use after its watch has fallen silent while other calls fail. The change that the watch
+/// did not deliver counts 6 s after it fell silent.
 #[test]
-fn a_list_whose_watch_is_silent_is_used_no_longer_than_its_changes_may_be_unheard() {
-    let calls = [CallFault::Silent, CallFault::Unavailable, CallFault::HalfAnswer]
-        .map(|fault| Calls::FailFor(fault, ms(9000)));
+fn list_expires_in_time_after_its_watch_falls_silent() {
+    let calls = [CallFault::NoAnswer, CallFault::Unavailable, CallFault::HalfAnswer]
+        .map(|fault| CallFailure::FailFor(fault, ms(9000)));
     let kinds = calls.into_iter().flat_map(|calls| FLEETS.map(|fleet| (calls, fleet)));
-    all_pass(kinds.collect(), |(calls, fleet)| silent_watch(calls, fleet));
+    assert_all_pass(kinds.collect(), |(calls, fleet)| silent_watch(calls, fleet));
 }
 
-/// So long after its last line a watch is silent as discovery goes out of reach: longer than between two heartbeats; and so
-/// that a local agent, which has not answered the call beside the silent watch, is called once more in that moment.
+/// Time from the last line of a silent watch until discovery becomes unreachable: longer than a heartbeat interval, and
+/// ending just when the coordinator repeats its unanswered call to a local agent.
 const SILENT_BEFORE_OUTAGE: [Duration; 2] = [ms(3000), ms(3095)];
 
-fn silent_watch_then_outage(silent_for: Duration, fleet: u32, delivery: Delivery) -> Verdict {
-    let name = format!("silent watch, out of reach after {silent_for:?}, fleet of {fleet}");
-    let (trial, service, _) = following_by(delivery, &name, fleet);
-    // A call beside the silent watch is not answered.
-    service.faults(|f| f.all = Some(CallFault::Silent));
+fn silent_watch_then_outage(silent_for: Duration, fleet: u32, delivery: Delivery) -> TrialResult {
+    let name = format!("silent watch, unreachable after {silent_for:?}, fleet of {fleet}");
+    let (trial, service, _) = start_following_by(delivery, &name, fleet);
+    // Calls made during the silence are not answered.
+    service.faults(|f| f.all_calls = Some(CallFault::NoAnswer));
     let before = service.writes().len();
     until("a line of the watch", || service.writes().len() > before);
     let last_line = Instant::now();
     service.silence_watches();
-    trial.catalog.set_all(&SHUT, Duration::ZERO);
+    trial.catalog.set_all(&DRAINED_AND_REMOVED, Duration::ZERO);
     thread::sleep(silent_for.saturating_sub(last_line.elapsed()));
-    service.go_down();
-    thread::sleep(OUT_OF_REACH);
-    service.faults(|f| f.all = None);
-    service.come_back();
+    service.take_offline();
+    thread::sleep(OUTAGE);
+    service.faults(|f| f.all_calls = None);
+    service.bring_online();
     trial.finish_after(RECOVERY)
 }
 
-/// Guards against an outage that excuses what a silent watch missed before it: that counts 6 s after the watch fell
-/// silent, out of reach or not.
+/// Catches an outage that postpones a change missed by a silent watch before the outage. The change counts 6 s after
+/// the watch fell silent, whether discovery is reachable or not.
 #[test]
-fn a_list_whose_watch_was_silent_is_not_used_on_while_discovery_is_out_of_reach() {
-    let each = |span| FLEETS.into_iter().flat_map(move |fleet| BOTH.map(|way| (span, fleet, way)));
+fn list_of_a_silent_watch_expires_during_an_outage() {
+    let each = |span| {
+        FLEETS.into_iter().flat_map(move |fleet| BOTH_DELIVERIES.map(|delivery| (span, fleet, delivery)))
+    };
     let kinds = SILENT_BEFORE_OUTAGE.into_iter().flat_map(each);
-    all_pass(kinds.collect(), |(span, fleet, way)| silent_watch_then_outage(span, fleet, way));
+    assert_all_pass(kinds.collect(), |(span, fleet, delivery)| {
+        silent_watch_then_outage(span, fleet, delivery)
+    });
 }
 
-// ---- Services that have moved. ----
+// ---- Moved services ----
 
-fn moved(calls: Calls) -> Verdict {
-    let (mut trial, old, number) = following(&format!("move, then {calls:?}"), 1);
+fn moved(calls: CallFailure) -> TrialResult {
+    let (mut trial, old, number) = start_following(&format!("move, then {calls:?}"), 1);
     let next = trial.service();
     let version = trial.catalog.version();
-    old.faults(|f| f.lags_at = Some(version));
-    trial.catalog.set_all(&SHUT, Duration::ZERO);
-    next.faults(|f| f.all = Some(calls.fault()));
-    trial.move_to(number, &next);
-    calls.pass(&next);
+    old.faults(|f| f.lag_version = Some(version));
+    trial.catalog.set_all(&DRAINED_AND_REMOVED, Duration::ZERO);
+    next.faults(|f| f.all_calls = Some(calls.fault()));
+    trial.move_to_service(number, &next);
+    calls.wait_until_over(&next);
     trial.finish_after(RECOVERY)
 }
 
-/// Guards against a list of the service before that is used on while the new one is not heard: what that has counts 4 s
-/// after SIGHUP.
+/// Catches a list of the previous service that stays in use while the new service does not answer. The changes of the
+/// new service count 4 s after SIGHUP.
 #[test]
-fn a_list_of_a_service_that_was_left_is_used_no_longer_than_the_next_one_may_be_unheard() {
+fn list_of_the_previous_service_expires_in_time_after_a_move() {
     let calls = [
-        Calls::Late(CallFault::HeadDelayed(ms(5500))),
-        Calls::FailFor(CallFault::Silent, ms(6500)),
-        Calls::FailFor(CallFault::Unavailable, ms(6500)),
-        Calls::FailFor(CallFault::Reset, ms(6500)),
+        CallFailure::Delayed(CallFault::HeadDelayed(ms(5500))),
+        CallFailure::FailFor(CallFault::NoAnswer, ms(6500)),
+        CallFailure::FailFor(CallFault::Unavailable, ms(6500)),
+        CallFailure::FailFor(CallFault::Reset, ms(6500)),
     ];
-    all_pass(calls.to_vec(), moved);
+    assert_all_pass(calls.to_vec(), moved);
 }
 
-// ---- Discovery is out of reach. ----
+// ---- Unreachable discovery ----
 
-/// Far longer than any clause of the rule.
-const OUT_OF_REACH: Duration = ms(12_000);
+/// Far longer than any time limit of the drain rule.
+const OUTAGE: Duration = ms(12_000);
 
-fn out_of_reach(fleet: u32, delivery: Delivery) -> Verdict {
-    let name = format!("out of reach, fleet of {fleet}");
-    let (mut trial, service, number) = following_by(delivery, &name, fleet);
+fn unreachable_discovery(fleet: u32, delivery: Delivery) -> TrialResult {
+    let name = format!("unreachable, fleet of {fleet}");
+    let (mut trial, service, number) = start_following_by(delivery, &name, fleet);
     let begun = Instant::now();
-    service.go_down();
-    thread::sleep(OUT_OF_REACH);
-    trial.has_served_throughout(number, begun, "while discovery was out of reach");
-    trial.catalog.set_all(&SHUT, Duration::ZERO);
-    service.come_back();
+    service.take_offline();
+    thread::sleep(OUTAGE);
+    trial.expect_served_throughout(number, begun, "while discovery was unreachable");
+    trial.catalog.set_all(&DRAINED_AND_REMOVED, Duration::ZERO);
+    service.bring_online();
     trial.finish_after(RECOVERY)
 }
 
-/// Guards service while nobody answers at discovery's address: nothing can have been told then, and the list goes on being
-/// used for as long as that lasts.
+/// Catches a list that expires while discovery refuses connections. No change can be delivered then, so the list stays
+/// in use until discovery is reachable again.
 #[test]
-fn a_list_is_used_on_while_discovery_is_out_of_reach() {
-    let kinds = FLEETS.into_iter().flat_map(|fleet| BOTH.map(|way| (fleet, way)));
-    all_pass(kinds.collect(), |(fleet, way)| out_of_reach(fleet, way));
+fn list_stays_in_use_while_discovery_is_unreachable() {
+    let kinds = FLEETS.into_iter().flat_map(|fleet| BOTH_DELIVERIES.map(|delivery| (fleet, delivery)));
+    assert_all_pass(kinds.collect(), |(fleet, delivery)| unreachable_discovery(fleet, delivery));
 }
 
-/// Queries that keep a coordinator at work for longer than it takes to stop it.
+/// Number of queries that keep a coordinator busy for longer than it takes to stop it.
 const BURST: u64 = 200;
 
-fn out_of_reach_at_work(fleet: u32, delivery: Delivery) -> Verdict {
-    let name = format!("out of reach, its watch reset amid work, fleet of {fleet}");
-    let (mut trial, service, number) = following_by(delivery, &name, fleet);
-    let clients = trial.burst(number, BURST);
-    trial.held_up(number, || service.go_down());
+fn unreachable_discovery_under_load(fleet: u32, delivery: Delivery) -> TrialResult {
+    let name = format!("unreachable, watch reset under load, fleet of {fleet}");
+    let (mut trial, service, number) = start_following_by(delivery, &name, fleet);
+    let clients = trial.send_burst(number, BURST);
+    trial.while_stopped(number, || service.take_offline());
     let begun = Instant::now();
-    thread::sleep(OUT_OF_REACH);
+    thread::sleep(OUTAGE);
     drop(clients);
-    trial.has_served_throughout(number, begun, "while discovery was out of reach");
-    trial.catalog.set_all(&SHUT, Duration::ZERO);
-    service.come_back();
+    trial.expect_served_throughout(number, begun, "while discovery was unreachable");
+    trial.catalog.set_all(&DRAINED_AND_REMOVED, Duration::ZERO);
+    service.bring_online();
     trial.finish_after(RECOVERY)
 }
 
-/// Guards service against a reset of the watch that is found by a check before a send, and not by the watch's reader: it is
-/// no end in order, after which the list may be used for 2 s only.
+/// Catches a reset of the watch that is taken for an orderly end, after which the list would be used for 2 s only. The
+/// check before a send finds the reset here, not the reader of the watch.
 #[test]
-fn a_watch_that_is_reset_amid_work_has_not_ended_in_order() {
-    let kinds = FLEETS.into_iter().flat_map(|fleet| BOTH.map(|way| (fleet, way)));
-    all_pass(kinds.collect(), |(fleet, way)| out_of_reach_at_work(fleet, way));
+fn watch_reset_under_load_is_not_an_orderly_end() {
+    let kinds = FLEETS.into_iter().flat_map(|fleet| BOTH_DELIVERIES.map(|delivery| (fleet, delivery)));
+    assert_all_pass(kinds.collect(), |(fleet, delivery)| unreachable_discovery_under_load(fleet, delivery));
 }
--- a/tests/drain_soak.rs
+++ b/tests/drain_soak.rs
@@ -1,8 +1,8 @@
-//! A seeded soak of the drain rule: coordinators in processes of their own go through a random series of drains, removals
-//! and restarts of data nodes, faults of discovery, moves by SIGHUP in a row, SIGTERM with clients that stay, and crowds
-//! of idle clients. Whatever comes, the rule is kept, no process dies, and queries are answered in the end.
+//! Seeded soak test of the drain rule. Coordinator processes go through a random series of drains, removals and
+//! restarts of data nodes, faults of discovery, consecutive moves by SIGHUP, SIGTERM with clients that stay connected,
+//! and many idle clients. The drain rule must hold, no process may crash, and queries must be answered at the end.
 //!
-//! `SOAK_SEEDS=100..150 cargo test --test drain_soak` plays other seeds. The seed is part of what a broken run prints.
+//! `SOAK_SEEDS=100..150 cargo test --test drain_soak` runs other seeds. A failed run prints its seed.
 
 mod harness;
 
@@ -15,60 +15,61 @@
 use fastrand::Rng;
 use harness::discovery_faults::CallFault;
 use harness::drain_check::{Delivery, NodeState};
-use harness::drain_trial::{all_pass_beside, Trial, Verdict, BOTH};
+use harness::drain_trial::{assert_all_pass_with_limit, Trial, TrialResult, BOTH_DELIVERIES};
 use harness::faulty_discovery::FaultyDiscovery;
 
-/// What is played where nobody asks for other seeds.
+/// Seeds that are run without `SOAK_SEEDS`.
 const SEEDS: Range<u64> = 1..9;
-/// Runs side by side: more of them hold each other up for longer than the rule allows for.
-const SIDE_BY_SIDE: usize = 4;
-/// Data nodes that change; the others stay.
-const CHANGING: [&str; 2] = ["changes-1", "changes-2"];
-const ALL: [&str; 4] = ["changes-1", "changes-2", "stays-1", "stays-2"];
-/// How many coordinators the settings tell of: it spreads their calls.
+/// Most runs at once; more of them delay each other beyond the tolerance of the drain rule.
+const MAX_CONCURRENT_TRIALS: usize = 4;
+/// Data nodes whose state changes; the others stay up.
+const CHANGING_NODES: [&str; 2] = ["changes-1", "changes-2"];
+const ALL_NODES: [&str; 4] = ["changes-1", "changes-2", "stays-1", "stays-2"];
+/// Numbers of coordinators in the settings; calls are spread more widely in larger fleets.
 const FLEETS: [u32; 4] = [1, 3, 12, 44];
-/// After the last fault, for all to be well again.
+/// Time after the last fault for the coordinator to recover.
 const RECOVERY: Duration = ms(10_000);
-/// SIGKILL comes so long after SIGTERM at the earliest: 3 s for the longest deadline, and 0.7 s.
+/// Shortest time from SIGTERM to SIGKILL: 3 s for the longest deadline, plus 0.7 s.
 const TERM_TO_KILL: Duration = ms(3700);
-/// Descriptors of a coordinator on runs with a crowd, and idle clients that come.
-const FEW_SOCKETS: u32 = 256;
-const CROWD: u32 = 220;
+/// Descriptor limit of a coordinator in runs with idle clients, and the number of these clients.
+const CROWDED_SOCKET_LIMIT: u32 = 256;
+const IDLE_CLIENTS: u32 = 220;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// One run.
+/// State of one run.
 struct Soak {
     rng: Rng,
     trial: Trial,
     delivery: Delivery,
-    states: [NodeState; CHANGING.len()],
-    /// The coordinator that runs, and its service.
+    states: [NodeState; CHANGING_NODES.len()],
+    /// Number of the running coordinator, and its discovery service.
     number: usize,
     service: Arc<FaultyDiscovery>,
-    crowd: Vec<TcpStream>,
+    idle_clients: Vec<TcpStream>,
 }
 
 impl Soak {
     fn start(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let delivery = BOTH[rng.usize(..BOTH.len())];
+        let delivery = BOTH_DELIVERIES[rng.usize(..BOTH_DELIVERIES.len())];
         let fleet = FLEETS[rng.usize(..FLEETS.len())];
         let crowded = rng.u32(..3) == 0;
-        let name = format!("seed {seed}, fleet of {fleet}{}", if crowded { ", crowd" } else { "" });
-        let mut trial = Trial::new(&name, delivery, &ALL);
+        let name = format!("seed {seed}, fleet of {fleet}{}", if crowded { ", idle clients" } else { "" });
+        let mut trial = Trial::new(&name, delivery, &ALL_NODES);
         trial.fleet = fleet;
         if crowded {
-            trial.sockets = FEW_SOCKETS;
+            trial.sockets = CROWDED_SOCKET_LIMIT;
         }
         let service = trial.service();
         let number = trial.start(&service);
-        trial.in_use(&ALL);
-        let crowd = if crowded { trial.crowd(number, CROWD) } else { Vec::new() };
-        let states = [NodeState::Up; CHANGING.len()];
-        Self { rng, trial, delivery, states, number, service, crowd }
+        trial.wait_until_used(&ALL_NODES);
+        let idle_clients =
+            if crowded { trial.connect_idle_clients(number, IDLE_CLIENTS) } else { Vec::new() };
+        let states = [NodeState::Up; CHANGING_NODES.len()];
+        Self { rng, trial, delivery, states, number, service, idle_clients }
     }
 
     fn span(&mut self, span: Range<u64>) -> Duration {
@@ -80,16 +81,16 @@
         thread::sleep(span);
     }
 
-    /// The next change of one data node: it drains, is removed, or has started anew.
+    /// Picks the next change of a random data node: a drain, a removal or a restart.
     fn next_change(&mut self) -> (&'static str, NodeState) {
-        let node = self.rng.usize(..CHANGING.len());
+        let node = self.rng.usize(..CHANGING_NODES.len());
         let next = match self.states[node] {
             NodeState::Up if self.rng.bool() => NodeState::Draining,
             NodeState::Up | NodeState::Draining => NodeState::Removed,
             NodeState::Removed => NodeState::Up,
         };
         self.states[node] = next;
-        (CHANGING[node], next)
+        (CHANGING_NODES[node], next)
     }
 
     fn change(&mut self) {
@@ -99,16 +100,17 @@
         }
     }
 
-    fn ends_instead_of_telling(&mut self) {
+    fn end_watches_without_delivering(&mut self) {
         let (uid, state) = self.next_change();
-        self.service.end_watches_instead_of_telling(|catalog| match state {
+        self.service.end_watches_without_delivering(|catalog| match state {
             NodeState::Up => catalog.restart(uid),
             state => catalog.set(uid, state),
         });
     }
 
-    /// Calls are slow, turned down, broken off or not answered for a while. An agent answers at once or is down.
-    fn calls_fail(&mut self) {
+    /// Delays, rejects, breaks or ignores calls for a while. With pushed lists the agent either answers at once or is
+    /// unavailable.
+    fn fail_calls(&mut self) {
         let late = self.span(200..4500);
         let faults = [
             CallFault::HeadDelayed(late),
@@ -116,71 +118,71 @@
             CallFault::Unavailable,
             CallFault::Reset,
             CallFault::HalfAnswer,
-            CallFault::Silent,
+            CallFault::NoAnswer,
         ];
         let fault = match self.delivery {
             Delivery::OnRequest => faults[self.rng.usize(..faults.len())],
             Delivery::Pushed => CallFault::Unavailable,
         };
-        self.service.faults(|f| f.all = Some(fault));
+        self.service.faults(|f| f.all_calls = Some(fault));
         match self.rng.u32(..3) {
-            0 => self.ends_instead_of_telling(),
+            0 => self.end_watches_without_delivering(),
             1 => self.service.silence_watches(),
             _ => self.service.end_connections(),
         }
         self.change();
         self.pause(500..7000);
-        self.service.faults(|f| f.all = None);
+        self.service.faults(|f| f.all_calls = None);
     }
 
-    /// It is down for a while, and changes are made meanwhile and at its return.
-    fn goes_down(&mut self) {
-        self.service.go_down();
+    /// Takes discovery offline for a while, with changes during the outage and after it.
+    fn interrupt_discovery(&mut self) {
+        self.service.take_offline();
         self.pause(200..4000);
         self.change();
         self.pause(200..4000);
-        self.service.come_back();
+        self.service.bring_online();
         if self.rng.bool() {
             self.change();
         }
     }
 
-    /// Moves in a row.
-    fn moves(&mut self) {
+    /// Moves the coordinator to new services several times in succession.
+    fn move_between_services(&mut self) {
         for _ in 0..self.rng.u32(1..4) {
             let next = self.trial.service();
             if self.delivery == Delivery::OnRequest && self.rng.bool() {
                 let late = self.span(200..2500);
-                next.faults(|f| f.next.push_back(CallFault::HeadDelayed(late)));
+                next.faults(|f| f.next_calls.push_back(CallFault::HeadDelayed(late)));
             }
-            self.trial.move_to(self.number, &next);
+            self.trial.move_to_service(self.number, &next);
             self.service = next;
             self.change();
             self.pause(100..1500);
         }
     }
 
-    /// A planned restart, with clients that stay until the kill.
-    fn restarts(&mut self) {
+    /// Restarts the coordinator with SIGTERM, while clients stay connected until SIGKILL.
+    fn restart_coordinator(&mut self) {
         self.trial.terminate(self.number);
         thread::sleep(TERM_TO_KILL / 2);
         self.change();
         thread::sleep(TERM_TO_KILL / 2);
         self.trial.kill(self.number);
-        self.crowd.clear();
+        self.idle_clients.clear();
         self.pause(50..1500);
-        self.number = self.trial.start_again(&self.service);
+        self.number = self.trial.start_with_first_list(&self.service);
     }
 
     fn step(&mut self) {
         match self.rng.u32(..8) {
             0 | 1 => self.change(),
-            2 => self.ends_instead_of_telling(),
-            3 => self.calls_fail(),
+            2 => self.end_watches_without_delivering(),
+            3 => self.fail_calls(),
             4 => self.service.silence_watches(),
-            5 => self.goes_down(),
-            6 => self.moves(),
-            _ => self.restarts(),
+            5 => self.interrupt_discovery(),
+            6 => self.move_between_services(),
+            _ => self.restart_coordinator(),
         }
         self.pause(100..1500);
     }
@@ -188,7 +190,7 @@
 
 const STEPS: Range<u32> = 5..9;
 
-fn soak(seed: u64) -> Verdict {
+fn soak(seed: u64) -> TrialResult {
     let mut soak = Soak::start(seed);
     for _ in 0..soak.rng.u32(STEPS) {
         soak.step();
@@ -196,15 +198,15 @@
     soak.trial.finish_after(RECOVERY)
 }
 
-/// The seeds that are asked for.
+/// Returns the seeds of `SOAK_SEEDS`, or the default ones.
 fn seeds() -> Range<u64> {
     let Ok(asked) = std::env::var("SOAK_SEEDS") else { return SEEDS };
     let (from, to) = asked.split_once("..").expect("SOAK_SEEDS is FROM..TO");
     from.parse().expect("a number")..to.parse().expect("a number")
 }
 
-/// Guards the rule against what nobody has thought of one by one.
+/// Catches violations of the drain rule in combinations of faults that no single test covers.
 #[test]
-fn the_drain_rule_is_kept_over_random_troubles() {
-    all_pass_beside(SIDE_BY_SIDE, seeds().collect(), soak);
+fn drain_rule_holds_under_random_faults() {
+    assert_all_pass_with_limit(MAX_CONCURRENT_TRIALS, seeds().collect(), soak);
 }
--- a/tests/drain_updates.rs
+++ b/tests/drain_updates.rs
@@ -1,5 +1,5 @@
-//! The drain rule while discovery's updates are odd: versions that go backwards or are not to be had, a lagging replica, a
-//! service that has restarted, lines that cannot be read.
+//! Tests the drain rule with unusual updates from discovery: versions that decrease or are unavailable, a lagging
+//! replica, a restarted service, and malformed lines.
 
 mod harness;
 
@@ -9,7 +9,7 @@
 use harness::catalog::{MalformedLine, FIRST_VERSION};
 use harness::discovery_faults::{AheadAnswer, IndexAnswer};
 use harness::drain_check::{Delivery, NodeState, WrittenUpdate};
-use harness::drain_trial::{all_pass, within, Trial, Verdict, BOTH, PATIENCE};
+use harness::drain_trial::{assert_all_pass, within, Trial, TrialResult, BOTH_DELIVERIES, WAIT_LIMIT};
 use harness::faulty_discovery::FaultyDiscovery;
 use harness::until;
 
@@ -19,44 +19,44 @@
     Duration::from_millis(ms)
 }
 
-/// Waits for a change of the list to be written.
+/// Waits until an update other than a heartbeat has been written after the first `before` writes.
 fn until_written(service: &FaultyDiscovery, before: usize) {
     let changes =
         || service.writes().into_iter().skip(before).any(|write| write.update != WrittenUpdate::Heartbeat);
     until("the change to be written", changes);
 }
 
-// ---- Watches that cannot be had by their index. ----
+// ---- Watches refused for their index ----
 
-/// From which versions no watch can be had.
+/// Versions from which discovery offers no watch.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Unavailable {
-    /// The one that is held, and those before it.
-    Held,
+enum UnavailableVersions {
+    /// The coordinator's current version and earlier ones.
+    UpToCurrent,
     All,
 }
 
-fn no_watch(answer: IndexAnswer, versions: Unavailable, delivery: Delivery) -> Verdict {
+fn refused_watch(answer: IndexAnswer, versions: UnavailableVersions, delivery: Delivery) -> TrialResult {
     let mut trial = Trial::new(&format!("watch from {versions:?} {answer:?}"), delivery, &NODES);
     let service = trial.service();
     trial.start(&service);
-    trial.in_use(&NODES);
-    let below = if versions == Unavailable::All { u64::MAX } else { FIRST_VERSION + 1 };
-    service.faults(|f| f.index = Some((below, answer)));
+    trial.wait_until_used(&NODES);
+    let below = if versions == UnavailableVersions::All { u64::MAX } else { FIRST_VERSION + 1 };
+    service.faults(|f| f.index_answer = Some((below, answer)));
     let written = service.writes().len();
     service.end_connections();
-    // A version that a watch can be had from.
+    // Makes a version from which a watch is available.
     trial.catalog.set("stays-2", NodeState::Up);
     if delivery == Delivery::Pushed {
-        within(PATIENCE / 2, || service.writes().len() > written + 1);
+        within(WAIT_LIMIT / 2, || service.writes().len() > written + 1);
     }
     trial.catalog.set("drains", NodeState::Draining);
-    trial.finish_after(PATIENCE)
+    trial.finish_after(WAIT_LIMIT)
 }
 
-/// Guards against asking for the same version for ever.
+/// Catches a coordinator that requests a watch from the same refused version forever.
 #[test]
-fn a_watch_refused_for_its_index_goes_on_from_a_snapshot() {
+fn watch_with_a_refused_index_resumes_from_a_snapshot() {
     let answers = [
         IndexAnswer::Status(404),
         IndexAnswer::Status(410),
@@ -64,125 +64,135 @@
         IndexAnswer::SnapshotWithLength,
         IndexAnswer::EndAtOnce,
     ];
-    let held = answers.iter().flat_map(|&answer| BOTH.map(|way| (answer, Unavailable::Held, way)));
-    let all = answers.iter().map(|&answer| (answer, Unavailable::All, Delivery::OnRequest));
-    all_pass(held.chain(all).collect(), |(answer, versions, way)| no_watch(answer, versions, way));
+    let up_to_current = answers.iter().flat_map(|&answer| {
+        BOTH_DELIVERIES.map(|delivery| (answer, UnavailableVersions::UpToCurrent, delivery))
+    });
+    let all = answers.iter().map(|&answer| (answer, UnavailableVersions::All, Delivery::OnRequest));
+    assert_all_pass(up_to_current.chain(all).collect(), |(answer, versions, delivery)| {
+        refused_watch(answer, versions, delivery)
+    });
 }
 
-// ---- Updates that go backwards. ----
+// ---- Updates with decreasing versions ----
 
-/// Where the older list comes from.
+/// Source of the older list.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Older {
+enum OlderListSource {
     SnapshotReplica,
     NewService,
 }
 
-/// A node drains, and an older list then says that it is up; later it starts anew.
-fn goes_backwards(older: Older, delivery: Delivery) -> Verdict {
+/// Drains a node, serves an older list in which the node is up, and later restarts the node.
+fn older_list(older: OlderListSource, delivery: Delivery) -> TrialResult {
     let mut trial = Trial::new(&format!("older list of {older:?}"), delivery, &NODES);
     let (service, other) = (trial.service(), trial.service());
     let number = trial.start(&service);
-    trial.in_use(&NODES);
-    other.faults(|f| (f.lags_at, f.snapshot_first) = (Some(FIRST_VERSION), true));
+    trial.wait_until_used(&NODES);
+    other.faults(|f| (f.lag_version, f.snapshot_first) = (Some(FIRST_VERSION), true));
     let written = service.writes().len();
     trial.catalog.set("drains", NodeState::Draining);
     until_written(&service, written);
-    let lagging = if older == Older::SnapshotReplica { &service } else { &other };
-    lagging.faults(|f| (f.lags_at, f.snapshot_first) = (Some(FIRST_VERSION), true));
+    let lagging = if older == OlderListSource::SnapshotReplica { &service } else { &other };
+    lagging.faults(|f| (f.lag_version, f.snapshot_first) = (Some(FIRST_VERSION), true));
     match older {
-        Older::SnapshotReplica => service.end_connections(),
-        Older::NewService => trial.move_to(number, &other),
+        OlderListSource::SnapshotReplica => service.end_connections(),
+        OlderListSource::NewService => trial.move_to_service(number, &other),
     }
     thread::sleep(ms(4000));
-    lagging.faults(|f| (f.lags_at, f.snapshot_first) = (None, false));
+    lagging.faults(|f| (f.lag_version, f.snapshot_first) = (None, false));
     trial.catalog.restart("drains");
-    trial.is_used_again("drains");
+    trial.expect_used_again("drains");
     trial.finish_after(ms(2500))
 }
 
-/// Guards a node that drains against an older update of it; a later start opens it again.
+/// Catches an older update that reopens a draining node. Only a later restart of the node may reopen it.
 #[test]
-fn an_older_list_opens_no_node_that_drains() {
-    let kinds =
-        [Older::SnapshotReplica, Older::NewService].iter().flat_map(|&older| BOTH.map(|way| (older, way)));
-    all_pass(kinds.collect(), |(older, way)| goes_backwards(older, way));
+fn older_list_does_not_reopen_a_draining_node() {
+    let kinds = [OlderListSource::SnapshotReplica, OlderListSource::NewService]
+        .iter()
+        .flat_map(|&older| BOTH_DELIVERIES.map(|delivery| (older, delivery)));
+    assert_all_pass(kinds.collect(), |(older, delivery)| older_list(older, delivery));
 }
 
-/// A service has restarted, and counts its versions from the beginning.
-fn restarted_service(ahead: AheadAnswer, delivery: Delivery) -> Verdict {
+/// Restarts a service, which then counts its versions from the beginning.
+fn restarted_service(ahead: AheadAnswer, delivery: Delivery) -> TrialResult {
     let names = ["drains", "removed", "stays-1", "stays-2"];
     let mut trial = Trial::new(&format!("restarted service, {ahead:?}"), delivery, &names);
     let service = trial.service();
     trial.start(&service);
-    trial.in_use(&names);
-    service.faults(|f| (f.versions_less, f.ahead) = (FIRST_VERSION - 1, ahead));
+    trial.wait_until_used(&names);
+    service.faults(|f| (f.version_offset, f.ahead_answer) = (FIRST_VERSION - 1, ahead));
     let written = service.writes().len();
     service.end_connections();
     if ahead == AheadAnswer::Snapshot && delivery == Delivery::OnRequest {
         trial.catalog.set("removed", NodeState::Removed);
     }
-    within(PATIENCE / 2, || service.writes().len() > written);
+    within(WAIT_LIMIT / 2, || service.writes().len() > written);
     trial.catalog.set("drains", NodeState::Draining);
     thread::sleep(ms(3000));
     trial.catalog.restart("drains");
-    trial.is_used_again("drains");
+    trial.expect_used_again("drains");
     trial.catalog.set("drains", NodeState::Draining);
-    trial.finish_after(PATIENCE)
+    trial.finish_after(WAIT_LIMIT)
 }
 
-/// Guards against taking all updates of a restarted service for old.
+/// Catches a coordinator that treats all updates of a restarted service as outdated.
 #[test]
-fn a_service_that_has_restarted_with_lower_versions_is_heard() {
-    let kinds = [AheadAnswer::Snapshot, AheadAnswer::Nothing].iter().flat_map(|&a| BOTH.map(|way| (a, way)));
-    all_pass(kinds.collect(), |(ahead, way)| restarted_service(ahead, way));
+fn updates_of_a_restarted_service_with_lower_versions_are_applied() {
+    let kinds = [AheadAnswer::Snapshot, AheadAnswer::Nothing]
+        .iter()
+        .flat_map(|&a| BOTH_DELIVERIES.map(|delivery| (a, delivery)));
+    assert_all_pass(kinds.collect(), |(ahead, delivery)| restarted_service(ahead, delivery));
 }
 
-// ---- Lines that cannot be read. ----
+// ---- Malformed lines ----
 
-/// Which line cannot be read.
+/// Data node whose line is malformed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum BadLine {
-    /// That of a node that is up, beside the line of one that drains.
-    OfAnother,
-    /// That of the node that drains.
-    ItsOwn,
+enum MalformedNode {
+    /// A node that is up, in the same update as the draining node.
+    OtherNode,
+    DrainingNode,
 }
 
-/// Where the bad line comes.
+/// Update that contains the malformed line.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Within {
+enum UpdateKind {
     Delta,
     Snapshot,
 }
 
-fn bad_line(whose: BadLine, place: Within, spoilt: MalformedLine, delivery: Delivery) -> Verdict {
-    let mut trial = Trial::new(&format!("bad line {whose:?} {place:?} {spoilt:?}"), delivery, &NODES);
+fn malformed_line(
+    node: MalformedNode,
+    kind: UpdateKind,
+    malformed: MalformedLine,
+    delivery: Delivery,
+) -> TrialResult {
+    let mut trial = Trial::new(&format!("malformed line {node:?} {kind:?} {malformed:?}"), delivery, &NODES);
     let service = trial.service();
     trial.start(&service);
-    trial.in_use(&NODES);
-    let spoilt_uid = if whose == BadLine::ItsOwn { "drains" } else { "stays-2" };
+    trial.wait_until_used(&NODES);
+    let malformed_uid = if node == MalformedNode::DrainingNode { "drains" } else { "stays-2" };
     service.faults(|f| {
-        f.snapshot_first = place == Within::Snapshot;
-        f.spoilt.extend([(spoilt_uid.to_string(), spoilt)]);
+        f.snapshot_first = kind == UpdateKind::Snapshot;
+        f.malformed_lines.extend([(malformed_uid.to_string(), malformed)]);
     });
     let written = service.writes().len();
-    if place == Within::Snapshot {
+    if kind == UpdateKind::Snapshot {
         service.end_connections();
     }
     trial.catalog.set_all(&[("stays-2", NodeState::Up), ("drains", NodeState::Draining)], Duration::ZERO);
     until_written(&service, written);
     thread::sleep(ms(2500));
-    // Good lines again, on a new watch: all is as it was.
-    service.faults(|f| f.spoilt.clear());
+    // A new watch with valid lines restores the earlier state.
+    service.faults(|f| f.malformed_lines.clear());
     service.end_connections();
     trial.finish_after(ms(4000))
 }
 
-/// Guards the changes of all others against one line that cannot be read, and the state of a node whose line cannot be read
-/// in whole.
+/// Catches one malformed line that hides the changes of other nodes, or the readable state of its own node.
 #[test]
-fn an_unreadable_line_costs_no_other_change() {
+fn malformed_line_does_not_hide_other_changes() {
     let all = [
         MalformedLine::EndpointNull,
         MalformedLine::EndpointNoAddress,
@@ -193,12 +203,17 @@
         MalformedLine::UidMissing,
         MalformedLine::NotAnObject,
     ];
-    // One that drains with a state or a uid that cannot be read says nothing.
-    let its_own = all.iter().filter(|spoilt| spoilt.says_state()).map(|&spoilt| (BadLine::ItsOwn, spoilt));
-    let lines = all.iter().map(|&spoilt| (BadLine::OfAnother, spoilt)).chain(its_own);
-    let kinds = lines.flat_map(|(whose, spoilt)| {
-        let delta = BOTH.map(|way| (whose, Within::Delta, spoilt, way));
-        delta.into_iter().chain([(whose, Within::Snapshot, spoilt, Delivery::OnRequest)])
+    // A draining node's line reports nothing if its state or uid cannot be read.
+    let of_draining_node = all
+        .iter()
+        .filter(|malformed| malformed.says_state())
+        .map(|&malformed| (MalformedNode::DrainingNode, malformed));
+    let lines = all.iter().map(|&malformed| (MalformedNode::OtherNode, malformed)).chain(of_draining_node);
+    let trials = lines.flat_map(|(node, malformed)| {
+        let delta = BOTH_DELIVERIES.map(|delivery| (node, UpdateKind::Delta, malformed, delivery));
+        delta.into_iter().chain([(node, UpdateKind::Snapshot, malformed, Delivery::OnRequest)])
+    });
+    assert_all_pass(trials.collect(), |(node, kind, malformed, delivery)| {
+        malformed_line(node, kind, malformed, delivery)
     });
-    all_pass(kinds.collect(), |(whose, place, spoilt, way)| bad_line(whose, place, spoilt, way));
 }
--- a/tests/harness/discovery_faults.rs
+++ b/tests/harness/discovery_faults.rs
@@ -1,75 +1,75 @@
-//! The faults of the stand-in of discovery, as a test switches them on and off.
+//! Faults that tests inject into the fake discovery service.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use super::catalog::MalformedLine;
 
-/// What becomes of a call.
+/// Fault of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFault {
-    /// Answered 503.
+    /// The call is answered with status 503.
     Unavailable,
-    /// Reset without an answer.
+    /// The connection is reset without an answer.
     Reset,
-    /// Half of the answer, then nothing more.
+    /// Half of the answer is sent, and the connection stays open.
     HalfAnswer,
-    /// Nothing is said at all.
-    Silent,
-    /// The answer's head comes so much later.
+    /// Nothing is sent, and the connection stays open.
+    NoAnswer,
+    /// The head of the answer is delayed.
     HeadDelayed(Duration),
-    /// The answer's body comes so much later than its head.
+    /// The body of the answer is delayed after its head.
     BodyDelayed(Duration),
-    /// The answer is made at once and comes so much later.
+    /// The answer is built at once and sent after this delay, with outdated content.
     Outdated(Duration),
 }
 
-/// How a watch is answered whose version is too old.
+/// Answer to a watch whose version is too old.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IndexAnswer {
     Status(u16),
-    /// The whole list with its length, after which the connection can be asked again.
+    /// Complete list with a Content-Length; the connection can be reused.
     SnapshotWithLength,
-    /// A watch that ends at once.
+    /// Chunked answer that ends at once.
     EndAtOnce,
 }
 
-/// How a watch begins that asks for a version which is not there yet.
+/// Start of a watch from a version that does not exist yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum AheadAnswer {
     #[default]
     Snapshot,
-    /// Nothing but heartbeats, and changes from then on.
+    /// Heartbeats only, then changes as they are made.
     Nothing,
 }
 
-/// Answers are written in pieces of so many bytes, so far apart.
+/// Size of the pieces in which answers are written, and the pause after each.
 #[derive(Debug, Clone, Copy)]
 pub struct Pieces {
     pub bytes: usize,
     pub gap: Duration,
 }
 
-/// What is wrong with the service at the moment; nothing at first.
+/// Faults that are active; none by default.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Faults of the next calls, one each.
-    pub next: VecDeque<CallFault>,
-    /// The fault of all calls beyond those.
-    pub all: Option<CallFault>,
-    /// Calls are handled one at a time, in the order in which they came, given up or not.
-    pub in_turn: bool,
+    /// Faults of the next calls, one for each call.
+    pub next_calls: VecDeque<CallFault>,
+    /// Fault of all calls after those.
+    pub all_calls: Option<CallFault>,
+    /// Handles calls one at a time in order of arrival, including those that the client has abandoned.
+    pub serial_calls: bool,
     pub pieces: Option<Pieces>,
-    /// Watches from a version below this are answered so.
-    pub index: Option<(u64, IndexAnswer)>,
-    pub ahead: AheadAnswer,
-    /// The first line of each watch is the whole list.
+    /// Answer to watches from a version below this one.
+    pub index_answer: Option<(u64, IndexAnswer)>,
+    pub ahead_answer: AheadAnswer,
+    /// Starts each watch with the complete list.
     pub snapshot_first: bool,
-    /// A lagging replica: nothing after this version is known to it.
-    pub lags_at: Option<u64>,
-    /// What is taken off each version in what is written: the service has restarted.
-    pub versions_less: u64,
-    pub spoilt: BTreeMap<String, MalformedLine>,
-    /// Watches that are open say nothing any more; later ones are well.
-    pub silent_up_to: u64,
+    /// Last version that a lagging replica has.
+    pub lag_version: Option<u64>,
+    /// Number subtracted from each version that is written, as after a restart of the service.
+    pub version_offset: u64,
+    pub malformed_lines: BTreeMap<String, MalformedLine>,
+    /// Number of the last connection whose watch is silent; later connections work.
+    pub silent_through: u64,
 }
--- a/tests/harness/drain_check.rs
+++ b/tests/harness/drain_check.rs
@@ -1,31 +1,31 @@
-//! A pure checker of the drain rule: no part begins at a data node later than the grace after its coordinator has been
-//! notified that the node drains or is gone. It works on logs alone, without I/O or a clock of its own.
+//! Checks the drain rule: a coordinator starts no part at a data node once the grace has passed after it was notified
+//! that the node drains or is removed. The checker works on logs alone, without I/O or a clock.
 //!
 //! A coordinator counts as notified of a change at the earliest of:
-//! * the moment at which a service of discovery has written it to the coordinator;
-//! * 6 s after discovery had it and could be reached, whatever became of the calls meanwhile;
-//! * 6 s after the watch fell silent that would have carried it;
-//! * 2 s after the watch ended that should have told it, where the list is asked for;
-//! * 4 s after the SIGHUP that moved the coordinator to a service which had it by then;
-//! * where lists are pushed, the moment at which the agent has it, unless the watch is silent then; 4 s after SIGHUP
-//!   where the service is a new one.
+//! * the moment at which a discovery service has written the change to the coordinator;
+//! * 6 s after discovery had the change and was reachable, whatever happened to the calls meanwhile;
+//! * 6 s after the watch that would have carried the change fell silent;
+//! * 2 s after the watch that should have carried the change ended, with on-request lists;
+//! * 4 s after the SIGHUP that moved the coordinator to a service which already had the change;
+//! * with pushed lists, the moment at which the agent has the change, unless the watch is silent then; 4 s after SIGHUP
+//!   if the service is a new one.
 
 use std::time::{Duration, Instant};
 
-/// A change counts as notified this long after discovery had it and could be reached.
-pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// What a silent watch misses counts as notified this long after it fell silent.
-pub const SILENT_WATCH: Duration = Duration::from_secs(6);
-/// What a watch should have told that ended instead counts as notified this long after its end.
-pub const AFTER_WATCH_END: Duration = Duration::from_secs(2);
-/// What a new service has counts as notified this long after SIGHUP.
-pub const AFTER_SIGHUP: Duration = Duration::from_secs(4);
-/// The grace of the settings.
-pub const GRACE: Duration = Duration::from_millis(250);
-/// Every time limit is this much longer on sockets.
+/// Time from a change being available at a reachable discovery service until it counts as notified.
+pub const AVAILABLE_LIMIT: Duration = Duration::from_secs(6);
+/// Time from a watch falling silent until the changes that it misses count as notified.
+pub const SILENT_WATCH_LIMIT: Duration = Duration::from_secs(6);
+/// Time from the end of a watch until the change that it did not deliver counts as notified.
+pub const WATCH_END_LIMIT: Duration = Duration::from_secs(2);
+/// Time from SIGHUP until the changes of the new service count as notified.
+pub const SIGHUP_LIMIT: Duration = Duration::from_secs(4);
+/// Drain grace of the settings.
+pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// Tolerance added to every time limit for tests on real sockets.
 pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
 
-/// A data node's state as discovery has it.
+/// State of a data node at the discovery service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeState {
     Up,
@@ -33,7 +33,7 @@
     Removed,
 }
 
-/// A change of the membership: from `at` on, the node is in this state.
+/// Membership change: the node is in this state from `at` on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
     pub at: Instant,
@@ -42,29 +42,29 @@
     pub state: NodeState,
 }
 
-/// What a line of a list says of a data node.
+/// State that an entry of a list reports for a data node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Said {
     Up,
     /// Draining or removed.
     Shut,
-    /// Its uid or its state cannot be read: it says nothing, but does not leave the node out.
+    /// The uid or the state cannot be parsed: the entry reports no state, but the node counts as listed.
     Unreadable,
 }
 
-/// What was written to a coordinator.
+/// Update that was written to a coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WrittenUpdate {
-    /// A complete list: what it does not name is removed.
+    /// Complete list: a node that it does not name is removed.
     Snapshot(Vec<(String, Said)>),
-    /// What has changed.
+    /// Changed entries only.
     Delta(Vec<(String, Said)>),
     Heartbeat,
 }
 
 impl WrittenUpdate {
-    /// What this says of a data node, if anything.
-    fn of(&self, uid: &str) -> Option<Said> {
+    /// Returns the state that this update reports for a data node, if any.
+    fn state_of(&self, uid: &str) -> Option<Said> {
         let (lines, unnamed) = match self {
             Self::Snapshot(lines) => (lines, Some(Said::Shut)),
             Self::Delta(lines) => (lines, None),
@@ -75,7 +75,7 @@
     }
 }
 
-/// A whole line, written to one connection.
+/// Complete line written to one connection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Write {
     pub at: Instant,
@@ -83,45 +83,45 @@
     pub update: WrittenUpdate,
 }
 
-/// A moment from which on a service can be reached, or not any more.
+/// Moment from which a service is reachable or unreachable.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Reach {
+pub struct ReachabilityChange {
     pub at: Instant,
     pub reachable: bool,
 }
 
-/// A version, and when a service came to have it.
+/// Version, and the moment from which a service had it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Had {
+pub struct AvailableVersion {
     pub at: Instant,
     pub version: u64,
 }
 
-/// A watch that fell silent with its connection open.
+/// Watch that fell silent while its connection stayed open.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Silence {
     pub at: Instant,
     pub connection: u64,
 }
 
-/// A watch whose connection the service has ended.
+/// Watch whose connection was closed by the service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WatchEnd {
     pub at: Instant,
     pub connection: u64,
 }
 
-/// What one service of discovery did for one coordinator; each list is in the order of time.
+/// Log of one discovery service for one coordinator; each list is in chronological order.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceLog {
-    pub had: Vec<Had>,
-    pub reach: Vec<Reach>,
+    pub available: Vec<AvailableVersion>,
+    pub reachability: Vec<ReachabilityChange>,
     pub writes: Vec<Write>,
     pub silences: Vec<Silence>,
     pub ends: Vec<WatchEnd>,
 }
 
-/// How a coordinator learns of the membership.
+/// How a coordinator receives the membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
     OnRequest,
@@ -129,7 +129,7 @@
 }
 
 impl Delivery {
-    /// Its name in the settings.
+    /// Returns the value of the `discovery` setting.
     pub fn name(self) -> &'static str {
         match self {
             Self::OnRequest => "on_request",
@@ -138,27 +138,27 @@
     }
 }
 
-/// The service that a coordinator is configured with, from a moment on: its start, or a SIGHUP.
+/// Discovery service that a coordinator uses from `from` on, which is its start or a SIGHUP.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Assignment {
     pub from: Instant,
     pub service: ServiceLog,
 }
 
-/// One process of a coordinator; its first assignment begins with it.
+/// Log of one coordinator process; the first assignment starts with the process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CoordinatorLog {
     pub delivery: Delivery,
     pub assignments: Vec<Assignment>,
 }
 
-/// A part as a data node saw it come.
+/// Arrival of a part at a data node.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PartBegun {
-    /// The place of its coordinator among those checked.
+pub struct PartStart {
+    /// Index of the sending coordinator among the checked ones.
     pub coordinator: usize,
     pub uid: String,
-    /// When the part's first byte was there.
+    /// When the part's first byte arrived.
     pub at: Instant,
 }
 
@@ -166,123 +166,128 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     Written,
-    HadFor6s,
+    AvailableFor6s,
     WatchSilentFor6s,
     WatchEndedFor2s,
     SighupFor4s,
-    AgentHad,
+    AvailableToAgent,
 }
 
-/// A break of the rule.
+/// Part that started after the grace was over.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
     pub coordinator: usize,
     pub uid: String,
     pub notified_at: Instant,
     pub reason: Reason,
-    pub begun_at: Instant,
+    pub started_at: Instant,
 }
 
 impl Violation {
-    /// How long after the end of the grace the part began.
+    /// Returns how long after the end of the grace the part started.
     pub fn late_by(&self) -> Duration {
-        self.begun_at.saturating_duration_since(self.notified_at + GRACE + SOCKET_SLACK)
+        self.started_at.saturating_duration_since(self.notified_at + DRAIN_GRACE + SOCKET_SLACK)
     }
 }
 
-/// The breaks of the rule among these parts. `changes` are in the order of time.
+/// Returns the parts that violate the rule. `changes` must be in chronological order.
 pub fn violations(
     changes: &[Change],
     coordinators: &[CoordinatorLog],
-    parts: &[PartBegun],
+    parts: &[PartStart],
 ) -> Vec<Violation> {
-    let of = |part: &PartBegun| {
+    let violation_of = |part: &PartStart| {
         let view = View { changes, coordinator: &coordinators[part.coordinator] };
         let (notified_at, reason) = view.notified(&part.uid, part.at)?;
-        let late = part.at > notified_at + GRACE + SOCKET_SLACK;
+        let late = part.at > notified_at + DRAIN_GRACE + SOCKET_SLACK;
         let (coordinator, uid) = (part.coordinator, part.uid.clone());
-        late.then_some(Violation { coordinator, uid, notified_at, reason, begun_at: part.at })
+        late.then_some(Violation { coordinator, uid, notified_at, reason, started_at: part.at })
     };
-    parts.iter().filter_map(of).collect()
+    parts.iter().filter_map(violation_of).collect()
 }
 
 type Notified = (Instant, Reason);
 
-/// All that is known for one coordinator.
+/// Membership changes and the log of one coordinator.
 struct View<'a> {
     changes: &'a [Change],
     coordinator: &'a CoordinatorLog,
 }
 
 impl View<'_> {
-    /// Since when the coordinator counts as notified that nothing new may go to this node at `now`; none if it may.
+    /// Returns since when the coordinator counts as notified that it may send nothing new to this node at `now`, or
+    /// `None` if it may.
     fn notified(&self, uid: &str, now: Instant) -> Option<Notified> {
         let past: Vec<&Change> = self.changes.iter().filter(|c| c.uid == uid && c.at <= now).collect();
-        let shut = past.iter().rev().take_while(|c| c.state != NodeState::Up).count();
-        let (before, shut) = past.split_at(past.len() - shut);
-        if shut.is_empty() {
-            return self.shut_by_writes(uid, before.last().map(|c| c.at), now);
+        let closing = past.iter().rev().take_while(|c| c.state != NodeState::Up).count();
+        let (before, closing) = past.split_at(past.len() - closing);
+        if closing.is_empty() {
+            return self.closed_by_writes(uid, before.last().map(|c| c.at), now);
         }
-        shut.iter().filter_map(|change| self.notified_of(change)).min_by_key(|n| n.0)
+        closing.iter().filter_map(|change| self.notified_of_change(change)).min_by_key(|n| n.0)
     }
 
-    /// The same where discovery has the node as up since `since`: the last update may say otherwise.
-    fn shut_by_writes(&self, uid: &str, since: Option<Instant>, now: Instant) -> Option<Notified> {
-        let mut shut = None;
+    /// Does the same for a node that is up at discovery since `since`: the last written update may still close it.
+    fn closed_by_writes(&self, uid: &str, since: Option<Instant>, now: Instant) -> Option<Notified> {
+        let mut closed = None;
         for write in self.writes().filter(|w| w.at <= now && since.is_none_or(|since| w.at >= since)) {
-            match write.update.of(uid) {
-                Some(Said::Shut) => shut = shut.or(Some((write.at, Reason::Written))),
-                Some(Said::Up) => shut = None,
+            match write.update.state_of(uid) {
+                Some(Said::Shut) => closed = closed.or(Some((write.at, Reason::Written))),
+                Some(Said::Up) => closed = None,
                 _ => {}
             }
         }
-        shut
+        closed
     }
 
-    /// When the coordinator counts as notified of a change that shuts a node.
-    fn notified_of(&self, change: &Change) -> Option<Notified> {
+    /// Returns when the coordinator counts as notified of a change that drains or removes a node.
+    fn notified_of_change(&self, change: &Change) -> Option<Notified> {
         let written =
-            self.writes().find(|w| w.at >= change.at && w.update.of(&change.uid) == Some(Said::Shut));
+            self.writes().find(|w| w.at >= change.at && w.update.state_of(&change.uid) == Some(Said::Shut));
         let written = written.map(|w| (w.at, Reason::Written));
-        let by_service = (0..self.coordinator.assignments.len()).flat_map(|n| self.by_service(n, change));
-        written.into_iter().chain(by_service).min_by_key(|n| n.0)
+        let notified_by_service =
+            (0..self.coordinator.assignments.len()).flat_map(|n| self.notified_by_service(n, change));
+        written.into_iter().chain(notified_by_service).min_by_key(|n| n.0)
     }
 
-    /// The same by what the service of one assignment had, whether or not it was written.
-    fn by_service(&self, number: usize, change: &Change) -> Vec<Notified> {
+    /// Returns the moments given by the versions that the service of one assignment had, written or not.
+    fn notified_by_service(&self, number: usize, change: &Change) -> Vec<Notified> {
         let assignments = &self.coordinator.assignments;
         let (assignment, moved) = (&assignments[number], number > 0);
         let service = &assignment.service;
-        let Some(had) = service.had.iter().find(|had| had.version >= change.version) else {
+        let Some(obtained) = service.available.iter().find(|obtained| obtained.version >= change.version)
+        else {
             return Vec::new();
         };
-        let from = if moved { had.at.max(assignment.from) } else { had.at };
+        let from = if moved { obtained.at.max(assignment.from) } else { obtained.at };
         let Some(reached) = service.first_reachable(from) else { return Vec::new() };
         let replaced = |at: Instant| assignments.get(number + 1).is_some_and(|next| at >= next.from);
         if replaced(reached) {
             return Vec::new();
         }
-        let mut notified = vec![(reached + NOTIFIED_AFTER, Reason::HadFor6s)];
-        let silence =
-            service.silences.iter().find(|s| s.at <= had.at && service.resumed(s, had.at).is_none());
-        notified.extend(silence.map(|s| (reached.max(s.at + SILENT_WATCH), Reason::WatchSilentFor6s)));
-        let ended = service.ended_instead_of_telling(had.at);
-        notified.extend(ended.map(|end| (reached.max(end.at + AFTER_WATCH_END), Reason::WatchEndedFor2s)));
+        let mut notified = vec![(reached + AVAILABLE_LIMIT, Reason::AvailableFor6s)];
+        let silence = service
+            .silences
+            .iter()
+            .find(|s| s.at <= obtained.at && service.write_after_silence(s, obtained.at).is_none());
+        notified.extend(silence.map(|s| (reached.max(s.at + SILENT_WATCH_LIMIT), Reason::WatchSilentFor6s)));
+        let ended = service.end_of_open_watch(obtained.at);
+        notified.extend(ended.map(|end| (reached.max(end.at + WATCH_END_LIMIT), Reason::WatchEndedFor2s)));
         let pushed = self.coordinator.delivery == Delivery::Pushed;
-        let by_sighup = reached.max(assignment.from + AFTER_SIGHUP);
-        // Another SIGHUP begins another 4 s.
+        let by_sighup = reached.max(assignment.from + SIGHUP_LIMIT);
+        // Another SIGHUP restarts the limit of 4 s.
         let at_once = pushed && silence.is_none();
-        if moved && (at_once || had.at <= assignment.from) && !replaced(by_sighup) {
+        if moved && (at_once || obtained.at <= assignment.from) && !replaced(by_sighup) {
             notified.push((by_sighup, Reason::SighupFor4s));
         }
-        // One clock for silence, however the list comes.
+        // A silent watch has the same limit with both kinds of delivery.
         if !moved && at_once {
-            notified.push((reached, Reason::AgentHad));
+            notified.push((reached, Reason::AvailableToAgent));
         }
         notified
     }
 
-    /// What was written by the service in force, in the order of time.
+    /// Returns the writes of the service assigned at their time, in chronological order.
     fn writes(&self) -> impl Iterator<Item = &Write> {
         let assignments = &self.coordinator.assignments;
         assignments.iter().enumerate().flat_map(move |(n, assignment)| {
@@ -295,24 +300,24 @@
 }
 
 impl ServiceLog {
-    /// The first moment from `from` on at which the service can be reached.
+    /// Returns the first moment from `from` on at which the service is reachable.
     fn first_reachable(&self, from: Instant) -> Option<Instant> {
-        let before = self.reach.iter().take_while(|r| r.at <= from).last();
+        let before = self.reachability.iter().take_while(|r| r.at <= from).last();
         if before.is_none_or(|r| r.reachable) {
             return Some(from);
         }
-        self.reach.iter().find(|r| r.at > from && r.reachable).map(|r| r.at)
+        self.reachability.iter().find(|r| r.at > from && r.reachable).map(|r| r.at)
     }
 
-    /// The end of the watch that was open at the time of a change.
-    fn ended_instead_of_telling(&self, changed: Instant) -> Option<&WatchEnd> {
+    /// Returns the end of the watch that was open when a change was made.
+    fn end_of_open_watch(&self, changed: Instant) -> Option<&WatchEnd> {
         let open_by_then =
             |end: &&WatchEnd| self.writes.iter().any(|w| w.connection == end.connection && w.at <= changed);
         self.ends.iter().filter(|end| end.at >= changed).find(open_by_then)
     }
 
-    /// Whether anything was written on a later connection between the silence and `by`.
-    fn resumed(&self, silence: &Silence, by: Instant) -> Option<&Write> {
+    /// Returns the first write on another connection between the silence and `by`.
+    fn write_after_silence(&self, silence: &Silence, by: Instant) -> Option<&Write> {
         self.writes.iter().find(|w| w.at > silence.at && w.at <= by && w.connection != silence.connection)
     }
 }
