--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -124,12 +124,12 @@
     }
 
     /// Records a signal to reload the configuration. Further signals do not move its deadline.
-    pub fn reload_begins(&mut self, now: Nanos) {
+    pub fn reload_started(&mut self, now: Nanos) {
         self.reload_deadline.get_or_insert(span_end(now, MOVE_NOTIFIED_AFTER));
     }
 
     /// Records that the reloaded configuration is in use, or was rejected without further retries.
-    pub fn reload_settled(&mut self) {
+    pub fn reload_finished(&mut self) {
         self.reload_deadline = None;
     }
 
--- a/crates/membership/src/subscription/messages.rs
+++ b/crates/membership/src/subscription/messages.rs
@@ -10,9 +10,9 @@
     /// A query is waiting for a confirmed list.
     QueryWaiting,
     /// A reload of the configuration has begun, which may name another service.
-    ReloadBegins,
+    ReloadStarted,
     /// The reloaded configuration is in use, or was rejected without further retries.
-    ReloadSettled,
+    ReloadFinished,
     /// The configuration names another address of the service.
     ServiceMoved,
     /// A call sent a heartbeat: nothing has changed.
--- a/crates/membership/src/subscription/mod.rs
+++ b/crates/membership/src/subscription/mod.rs
@@ -124,8 +124,8 @@
         match event {
             Event::TimePassed => {}
             Event::QueryWaiting => self.query_waiting(now),
-            Event::ReloadBegins => self.lease.reload_begins(now),
-            Event::ReloadSettled => self.lease.reload_settled(),
+            Event::ReloadStarted => self.lease.reload_started(now),
+            Event::ReloadFinished => self.lease.reload_finished(),
             Event::ServiceMoved => self.service_moved(now, commands),
             Event::Heartbeat(call) => self.message_received(now, call, None, commands),
             Event::Told(call, version) => self.message_received(now, call, Some(version), commands),
--- a/crates/membership/tests/lease.rs
+++ b/crates/membership/tests/lease.rs
@@ -89,16 +89,16 @@
 #[test]
 fn a_pending_reload_ends_the_lease_whatever_the_old_service_sends() {
     let mut lease = renewed_lease(POLL);
-    lease.reload_begins(START);
-    lease.reload_begins(START + 1000 * MS);
+    lease.reload_started(START);
+    lease.reload_started(START + 1000 * MS);
     lease.renew(START + 2000 * MS);
     assert_ends_in_time_for(&lease, START + MOVE_NOTIFIED_AFTER);
     let mut moved = renewed_lease(POLL);
-    moved.reload_begins(START);
+    moved.reload_started(START);
     moved.service_moved(START + 2000 * MS);
-    moved.reload_settled();
+    moved.reload_finished();
     assert_ends_in_time_for(&moved, START + MOVE_NOTIFIED_AFTER);
-    lease.reload_settled();
+    lease.reload_finished();
     assert_ends_in_time_for(&lease, START + 2000 * MS + NOTIFIED_AFTER);
 }
 
--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -85,9 +85,9 @@
                 self.step(Event::TimePassed);
             }
             DiscoveryMessage::QueryWaiting => self.step(Event::QueryWaiting),
-            DiscoveryMessage::ReloadBegins => self.step(Event::ReloadBegins),
-            DiscoveryMessage::ReloadSettled => self.step(Event::ReloadSettled),
-            DiscoveryMessage::Moved(address) => self.address_changed(address),
+            DiscoveryMessage::ReloadStarted => self.step(Event::ReloadStarted),
+            DiscoveryMessage::ReloadFinished => self.step(Event::ReloadFinished),
+            DiscoveryMessage::AddressChanged(address) => self.address_changed(address),
             DiscoveryMessage::Connected(call, stream) => self.call_connected(call, stream),
             // Messages of abandoned calls are dropped.
             DiscoveryMessage::Heartbeat(call, pending) if self.subscription.hears(call) => {
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -100,11 +100,11 @@
     /// A query waits for the endpoint list to be confirmed.
     QueryWaiting,
     /// A reload of the configuration has started, which may change discovery's address.
-    ReloadBegins,
+    ReloadStarted,
     /// The reload has been applied or rejected.
-    ReloadSettled,
+    ReloadFinished,
     /// Discovery's address has changed to this one.
-    Moved(SocketAddr),
+    AddressChanged(SocketAddr),
     /// A call has opened a connection.
     Connected(CallId, Arc<Stream>),
     /// A watch reports that nothing has changed.
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -99,7 +99,7 @@
         loop {
             let due = self.execute_steps();
             if due.is_none() && std::mem::take(&mut self.is_reloading) {
-                self.coordinator.reload_settled();
+                self.coordinator.reload_finished();
             }
             match self.next_event(inbox, due) {
                 Ok(Event::Signal) => self.begin_reload(),
@@ -121,7 +121,7 @@
 
     fn begin_reload(&mut self) {
         self.is_reloading = true;
-        self.coordinator.reload_begins();
+        self.coordinator.reload_started();
         self.reloads.signal(self.now());
     }
 
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -81,7 +81,7 @@
         config.can_replace(&applied)?;
         self.edge.check_settings(&config.deployment)?;
         if applied.discovery_in_file != config.discovery_in_file {
-            self.send_to_discovery(DiscoveryMessage::Moved(config.discovery_in_file));
+            self.send_to_discovery(DiscoveryMessage::AddressChanged(config.discovery_in_file));
         }
         if applied.document[SETTINGS_KEY] != config.document[SETTINGS_KEY] {
             self.core.update_settings(config.deployment.clone().sharing_with(self.other_processes));
@@ -94,13 +94,13 @@
     }
 
     /// Notifies discovery that a reload has begun after SIGHUP.
-    pub fn reload_begins(&self) {
-        self.send_to_discovery(DiscoveryMessage::ReloadBegins);
+    pub fn reload_started(&self) {
+        self.send_to_discovery(DiscoveryMessage::ReloadStarted);
     }
 
     /// Notifies discovery that the reload has ended: the configuration was applied or permanently rejected.
-    pub fn reload_settled(&self) {
-        self.send_to_discovery(DiscoveryMessage::ReloadSettled);
+    pub fn reload_finished(&self) {
+        self.send_to_discovery(DiscoveryMessage::ReloadFinished);
     }
 
     fn send_to_discovery(&self, message: DiscoveryMessage) {
