--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -13,7 +13,7 @@
 use super::call_log::{CallLog, FirstAnswer};
 use super::lease_log::LeaseLog;
 use super::update_log::UpdateLog;
-use super::{DiscoveryContext, DiscoveryPlan};
+use super::{DiscoveryConfig, DiscoveryContext};
 use crate::api::Nanos;
 use crate::counters::Counters;
 use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate, ListedEndpoint};
@@ -38,7 +38,7 @@
 impl Actor {
     /// Creates an actor without calls. `known_version` is the version of the endpoint list from before the start.
     pub(super) fn new(
-        plan: &DiscoveryPlan,
+        config: &DiscoveryConfig,
         known_version: u64,
         context: DiscoveryContext,
         timer: Timer,
@@ -47,9 +47,9 @@
         let limits = &context.limits;
         let spans =
             Spans { hedge: nanos(limits.discovery_hedge_delay), silence: nanos(limits.discovery_silence) };
-        let pacing = Pacing::new(plan.discovery, plan.coordinators, spans, plan.seed);
+        let pacing = Pacing::new(config.discovery, config.coordinators, spans, config.seed);
         Self {
-            address: plan.address,
+            address: config.address,
             subscription: Subscription::new(pacing, Some(known_version), context.clock.now()),
             table: MembershipTable::default(),
             streams: HashMap::new(),
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -46,7 +46,7 @@
 }
 
 /// The settings of a coordinator's subscription to discovery.
-pub struct DiscoveryPlan {
+pub struct DiscoveryConfig {
     /// The address of the discovery service.
     pub address: SocketAddr,
     /// Whether the actor polls the service or watches it.
@@ -65,25 +65,25 @@
 /// # Errors
 /// The timer's thread cannot be started.
 pub fn start(
-    mut plan: DiscoveryPlan,
+    mut config: DiscoveryConfig,
     context: DiscoveryContext,
 ) -> io::Result<(Sender<DiscoveryMessage>, EndpointUpdate)> {
     let (mailbox, inbox) = channel();
     let timer_mailbox = mailbox.clone();
     // The send cannot fail: the actor outlives its timer.
     let timer = Timer::start(context.clock, move || drop(timer_mailbox.send(DiscoveryMessage::TimerFired)))?;
-    let known = plan.known.take();
+    let known = config.known.take();
     // Every change is newer than version 0.
     let version = known.as_ref().map_or(0, |known| known.version);
     log::info!(
-        address:% = plan.address,
-        mode:? = plan.discovery,
-        coordinators = plan.coordinators,
+        address:% = config.address,
+        mode:? = config.discovery,
+        coordinators = config.coordinators,
         known_version = version;
         "subscribing to discovery"
     );
     let stack_words = context.limits.stack_words;
-    let mut actor = Actor::new(&plan, version, context, timer, mailbox.clone());
+    let mut actor = Actor::new(&config, version, context, timer, mailbox.clone());
     let known = known.map_or_else(EndpointUpdate::unchanged, |known| actor.apply(known));
     let known = EndpointUpdate { kind: EndpointUpdateKind::Unconfirmed, ..known };
     spawn_vital("discovery", stack_words, move || actor.run(&inbox));
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -14,7 +14,7 @@
 use crate::frontend::aggregation::Memory;
 use crate::limits::Limits;
 use crate::net::coordinator::{self, CoreConfig, CoreHandle, StartNode};
-use crate::net::discovery::{self, DiscoveryContext, DiscoveryPlan};
+use crate::net::discovery::{self, DiscoveryConfig, DiscoveryContext};
 use crate::net::endpoint_list_lease::EndpointListLease;
 use crate::net::endpoints::EndpointUpdate;
 use crate::net::feature_node;
@@ -123,7 +123,7 @@
         config: &mut Config,
         list_state: EndpointListState,
     ) -> Result<(Sender<DiscoveryMessage>, EndpointUpdate), StartError> {
-        let plan = DiscoveryPlan {
+        let config = DiscoveryConfig {
             address: config.discovery,
             discovery: self.deployment.settings.discovery,
             coordinators: self.deployment.settings.coordinators,
@@ -138,7 +138,7 @@
             pending_updates: list_state.pending_updates,
             lease: list_state.lease,
         };
-        discovery::start(plan, context).map_err(StartError::Discovery)
+        discovery::start(config, context).map_err(StartError::Discovery)
     }
 
     /// The context for the actor of each data node.
