--- a/src/net/coordinator/config.rs
+++ b/src/net/coordinator/config.rs
@@ -15,7 +15,7 @@
 use crate::net::endpoint_list_lease::EndpointListLease;
 use crate::net::endpoints::EndpointUpdate;
 use crate::net::messages::{CoreMailbox, CoreMessage, DiscoveryMessage, DrainGate, NodeMessage};
-use crate::runtime::{spawn_vital, Clock, Timer};
+use crate::runtime::{spawn_critical, Clock, Timer};
 use crate::settings::Deployment;
 
 /// The components and settings of the coordinator's actor.
@@ -88,7 +88,7 @@
         stats_interval: config.stats_interval,
         next_publication: 0,
     };
-    spawn_vital("core", stack_words, move || {
+    spawn_critical("core", stack_words, move || {
         actor.handle_message(CoreMessage::EndpointsUpdated(known, None));
         actor.run(&inbox);
     });
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -23,7 +23,7 @@
 use crate::net::endpoints::{DiscoveryUpdate, EndpointUpdate};
 use crate::net::messages::{CoreMailbox, DiscoveryMessage};
 use crate::net::pending_updates::PendingUpdates;
-use crate::runtime::{spawn_vital, Clock, Timer};
+use crate::runtime::{spawn_critical, Clock, Timer};
 
 use actor::Actor;
 
@@ -86,6 +86,6 @@
     let mut actor = Actor::new(&config, version, context, timer, mailbox.clone());
     let known = known.map_or_else(EndpointUpdate::unchanged, |known| actor.apply(known));
     let known = EndpointUpdate { kind: EndpointUpdateKind::Unconfirmed, ..known };
-    spawn_vital("discovery", stack_words, move || actor.run(&inbox));
+    spawn_critical("discovery", stack_words, move || actor.run(&inbox));
     Ok((mailbox, known))
 }
--- a/src/net/feature_node/mod.rs
+++ b/src/net/feature_node/mod.rs
@@ -22,7 +22,7 @@
 use crate::net::features::Names;
 use crate::net::messages::{CoreMessage, DrainGate, NodeMessage};
 use crate::net::node::NodeContext;
-use crate::runtime::{nanos, spawn, spawn_vital, Stream};
+use crate::runtime::{nanos, spawn, spawn_critical, Stream};
 
 /// Interval between checks of the idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -32,7 +32,7 @@
     let (mailbox, inbox) = channel();
     let own_mailbox = mailbox.clone();
     let stack_words = context.limits.stack_words;
-    spawn_vital("feature node", stack_words, move || {
+    spawn_critical("feature node", stack_words, move || {
         let actor = FeatureNodeActor {
             id,
             context,
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -18,7 +18,7 @@
 use crate::net::messages::{CoreMailbox, DrainGate, NodeMessage};
 use crate::net::node::actor::NodeActor;
 use crate::net::pending_updates::PendingUpdates;
-use crate::runtime::{spawn_vital, Clock, Permits};
+use crate::runtime::{spawn_critical, Clock, Permits};
 use crate::settings::Connections;
 
 /// Dependencies of every data node's actor.
@@ -49,7 +49,7 @@
     let (mailbox, inbox) = channel();
     let own_mailbox = mailbox.clone();
     let stack_words = context.limits.stack_words;
-    spawn_vital("node", stack_words, move || NodeActor::new(id, gate, context, own_mailbox).run(&inbox));
+    spawn_critical("node", stack_words, move || NodeActor::new(id, gate, context, own_mailbox).run(&inbox));
     mailbox
 }
 
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -10,7 +10,7 @@
 
 pub use clock::{nanos, Clock};
 pub use permits::{Permit, Permits};
-pub use spawn::{spawn, spawn_reporting, spawn_vital, thread, SpawnError, SMALL_STACK};
+pub use spawn::{spawn, spawn_critical, spawn_reporting, thread, SpawnError, SMALL_STACK};
 pub use stream::{Stream, WriteError};
 pub use sync::{lock, lock_until};
 pub use timer::Timer;
--- a/src/runtime/spawn.rs
+++ b/src/runtime/spawn.rs
@@ -35,14 +35,14 @@
 
 /// Starts an actor that the process cannot work without. If the actor panics or cannot be started, the process exits,
 /// so that the platform restarts it instead of keeping a process that answers no queries.
-pub fn spawn_vital(name: &'static str, stack_words: usize, run: impl FnOnce() + Send + 'static) {
+pub fn spawn_critical(name: &'static str, stack_words: usize, run: impl FnOnce() + Send + 'static) {
     let started = spawn(name, stack_words, move || {
         let guard = ExitOnPanic(name);
         run();
         drop(guard);
     });
     if started.is_err() {
-        log::error!(actor = name; "exiting: a vital actor could not be started");
+        log::error!(actor = name; "exiting: a critical actor could not be started");
         std::process::exit(EXIT_INTERNAL_FAULT);
     }
 }
@@ -53,7 +53,7 @@
 impl Drop for ExitOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            log::error!(actor = self.0; "exiting: a vital actor panicked");
+            log::error!(actor = self.0; "exiting: a critical actor panicked");
             std::process::exit(EXIT_INTERNAL_FAULT);
         }
     }
