--- a/crates/membership/src/subscription/mod.rs
+++ b/crates/membership/src/subscription/mod.rs
@@ -80,7 +80,7 @@
     /// every change.
     fn poll_deadline(&self) -> Nanos {
         match self.pacing.discovery() {
-            DiscoveryMode::Poll { poll_interval_max } if !self.follows() => {
+            DiscoveryMode::Poll { poll_interval_max } if !self.has_open_watch() => {
                 self.last_contact.saturating_add(poll_interval_max)
             }
             DiscoveryMode::Poll { .. } | DiscoveryMode::Push => Nanos::MAX,
@@ -88,12 +88,12 @@
     }
 
     /// Whether an open call has received an update or a heartbeat.
-    pub fn follows(&self) -> bool {
+    pub fn has_open_watch(&self) -> bool {
         self.calls.any_watching()
     }
 
     /// Whether a call is open, so that its messages are accepted.
-    pub fn hears(&self, call: CallId) -> bool {
+    pub fn is_open(&self, call: CallId) -> bool {
         self.calls.contains(call)
     }
 
--- a/crates/membership/tests/subscription/calls.rs
+++ b/crates/membership/tests/subscription/calls.rs
@@ -156,7 +156,7 @@
             let (after, _, _) = scripted.next_call();
             assert!(after <= CALL_GAP);
             scripted.pass(NOTIFIED_AFTER - after);
-            assert!(scripted.subscription.hears(first), "{discovery:?}");
+            assert!(scripted.subscription.is_open(first), "{discovery:?}");
             scripted.step(Event::Told(first, 42));
             assert!(scripted.subscription.usable(scripted.now));
         }
@@ -185,9 +185,9 @@
     scripted.step(Event::Told(first, 42));
     let (after, second, request) = scripted.next_call();
     assert_eq!((after, request), (SPANS.silence, Request::Watch { since: 42 }));
-    assert!(scripted.subscription.hears(first));
+    assert!(scripted.subscription.is_open(first));
     scripted.step(Event::Told(second, 43));
-    assert!(!scripted.subscription.hears(first));
+    assert!(!scripted.subscription.is_open(first));
 }
 
 /// Otherwise the coordinator would request a version forever that the service does not accept.
@@ -230,9 +230,9 @@
         }
         assert_eq!(verified.map(|c| c.1), (!updated).then_some(Request::Snapshot));
         if let Some((snapshot, _)) = verified {
-            assert!(scripted.subscription.hears(watch), "the watch was closed during its verification");
+            assert!(scripted.subscription.is_open(watch), "the watch was closed during its verification");
             scripted.step(Event::Told(snapshot, 5));
-            assert!(!scripted.subscription.hears(watch));
+            assert!(!scripted.subscription.is_open(watch));
         }
     }
 }
@@ -250,7 +250,7 @@
         let signal = scripted.now;
         let begun = scripted.step(Event::ServiceMoved);
         assert_eq!(begun[0].1, Request::Snapshot);
-        assert!(!scripted.subscription.hears(old));
+        assert!(!scripted.subscription.is_open(old));
         if let Some(end) = end {
             scripted.now += 500 * MS;
             scripted.step(Event::Ended(begun[0].0, end));
--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -90,13 +90,13 @@
             DiscoveryMessage::AddressChanged(address) => self.address_changed(address),
             DiscoveryMessage::Connected(call, stream) => self.call_connected(call, stream),
             // Messages of abandoned calls are dropped.
-            DiscoveryMessage::Heartbeat(call, pending) if self.subscription.hears(call) => {
+            DiscoveryMessage::Heartbeat(call, pending) if self.subscription.is_open(call) => {
                 self.heartbeat(call, pending);
             }
-            DiscoveryMessage::Update(call, update, pending) if self.subscription.hears(call) => {
+            DiscoveryMessage::Update(call, update, pending) if self.subscription.is_open(call) => {
                 self.update(call, update, pending);
             }
-            DiscoveryMessage::Ended(call, error) if self.subscription.hears(call) => {
+            DiscoveryMessage::Ended(call, error) if self.subscription.is_open(call) => {
                 self.call_ended(call, &error);
             }
             DiscoveryMessage::Heartbeat(..) | DiscoveryMessage::Update(..) | DiscoveryMessage::Ended(..) => {}
@@ -110,7 +110,7 @@
     }
 
     fn call_connected(&mut self, call: CallId, stream: Arc<Stream>) {
-        if self.subscription.hears(call) {
+        if self.subscription.is_open(call) {
             self.streams.insert(call, stream);
         } else {
             stream.shutdown();
@@ -184,7 +184,7 @@
     }
 
     fn begin_call(&mut self, id: CallId, request: Request) {
-        if self.subscription.follows() {
+        if self.subscription.has_open_watch() {
             Counters::add(&self.context.counters.discovery_call_errors);
             self.call_log.started_during_watch(id, self.now());
         }
