--- a/crates/membership/src/subscription/messages.rs
+++ b/crates/membership/src/subscription/messages.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// A deadline may have passed; the subscription compares its deadlines with the current time.
-    TimePassed,
+    TimerFired,
     /// A query is waiting for a confirmed list.
     QueryWaiting,
     /// A reload of the configuration has begun, which may name another service.
@@ -18,7 +18,7 @@
     /// A call sent a heartbeat: nothing has changed.
     Heartbeat(CallId),
     /// A call sent a snapshot or a delta of this version.
-    Told(CallId, u64),
+    Updated(CallId, u64),
     /// A call ended, for the given reason.
     Ended(CallId, CallEnd),
 }
--- a/crates/membership/src/subscription/mod.rs
+++ b/crates/membership/src/subscription/mod.rs
@@ -109,7 +109,7 @@
         }
         let usable = self.usable(now);
         // A message from discovery already shows the embedder that the list may be used again.
-        let is_message = matches!(event, Event::Heartbeat(_) | Event::Told(..));
+        let is_message = matches!(event, Event::Heartbeat(_) | Event::Updated(..));
         match (self.list_was_usable, usable) {
             (true, false) => commands.push(Command::ListExpired),
             (false, true) if used_unconfirmed => commands.push(Command::UseUnconfirmedList),
@@ -122,13 +122,13 @@
 
     fn handle_event(&mut self, now: Nanos, event: Event, commands: &mut Vec<Command>) {
         match event {
-            Event::TimePassed => {}
+            Event::TimerFired => {}
             Event::QueryWaiting => self.query_waiting(now),
             Event::ReloadStarted => self.lease.reload_started(now),
             Event::ReloadFinished => self.lease.reload_finished(),
             Event::ServiceMoved => self.service_moved(now, commands),
             Event::Heartbeat(call) => self.message_received(now, call, None, commands),
-            Event::Told(call, version) => self.message_received(now, call, Some(version), commands),
+            Event::Updated(call, version) => self.message_received(now, call, Some(version), commands),
             Event::Ended(call, end) => self.call_ended(now, call, end),
         }
     }
--- a/crates/membership/src/subscription/scheduling.rs
+++ b/crates/membership/src/subscription/scheduling.rs
@@ -27,7 +27,7 @@
 }
 
 impl Subscription {
-    /// When the next [`Event::TimePassed`](super::Event::TimePassed) is due; `Nanos::MAX` if none is.
+    /// When the next [`Event::TimerFired`](super::Event::TimerFired) is due; `Nanos::MAX` if none is.
     pub fn next_deadline(&self) -> Nanos {
         let lifetimes = self.calls.iter().map(Call::lifetime_ends_at);
         let next_call = self.next_call().map(|due| due.at);
--- a/crates/membership/tests/subscription/calls.rs
+++ b/crates/membership/tests/subscription/calls.rs
@@ -23,7 +23,7 @@
     fn new(discovery: DiscoveryMode, coordinators: u32, known: Option<u64>, seed: u64) -> Self {
         let subscription = subscription(discovery, coordinators, known, seed);
         let mut scripted = Self { subscription, now: START, open: Vec::new(), usable_unconfirmed: false };
-        scripted.step(Event::TimePassed);
+        scripted.step(Event::TimerFired);
         scripted
     }
 
@@ -54,7 +54,7 @@
             let deadline = self.subscription.next_deadline();
             assert!(deadline < start + 60_000 * MS, "no call begins within 60 s");
             self.now = deadline.max(self.now + 1);
-            if let Some(&(call, request)) = self.step(Event::TimePassed).first() {
+            if let Some(&(call, request)) = self.step(Event::TimerFired).first() {
                 return (self.now - start, call, request);
             }
         }
@@ -64,7 +64,7 @@
         let end = self.now + span;
         while self.subscription.next_deadline() <= end {
             self.now = self.subscription.next_deadline().max(self.now + 1);
-            self.step(Event::TimePassed);
+            self.step(Event::TimerFired);
         }
         self.now = end;
     }
@@ -124,7 +124,7 @@
                 scripted.step(Event::Ended(call.0, end));
             }
             scripted.now = scripted.subscription.next_deadline().max(scripted.now + 1);
-            scripted.step(Event::TimePassed);
+            scripted.step(Event::TimerFired);
         }
         assert!(scripted.usable_unconfirmed);
         assert_eq!(scripted.now - START, 5 * NOTIFIED_AFTER, "{end:?}");
@@ -157,7 +157,7 @@
             assert!(after <= CALL_GAP);
             scripted.pass(NOTIFIED_AFTER - after);
             assert!(scripted.subscription.is_open(first), "{discovery:?}");
-            scripted.step(Event::Told(first, 42));
+            scripted.step(Event::Updated(first, 42));
             assert!(scripted.subscription.usable(scripted.now));
         }
     }
@@ -182,11 +182,11 @@
 fn a_silent_watch_stays_open_until_its_hedge_is_answered() {
     let mut scripted = ScriptedSubscription::new(POLL, 1, Some(KNOWN), 1);
     let first = scripted.newest();
-    scripted.step(Event::Told(first, 42));
+    scripted.step(Event::Updated(first, 42));
     let (after, second, request) = scripted.next_call();
     assert_eq!((after, request), (SPANS.silence, Request::Watch { since: 42 }));
     assert!(scripted.subscription.is_open(first));
-    scripted.step(Event::Told(second, 43));
+    scripted.step(Event::Updated(second, 43));
     assert!(!scripted.subscription.is_open(first));
 }
 
@@ -211,7 +211,7 @@
 fn a_watch_from_an_earlier_connections_version_is_verified() {
     for updated in [false, true] {
         let mut scripted = ScriptedSubscription::new(POLL, 1, Some(KNOWN), 1);
-        scripted.step(Event::Told(scripted.newest(), KNOWN));
+        scripted.step(Event::Updated(scripted.newest(), KNOWN));
         scripted.now += 5000 * MS;
         scripted.step(Event::Heartbeat(scripted.newest()));
         scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken));
@@ -220,7 +220,7 @@
         let answered = scripted.now;
         scripted.step(Event::Heartbeat(watch));
         if updated {
-            scripted.step(Event::Told(watch, 42));
+            scripted.step(Event::Updated(watch, 42));
         }
         let mut verified = None;
         while scripted.now < answered + 6000 * MS {
@@ -231,7 +231,7 @@
         assert_eq!(verified.map(|c| c.1), (!updated).then_some(Request::Snapshot));
         if let Some((snapshot, _)) = verified {
             assert!(scripted.subscription.is_open(watch), "the watch was closed during its verification");
-            scripted.step(Event::Told(snapshot, 5));
+            scripted.step(Event::Updated(snapshot, 5));
             assert!(!scripted.subscription.is_open(watch));
         }
     }
@@ -246,7 +246,7 @@
     {
         let mut scripted = ScriptedSubscription::new(POLL, 3, Some(KNOWN), seed);
         let old = scripted.newest();
-        scripted.step(Event::Told(old, 42));
+        scripted.step(Event::Updated(old, 42));
         let signal = scripted.now;
         let begun = scripted.step(Event::ServiceMoved);
         assert_eq!(begun[0].1, Request::Snapshot);
@@ -267,7 +267,7 @@
 #[test]
 fn a_failed_agent_is_called_again_at_once() {
     let mut scripted = ScriptedSubscription::new(DiscoveryMode::Push, 300, Some(KNOWN), 1);
-    scripted.step(Event::Told(scripted.newest(), 42));
+    scripted.step(Event::Updated(scripted.newest(), 42));
     scripted.now += 5000 * MS;
     scripted.step(Event::Heartbeat(scripted.newest()));
     assert_eq!(scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken)).len(), 1);
@@ -299,7 +299,7 @@
         scripted.step(Event::QueryWaiting);
         let begun = scripted.now;
         for version in 42..62 {
-            scripted.step(Event::Told(scripted.newest(), version));
+            scripted.step(Event::Updated(scripted.newest(), version));
             scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken));
             scripted.next_call();
         }
@@ -317,7 +317,7 @@
             scripted.step(Event::Ended(scripted.newest(), CallEnd::Busy));
             scripted.next_call();
         }
-        scripted.step(Event::Told(scripted.newest(), 42));
+        scripted.step(Event::Updated(scripted.newest(), 42));
         scripted.now += 600 * MS;
         scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken));
         assert!(scripted.open.len() == 1 || scripted.next_call().0 <= 250 * MS);
@@ -330,7 +330,7 @@
 fn calls_to_a_busy_service_back_off_in_small_fleets_too() {
     for seed in 0..50 {
         let mut scripted = ScriptedSubscription::new(POLL, 6, Some(KNOWN), seed);
-        scripted.step(Event::Told(scripted.newest(), 42));
+        scripted.step(Event::Updated(scripted.newest(), 42));
         scripted.now += 3000 * MS;
         scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken));
         let begun = scripted.now;
@@ -348,7 +348,7 @@
 fn three_calls_that_fail_in_a_row_leave_time_for_the_fourth() {
     for seed in 0..200 {
         let mut scripted = ScriptedSubscription::new(POLL, 6, Some(KNOWN), seed);
-        scripted.step(Event::Told(scripted.newest(), 42));
+        scripted.step(Event::Updated(scripted.newest(), 42));
         scripted.now += 3000 * MS;
         let changed = scripted.now;
         scripted.step(Event::Ended(scripted.newest(), CallEnd::Broken));
@@ -371,7 +371,7 @@
         let mut scripted = ScriptedSubscription::new(discovery, 1, Some(KNOWN), 3);
         for _ in 0..500 {
             scripted.now = scripted.subscription.next_deadline().max(scripted.now);
-            scripted.step(Event::TimePassed);
+            scripted.step(Event::TimerFired);
             assert!(scripted.subscription.next_deadline() > scripted.now);
         }
     }
@@ -383,7 +383,7 @@
 fn a_list_that_is_usable_again_without_an_update_is_reported() {
     for refuses in [true, false] {
         let mut scripted = ScriptedSubscription::new(DiscoveryMode::Push, 1, Some(KNOWN), 1);
-        scripted.step(Event::Told(scripted.newest(), 42));
+        scripted.step(Event::Updated(scripted.newest(), 42));
         let watch = scripted.newest();
         scripted.now += 1000 * MS;
         let expired = scripted.subscription.step(scripted.now, Event::Ended(watch, CallEnd::Broken));
@@ -398,7 +398,7 @@
             scripted.subscription.step(scripted.now, Event::Ended(call.unwrap(), CallEnd::Unreachable))
         } else {
             scripted.now = scripted.subscription.next_deadline();
-            scripted.subscription.step(scripted.now, Event::TimePassed)
+            scripted.subscription.step(scripted.now, Event::TimerFired)
         };
         assert!(restored.contains(&Command::ListRestored), "{restored:?}");
         assert!(scripted.subscription.usable(scripted.now));
--- a/crates/membership/tests/subscription/fleet.rs
+++ b/crates/membership/tests/subscription/fleet.rs
@@ -39,11 +39,15 @@
         for (n, subscription) in fleet.iter_mut().enumerate() {
             let (ended, open) = calls[n].iter().partition(|c| c.1 <= now);
             calls[n] = open;
-            let mut events = vec![Event::TimePassed];
+            let mut events = vec![Event::TimerFired];
             // An open watch sends heartbeats.
             events.extend(answered_after[n].and(Some(Event::Heartbeat(CallId(1)))));
             for (call, _, answered) in ended {
-                events.push(if answered { Event::Told(call, 2) } else { Event::Ended(call, CallEnd::Busy) });
+                events.push(if answered {
+                    Event::Updated(call, 2)
+                } else {
+                    Event::Ended(call, CallEnd::Busy)
+                });
                 if answered {
                     answered_after[n].get_or_insert(now - START);
                 }
@@ -104,7 +108,7 @@
     }
 
     fn pass(&mut self, now: Nanos) {
-        let mut events = vec![Event::TimePassed];
+        let mut events = vec![Event::TimerFired];
         events.extend(self.ends.extract_if(.., |e| e.1 <= now).map(|e| Event::Ended(e.0, CallEnd::Busy)));
         let steps = events.into_iter().flat_map(|event| self.subscription.step(now, event));
         for command in steps.collect::<Vec<_>>() {
@@ -125,7 +129,7 @@
         self.begun += 1;
         // The call is answered once and then silent, is never answered, or fails within 2.2 s.
         match self.rng.u64(0..4) {
-            0 => drop(self.subscription.step(now, Event::Told(call, 2))),
+            0 => drop(self.subscription.step(now, Event::Updated(call, 2))),
             1 => {}
             _ => self.ends.push((call, now + self.rng.u64(0..2200) * MS)),
         }
--- a/crates/membership/tests/subscription/notification_rule.rs
+++ b/crates/membership/tests/subscription/notification_rule.rs
@@ -185,14 +185,14 @@
         (call.since, call.answered, call.due) = (self.version, true, self.now + HEARTBEAT);
         (self.received, self.unconfirmed) = (self.version, false);
         (self.last_received_at, self.silent_since) = (self.now, None);
-        let event = if changed { Event::Told(id, self.version) } else { Event::Heartbeat(id) };
+        let event = if changed { Event::Updated(id, self.version) } else { Event::Heartbeat(id) };
         self.step(event);
     }
 
     /// Advances the time by one step and handles the calls and watches that are due.
     fn pass(&mut self) {
         self.now += STEP;
-        self.step(Event::TimePassed);
+        self.step(Event::TimerFired);
         let due: Vec<OpenCall> = self.open.iter().copied().filter(|call| call.due <= self.now).collect();
         for call in due {
             match self.condition {
--- a/crates/membership/tests/subscription/outages.rs
+++ b/crates/membership/tests/subscription/outages.rs
@@ -100,7 +100,7 @@
         }
         let version = discovery.version(now);
         let event = if self.since != Some(version) {
-            Event::Told(self.id, version)
+            Event::Updated(self.id, version)
         } else if !self.answered || self.heartbeat_at <= now {
             Event::Heartbeat(self.id)
         } else {
@@ -134,7 +134,7 @@
     }
 
     fn pass(&mut self, now: Nanos) {
-        let mut events = vec![Event::TimePassed];
+        let mut events = vec![Event::TimerFired];
         for call in &mut self.open {
             events.extend(call.poll(now, self.discovery, &mut self.rng));
         }
@@ -147,7 +147,7 @@
     fn step(&mut self, now: Nanos, event: Event) {
         match event {
             Event::Ended(id, _) => self.open.retain(|call| call.id != id),
-            Event::Told(_, version) => self.known_version = self.known_version.max(version),
+            Event::Updated(_, version) => self.known_version = self.known_version.max(version),
             _ => {}
         }
         for command in self.subscription.step(now, event) {
--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -72,7 +72,7 @@
 
     /// Handles messages until the process ends.
     pub(super) fn run(mut self, inbox: &Receiver<DiscoveryMessage>) {
-        self.step(Event::TimePassed);
+        self.step(Event::TimerFired);
         while let Ok(message) = inbox.recv() {
             self.handle_message(message);
         }
@@ -82,7 +82,7 @@
         match message {
             DiscoveryMessage::TimerFired => {
                 self.timer.fired();
-                self.step(Event::TimePassed);
+                self.step(Event::TimerFired);
             }
             DiscoveryMessage::QueryWaiting => self.step(Event::QueryWaiting),
             DiscoveryMessage::ReloadStarted => self.step(Event::ReloadStarted),
@@ -130,7 +130,7 @@
         self.call_log.answered(call, FirstAnswer::Version(version), self.now());
         self.update_log.applied(version, &applied, self.now());
         // Extend the lease first: the core checks it when it applies the update.
-        self.step(Event::Told(call, version));
+        self.step(Event::Updated(call, version));
         self.send_to_core(EndpointUpdate::from_applied(applied), Some(pending));
     }
 
