--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -17,7 +17,7 @@
 pub use confirmation::Confirmation;
 pub use lease::Lease;
 pub use pacing::{Pacing, Spans};
-pub use subscription::{Abandoned, Command, Event, Subscription};
+pub use subscription::{AbandonReason, Command, Event, Subscription};
 pub use table::{Line, MembershipTable, State, Update};
 
 use curlewdeck_core::api::Nanos;
--- a/crates/membership/src/subscription/messages.rs
+++ b/crates/membership/src/subscription/messages.rs
@@ -29,7 +29,7 @@
     /// Begin a call. The embedder reports its end with [`Event::Ended`]; if it never does, the call's lifetime ends it.
     Begin(CallId, Request),
     /// Close a call's connection. Later events of this call are ignored.
-    Abandon(CallId, Abandoned),
+    Abandon(CallId, AbandonReason),
     /// The list of the previous process may be used without confirmation.
     UseUnconfirmedList,
     /// The list must not be used until the next update, heartbeat or [`Command::ListRestored`].
@@ -40,7 +40,7 @@
 
 /// The reason why the coordinator abandons a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Abandoned {
+pub enum AbandonReason {
     /// A later call was answered.
     Superseded,
     /// The service moved to another address.
--- a/crates/membership/src/subscription/mod.rs
+++ b/crates/membership/src/subscription/mod.rs
@@ -9,7 +9,7 @@
 mod messages;
 mod scheduling;
 
-pub use messages::{Abandoned, Command, Event};
+pub use messages::{AbandonReason, Command, Event};
 
 use curlewdeck_core::api::{DiscoveryMode, Nanos};
 
@@ -143,7 +143,7 @@
     /// Abandons all calls and requests a snapshot at once, since versions are not comparable between services.
     fn service_moved(&mut self, now: Nanos, commands: &mut Vec<Command>) {
         let abandoned = self.calls.remove_all().into_iter();
-        commands.extend(abandoned.map(|id| Command::Abandon(id, Abandoned::ServiceMoved)));
+        commands.extend(abandoned.map(|id| Command::Abandon(id, AbandonReason::ServiceMoved)));
         self.version = None;
         self.version_is_from_earlier_connection = false;
         self.pacing.watch_ended(Nanos::MAX);
@@ -164,7 +164,7 @@
         let answered_at =
             call.record_message(now, version.is_some(), self.version_is_from_earlier_connection);
         let superseded = self.calls.remove_before(id).into_iter();
-        commands.extend(superseded.map(|id| Command::Abandon(id, Abandoned::Superseded)));
+        commands.extend(superseded.map(|id| Command::Abandon(id, AbandonReason::Superseded)));
         self.version = version.or(self.version);
         self.pacing.watch_lasted(now.saturating_sub(answered_at));
         self.last_contact = now;
--- a/crates/membership/src/subscription/scheduling.rs
+++ b/crates/membership/src/subscription/scheduling.rs
@@ -3,7 +3,7 @@
 use curlewdeck_core::api::{DiscoveryMode, Nanos};
 
 use super::calls::{Call, CallState, MAX_OPEN_CALLS};
-use super::messages::{Abandoned, Command};
+use super::messages::{AbandonReason, Command};
 use super::Subscription;
 use crate::call::{CallEnd, Request};
 
@@ -69,7 +69,7 @@
     /// Abandons the calls whose lifetime has ended.
     pub(super) fn abandon_expired(&mut self, now: Nanos, commands: &mut Vec<Command>) {
         for id in self.calls.expired(now) {
-            commands.push(Command::Abandon(id, Abandoned::Unanswered));
+            commands.push(Command::Abandon(id, AbandonReason::Unanswered));
             self.call_ended(now, id, CallEnd::Unanswered);
         }
     }
@@ -79,7 +79,7 @@
         let Some(due) = self.next_call().filter(|due| due.at <= now) else { return };
         if due.reason == CallReason::Replacement {
             let replaced = self.calls.replaceable().and_then(|id| self.calls.remove(id));
-            commands.extend(replaced.map(|call| Command::Abandon(call.id, Abandoned::Unanswered)));
+            commands.extend(replaced.map(|call| Command::Abandon(call.id, AbandonReason::Unanswered)));
         }
         let newest_is_watching = self.calls.newest().map(Call::is_watching);
         if due.reason == CallReason::Hedge && newest_is_watching == Some(true) {
--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use curlewdeck_membership::{
-    Abandoned, CallEnd, CallId, Command, Event, MembershipTable, Pacing, Request, Spans, Subscription,
+    AbandonReason, CallEnd, CallId, Command, Event, MembershipTable, Pacing, Request, Spans, Subscription,
 };
 use may::sync::mpsc::{Receiver, Sender};
 
@@ -207,8 +207,8 @@
         spawn_reporting("discovery call", self.context.limits.core_stack_words, move || call.run(), ended);
     }
 
-    fn abandon_call(&mut self, call: CallId, reason: Abandoned) {
-        if reason == Abandoned::Unanswered {
+    fn abandon_call(&mut self, call: CallId, reason: AbandonReason) {
+        if reason == AbandonReason::Unanswered {
             Counters::add(&self.context.counters.discovery_call_errors);
         }
         self.call_log.abandoned(call, reason, self.now());
--- a/src/net/discovery/call_log.rs
+++ b/src/net/discovery/call_log.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::fmt;
 
-use curlewdeck_membership::{Abandoned, CallId, Request};
+use curlewdeck_membership::{AbandonReason, CallId, Request};
 
 use super::NANOS_PER_MS;
 use crate::api::Nanos;
@@ -88,11 +88,11 @@
     }
 
     /// Logs that the actor has abandoned a call; only an unanswered one counts as failed.
-    pub(super) fn abandoned(&mut self, call: CallId, reason: Abandoned, now: Nanos) {
+    pub(super) fn abandoned(&mut self, call: CallId, reason: AbandonReason, now: Nanos) {
         let open = self.open.remove(&call);
         match reason {
-            Abandoned::Unanswered => self.failed(call, open, "abandoned without an answer", now),
-            Abandoned::Superseded | Abandoned::ServiceMoved => {
+            AbandonReason::Unanswered => self.failed(call, open, "abandoned without an answer", now),
+            AbandonReason::Superseded | AbandonReason::ServiceMoved => {
                 log::debug!(call = call.0, reason:? = reason; "discovery call abandoned");
             }
         }
