--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,7 +16,7 @@
 pub use call::{CallEnd, CallId, Request};
 pub use confirmation::Confirmation;
 pub use lease::Lease;
-pub use pacing::{Pacing, Spans};
+pub use pacing::{HedgeDelays, Pacing};
 pub use subscription::{AbandonReason, Command, Event, Subscription};
 pub use table::{Line, MembershipTable, State, Update};
 
--- a/crates/membership/src/pacing.rs
+++ b/crates/membership/src/pacing.rs
@@ -49,7 +49,7 @@
 
 /// The delays before a hedging call, from the limits of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spans {
+pub struct HedgeDelays {
     /// The base delay before an unanswered call is hedged, to which [`Pacing`] adds jitter and its own limits.
     pub hedge: Nanos,
     /// The time without a complete line after which a watch is hedged by a second call.
@@ -61,7 +61,7 @@
 pub struct Pacing {
     discovery: DiscoveryMode,
     coordinators: u32,
-    spans: Spans,
+    hedge_delays: HedgeDelays,
     rng: Rng,
     consecutive_failures: u32,
     /// A watch that permits a reopening without backoff has just ended.
@@ -71,11 +71,11 @@
 
 impl Pacing {
     /// Creates the pacing of one of `coordinators` coordinators that all call the same service.
-    pub fn new(discovery: DiscoveryMode, coordinators: u32, spans: Spans, seed: u64) -> Self {
+    pub fn new(discovery: DiscoveryMode, coordinators: u32, hedge_delays: HedgeDelays, seed: u64) -> Self {
         Self {
             discovery,
             coordinators,
-            spans,
+            hedge_delays,
             rng: Rng::with_seed(seed),
             consecutive_failures: 0,
             stable_watch_ended: false,
@@ -89,8 +89,8 @@
     }
 
     /// The hedging delays given at the creation.
-    pub fn spans(&self) -> Spans {
-        self.spans
+    pub fn hedge_delays(&self) -> HedgeDelays {
+        self.hedge_delays
     }
 
     /// The time over which calls are spread. One service answers all coordinators in turn and also completes calls
@@ -103,7 +103,7 @@
     }
 
     /// The delay before the first call, randomized because all coordinators may start at the same time.
-    pub fn first_pause(&mut self) -> Nanos {
+    pub fn initial_delay(&mut self) -> Nanos {
         let DiscoveryMode::Poll { poll_interval_max } = self.discovery else { return 0 };
         let spread = self.spread(poll_interval_max);
         if spread <= poll_interval_max / MIN_SPREAD_DIVISOR {
@@ -135,7 +135,7 @@
     ///
     /// A call that reached the service cost it work, and more calls may overload it, so backoffs double. After a call
     /// that was not answered, a small fleet calls again soon.
-    pub fn pause(&mut self, since_contact: Nanos, urgent: bool, end: CallEnd) -> Nanos {
+    pub fn retry_delay(&mut self, since_contact: Nanos, urgent: bool, end: CallEnd) -> Nanos {
         if end == CallEnd::LocalFailure {
             return self.jittered(LOCAL_FAILURE_BACKOFF);
         }
@@ -173,7 +173,7 @@
     /// The time without an answer after which a call is hedged. `moved` is set shortly after a move of the service, and
     /// `other_call_unanswered` if another open call is unanswered too, so that a slow service gets the longer delay.
     pub fn hedge_delay(&mut self, moved: bool, other_call_unanswered: bool) -> Nanos {
-        let min = self.spans.hedge.min(CALL_GAP);
+        let min = self.hedge_delays.hedge.min(CALL_GAP);
         let delay = min + self.random_fraction_of(CALL_GAP - min);
         match self.discovery {
             _ if other_call_unanswered => delay,
--- a/crates/membership/src/subscription/mod.rs
+++ b/crates/membership/src/subscription/mod.rs
@@ -46,7 +46,7 @@
     /// Creates a subscription that starts at `now`. `known` is the version of the previous process's list, if there is
     /// one.
     pub fn new(mut pacing: Pacing, known: Option<u64>, now: Nanos) -> Self {
-        let next_call_at = now.saturating_add(pacing.first_pause());
+        let next_call_at = now.saturating_add(pacing.initial_delay());
         let lease = Lease::new(pacing.discovery());
         Self {
             pacing,
@@ -186,8 +186,8 @@
         }
         self.calls.postpone_verifications(now);
         let since_contact = now.saturating_sub(self.last_contact);
-        let pause = self.pacing.pause(since_contact, self.is_urgent(now), end);
-        self.next_call_at = now.saturating_add(pause);
+        let delay = self.pacing.retry_delay(since_contact, self.is_urgent(now), end);
+        self.next_call_at = now.saturating_add(delay);
     }
 
     /// Shortens or extends the lease according to the end of a call.
--- a/crates/membership/src/subscription/scheduling.rs
+++ b/crates/membership/src/subscription/scheduling.rs
@@ -63,7 +63,7 @@
 
     /// When a watch is considered silent whose last message arrived at `last_received_at`.
     fn silent_at(&self, last_received_at: Nanos) -> Nanos {
-        last_received_at.saturating_add(self.pacing.spans().silence)
+        last_received_at.saturating_add(self.pacing.hedge_delays().silence)
     }
 
     /// Abandons the calls whose lifetime has ended.
--- a/crates/membership/tests/subscription/calls.rs
+++ b/crates/membership/tests/subscription/calls.rs
@@ -5,7 +5,7 @@
     CallEnd, CallId, Command, Event, Request, Subscription, CALL_GAP, NOTIFIED_AFTER,
 };
 
-use super::{subscription, ANSWER, MS, POLL, SPANS, START};
+use super::{subscription, ANSWER, HEDGE_DELAYS, MS, POLL, START};
 
 const KNOWN: u64 = 41;
 /// A coordinator counts as notified of a new service's changes this long after the signal to move to that service.
@@ -184,7 +184,7 @@
     let first = scripted.newest();
     scripted.step(Event::Updated(first, 42));
     let (after, second, request) = scripted.next_call();
-    assert_eq!((after, request), (SPANS.silence, Request::Watch { since: 42 }));
+    assert_eq!((after, request), (HEDGE_DELAYS.silence, Request::Watch { since: 42 }));
     assert!(scripted.subscription.is_open(first));
     scripted.step(Event::Updated(second, 43));
     assert!(!scripted.subscription.is_open(first));
--- a/crates/membership/tests/subscription/fleet.rs
+++ b/crates/membership/tests/subscription/fleet.rs
@@ -4,7 +4,7 @@
 use curlewdeck_membership::{CallEnd, CallId, Command, Event, Subscription};
 use fastrand::Rng;
 
-use super::{ANSWER, MS, POLL, POLL_INTERVAL_MAX, SPANS, START, STEP};
+use super::{ANSWER, HEDGE_DELAYS, MS, POLL, POLL_INTERVAL_MAX, START, STEP};
 
 fn subscription(coordinators: u32, seed: u64) -> Subscription {
     super::subscription(POLL, coordinators, Some(1), seed)
@@ -122,7 +122,7 @@
 
     fn begin(&mut self, now: Nanos, call: CallId) {
         let latest = self.last_begun_at.map_or(START + POLL_INTERVAL_MAX / 2, |last_begun_at| {
-            last_begun_at + SPANS.silence.max(ANSWER) + 1400 * MS
+            last_begun_at + HEDGE_DELAYS.silence.max(ANSWER) + 1400 * MS
         });
         assert!(now <= latest + STEP, "call {} begins late", self.begun);
         self.last_begun_at = Some(now);
--- a/src/bin/curlewdeck-simulator-adapter/subscriber.rs
+++ b/src/bin/curlewdeck-simulator-adapter/subscriber.rs
@@ -1,10 +1,10 @@
 //! Schedule of an instance's discovery calls: the pacing of the real coordinator, with at most one call in flight.
 
 use curlewdeck::api::{DiscoveryMode, Nanos, Settings};
-use curlewdeck_membership::{CallEnd, Pacing, Spans, CALL_LIFETIME};
+use curlewdeck_membership::{CallEnd, HedgeDelays, Pacing, CALL_LIFETIME};
 
 /// The simulator reports the end of each call, so calls are not hedged and silent watches do not time out.
-const SPANS: Spans = Spans { hedge: CALL_LIFETIME, silence: CALL_LIFETIME };
+const HEDGE_DELAYS: HedgeDelays = HedgeDelays { hedge: CALL_LIFETIME, silence: CALL_LIFETIME };
 
 /// Discovery calls of one instance.
 #[derive(Debug)]
@@ -21,9 +21,9 @@
 impl Subscriber {
     /// `now` is the start time of the instance.
     pub(crate) fn new(settings: &Settings, seed: u64, now: Nanos) -> Self {
-        let mut pacing = Pacing::new(settings.discovery, settings.coordinators, SPANS, seed);
+        let mut pacing = Pacing::new(settings.discovery, settings.coordinators, HEDGE_DELAYS, seed);
         let polls = matches!(settings.discovery, DiscoveryMode::Poll { .. });
-        let call_at = polls.then(|| now + pacing.first_pause());
+        let call_at = polls.then(|| now + pacing.initial_delay());
         Self { pacing, call_at, last_contact: now, reminder_at: None }
     }
 
@@ -36,7 +36,7 @@
     /// Schedules the next call after a failed call or a dropped subscription.
     pub(crate) fn call_failed(&mut self, now: Nanos) {
         let since_contact = now.saturating_sub(self.last_contact);
-        self.call_at = Some(now + self.pacing.pause(since_contact, false, CallEnd::Busy));
+        self.call_at = Some(now + self.pacing.retry_delay(since_contact, false, CallEnd::Busy));
     }
 
     /// Returns whether a call starts now, and clears its schedule if so.
--- a/src/net/discovery/actor.rs
+++ b/src/net/discovery/actor.rs
@@ -5,7 +5,8 @@
 use std::sync::Arc;
 
 use curlewdeck_membership::{
-    AbandonReason, CallEnd, CallId, Command, Event, MembershipTable, Pacing, Request, Spans, Subscription,
+    AbandonReason, CallEnd, CallId, Command, Event, HedgeDelays, MembershipTable, Pacing, Request,
+    Subscription,
 };
 use may::sync::mpsc::{Receiver, Sender};
 
@@ -45,9 +46,11 @@
         own_mailbox: Sender<DiscoveryMessage>,
     ) -> Self {
         let limits = &context.limits;
-        let spans =
-            Spans { hedge: nanos(limits.discovery_hedge_delay), silence: nanos(limits.discovery_silence) };
-        let pacing = Pacing::new(config.discovery, config.coordinators, spans, config.seed);
+        let hedge_delays = HedgeDelays {
+            hedge: nanos(limits.discovery_hedge_delay),
+            silence: nanos(limits.discovery_silence),
+        };
+        let pacing = Pacing::new(config.discovery, config.coordinators, hedge_delays, config.seed);
         Self {
             address: config.address,
             subscription: Subscription::new(pacing, Some(known_version), context.clock.now()),
