--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -26,13 +26,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line<M> {
     /// The data node's name, the same at every coordinator.
-    pub uid: String,
+    pub name: String,
     /// The state that the update gives the data node.
     pub state: State,
     /// When the node's process started; `None` if that could not be parsed.
-    pub boot: Option<u64>,
+    pub started_at: Option<u64>,
     /// The other fields of the line; `None` if they could not be parsed.
-    pub member: Option<M>,
+    pub details: Option<M>,
 }
 
 /// A snapshot or a delta.
@@ -53,28 +53,28 @@
     /// The version of the update that set the state.
     version: u64,
     /// When the node's process started.
-    boot: u64,
-    member: Option<M>,
+    started_at: u64,
+    details: Option<M>,
     /// The key in [`MembershipTable::removed`] while the node is removed.
     removal_id: Option<u64>,
 }
 
 impl<M> Row<M> {
     /// Applies a line about this data node, unless the line is outdated.
-    fn apply(&mut self, version: u64, state: State, boot: Option<u64>, member: Option<M>) {
-        let boot = boot.unwrap_or(self.boot);
-        let restarted = boot > self.boot;
+    fn apply(&mut self, version: u64, state: State, started_at: Option<u64>, details: Option<M>) {
+        let started_at = started_at.unwrap_or(self.started_at);
+        let restarted = started_at > self.started_at;
         let is_older = version < self.version;
-        let is_of_earlier_process = is_older && boot < self.boot;
+        let is_of_earlier_process = is_older && started_at < self.started_at;
         let returns = state == State::Up && self.state != State::Up;
         if is_of_earlier_process || (returns && is_older && !restarted) {
             return;
         }
         self.version = self.version_after(version, state, restarted);
         self.state = state;
-        self.boot = boot.max(self.boot);
-        if member.is_some() && (!is_older || restarted || self.member.is_none()) {
-            self.member = member;
+        self.started_at = started_at.max(self.started_at);
+        if details.is_some() && (!is_older || restarted || self.details.is_none()) {
+            self.details = details;
         }
     }
 
@@ -119,12 +119,12 @@
     /// state is replaced by that state, and a line that cannot be used is left out.
     pub fn apply(&mut self, update: Update<M>) -> Update<M> {
         let Update { version, complete, lines } = update;
-        let named: Vec<String> = lines.iter().map(|line| line.uid.clone()).collect();
+        let named: Vec<String> = lines.iter().map(|line| line.name.clone()).collect();
         lines.into_iter().for_each(|line| self.apply_line(version, line));
         if complete {
             self.remove_missing(version, &named);
         }
-        let lines = named.into_iter().filter_map(|uid| self.line(uid)).collect();
+        let lines = named.into_iter().filter_map(|name| self.line(name)).collect();
         Update { version, complete, lines }
     }
 
@@ -139,47 +139,53 @@
     }
 
     /// The current line of a data node; `None` if its other fields have never been parsed and it is not removed.
-    fn line(&self, uid: String) -> Option<Line<M>> {
-        let row = self.rows.get(&uid)?;
-        let usable = row.member.is_some() || row.state == State::Removed;
-        usable.then(|| Line { uid, state: row.state, boot: Some(row.boot), member: row.member.clone() })
+    fn line(&self, name: String) -> Option<Line<M>> {
+        let row = self.rows.get(&name)?;
+        let usable = row.details.is_some() || row.state == State::Removed;
+        usable.then(|| Line {
+            name,
+            state: row.state,
+            started_at: Some(row.started_at),
+            details: row.details.clone(),
+        })
     }
 
     fn apply_line(&mut self, version: u64, line: Line<M>) {
-        let Line { uid, state, boot, member } = line;
-        if member.is_none() && state == State::Up {
+        let Line { name, state, started_at, details } = line;
+        if details.is_none() && state == State::Up {
             // A line without the node's fields cannot put it into service.
             return;
         }
-        match self.rows.get_mut(&uid) {
-            Some(row) => row.apply(version, state, boot, member),
+        match self.rows.get_mut(&name) {
+            Some(row) => row.apply(version, state, started_at, details),
             None => {
-                let row = Row { state, version, boot: boot.unwrap_or(0), member, removal_id: None };
-                self.rows.insert(uid.clone(), row);
+                let row =
+                    Row { state, version, started_at: started_at.unwrap_or(0), details, removal_id: None };
+                self.rows.insert(name.clone(), row);
             }
         }
-        self.track_removal(&uid);
+        self.track_removal(&name);
     }
 
     /// Removes the data nodes that a snapshot does not name, and updates the versions of those already removed.
     fn remove_missing(&mut self, version: u64, named: &[String]) {
         let named: HashSet<&str> = named.iter().map(String::as_str).collect();
-        let missing = self.rows.iter_mut().filter(|(uid, _)| !named.contains(uid.as_str()));
+        let missing = self.rows.iter_mut().filter(|(name, _)| !named.contains(name.as_str()));
         let mut removed: Vec<String> =
-            missing.filter_map(|(uid, row)| row.remove(version).then(|| uid.clone())).collect();
+            missing.filter_map(|(name, row)| row.remove(version).then(|| name.clone())).collect();
         // The order is fixed so that the same updates always keep the same rows.
         removed.sort_unstable();
-        removed.iter().for_each(|uid| self.track_removal(uid));
+        removed.iter().for_each(|name| self.track_removal(name));
     }
 
     /// Updates the order of removals after a row has changed, and evicts the earliest removed nodes beyond the limit.
-    fn track_removal(&mut self, uid: &str) {
-        let Some(row) = self.rows.get_mut(uid) else { return };
+    fn track_removal(&mut self, name: &str) {
+        let Some(row) = self.rows.get_mut(name) else { return };
         match (row.state, row.removal_id) {
             (State::Removed, None) => {
                 self.last_removal_id += 1;
                 row.removal_id = Some(self.last_removal_id);
-                self.removed.insert(self.last_removal_id, uid.to_string());
+                self.removed.insert(self.last_removal_id, name.to_string());
             }
             (State::Up | State::Draining, Some(removal_id)) => {
                 row.removal_id = None;
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -3,8 +3,8 @@
 use curlewdeck_membership::{Line, MembershipTable, State, Update};
 use proptest::prelude::*;
 
-fn line(uid: &str, state: State, boot: u64) -> Line<u64> {
-    Line { uid: uid.to_string(), state, boot: Some(boot), member: Some(boot) }
+fn line(name: &str, state: State, started_at: u64) -> Line<u64> {
+    Line { name: name.to_string(), state, started_at: Some(started_at), details: Some(started_at) }
 }
 
 fn delta(version: u64, lines: Vec<Line<u64>>) -> Update<u64> {
@@ -16,8 +16,8 @@
 }
 
 /// Applies an update and returns the resulting state of one data node; `None` if the result does not name it.
-fn state_after(table: &mut MembershipTable<u64>, update: Update<u64>, uid: &str) -> Option<State> {
-    table.apply(update).lines.iter().find(|line| line.uid == uid).map(|line| line.state)
+fn state_after(table: &mut MembershipTable<u64>, update: Update<u64>, name: &str) -> Option<State> {
+    table.apply(update).lines.iter().find(|line| line.name == name).map(|line| line.state)
 }
 
 /// A lagging replica of discovery or a late response sends an older snapshot or delta in which the draining node is up.
@@ -75,7 +75,7 @@
 /// add an unknown node.
 #[test]
 fn a_partial_line_keeps_the_known_fields() {
-    let partial = |uid: &str, state| Line { uid: uid.to_string(), state, boot: None, member: None };
+    let partial = |name: &str, state| Line { name: name.to_string(), state, started_at: None, details: None };
     let mut table = MembershipTable::default();
     table.apply(snapshot(1, vec![line("a", State::Up, 7)]));
     let applied = table.apply(delta(2, vec![partial("a", State::Draining), partial("b", State::Up)]));
@@ -92,8 +92,8 @@
 fn the_earliest_removed_nodes_are_evicted() {
     let mut table = MembershipTable::default();
     for version in 0..20_000 {
-        let uid = format!("node-{version}");
-        table.apply(delta(version, vec![line(&uid, State::Up, 1), line(&uid, State::Removed, 1)]));
+        let name = format!("node-{version}");
+        table.apply(delta(version, vec![line(&name, State::Up, 1), line(&name, State::Removed, 1)]));
     }
     assert!(table.len() < 5000, "{}", table.len());
 }
@@ -113,21 +113,21 @@
         // The version and the start of the last update that took the node out of service, while it is out of service.
         let mut out: Option<(u64, u64)> = None;
         let (mut state, mut version_of_state, mut latest_boot) = (None, 0, 0);
-        for (version, complete, new_state, boot, named) in steps {
-            let lines = if named { vec![line("a", new_state, boot)] } else { Vec::new() };
+        for (version, complete, new_state, started_at, named) in steps {
+            let lines = if named { vec![line("a", new_state, started_at)] } else { Vec::new() };
             let before = state;
             let now = state_after(&mut table, Update { version, complete, lines }, "a");
             let current = if named || complete { now.or(Some(State::Removed)).filter(|_| before.is_some() || named) } else { before };
             let takes_out = named && new_state != State::Up || !named && complete && before.is_some();
-            let of_earlier_process = named && before.is_some() && version < version_of_state && boot < latest_boot;
+            let of_earlier_process = named && before.is_some() && version < version_of_state && started_at < latest_boot;
             if takes_out && !of_earlier_process {
                 prop_assert_ne!(current, Some(State::Up));
             }
             if let (Some((out_version, out_boot)), Some(State::Up)) = (out, current) {
-                prop_assert!(named && new_state == State::Up && (version >= out_version || boot > out_boot));
+                prop_assert!(named && new_state == State::Up && (version >= out_version || started_at > out_boot));
             }
             if named && !of_earlier_process {
-                latest_boot = latest_boot.max(boot);
+                latest_boot = latest_boot.max(started_at);
             }
             match current {
                 Some(State::Up) => {
--- a/src/net/discovery/update_log.rs
+++ b/src/net/discovery/update_log.rs
@@ -54,7 +54,7 @@
 }
 
 fn names(update: &Update<ListedEndpoint>, state: State) -> impl Iterator<Item = &str> {
-    update.lines.iter().filter(move |line| line.state == state).map(|line| line.uid.as_str())
+    update.lines.iter().filter(move |line| line.state == state).map(|line| line.name.as_str())
 }
 
 fn count(update: &Update<ListedEndpoint>, state: State) -> usize {
--- a/src/net/endpoints.rs
+++ b/src/net/endpoints.rs
@@ -66,7 +66,7 @@
 
 /// Returns the line's endpoint in the line's state, or `None` if only the state is known.
 fn listed_endpoint(line: Line<ListedEndpoint>) -> Option<ListedEndpoint> {
-    let (endpoint, address) = line.member?;
+    let (endpoint, address) = line.details?;
     Some((Endpoint { state: endpoint_state(line.state), ..endpoint }, address))
 }
 
--- a/src/net/endpoints/merge.rs
+++ b/src/net/endpoints/merge.rs
@@ -28,13 +28,13 @@
 fn table_line(line: EndpointLine) -> Option<Line<ListedEndpoint>> {
     match line {
         EndpointLine::Complete(entry) => Some(Line {
-            uid: entry.name.clone(),
+            name: entry.name.clone(),
             state: entry.state,
-            boot: Some(entry.started_at_ms),
-            member: Some(listed_endpoint(entry)),
+            started_at: Some(entry.started_at_ms),
+            details: Some(listed_endpoint(entry)),
         }),
         EndpointLine::Partial { name, state, started_at_ms, .. } => {
-            Some(Line { uid: name, state, boot: started_at_ms, member: None })
+            Some(Line { name, state, started_at: started_at_ms, details: None })
         }
         EndpointLine::Unreadable(_) => None,
     }
--- a/src/net/endpoints/tests.rs
+++ b/src/net/endpoints/tests.rs
@@ -84,8 +84,8 @@
 /// Names and states of the complete lines, and of the partial lines.
 fn states(update: &Update<ListedEndpoint>) -> (NamedStates<'_>, NamedStates<'_>) {
     let named_states = |complete: bool| {
-        let lines = update.lines.iter().filter(move |line| line.member.is_some() == complete);
-        lines.map(|line| (line.uid.as_str(), endpoint_state(line.state))).collect()
+        let lines = update.lines.iter().filter(move |line| line.details.is_some() == complete);
+        lines.map(|line| (line.name.as_str(), endpoint_state(line.state))).collect()
     };
     (named_states(true), named_states(false))
 }
@@ -314,7 +314,7 @@
         ("s-4", EndpointState::Draining),
     ];
     assert_eq!(states(&applied), (vec![("s-1", EndpointState::Active)], partial));
-    assert_eq!(applied.lines[0].member.as_ref().unwrap().0.started_at, 7_000_000);
+    assert_eq!(applied.lines[0].details.as_ref().unwrap().0.started_at, 7_000_000);
 }
 
 /// The order of the lines in an update is unspecified: an `up` line after a `draining` line may be the older state, and
