--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -20,7 +20,7 @@
     /// When the connection ended; no request is served after that.
     ended_at: Option<Time>,
     /// The connection was closed in favor of a new one.
-    evicted: bool,
+    is_evicted: bool,
 }
 
 impl Connection {
@@ -32,7 +32,7 @@
             has_partial_request: false,
             has_pending_request: false,
             ended_at: None,
-            evicted: false,
+            is_evicted: false,
         }
     }
 
@@ -71,18 +71,18 @@
             return false;
         }
         self.ended_at.get_or_insert(now);
-        self.evicted = true;
+        self.is_evicted = true;
         true
     }
 
     /// When the connection ended; `None` while it is open.
-    pub fn ended(&self) -> Option<Time> {
+    pub fn ended_at(&self) -> Option<Time> {
         self.ended_at
     }
 
     /// Whether the connection was closed in favor of a new one.
-    pub fn evicted(&self) -> bool {
-        self.evicted
+    pub fn is_evicted(&self) -> bool {
+        self.is_evicted
     }
 
     /// Whether a complete request has been read and not answered.
--- a/crates/lifecycle/src/connection/tests.rs
+++ b/crates/lifecycle/src/connection/tests.rs
@@ -38,11 +38,11 @@
                     let evicts = !pending && (!flag || ended.is_some());
                     ended = ended.or(evicts.then_some(now));
                     prop_assert_eq!(connection.evict(now, flag), evicts);
-                    prop_assert!(connection.evicted() || !evicts);
+                    prop_assert!(connection.is_evicted() || !evicts);
                 }
                 _ => {}
             }
-            prop_assert_eq!((connection.has_pending_request(), connection.ended()), (pending, ended));
+            prop_assert_eq!((connection.has_pending_request(), connection.ended_at()), (pending, ended));
             prop_assert_eq!(connection.idle_for(now), now - idle_since);
         }
     }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -12,12 +12,12 @@
 
 /// The rules for closing connections during a drain and at the end of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spans {
+pub struct DrainTimings {
     /// How long connections are kept open after the start of a drain, since the load balancer still sends new clients.
     pub drain_notice: Time,
     /// When idle connections are closed too, as a duration from the start of a drain. Before that, a connection is
     /// closed only after a response: a client that receives a response is not writing, while an idle client may be.
-    pub drain_rest: Time,
+    pub idle_close_delay: Time,
     /// Whether other processes accept from the same listener, which outlives the process. A process that is finishing
     /// then leaves new clients to them at once.
     pub shared_listener: bool,
@@ -25,11 +25,11 @@
 
 /// Time limits of a process that is finishing, as durations from SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Finish {
+pub struct ShutdownLimits {
     /// How long connections are accepted and kept open as before, since new clients still connect.
-    pub accept: Time,
+    pub accept_duration: Time,
     /// The duration within which all requests are answered.
-    pub answered: Time,
+    pub answer_duration: Time,
 }
 
 /// The client connections to close.
@@ -40,7 +40,7 @@
     /// Each connection is closed after its next response.
     AfterResponse,
     /// Idle connections are closed at once, and the others after their next response.
-    IdleToo,
+    IdleAndAfterResponse,
 }
 
 /// The result of an operator's command or SIGTERM.
@@ -78,7 +78,7 @@
 /// The lifecycle state machine of a process.
 #[derive(Debug, Clone)]
 pub struct Lifecycle {
-    spans: Spans,
+    timings: DrainTimings,
     state: State,
     /// The number of state changes.
     changes: u64,
@@ -86,8 +86,8 @@
 
 impl Lifecycle {
     /// Creates the state of a process that is starting.
-    pub fn new(spans: Spans) -> Self {
-        Self { spans, state: State::Starting, changes: 0 }
+    pub fn new(timings: DrainTimings) -> Self {
+        Self { timings, state: State::Starting, changes: 0 }
     }
 
     fn transition_to(&mut self, state: State) -> TransitionResult {
@@ -104,7 +104,7 @@
     }
 
     /// Starts a drain at an operator's command. A process that is finishing counts as already drained.
-    pub fn drain_start(&mut self, now: Time) -> TransitionResult {
+    pub fn start_drain(&mut self, now: Time) -> TransitionResult {
         match self.state {
             State::Starting | State::Serving => self.transition_to(State::Drained { since: now }),
             State::Drained { .. } | State::Finishing { .. } => TransitionResult::Already,
@@ -112,7 +112,7 @@
     }
 
     /// Ends a drain at an operator's command: the process serves clients again.
-    pub fn drain_stop(&mut self) -> TransitionResult {
+    pub fn stop_drain(&mut self) -> TransitionResult {
         match self.state {
             State::Drained { .. } => self.transition_to(State::Serving),
             State::Starting | State::Serving => TransitionResult::Already,
@@ -121,13 +121,13 @@
     }
 
     /// Begins finishing after SIGTERM. Only the first SIGTERM has an effect.
-    pub fn terminate(&mut self, now: Time, finish: Finish) -> TransitionResult {
+    pub fn terminate(&mut self, now: Time, limits: ShutdownLimits) -> TransitionResult {
         match self.state {
             State::Finishing { .. } => TransitionResult::Already,
             State::Starting | State::Serving | State::Drained { .. } => {
                 self.transition_to(State::Finishing {
-                    accept_until: now.saturating_add(finish.accept),
-                    answered_by: now.saturating_add(finish.answered),
+                    accept_until: now.saturating_add(limits.accept_duration),
+                    answered_by: now.saturating_add(limits.answer_duration),
                 })
             }
         }
@@ -150,7 +150,7 @@
 
     /// Whether SIGTERM was received. Until then even a drained process accepts connections: the load balancer may not
     /// have noticed the drain, and refusing its connections would lose their requests.
-    pub fn finishing(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         matches!(self.state, State::Finishing { .. })
     }
 
@@ -165,12 +165,12 @@
 
     /// The connections to close at `now`.
     pub fn closing(&self, now: Time) -> Closing {
-        let Spans { drain_notice, drain_rest, shared_listener } = self.spans;
+        let DrainTimings { drain_notice, idle_close_delay, shared_listener } = self.timings;
         let has_passed = |since: Time, span: Time| now >= since.saturating_add(span);
         match self.state {
-            State::Drained { since } if has_passed(since, drain_rest) => Closing::IdleToo,
+            State::Drained { since } if has_passed(since, idle_close_delay) => Closing::IdleAndAfterResponse,
             State::Drained { since } if has_passed(since, drain_notice) => Closing::AfterResponse,
-            State::Finishing { accept_until, .. } if now >= accept_until => Closing::IdleToo,
+            State::Finishing { accept_until, .. } if now >= accept_until => Closing::IdleAndAfterResponse,
             // Other processes accept from the same listener, so these clients can reconnect at the same address.
             State::Finishing { .. } if shared_listener => Closing::AfterResponse,
             _ => Closing::None,
--- a/crates/lifecycle/src/tests.rs
+++ b/crates/lifecycle/src/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use proptest::prelude::*;
 
-const SPANS: Spans = Spans { drain_notice: 10, drain_rest: 30, shared_listener: false };
-const FINISH: Finish = Finish { accept: 50, answered: 80 };
+const TIMINGS: DrainTimings = DrainTimings { drain_notice: 10, idle_close_delay: 30, shared_listener: false };
+const SHUTDOWN_LIMITS: ShutdownLimits = ShutdownLimits { accept_duration: 50, answer_duration: 80 };
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
@@ -13,7 +13,7 @@
         shared in any::<bool>(),
         commands in proptest::collection::vec((any::<u8>(), 0..40_u64), 0..30),
     ) {
-        let mut lifecycle = Lifecycle::new(Spans { shared_listener: shared, ..SPANS });
+        let mut lifecycle = Lifecycle::new(DrainTimings { shared_listener: shared, ..TIMINGS });
         // The model: whether the process listens, and when its drain and its finishing began.
         let (mut now, mut listens, mut drained, mut finishing) = (0, false, None::<Time>, None::<Time>);
         for (command, wait) in commands {
@@ -27,30 +27,30 @@
                 1 => {
                     let is_first = drained.is_none() && finishing.is_none();
                     drained = drained.or(Some(now));
-                    (lifecycle.drain_start(now), is_first)
+                    (lifecycle.start_drain(now), is_first)
                 }
                 2 => {
                     let changed = drained.take().is_some() && finishing.is_none();
                     listens |= changed;
-                    (lifecycle.drain_stop(), changed)
+                    (lifecycle.stop_drain(), changed)
                 }
                 _ => {
                     let first = finishing.is_none();
                     finishing = finishing.or(Some(now));
-                    (lifecycle.terminate(now, FINISH), first)
+                    (lifecycle.terminate(now, SHUTDOWN_LIMITS), first)
                 }
             };
             prop_assert_eq!(result == TransitionResult::Changed, changed);
             prop_assert_eq!(result.is_in_effect(), command % 4 != 2 || finishing.is_none());
             let serves = listens && drained.is_none() && finishing.is_none();
             prop_assert_eq!((lifecycle.is_serving(), lifecycle.not_serving_reason().is_none()), (serves, serves));
-            prop_assert_eq!(lifecycle.finishing(), finishing.is_some());
+            prop_assert_eq!(lifecycle.is_shutting_down(), finishing.is_some());
             prop_assert_eq!(lifecycle.answered_by(), finishing.map_or(Time::MAX, |t| t + 80));
             for later in [now, now + 10, now + 30, now + 50] {
                 let closing = match (finishing, drained) {
-                    (Some(t), _) if later >= t + 50 => Closing::IdleToo,
+                    (Some(t), _) if later >= t + 50 => Closing::IdleAndAfterResponse,
                     (Some(_), _) if shared => Closing::AfterResponse,
-                    (None, Some(t)) if later >= t + 30 => Closing::IdleToo,
+                    (None, Some(t)) if later >= t + 30 => Closing::IdleAndAfterResponse,
                     (None, Some(t)) if later >= t + 10 => Closing::AfterResponse,
                     _ => Closing::None,
                 };
--- a/src/frontend/http_server/accept.rs
+++ b/src/frontend/http_server/accept.rs
@@ -104,7 +104,7 @@
     fn run(mut self) {
         loop {
             let accepted = match self.inherited.waits(SHUTDOWN_CHECK_INTERVAL) {
-                Ok(_) if self.service.lifecycle().finishing() => return,
+                Ok(_) if self.service.lifecycle().is_shutting_down() => return,
                 Ok(false) => Ok(None),
                 Ok(true) => self.inherited.accept(),
                 Err(error) => Err(error),
--- a/src/frontend/http_server/client_connection.rs
+++ b/src/frontend/http_server/client_connection.rs
@@ -54,7 +54,7 @@
     /// Like [`Self::end`], but `partial` decides about a partially received request.
     pub(super) fn end_with(&self, now: Nanos, partial: PartialRequestPolicy) -> bool {
         let mut state = self.state();
-        let had_ended = state.ended().is_some();
+        let had_ended = state.ended_at().is_some();
         let discards_partial = partial == PartialRequestPolicy::Discard;
         let has_ended = state.end(now, self.stream.is_readable(), discards_partial);
         if has_ended && !had_ended {
--- a/src/frontend/http_server/eviction.rs
+++ b/src/frontend/http_server/eviction.rs
@@ -35,7 +35,7 @@
 
 impl Evictability {
     fn of(state: &Connection, idle: Nanos, limits: &Limits) -> Self {
-        if state.ended().is_some() {
+        if state.ended_at().is_some() {
             Self::Ended
         } else if !state.has_served() {
             Self::NothingServed
@@ -71,7 +71,7 @@
         let mut candidates = Vec::new();
         for connection in open.values() {
             let state = connection.state();
-            if state.evicted() {
+            if state.is_evicted() {
                 return Eviction::SlotFreeSoon;
             }
             if !state.has_pending_request() {
--- a/src/frontend/http_server/service.rs
+++ b/src/frontend/http_server/service.rs
@@ -70,7 +70,7 @@
     /// partial request too, unless the process is shutting down: then the client could not reconnect. Returns whether
     /// no connection is open and no request is pending.
     pub fn close_idle(&self, min_age: Duration, linger: Duration) -> bool {
-        let partial = match self.lifecycle().finishing() {
+        let partial = match self.lifecycle().is_shutting_down() {
             true => PartialRequestPolicy::KeepOpen,
             false => PartialRequestPolicy::Discard,
         };
@@ -122,7 +122,7 @@
     let (ended_at, may_end) = {
         let state = connection.state();
         let is_old_enough = state.has_served() || state.idle_for(now) >= nanos(min_age);
-        (state.ended(), !state.has_pending_request() && is_old_enough)
+        (state.ended_at(), !state.has_pending_request() && is_old_enough)
     };
     match ended_at {
         Some(at) if now.saturating_sub(at) >= nanos(linger) => {
--- a/src/frontend/http_server/tests.rs
+++ b/src/frontend/http_server/tests.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use curlewdeck_lifecycle::{Lifecycle, Spans};
+use curlewdeck_lifecycle::{DrainTimings, Lifecycle};
 use may::net::TcpListener;
 
 use super::client_connection::ClientConnection;
@@ -79,7 +79,7 @@
 fn eviction_waits_for_a_slot_that_is_about_to_be_free() {
     let service = Service::new(
         Clock::start(),
-        Lifecycle::new(Spans { drain_notice: 0, drain_rest: 0, shared_listener: false }),
+        Lifecycle::new(DrainTimings { drain_notice: 0, idle_close_delay: 0, shared_listener: false }),
         0,
     );
     let limits = Limits { clients: 2, ..Limits::default() };
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use curlewdeck_accounting::LedgerSnapshot;
-use curlewdeck_lifecycle::{Closing, Finish};
+use curlewdeck_lifecycle::{Closing, ShutdownLimits};
 use may::sync::mpsc::Sender;
 
 use super::report::ledger_report;
@@ -125,18 +125,18 @@
     /// Shuts down after SIGTERM: accepts requests for a limited time, then completes those in flight and closes idle
     /// connections. Returns once all requests are answered, or at the deadline for that.
     pub fn finish(&self) {
-        let finish = self.finish_times();
-        let replicate_by = Instant::now() + Duration::from_nanos(finish.answered);
+        let limits = self.shutdown_limits();
+        let replicate_by = Instant::now() + Duration::from_nanos(limits.answer_duration);
         if let Some(stopping) = &self.stopping {
             stopping.send();
         }
         let answered_by = {
             let mut lifecycle = self.service.lifecycle();
-            lifecycle.terminate(self.service.now(), finish);
+            lifecycle.terminate(self.service.now(), limits);
             lifecycle.answered_by()
         };
         self.core.shut_down_by(answered_by);
-        while self.service.closing() < Closing::IdleToo {
+        while self.service.closing() < Closing::IdleAndAfterResponse {
             std::thread::sleep(CLOSING_CHECK_INTERVAL);
         }
         self.close_connections();
@@ -147,12 +147,12 @@
     }
 
     /// The times after SIGTERM until which requests are accepted and answered.
-    fn finish_times(&self) -> Finish {
+    fn shutdown_limits(&self) -> ShutdownLimits {
         let deployment = self.core.deployment();
         let deadlines = deployment.settings.classes.iter().map(|class| class.deadline);
         let longest = Duration::from_nanos(deadlines.max().unwrap_or(0));
         let (accept, answered) = self.limits.term(longest);
-        Finish { accept: nanos(accept), answered: nanos(answered) }
+        ShutdownLimits { accept_duration: nanos(accept), answer_duration: nanos(answered) }
     }
 
     /// Closes client connections as they become idle, until all are closed or `Limits::term_finish` has passed.
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::Arc;
 
-use curlewdeck_lifecycle::{Lifecycle, Spans};
+use curlewdeck_lifecycle::{DrainTimings, Lifecycle};
 use curlewdeck_listener::Inherited;
 
 use super::operations::CoordinatorOperations;
@@ -65,12 +65,12 @@
 impl Frontends {
     pub(super) fn new(process: &ProcessContext, core: CoreHandle, shared_listener: bool) -> Self {
         let limits = process.limits.clone();
-        let spans = Spans {
+        let timings = DrainTimings {
             drain_notice: nanos(limits.drain_notice),
-            drain_rest: nanos(limits.drain_rest),
+            idle_close_delay: nanos(limits.drain_rest),
             shared_listener,
         };
-        let service = Service::new(process.clock, Lifecycle::new(spans), nanos(limits.client_log_interval));
+        let service = Service::new(process.clock, Lifecycle::new(timings), nanos(limits.client_log_interval));
         let permits = Permits::new(limits.clients);
         let rejected = Permits::new(limits.rejected_clients);
         Self { shared: FrontendContext { core, limits, service: Arc::new(service), permits, rejected } }
--- a/src/startup/operations.rs
+++ b/src/startup/operations.rs
@@ -30,7 +30,7 @@
     fn drain(&self) -> Result<(), &'static str> {
         let (result, change) = {
             let mut lifecycle = self.service.lifecycle();
-            (lifecycle.drain_start(self.service.now()), lifecycle.changes())
+            (lifecycle.start_drain(self.service.now()), lifecycle.changes())
         };
         if result == TransitionResult::Changed {
             log::info!("drained by an operator");
@@ -40,7 +40,7 @@
     }
 
     fn resume(&self) -> Result<(), &'static str> {
-        match self.service.lifecycle().drain_stop() {
+        match self.service.lifecycle().stop_drain() {
             TransitionResult::Changed => log::info!("resumed by an operator"),
             TransitionResult::Already => {}
             TransitionResult::Finishing => return Err("the process ends"),
@@ -55,7 +55,7 @@
         let (service, limits) = (self.service.clone(), self.limits.clone());
         let close = move || {
             while service.lifecycle().changes() == change {
-                if service.closing() == Closing::IdleToo {
+                if service.closing() == Closing::IdleAndAfterResponse {
                     service.close_idle(limits.client_evictable_silence, limits.linger);
                 }
                 std::thread::sleep(CLOSING_CHECK_INTERVAL);
