--- a/crates/lifecycle/src/reload.rs
+++ b/crates/lifecycle/src/reload.rs
@@ -20,7 +20,7 @@
     /// The upper limit of the pause between retries.
     pub longest_pause: Time,
     /// How long a newer signal waits for the read in progress before that read is abandoned.
-    pub abandon_after: Time,
+    pub read_timeout: Time,
     /// The most abandoned reads that have not ended. At this limit a signal waits until a read ends.
     pub max_abandoned_reads: usize,
 }
@@ -33,13 +33,13 @@
     }
 }
 
-/// The identifier of a read, unique within its [`Reloads`].
+/// The identifier of a read, unique within its [`ReloadScheduler`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ReadId(u64);
 
 /// A read that ended and was not abandoned, so that its result is used.
 #[derive(Debug)]
-pub struct Returned(Sequence);
+pub struct CompletedRead(Sequence);
 
 /// The result of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,7 +60,7 @@
     /// A file was accepted, which is counted.
     Accepted,
     /// A file was accepted that a retry had already accepted and counted before its signal arrived.
-    AcceptedBefore,
+    AlreadyAccepted,
     /// The first read after a signal failed, which is counted as a rejected file.
     Rejected,
     /// A retry failed, and another one follows. The file was already counted at the first read.
@@ -127,7 +127,7 @@
 
 /// The state machine of configuration reloads.
 #[derive(Debug, Clone)]
-pub struct Reloads {
+pub struct ReloadScheduler {
     policy: RetryPolicy,
     state: State,
     pending: Option<PendingSignals>,
@@ -138,7 +138,7 @@
     next_id: u64,
 }
 
-impl Reloads {
+impl ReloadScheduler {
     /// Creates an idle state machine without pending signals.
     pub fn new(policy: RetryPolicy) -> Self {
         Self {
@@ -176,7 +176,7 @@
         if self.abandoned_reads >= self.policy.max_abandoned_reads {
             return Step::Wait(None);
         }
-        let abandon_at = pending.first_at.saturating_add(self.policy.abandon_after);
+        let abandon_at = pending.first_at.saturating_add(self.policy.read_timeout);
         if now < abandon_at {
             return Step::Wait(Some(abandon_at));
         }
@@ -193,12 +193,12 @@
     }
 
     /// Records the end of a read. Returns `None` if the read was abandoned; otherwise its result is to be passed to
-    /// [`Self::ended`].
-    pub fn returned(&mut self, read: ReadId) -> Option<Returned> {
+    /// [`Self::evaluate`].
+    pub fn complete_read(&mut self, read: ReadId) -> Option<CompletedRead> {
         match self.state {
             State::Reading { sequence, id } if id == read => {
                 self.state = State::Idle;
-                Some(Returned(sequence))
+                Some(CompletedRead(sequence))
             }
             _ => {
                 self.abandoned_reads = self.abandoned_reads.saturating_sub(1);
@@ -208,7 +208,12 @@
     }
 
     /// Evaluates the result of a read and schedules a retry if one is due.
-    pub fn ended(&mut self, Returned(mut sequence): Returned, outcome: Outcome, now: Time) -> Verdict {
+    pub fn evaluate(
+        &mut self,
+        CompletedRead(mut sequence): CompletedRead,
+        outcome: Outcome,
+        now: Time,
+    ) -> Verdict {
         let answers_signal = sequence.is_unanswered();
         let failure = sequence.failure_verdict();
         sequence.completed_reads += 1;
@@ -216,7 +221,7 @@
         let expires_at = if answers_signal { self.early_acceptance_expires_at.take() } else { None };
         let was_accepted_early = expires_at.is_some_and(|expires_at| sequence.signalled_at <= expires_at);
         match outcome {
-            Outcome::Unchanged if was_accepted_early => Verdict::AcceptedBefore,
+            Outcome::Unchanged if was_accepted_early => Verdict::AlreadyAccepted,
             Outcome::Changed | Outcome::Unchanged => {
                 if !answers_signal {
                     self.early_acceptance_expires_at = Some(now.saturating_add(self.policy.window));
--- a/crates/lifecycle/src/reload/tests.rs
+++ b/crates/lifecycle/src/reload/tests.rs
@@ -5,35 +5,35 @@
     window: 4000,
     first_pause: 50,
     longest_pause: 800,
-    abandon_after: 1500,
+    read_timeout: 1500,
     max_abandoned_reads: 2,
 };
 
 /// Begins the next read from `now` on; returns its id and its time.
-fn begin_read(reloads: &mut Reloads, now: Time) -> (ReadId, Time) {
-    match reloads.next_step(now) {
+fn begin_read(scheduler: &mut ReloadScheduler, now: Time) -> (ReadId, Time) {
+    match scheduler.next_step(now) {
         Step::Read(id) => (id, now),
-        Step::Wait(Some(due)) => begin_read(reloads, due),
+        Step::Wait(Some(due)) => begin_read(scheduler, due),
         other => panic!("{other:?} at {now}"),
     }
 }
 
-fn end_read(reloads: &mut Reloads, id: ReadId, outcome: Outcome, now: Time) -> Verdict {
-    let returned = reloads.returned(id).expect("the read is in progress");
-    reloads.ended(returned, outcome, now)
+fn end_read(scheduler: &mut ReloadScheduler, id: ReadId, outcome: Outcome, now: Time) -> Verdict {
+    let read = scheduler.complete_read(id).expect("the read is in progress");
+    scheduler.evaluate(read, outcome, now)
 }
 
 /// The first retry is soon, the pauses grow up to the limit, and no retry follows the window.
 #[test]
 fn a_transient_failure_is_retried_within_the_window() {
-    let mut reloads = Reloads::new(POLICY);
-    reloads.signal(1000);
+    let mut scheduler = ReloadScheduler::new(POLICY);
+    scheduler.signal(1000);
     let (mut now, mut times, mut verdicts) = (1000, Vec::new(), Vec::new());
     loop {
-        match reloads.next_step(now) {
+        match scheduler.next_step(now) {
             Step::Read(id) => {
                 times.push(now - 1000);
-                verdicts.push(end_read(&mut reloads, id, Outcome::Transient, now));
+                verdicts.push(end_read(&mut scheduler, id, Outcome::Transient, now));
             }
             Step::Wait(Some(due)) => now = due,
             Step::Wait(None) => break,
@@ -50,18 +50,18 @@
 /// later signals must.
 #[test]
 fn a_file_accepted_before_its_signal_is_counted_once() {
-    let mut reloads = Reloads::new(POLICY);
+    let mut scheduler = ReloadScheduler::new(POLICY);
     let mut reload = |now: Time, outcomes: &[Outcome]| -> Vec<Verdict> {
-        reloads.signal(now);
+        scheduler.signal(now);
         let mut run_read = |outcome: &Outcome| {
-            let (id, at) = begin_read(&mut reloads, now);
-            end_read(&mut reloads, id, *outcome, at)
+            let (id, at) = begin_read(&mut scheduler, now);
+            end_read(&mut scheduler, id, *outcome, at)
         };
         outcomes.iter().map(&mut run_read).collect()
     };
     let accepted_by_retry = [Outcome::Transient, Outcome::Changed];
     assert_eq!(reload(0, &accepted_by_retry), [Verdict::Rejected, Verdict::Accepted]);
-    assert_eq!(reload(100, &[Outcome::Unchanged]), [Verdict::AcceptedBefore]);
+    assert_eq!(reload(100, &[Outcome::Unchanged]), [Verdict::AlreadyAccepted]);
     assert_eq!(reload(200, &[Outcome::Unchanged]), [Verdict::Accepted]);
     // The next signal is for another file, or arrives long after the retry.
     assert_eq!(reload(300, &accepted_by_retry), [Verdict::Rejected, Verdict::Accepted]);
@@ -74,41 +74,41 @@
 /// The result of the hung read is discarded.
 #[test]
 fn a_newer_signal_ends_a_pause_at_once_and_a_hung_read_after_the_time_limit() {
-    let mut reloads = Reloads::new(POLICY);
-    reloads.signal(0);
-    let (first, _) = begin_read(&mut reloads, 0);
-    end_read(&mut reloads, first, Outcome::Transient, 0);
-    assert_eq!(reloads.next_step(10), Step::Wait(Some(50)));
-    reloads.signal(10);
-    let hung = begin_read(&mut reloads, 10);
+    let mut scheduler = ReloadScheduler::new(POLICY);
+    scheduler.signal(0);
+    let (first, _) = begin_read(&mut scheduler, 0);
+    end_read(&mut scheduler, first, Outcome::Transient, 0);
+    assert_eq!(scheduler.next_step(10), Step::Wait(Some(50)));
+    scheduler.signal(10);
+    let hung = begin_read(&mut scheduler, 10);
     assert_eq!(hung.1, 10);
-    reloads.signal(300);
-    reloads.signal(900);
-    assert_eq!(reloads.next_step(1000), Step::Wait(Some(1800)));
-    assert_eq!(reloads.next_step(1800), Step::Abandon(Verdict::Rejected));
-    let (second, at) = begin_read(&mut reloads, 1800);
+    scheduler.signal(300);
+    scheduler.signal(900);
+    assert_eq!(scheduler.next_step(1000), Step::Wait(Some(1800)));
+    assert_eq!(scheduler.next_step(1800), Step::Abandon(Verdict::Rejected));
+    let (second, at) = begin_read(&mut scheduler, 1800);
     assert_eq!(at, 1800);
-    assert!(reloads.returned(hung.0).is_none());
-    assert_eq!(end_read(&mut reloads, second, Outcome::Changed, 1801), Verdict::Accepted);
-    assert_eq!(reloads.next_step(1801), Step::Wait(None));
+    assert!(scheduler.complete_read(hung.0).is_none());
+    assert_eq!(end_read(&mut scheduler, second, Outcome::Changed, 1801), Verdict::Accepted);
+    assert_eq!(scheduler.next_step(1801), Step::Wait(None));
 }
 
 /// Each hung read holds a thread, so their number is limited. At the limit, a signal waits until one of them ends.
 #[test]
 fn hung_reads_are_abandoned_up_to_a_limit() {
-    let mut reloads = Reloads::new(POLICY);
+    let mut scheduler = ReloadScheduler::new(POLICY);
     let mut hung = Vec::new();
     for round in 0..3 {
-        reloads.signal(round * 2000);
+        scheduler.signal(round * 2000);
         if round > 0 {
-            assert_eq!(reloads.next_step(round * 2000 + 1500), Step::Abandon(Verdict::Rejected));
+            assert_eq!(scheduler.next_step(round * 2000 + 1500), Step::Abandon(Verdict::Rejected));
         }
-        hung.push(begin_read(&mut reloads, round * 2000 + 1500).0);
+        hung.push(begin_read(&mut scheduler, round * 2000 + 1500).0);
     }
-    reloads.signal(9000);
-    assert_eq!(reloads.next_step(20_000), Step::Wait(None));
-    assert!(reloads.returned(hung[0]).is_none());
-    assert_eq!(reloads.next_step(20_000), Step::Abandon(Verdict::Rejected));
+    scheduler.signal(9000);
+    assert_eq!(scheduler.next_step(20_000), Step::Wait(None));
+    assert!(scheduler.complete_read(hung[0]).is_none());
+    assert_eq!(scheduler.next_step(20_000), Step::Abandon(Verdict::Rejected));
 }
 
 /// A limit on the steps until the reloads are idle, above the number that they can need.
@@ -141,7 +141,7 @@
     ]
 }
 
-/// A small model of the reloads, updated from their steps and results.
+/// A small model of the scheduler, updated from its steps and results.
 #[derive(Default)]
 struct Model {
     /// Reads that have not ended, including abandoned ones.
@@ -160,9 +160,9 @@
 
 impl Model {
     /// Executes all steps that are due.
-    fn execute_steps(&mut self, reloads: &mut Reloads, now: Time) -> Result<(), TestCaseError> {
+    fn execute_steps(&mut self, scheduler: &mut ReloadScheduler, now: Time) -> Result<(), TestCaseError> {
         loop {
-            match reloads.next_step(now) {
+            match scheduler.next_step(now) {
                 Step::Read(id) => {
                     prop_assert!(self.current.is_none(), "two reads are in progress");
                     let first = self.unread.take().is_some();
@@ -182,7 +182,7 @@
                     );
                 }
                 Step::Abandon(verdict) => {
-                    prop_assert!(self.unread.is_some_and(|at| now >= at + POLICY.abandon_after));
+                    prop_assert!(self.unread.is_some_and(|at| now >= at + POLICY.read_timeout));
                     let (_, first) = self.current.take().expect("a read is in progress");
                     let expected = if first { Verdict::Rejected } else { Verdict::RetriesEnded };
                     prop_assert_eq!(verdict, expected);
@@ -208,29 +208,29 @@
 
     fn end(
         &mut self,
-        reloads: &mut Reloads,
+        scheduler: &mut ReloadScheduler,
         id: ReadId,
         outcome: Outcome,
         now: Time,
     ) -> Result<(), TestCaseError> {
         self.running.retain(|r| *r != id);
-        let Some(returned) = reloads.returned(id) else {
+        let Some(read) = scheduler.complete_read(id) else {
             prop_assert!(self.current.is_none_or(|(current, _)| current != id), "a result was discarded");
             return Ok(());
         };
         let (current, first) = self.current.take().expect("a read is in progress");
         prop_assert_eq!(current, id, "the result of an abandoned read was used");
         self.result = Some(outcome);
-        let verdict = reloads.ended(returned, outcome, now);
+        let verdict = scheduler.evaluate(read, outcome, now);
         let is_accepted = matches!(outcome, Outcome::Changed | Outcome::Unchanged);
         match verdict {
             Verdict::Accepted => self.accepted += 1,
-            Verdict::AcceptedBefore => prop_assert!(first && outcome == Outcome::Unchanged),
+            Verdict::AlreadyAccepted => prop_assert!(first && outcome == Outcome::Unchanged),
             Verdict::Rejected => self.rejected += 1,
             Verdict::WillRetry => prop_assert!(!first && outcome == Outcome::Transient),
             Verdict::RetriesEnded => prop_assert!(!first),
         }
-        prop_assert_eq!(is_accepted, matches!(verdict, Verdict::Accepted | Verdict::AcceptedBefore));
+        prop_assert_eq!(is_accepted, matches!(verdict, Verdict::Accepted | Verdict::AlreadyAccepted));
         prop_assert_eq!(first && !is_accepted, verdict == Verdict::Rejected);
         prop_assert!(self.rejected <= self.signals);
         Ok(())
@@ -245,47 +245,47 @@
     /// the one in use at the end.
     #[test]
     fn each_signal_causes_a_read_and_the_last_file_is_used(actions in proptest::collection::vec(actions(), 0..60)) {
-        let (mut reloads, mut model, mut now) = (Reloads::new(POLICY), Model::default(), 0);
+        let (mut scheduler, mut model, mut now) = (ReloadScheduler::new(POLICY), Model::default(), 0);
         for action in actions {
             match action {
                 Action::Signal => {
-                    reloads.signal(now);
+                    scheduler.signal(now);
                     model.signals += 1;
                     model.last_signal = now;
                     model.unread = model.unread.or(Some(now));
                 }
                 Action::End(index, outcome) => {
                     if let Some(&id) = model.running.iter().rev().nth(index) {
-                        model.end(&mut reloads, id, outcome, now)?;
+                        model.end(&mut scheduler, id, outcome, now)?;
                     }
                 }
                 Action::PassTime(span) => {
                     // The time stops at the next due step, so that no step is late.
-                    now = match reloads.next_step(now) {
+                    now = match scheduler.next_step(now) {
                         Step::Wait(Some(until)) => until.min(now + span),
                         _ => now + span,
                     };
                 }
             }
-            model.execute_steps(&mut reloads, now)?;
+            model.execute_steps(&mut scheduler, now)?;
         }
         // From here on each read fails transiently, and the reloads must become idle before the window ends.
         let begun = now;
         for step in 0.. {
             prop_assert!(step < MAX_STEPS, "the reloads do not become idle");
             if let Some(&id) = model.running.first() {
-                model.end(&mut reloads, id, Outcome::Transient, now)?;
-                model.execute_steps(&mut reloads, now)?;
+                model.end(&mut scheduler, id, Outcome::Transient, now)?;
+                model.execute_steps(&mut scheduler, now)?;
                 continue;
             }
-            match reloads.next_step(now) {
+            match scheduler.next_step(now) {
                 Step::Wait(Some(until)) => now = until,
                 step => {
                     prop_assert_eq!(step, Step::Wait(None));
                     break;
                 }
             }
-            model.execute_steps(&mut reloads, now)?;
+            model.execute_steps(&mut scheduler, now)?;
         }
         prop_assert!(model.unread.is_none() && model.current.is_none());
         prop_assert!(now <= begun.max(model.last_signal + POLICY.window));
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -11,7 +11,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use curlewdeck_lifecycle::reload::{Outcome, ReadId, Reloads, RetryPolicy, Returned, Step, Verdict};
+use curlewdeck_lifecycle::reload::{
+    CompletedRead, Outcome, ReadId, ReloadScheduler, RetryPolicy, Step, Verdict,
+};
 
 use crate::config::{Config, ConfigError};
 use crate::counters::Counters;
@@ -59,13 +61,13 @@
             window: nanos(RETRY_WINDOW),
             first_pause: nanos(FIRST_BACKOFF),
             longest_pause: nanos(MAX_BACKOFF),
-            abandon_after: nanos(READ_TIMEOUT),
+            read_timeout: nanos(READ_TIMEOUT),
             max_abandoned_reads: MAX_ABANDONED_READS,
         };
         let reload_thread = ReloadThread {
             coordinator,
             file,
-            reloads: Reloads::new(policy),
+            scheduler: ReloadScheduler::new(policy),
             started: Instant::now(),
             is_reloading: false,
             events: events.clone(),
@@ -85,7 +87,7 @@
 struct ReloadThread {
     coordinator: Arc<Coordinator>,
     file: PathBuf,
-    reloads: Reloads,
+    scheduler: ReloadScheduler,
     /// The zero point of the state machine's times.
     started: Instant,
     /// A signal was received, and its reload has not ended.
@@ -122,13 +124,13 @@
     fn begin_reload(&mut self) {
         self.is_reloading = true;
         self.coordinator.reload_started();
-        self.reloads.signal(self.now());
+        self.scheduler.signal(self.now());
     }
 
     /// Executes all due steps. Returns the time of the next one, if there is one.
     fn execute_steps(&mut self) -> Option<u64> {
         loop {
-            match self.reloads.next_step(self.now()) {
+            match self.scheduler.next_step(self.now()) {
                 Step::Read(id) => self.start_read(id),
                 Step::Abandon(verdict) => {
                     let error = io::Error::new(io::ErrorKind::TimedOut, "reading takes too long");
@@ -154,13 +156,13 @@
 
     /// Applies the result of a read, unless the read was abandoned.
     fn read_ended(&mut self, id: ReadId, result: ReadResult) {
-        if let Some(returned) = self.reloads.returned(id) {
-            self.apply(returned, result);
+        if let Some(read) = self.scheduler.complete_read(id) {
+            self.apply(read, result);
         }
     }
 
     /// Applies a configuration that was read, and counts and logs the outcome.
-    fn apply(&mut self, returned: Returned, result: ReadResult) {
+    fn apply(&mut self, read: CompletedRead, result: ReadResult) {
         let result = result.and_then(|config| self.coordinator.apply_config(config));
         let outcome = match &result {
             Ok(ConfigChange::Changed) => Outcome::Changed,
@@ -168,7 +170,7 @@
             Err(error) if error.is_transient() => Outcome::Transient,
             Err(_) => Outcome::Permanent,
         };
-        let verdict = self.reloads.ended(returned, outcome, self.now());
+        let verdict = self.scheduler.evaluate(read, outcome, self.now());
         match result {
             Ok(_) if verdict == Verdict::Accepted => {
                 Counters::add(&self.coordinator.core.counters.reloads_applied)
@@ -189,7 +191,7 @@
             Verdict::RetriesEnded => {
                 log::warn!(file:% = file, error:% = error; "configuration still unusable after retries");
             }
-            Verdict::WillRetry | Verdict::Accepted | Verdict::AcceptedBefore => {}
+            Verdict::WillRetry | Verdict::Accepted | Verdict::AlreadyAccepted => {}
         }
     }
 
