--- a/src/control.rs
+++ b/src/control.rs
@@ -189,7 +189,10 @@
             Ok(0) => return Ok(None),
             Ok(count) => requests.push(&buffer[..count]),
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                return Ok(Some((Reply::text(http::TOO_SLOW.status, http::TOO_SLOW.reason), false)));
+                return Ok(Some((
+                    Reply::text(http::REQUEST_TIMEOUT.status, http::REQUEST_TIMEOUT.reason),
+                    false,
+                )));
             }
             Err(e) => return Err(e),
         }
--- a/src/frontend/aggregation/wire.rs
+++ b/src/frontend/aggregation/wire.rs
@@ -43,7 +43,7 @@
 
 /// The reply to a request with an invalid field. `field` is the path of the field, or empty for the entire body.
 pub(super) fn invalid_field(field: &str, detail: &str) -> Reply {
-    let title = http::reason(400);
+    let title = http::reason_phrase(400);
     let body =
         json!({"type": "about:blank", "title": title, "status": 400, "detail": detail, "field": field});
     Reply {
--- a/src/frontend/http_server/reader.rs
+++ b/src/frontend/http_server/reader.rs
@@ -171,7 +171,7 @@
             self.request_began.map(|began| limits.request_read_timeout.saturating_sub(began.elapsed()));
         if left.is_some_and(|left| left.is_zero()) {
             if self.requests.has_partial_request() {
-                return Flow::Break(self.reject_malformed(http::TOO_SLOW));
+                return Flow::Break(self.reject_malformed(http::REQUEST_TIMEOUT));
             }
             if self.end_connection() {
                 return Flow::Break(FINISHED);
--- a/src/frontend/problem.rs
+++ b/src/frontend/problem.rs
@@ -20,8 +20,7 @@
 
 /// Creates a reply with a problem document (RFC 9457).
 pub fn problem(status: u16, detail: &str) -> Reply {
-    let body =
-        json!({"type": "about:blank", "title": http::reason(status), "status": status, "detail": detail});
+    let body = json!({"type": "about:blank", "title": http::reason_phrase(status), "status": status, "detail": detail});
     Reply {
         status,
         content_type: PROBLEM_MEDIA_TYPE,
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -12,7 +12,7 @@
 use crate::limits::Limits;
 use crate::net::dial_error::is_local_shortage;
 use crate::net::endpoints::{DiscoveryUpdate, LineError, WatchEvent, WatchParser};
-use crate::net::http::{self, Chunks};
+use crate::net::http::{self, ChunkDecoder};
 use crate::net::messages::{CallError, DiscoveryMessage};
 use crate::net::pending_updates::{PendingUpdates, WatchedConnection};
 use crate::runtime::Stream;
@@ -171,7 +171,7 @@
         head: &http::Head,
         mut received: Vec<u8>,
     ) -> Result<(), CallError> {
-        let (mut chunks, mut parser) = (Chunks::default(), WatchParser::default());
+        let (mut chunks, mut parser) = (ChunkDecoder::default(), WatchParser::default());
         let max_bytes = self.limits.max_update_bytes;
         loop {
             if head.is_chunked() {
@@ -184,7 +184,7 @@
             if chunks.is_done() {
                 return Ok(());
             }
-            let within_line = parser.is_within_object() || chunks.within_chunk();
+            let within_line = parser.is_within_object() || chunks.has_partial_chunk();
             match connection.read(&mut received) {
                 Ok(true) => {}
                 Ok(false) if within_line => return Err(truncated(CONNECTION_CLOSED)),
--- a/src/net/http/chunked.rs
+++ b/src/net/http/chunked.rs
@@ -7,7 +7,7 @@
 
 /// An incremental decoder of a chunked body.
 #[derive(Debug, Default)]
-pub struct Chunks {
+pub struct ChunkDecoder {
     state: State,
     /// The incomplete line between chunks.
     line: Vec<u8>,
@@ -29,14 +29,14 @@
     Done,
 }
 
-impl Chunks {
+impl ChunkDecoder {
     /// Whether the body is complete, trailer included.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
     /// Whether a chunk's data, or the line before it, is incomplete.
-    pub fn within_chunk(&self) -> bool {
+    pub fn has_partial_chunk(&self) -> bool {
         matches!(self.state, State::Data(_)) || self.state == State::Size && !self.line.is_empty()
     }
 
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -7,11 +7,11 @@
 mod response;
 mod response_head;
 
-pub use chunked::Chunks;
+pub use chunked::ChunkDecoder;
 pub use headers::Headers;
 pub use percent::{decode, encode};
 pub use request::{Request, RequestReader};
-pub use response::{chunk, chunked_head, reason, response, LAST_CHUNK};
+pub use response::{chunk, chunked_head, reason_phrase, response, LAST_CHUNK};
 pub use response_head::{parse_head, Head};
 
 /// Why a message is rejected, with the status of the response to it.
@@ -34,7 +34,7 @@
 const HEADERS_TOO_LARGE: BadMessage = BadMessage::new(431, "header too large");
 const UNKNOWN_TRANSFER_CODING: BadMessage = BadMessage::new(501, "transfer coding not known");
 /// The request was not received completely before its timeout.
-pub const TOO_SLOW: BadMessage = BadMessage::new(408, "the request did not come whole in time");
+pub const REQUEST_TIMEOUT: BadMessage = BadMessage::new(408, "the request did not come whole in time");
 
 #[cfg(test)]
 mod tests;
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -1,6 +1,6 @@
 //! Incremental parsing of requests.
 
-use super::chunked::Chunks;
+use super::chunked::ChunkDecoder;
 use super::headers::Framing;
 use super::{BadMessage, Headers, BODY_TOO_LARGE, HEADERS_TOO_LARGE, MALFORMED};
 use crate::limits::Limits;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 enum Body {
     Length(usize),
-    Chunked(Chunks),
+    Chunked(ChunkDecoder),
 }
 
 /// A parsed head, with an empty body in its request.
@@ -115,7 +115,7 @@
         let body = match head.framing {
             Framing::Length(length) if length > limits.max_body_bytes => return Err(BODY_TOO_LARGE),
             Framing::Length(length) => Body::Length(length),
-            Framing::Chunked => Body::Chunked(Chunks::default()),
+            Framing::Chunked => Body::Chunked(ChunkDecoder::default()),
             Framing::None | Framing::UntilEnd => Body::Length(0),
         };
         self.buffer.drain(..head.size);
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -1,7 +1,7 @@
 //! Encoding of responses.
 
 /// Returns the reason phrase of a status; `Error` if the status is unknown.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -27,7 +27,7 @@
     format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nTransfer-Encoding: chunked\r\n\
          Connection: {connection}\r\n{extra_headers}\r\n",
-        reason(status)
+        reason_phrase(status)
     )
     .into_bytes()
 }
@@ -59,7 +59,7 @@
     let line = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n\
          Connection: {connection}\r\n{extra_headers}\r\n",
-        reason(status),
+        reason_phrase(status),
         body.len()
     );
     let mut bytes = line.into_bytes();
--- a/src/net/http/response_head.rs
+++ b/src/net/http/response_head.rs
@@ -1,6 +1,6 @@
 //! Parsing of response heads and bodies.
 
-use super::chunked::Chunks;
+use super::chunked::ChunkDecoder;
 use super::headers::Framing;
 use super::{BadMessage, Headers, BODY_TOO_LARGE, MALFORMED};
 use crate::limits::Limits;
@@ -54,7 +54,7 @@
             Framing::Length(length) if length > max_bytes => Err(BODY_TOO_LARGE),
             Framing::Length(length) => Ok(bytes.get(..length).map(|body| (body.to_vec(), length))),
             Framing::Chunked => {
-                let (mut chunks, mut body) = (Chunks::default(), Vec::new());
+                let (mut chunks, mut body) = (ChunkDecoder::default(), Vec::new());
                 let used = chunks.decode(bytes, &mut body, max_bytes)?;
                 Ok(chunks.is_done().then_some((body, used)))
             }
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -81,7 +81,7 @@
     fn parsing_any_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = parsed(&bytes);
         let _ = parse_head(&bytes, &Limits::default());
-        let _ = Chunks::default().decode(&bytes, &mut Vec::new(), 64);
+        let _ = ChunkDecoder::default().decode(&bytes, &mut Vec::new(), 64);
     }
 
     /// The parsed requests are the same however the input is split, and with empty lines before each request.
@@ -110,7 +110,7 @@
     #[test]
     fn chunks_do_not_depend_on_how_the_input_is_split(cuts in proptest::collection::vec(1..9usize, 0..40)) {
         let mut rest = &b"3\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\n\r\n"[..];
-        let (mut chunks, mut out) = (Chunks::default(), Vec::new());
+        let (mut chunks, mut out) = (ChunkDecoder::default(), Vec::new());
         for cut in cuts.into_iter().chain([64]) {
             let piece = &rest[..cut.min(rest.len())];
             prop_assert_eq!(chunks.decode(piece, &mut out, 64), Ok(piece.len()));
