--- a/src/frontend/accept.rs
+++ b/src/frontend/accept.rs
@@ -24,7 +24,7 @@
 
     /// Records an error at `now`. Returns how long to wait before the next attempt.
     pub fn record(&mut self, now: Nanos, error: &Error) -> Duration {
-        if let Some(occurrences) = self.log.occurred(now) {
+        if let Some(occurrences) = self.log.record(now) {
             log::warn!(listener = self.listener, error:% = error, occurrences = occurrences; "accept failed");
         }
         retry_pause(error)
--- a/src/frontend/accept/tests.rs
+++ b/src/frontend/accept/tests.rs
@@ -48,7 +48,7 @@
     let mut errors = AcceptErrors::new("front", 10 * SECOND);
     let no_descriptor = Error::from_raw_os_error(TOO_MANY_OPEN);
     let lines = (0..1000).filter(|&n| {
-        let due = errors.log.occurred(n * SECOND / 100).is_some();
+        let due = errors.log.record(n * SECOND / 100).is_some();
         assert_eq!(retry_pause(&no_descriptor), RESOURCE_RETRY_PAUSE);
         due
     });
--- a/src/frontend/http_server/service.rs
+++ b/src/frontend/http_server/service.rs
@@ -106,7 +106,7 @@
     /// disconnects since the last one.
     pub(super) fn record_unanswered_disconnect(&self) -> Option<u64> {
         let now = self.now();
-        lock(&self.unanswered_log).occurred(now)
+        lock(&self.unanswered_log).record(now)
     }
 }
 
--- a/src/net/discovery/call_log.rs
+++ b/src/net/discovery/call_log.rs
@@ -62,7 +62,7 @@
 
     /// Logs that a call starts while a watch is open, either to verify the watch or because it is silent.
     pub(super) fn started_during_watch(&mut self, call: CallId, now: Nanos) {
-        if let Some(failures) = self.failures.occurred(now) {
+        if let Some(failures) = self.failures.record(now) {
             log::warn!(
                 call = call.0, failures_since_last_line = failures;
                 "discovery call started while a watch is open"
@@ -100,7 +100,7 @@
 
     /// Logs a failed call, unless a line was logged within the interval.
     fn failed(&mut self, call: CallId, open: Option<OpenCall>, reason: &str, now: Nanos) {
-        let (Some(failures), Some(open)) = (self.failures.occurred(now), open) else { return };
+        let (Some(failures), Some(open)) = (self.failures.record(now), open) else { return };
         log::warn!(
             call = call.0,
             request:? = open.request,
--- a/src/net/discovery/lease_log.rs
+++ b/src/net/discovery/lease_log.rs
@@ -21,7 +21,7 @@
 
     /// Logs that a failed call has extended the lease: discovery has been unreachable since its last message.
     pub(super) fn extended(&mut self, end: Nanos, now: Nanos) {
-        if let Some(extensions) = self.extensions.occurred(now) {
+        if let Some(extensions) = self.extensions.record(now) {
             log::info!(
                 left_ms = end.saturating_sub(now) / NANOS_PER_MS, extensions_since_last_line = extensions;
                 "endpoint list lease extended while discovery is unreachable"
--- a/src/net/discovery/update_log.rs
+++ b/src/net/discovery/update_log.rs
@@ -27,7 +27,7 @@
 
     /// Logs an applied update: the number of endpoints in each state, and the first names of those not in service.
     pub(super) fn applied(&mut self, version: u64, update: &Update<ListedEndpoint>, now: Nanos) {
-        let Some(updates) = self.applied.occurred(now) else { return };
+        let Some(updates) = self.applied.record(now) else { return };
         log::info!(
             version = version,
             kind = if update.complete { "snapshot" } else { "change" },
@@ -45,7 +45,7 @@
     pub(super) fn unreadable_lines(&mut self, update: &DiscoveryUpdate, now: Nanos) {
         let mut due = None;
         for error in update.unreadable_lines() {
-            due = self.unreadable_lines.occurred(now).map(|times| (times, error)).or(due);
+            due = self.unreadable_lines.record(now).map(|times| (times, error)).or(due);
         }
         if let Some((times, error)) = due {
             log::warn!(error:% = error, lines_since_last_line = times; "endpoint list has an unreadable line");
--- a/src/net/log_limit.rs
+++ b/src/net/log_limit.rs
@@ -20,13 +20,13 @@
     }
 
     /// Counts one occurrence. Returns the number of occurrences to report now, if a line is due.
-    pub fn occurred(&mut self, now: Nanos) -> Option<u64> {
+    pub fn record(&mut self, now: Nanos) -> Option<u64> {
         self.suppressed += 1;
-        self.due(now)
+        self.take_due(now)
     }
 
     /// Returns the number of suppressed occurrences to report now, if there are any and a line is due.
-    pub fn due(&mut self, now: Nanos) -> Option<u64> {
+    pub fn take_due(&mut self, now: Nanos) -> Option<u64> {
         let too_early = self.last_line_at.is_some_and(|last| now.saturating_sub(last) < self.interval);
         if too_early || self.suppressed == 0 {
             return None;
--- a/src/net/log_limit/tests.rs
+++ b/src/net/log_limit/tests.rs
@@ -8,13 +8,13 @@
 #[test]
 fn the_first_occurrence_is_reported_immediately_and_the_rest_together() {
     let mut limit = LogRateLimit::new(INTERVAL);
-    assert_eq!(limit.due(5), None);
-    assert_eq!(limit.occurred(5), Some(1));
-    assert!((0..953).all(|_| limit.occurred(5).is_none()));
-    assert_eq!(limit.due(5 + INTERVAL - 1), None);
-    assert_eq!(limit.due(5 + INTERVAL), Some(953));
-    assert_eq!(limit.due(5 + 2 * INTERVAL), None);
-    assert_eq!(limit.occurred(5 + 2 * INTERVAL), Some(1));
+    assert_eq!(limit.take_due(5), None);
+    assert_eq!(limit.record(5), Some(1));
+    assert!((0..953).all(|_| limit.record(5).is_none()));
+    assert_eq!(limit.take_due(5 + INTERVAL - 1), None);
+    assert_eq!(limit.take_due(5 + INTERVAL), Some(953));
+    assert_eq!(limit.take_due(5 + 2 * INTERVAL), None);
+    assert_eq!(limit.record(5 + 2 * INTERVAL), Some(1));
 }
 
 proptest! {
@@ -30,13 +30,13 @@
         for (occurs, wait) in steps {
             now += wait;
             occurred += u64::from(occurs);
-            let line = if occurs { limit.occurred(now) } else { limit.due(now) };
+            let line = if occurs { limit.record(now) } else { limit.take_due(now) };
             if let Some(count) = line {
                 reported += count;
                 lines.push(now);
             }
         }
-        reported += limit.due(now + INTERVAL).unwrap_or(0);
+        reported += limit.take_due(now + INTERVAL).unwrap_or(0);
         prop_assert_eq!(reported, occurred);
         prop_assert!(lines.windows(2).all(|pair| pair[1] - pair[0] >= INTERVAL), "{:?}", lines);
     }
--- a/src/net/node/actor.rs
+++ b/src/net/node/actor.rs
@@ -64,7 +64,7 @@
                 Ok(message) => self.handle_message(message),
                 Err(RecvTimeoutError::Timeout) => {
                     self.step(Input::Tick);
-                    self.log_no_socket(LogRateLimit::due);
+                    self.log_no_socket(LogRateLimit::take_due);
                 }
                 Err(RecvTimeoutError::Disconnected) => break,
             }
@@ -182,7 +182,7 @@
     fn connect(&mut self, id: ConnectionId) -> bool {
         let permit = self.context.permits.take();
         let (Some(address), Some(permit)) = (self.address, permit) else {
-            self.log_no_socket(LogRateLimit::occurred);
+            self.log_no_socket(LogRateLimit::record);
             return false;
         };
         Counters::add(&self.context.counters.dials);
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -55,9 +55,9 @@
     (0..PARTS).for_each(|id| mailbox.send(NodeMessage::Call(vec![part(id)])).unwrap());
     mailbox.send(NodeMessage::Remove).unwrap();
     // No further line is due after this one, so the limit counts the tries.
-    lock(&no_socket_log).occurred(0);
+    lock(&no_socket_log).record(0);
     node.run(&inbox);
-    assert_eq!(lock(&no_socket_log).due(Nanos::MAX), Some(1));
+    assert_eq!(lock(&no_socket_log).take_due(Nanos::MAX), Some(1));
     for id in 0..PARTS {
         let Ok(CoreMessage::AttemptEnded { attempt, outcome, value }) = core_inbox.try_recv() else {
             panic!("attempt {id} did not end")
