--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -162,7 +162,7 @@
     /// The number of partition groups, of groups per shard or of parts per call is zero.
     InvalidLayout(&'static str),
     /// Another value is out of range.
-    InvalidFigure(&'static str),
+    InvalidValue(&'static str),
 }
 
 impl fmt::Display for SettingsError {
@@ -171,7 +171,7 @@
             Self::NoClasses => write!(f, "classes must not be empty"),
             Self::InvalidClass(class, reason) => write!(f, "class {}: {reason}", class.0),
             Self::InvalidLayout(reason) => write!(f, "layout: {reason}"),
-            Self::InvalidFigure(reason) => write!(f, "{reason}"),
+            Self::InvalidValue(reason) => write!(f, "{reason}"),
         }
     }
 }
@@ -262,7 +262,7 @@
             ),
         ];
         match checks.iter().find(|check| !check.0) {
-            Some(check) => Err(SettingsError::InvalidFigure(check.1)),
+            Some(check) => Err(SettingsError::InvalidValue(check.1)),
             None => Ok(()),
         }
     }
--- a/crates/core/tests/invalid_input.rs
+++ b/crates/core/tests/invalid_input.rs
@@ -25,7 +25,7 @@
 #[test]
 fn settings_out_of_range_are_errors_and_unknown_ids_are_ignored() {
     let bad = Policy::new(Settings { zones: u32::MAX, ..settings() }, 1);
-    assert!(matches!(bad, Err(SettingsError::InvalidFigure(what)) if what.contains("zones")));
+    assert!(matches!(bad, Err(SettingsError::InvalidValue(what)) if what.contains("zones")));
     let mut harness = harness_with_zones(settings(), &[0, 9, 4_000_000]);
     let served = serve(&mut harness, 9, 0, |_| false);
     assert_eq!(served.len(), 9, "a zone out of range counts as unknown");
