--- a/crates/core/src/api/settings.rs
+++ b/crates/core/src/api/settings.rs
@@ -105,7 +105,7 @@
     pub overload_duration: Nanos,
     /// Number of processes that may serve at once as one coordinator and share its allowance for a server in slow
     /// start.
-    pub processes: u32,
+    pub processes_per_coordinator: u32,
 }
 
 /// The settings of one instance of the policy.
@@ -187,7 +187,7 @@
 
     /// Number of processes, over all coordinators, that share a server's slow start allowance.
     pub fn slow_start_processes(&self) -> f64 {
-        f64::from(self.coordinators) * f64::from(self.slow_start.processes)
+        f64::from(self.coordinators) * f64::from(self.slow_start.processes_per_coordinator)
     }
 
     /// The shortest latency objective of the classes that are not retired.
@@ -209,7 +209,7 @@
     /// ones are retired. An index is never reused, so each query keeps the rules that it arrived under. The layout,
     /// zones, tenants and discovery mode change only with a restart. `names` are the class names: those of `before`,
     /// then those of `self`.
-    pub fn carried_over_from(self, before: &Self, names: (&[String], &[String])) -> (Self, Vec<String>) {
+    pub fn merged_with_previous(self, before: &Self, names: (&[String], &[String])) -> (Self, Vec<String>) {
         let (mut classes, mut class_names) = (before.classes.clone(), names.0.to_vec());
         classes.iter_mut().for_each(|c| c.retired = true);
         for (class, name) in self.classes.into_iter().zip(names.1) {
--- a/crates/core/src/engine/mod.rs
+++ b/crates/core/src/engine/mod.rs
@@ -104,7 +104,7 @@
 
     /// Replaces the settings and returns those in force. Open queries keep the rules under which they were submitted.
     pub fn update_settings(&mut self, deployment: Deployment) -> &Deployment {
-        self.deployment = deployment.carried_over_from(&self.deployment);
+        self.deployment = deployment.merged_with_previous(&self.deployment);
         self.policy.update_settings(self.deployment.settings.clone());
         &self.deployment
     }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -167,7 +167,7 @@
     }
 
     /// Replaces the settings; the current classes must keep their indices, see
-    /// [`Settings::carried_over_from`].
+    /// [`Settings::merged_with_previous`].
     pub fn update_settings(&mut self, settings: Settings) {
         let classes = settings.classes.len();
         let longest_objective = settings.longest_latency_objective();
--- a/crates/core/src/settings/mod.rs
+++ b/crates/core/src/settings/mod.rs
@@ -73,17 +73,17 @@
     /// Sets the number of other processes that may serve at once as the same coordinator. They share its allowance for
     /// servers in slow start. Other limits are not shared: where those limit traffic, the processes split it anyway.
     #[must_use]
-    pub fn sharing_with(mut self, others: u32) -> Self {
-        self.settings.slow_start.processes = others.saturating_add(1);
+    pub fn with_sibling_processes(mut self, others: u32) -> Self {
+        self.settings.slow_start.processes_per_coordinator = others.saturating_add(1);
         self
     }
 
     /// Merges these settings with `before`, which they replace while queries are open: see
-    /// [`Settings::carried_over_from`].
+    /// [`Settings::merged_with_previous`].
     #[must_use]
-    pub fn carried_over_from(self, before: &Self) -> Self {
+    pub fn merged_with_previous(self, before: &Self) -> Self {
         let names = (&before.class_names[..], &self.class_names[..]);
-        let (settings, class_names) = self.settings.carried_over_from(&before.settings, names);
+        let (settings, class_names) = self.settings.merged_with_previous(&before.settings, names);
         Self { settings, class_names, ..before.clone() }
     }
 }
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -24,10 +24,10 @@
 /// Two processes that serve as one coordinator overload a data node in slow start if each uses the full allowance.
 #[test]
 fn processes_of_one_coordinator_share_the_slow_start_allowance() {
-    let (single, shared) = (deployment(&[(0, 0)]), deployment(&[(0, 0)]).sharing_with(1));
+    let (single, shared) = (deployment(&[(0, 0)]), deployment(&[(0, 0)]).with_sibling_processes(1));
     assert_eq!((single.settings.slow_start_processes(), shared.settings.slow_start_processes()), (1.0, 2.0));
     assert_eq!(
-        shared.carried_over_from(&single).settings.slow_start_processes(),
+        shared.merged_with_previous(&single).settings.slow_start_processes(),
         2.0,
         "kept when settings change"
     );
@@ -88,7 +88,7 @@
         for update in updates {
             let wanted = deployment(&update.into_iter().collect::<Vec<_>>());
             let next = match &now {
-                Some(before) => wanted.clone().carried_over_from(before),
+                Some(before) => wanted.clone().merged_with_previous(before),
                 None => wanted.clone(),
             };
             prop_assert!(next.settings.check().is_ok());
--- a/crates/core/src/settings/wire.rs
+++ b/crates/core/src/settings/wire.rs
@@ -248,7 +248,7 @@
             warm_up_duration: self.cold_ns,
             overload_multiple: self.tip_multiple,
             overload_duration: self.fall_ns,
-            processes: 1,
+            processes_per_coordinator: 1,
         }
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -52,7 +52,7 @@
             warm_up_duration: 16_000 * MS,
             overload_multiple: 2.0,
             overload_duration: 2000 * MS,
-            processes: 1,
+            processes_per_coordinator: 1,
         },
         tick: 5 * MS,
         zones: 0,
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -84,7 +84,7 @@
             self.send_to_discovery(DiscoveryMessage::AddressChanged(config.discovery_in_file));
         }
         if applied.document[SETTINGS_KEY] != config.document[SETTINGS_KEY] {
-            self.core.update_settings(config.deployment.clone().sharing_with(self.other_processes));
+            self.core.update_settings(config.deployment.clone().with_sibling_processes(self.other_processes));
         }
         let change =
             if applied.document == config.document { ConfigChange::Unchanged } else { ConfigChange::Changed };
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -108,7 +108,7 @@
             limits: Arc::new(Limits::within(config.platform(other_processes as usize))?),
             clock: Clock::start(),
             counters: Arc::default(),
-            deployment: Arc::new(config.deployment.clone().sharing_with(other_processes)),
+            deployment: Arc::new(config.deployment.clone().with_sibling_processes(other_processes)),
         })
     }
 
