--- a/crates/core/src/engine/tests.rs
+++ b/crates/core/src/engine/tests.rs
@@ -31,7 +31,7 @@
         class("b"),
         class("c")
     );
-    settings::read(&text).unwrap()
+    settings::parse(&text).unwrap()
 }
 
 fn endpoint(n: u32, state: EndpointState) -> Endpoint {
--- a/crates/core/src/policy/tests.rs
+++ b/crates/core/src/policy/tests.rs
@@ -17,7 +17,7 @@
         "may_duplicate":true}},"rules":{{"cold_ns":1000000000,"cold_share":0.2,"fall_ns":1000000000,
         "must_ask_in_ns":1000000000,"tip_multiple":2}},"tick_ns":5000000,"zones":["a"]}}"#
     );
-    settings::read(&text).unwrap().settings
+    settings::parse(&text).unwrap().settings
 }
 
 /// The attempts must be counted over the new, longer window: steady traffic looks low if the count still
--- a/crates/core/src/settings/mod.rs
+++ b/crates/core/src/settings/mod.rs
@@ -29,11 +29,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Connections {
     /// Data nodes close a connection once it has been idle for this long.
-    pub idle: Nanos,
+    pub idle_timeout: Nanos,
     /// A connection that is not established within this time counts as failed.
     pub connect_timeout: Nanos,
     /// Maximum number of parts in flight on one connection.
-    pub multiplex: usize,
+    pub max_parts_in_flight: usize,
 }
 
 /// Why a settings object cannot be parsed.
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Returns the first missing key, unexpected type or unknown value.
-pub fn read(text: &str) -> Result<Deployment, ReadError> {
+pub fn parse(text: &str) -> Result<Deployment, ReadError> {
     let info: wire::WireInfo = serde_json::from_str(text)?;
     info.into_deployment()
 }
--- a/crates/core/src/settings/tests.rs
+++ b/crates/core/src/settings/tests.rs
@@ -18,7 +18,7 @@
         "tip_multiple":2}},"tick_ns":5}}"#,
         classes.join(",")
     );
-    read(&text).unwrap()
+    parse(&text).unwrap()
 }
 
 /// Two processes that serve as one coordinator overload a data node in slow start if each uses the full allowance.
@@ -42,7 +42,7 @@
         "limits":{"max_attempts":3,"max_open":60},"rules":{"cold_ns":1,"cold_share":0.2,"fall_ns":1,
         "tip_multiple":2},"tick_ns":5}"#;
     let value: serde_json::Value = serde_json::from_str(text).unwrap();
-    let deployment = read(&serde_json::to_string_pretty(&value).unwrap()).unwrap();
+    let deployment = parse(&serde_json::to_string_pretty(&value).unwrap()).unwrap();
     assert_eq!(deployment.settings.check(), Ok(()));
     assert_eq!(
         (deployment.settings.coordinators, deployment.settings.layout.partition_groups, deployment.shards),
@@ -54,7 +54,7 @@
 /// The command line prints these texts; renaming a type of the parser changes them.
 #[test]
 fn parse_errors_have_stable_texts() {
-    let error = |text: &str| read(text).unwrap_err().to_string();
+    let error = |text: &str| parse(text).unwrap_err().to_string();
     assert_eq!(
         error("null"),
         "settings are not as expected: invalid type: null, expected struct WireInfo at line 1 column 4"
--- a/crates/core/src/settings/wire.rs
+++ b/crates/core/src/settings/wire.rs
@@ -226,9 +226,9 @@
 impl WireLimits {
     fn connections(&self) -> Connections {
         Connections {
-            idle: self.conn_idle_ns.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            idle_timeout: self.conn_idle_ns.unwrap_or(DEFAULT_IDLE_TIMEOUT),
             connect_timeout: self.connect_timeout_ns.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            multiplex: self.multiplex.unwrap_or(DEFAULT_MULTIPLEX).max(1),
+            max_parts_in_flight: self.multiplex.unwrap_or(DEFAULT_MULTIPLEX).max(1),
         }
     }
 }
--- a/src/bin/curlewdeck-simulator-adapter/host.rs
+++ b/src/bin/curlewdeck-simulator-adapter/host.rs
@@ -184,7 +184,7 @@
     fn add_coordinator(&mut self, fields: &mut Fields) -> Result<(), String> {
         let coordinator: u32 = fields.number("mixer")?;
         let salt: u64 = fields.number("salt")?;
-        let deployment = settings::read(fields.rest("info")?).map_err(|e| format!("enlist: {e}"))?;
+        let deployment = settings::parse(fields.rest("info")?).map_err(|e| format!("enlist: {e}"))?;
         let Deployment { settings, class_names, tenant_names, zone_names, .. } = deployment;
         let has_second_phase = settings.classes.iter().map(|c| c.second_phase_parts > 0).collect();
         let subscriber = Subscriber::new(&settings, salt, self.clock.unwrap_or(0));
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -149,7 +149,7 @@
 }
 
 fn read_settings(text: &str) -> Result<Deployment, ConfigError> {
-    let deployment = settings::read(text)?;
+    let deployment = settings::parse(text)?;
     deployment.settings.check()?;
     Ok(deployment)
 }
--- a/src/net/feature_node/mod.rs
+++ b/src/net/feature_node/mod.rs
@@ -169,7 +169,7 @@
 
     /// Closes idle connections that the server has closed or will close soon.
     fn close_unusable(&mut self) {
-        let idle_timeout = Duration::from_nanos(self.context.connections.idle);
+        let idle_timeout = Duration::from_nanos(self.context.connections.idle_timeout);
         let usable_for = self.context.limits.usable_idle(idle_timeout);
         self.idle.retain(|idle| idle.since.elapsed() < usable_for && !idle.stream.is_readable());
     }
--- a/src/net/node/actor.rs
+++ b/src/net/node/actor.rs
@@ -208,8 +208,8 @@
 fn pool_limits(context: &NodeContext) -> PoolLimits {
     let (connections, limits) = (&context.connections, &context.limits);
     PoolLimits {
-        parts_per_connection: connections.multiplex,
-        idle_timeout: nanos(limits.usable_idle(Duration::from_nanos(connections.idle))),
+        parts_per_connection: connections.max_parts_in_flight,
+        idle_timeout: nanos(limits.usable_idle(Duration::from_nanos(connections.idle_timeout))),
         health_check_timeout: nanos(limits.health_check_timeout),
         queued_parts: limits.queued_parts_per_node,
         closed_attempts: limits.remembered_parts,
--- a/src/net/node/tests.rs
+++ b/src/net/node/tests.rs
@@ -28,7 +28,11 @@
         core,
         limits: Arc::new(Limits { no_socket_backoff: Duration::from_secs(3600), ..Limits::default() }),
         // Each part needs a separate connection.
-        connections: Connections { idle: Nanos::MAX, connect_timeout: 60_000_000_000, multiplex: 1 },
+        connections: Connections {
+            idle_timeout: Nanos::MAX,
+            connect_timeout: 60_000_000_000,
+            max_parts_in_flight: 1,
+        },
         shortest_latency_objective: Duration::from_secs(1),
         permits: Permits::new(permits),
         no_socket_log: Arc::new(Mutex::new(LogRateLimit::new(Nanos::MAX))),
