--- a/src/frontend/aggregation/mod.rs
+++ b/src/frontend/aggregation/mod.rs
@@ -26,7 +26,7 @@
 use crate::net::http::{self, BadMessage, Request};
 use query::AggregationQuery;
 
-pub use range_cache::Memory;
+pub use range_cache::SharedRangeCache;
 
 const JSON: &str = "application/json";
 const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.1";
@@ -41,7 +41,7 @@
 pub struct AggregationFrontend {
     core: CoreHandle,
     limits: Arc<Limits>,
-    range_cache: Memory,
+    range_cache: SharedRangeCache,
     /// The keys that seal and open cursors.
     cursor_keys: Keys,
     cursor_lifetime_s: u64,
@@ -66,7 +66,7 @@
         config: &AggregationConfig,
         core: CoreHandle,
         limits: Arc<Limits>,
-        range_cache: Memory,
+        range_cache: SharedRangeCache,
         seed: u64,
     ) -> Result<Self, AggregationConfigError> {
         let classes = config.check(&core.deployment())?;
--- a/src/frontend/aggregation/range_cache.rs
+++ b/src/frontend/aggregation/range_cache.rs
@@ -10,9 +10,9 @@
 
 /// The range cache, shared with the core, which reports restarted data nodes.
 #[derive(Clone)]
-pub struct Memory(Arc<Mutex<RangeCache>>);
+pub struct SharedRangeCache(Arc<Mutex<RangeCache>>);
 
-impl Memory {
+impl SharedRangeCache {
     /// Creates an empty cache for at most `ranges` ranges.
     pub fn new(limits: &Limits, ranges: u32) -> Self {
         let bounds = CacheLimits {
@@ -24,7 +24,7 @@
     }
 
     /// Returns the callback that removes the cached values of the shards of restarted data nodes.
-    pub fn on_endpoints_started(&self) -> OnEndpointsStarted {
+    pub fn invalidation_callback(&self) -> OnEndpointsStarted {
         let cache = self.clone();
         Box::new(move |shards| {
             let mut ranges = cache.ranges();
--- a/src/frontend/aggregation/response.rs
+++ b/src/frontend/aggregation/response.rs
@@ -8,7 +8,7 @@
 use curlewdeck_merge::merger::QueryMerger;
 use curlewdeck_merge::range_cache::RangeCache;
 
-use super::{document, Memory, JSON};
+use super::{document, SharedRangeCache, JSON};
 use crate::counters::Counters;
 use crate::engine::{QueryOutcome, RejectReason};
 use crate::frontend::http_server::{Answer, Reply};
@@ -21,7 +21,7 @@
     pub(super) merger: Arc<Mutex<QueryMerger>>,
     /// The minimum coverage of an answer, as a share of 1. An answer below it is an error.
     pub(super) min_coverage: f64,
-    pub(super) range_cache: Memory,
+    pub(super) range_cache: SharedRangeCache,
     pub(super) cursor_keys: Keys,
     pub(super) cursor_lifetime_s: u64,
     pub(super) core: CoreHandle,
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -12,7 +12,7 @@
 use crate::alerts::{self, ShutdownSignal};
 use crate::config::{AggregationConfig, Config, Edge, FeaturesConfig, SnmpConfig};
 use crate::control::{self, Operations};
-use crate::frontend::aggregation::{AggregationFrontend, Memory};
+use crate::frontend::aggregation::{AggregationFrontend, SharedRangeCache};
 use crate::frontend::features::FeaturesFrontend;
 use crate::frontend::http_server::{self, Frontend, FrontendContext, Service};
 use crate::frontend::platform::Platform;
@@ -89,10 +89,10 @@
         subsystems: &mut Subsystems,
         inherited: Option<Inherited>,
     ) -> Result<StartedFrontends, StartError> {
-        let range_memory = subsystems.range_memory.take();
+        let range_cache = subsystems.range_cache.take();
         let restored = subsystems.restored.take();
         let features = self.start_features(edge.features.as_ref(), config.seed)?;
-        let aggregation = self.start_aggregation(edge.aggregation.as_ref(), range_memory, config.seed)?;
+        let aggregation = self.start_aggregation(edge.aggregation.as_ref(), range_cache, config.seed)?;
         let stopping = self.start_alerts(edge.snmp.as_ref(), config.sockets)?;
         let snmp = self.start_snmp(edge.snmp.as_ref(), subsystems.group.as_ref(), restored)?;
         let control = self.start_control(config.control)?;
@@ -111,16 +111,16 @@
         self.listen(config.listen, Arc::new(frontend)).map(Some)
     }
 
-    /// Starts the aggregation frontend with its memory of ranges. Both are `None` if its section is missing.
+    /// Starts the aggregation frontend with its range cache. Both are `None` if its section is missing.
     fn start_aggregation(
         &self,
         config: Option<&AggregationConfig>,
-        memory: Option<Memory>,
+        range_cache: Option<SharedRangeCache>,
         seed: u64,
     ) -> Result<Option<SocketAddr>, StartError> {
-        let Some((config, memory)) = config.zip(memory) else { return Ok(None) };
+        let Some((config, range_cache)) = config.zip(range_cache) else { return Ok(None) };
         let FrontendContext { core, limits, .. } = self.shared.clone();
-        let frontend = AggregationFrontend::new(config, core, limits, memory, seed)?;
+        let frontend = AggregationFrontend::new(config, core, limits, range_cache, seed)?;
         self.listen(config.listen, Arc::new(frontend)).map(Some)
     }
 
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -11,7 +11,7 @@
 use crate::config::{Config, Edge, NodeProtocol, NodesConfig, SnmpConfig};
 use crate::counters::Counters;
 use crate::engine::Engine;
-use crate::frontend::aggregation::Memory;
+use crate::frontend::aggregation::SharedRangeCache;
 use crate::limits::Limits;
 use crate::net::coordinator::{self, CoreConfig, CoreHandle, StartNode};
 use crate::net::discovery::{self, DiscoveryConfig, DiscoveryContext};
@@ -45,8 +45,8 @@
     pub(super) snapshot_store: Option<Arc<SnapshotStore>>,
     /// The state that an earlier process stored.
     pub(super) restored: Option<SnapshotContents>,
-    /// The aggregation frontend's memory of ranges, if the frontend is enabled.
-    pub(super) range_memory: Option<Memory>,
+    /// The aggregation frontend's range cache, if the frontend is enabled.
+    pub(super) range_cache: Option<SharedRangeCache>,
 }
 
 /// The handles that discovery, the core and the data nodes' actors share.
@@ -73,8 +73,10 @@
         };
         let (discovery, known_endpoints) = process.start_discovery(config, list_state.clone())?;
         let start_node = node_starter(&edge.nodes, process.node_context(&list_state));
-        let range_memory =
-            edge.aggregation.as_ref().map(|_| Memory::new(&process.limits, process.deployment.shards));
+        let range_cache = edge
+            .aggregation
+            .as_ref()
+            .map(|_| SharedRangeCache::new(&process.limits, process.deployment.shards));
         let open_state = edge.state.as_ref().map(SnapshotStore::open).transpose()?;
         let engine_id = edge.snmp.as_ref().map_or(Ok(Vec::new()), SnmpConfig::engine_id)?;
         // Started after all steps that may fail without it: a member that joins and exits again costs the group a vote.
@@ -85,7 +87,7 @@
         let restored = snapshot_store.as_ref().map(|store| store.contents());
         let core_config = CoreConfig {
             restored_ledger: restored.as_ref().map(|restored| restored.ledger.clone()),
-            on_endpoints_started: range_memory.as_ref().map(Memory::on_endpoints_started),
+            on_endpoints_started: range_cache.as_ref().map(SharedRangeCache::invalidation_callback),
             ..process.core_config(engine, list_state.lease, config.control.is_some())
         };
         let to_discovery = discovery.clone();
@@ -98,7 +100,7 @@
             start_node,
         );
         let core = core.map_err(StartError::Core)?;
-        Ok(Self { core, discovery, group, snapshot_store, restored, range_memory })
+        Ok(Self { core, discovery, group, snapshot_store, restored, range_cache })
     }
 }
 
