--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -19,7 +19,7 @@
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
 /// The frontend of the platform's protocol.
-pub struct Platform {
+pub struct PlatformFrontend {
     /// Submits queries to the coordinator core.
     pub core: CoreHandle,
     /// The maximum client timeout, and the margin for sending the answer.
@@ -28,7 +28,7 @@
     pub service: Arc<Service>,
 }
 
-impl Platform {
+impl PlatformFrontend {
     /// Converts a request to a query, or returns the reply to an invalid request.
     fn query_request(
         &self,
@@ -81,7 +81,7 @@
     }
 }
 
-impl Frontend for Platform {
+impl Frontend for PlatformFrontend {
     fn serve(&self, request: Request, answer: Answer) -> Served {
         if request.path == HEALTH_PATH {
             answer.send(self.health(&request.method));
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -15,7 +15,7 @@
 use crate::frontend::aggregation::{AggregationFrontend, SharedRangeCache};
 use crate::frontend::features::FeaturesFrontend;
 use crate::frontend::http_server::{self, Frontend, FrontendContext, Service};
-use crate::frontend::platform::Platform;
+use crate::frontend::platform::PlatformFrontend;
 use crate::net::coordinator::CoreHandle;
 use crate::replication::{Group, GroupStartError};
 use crate::runtime::{nanos, Permits};
@@ -168,7 +168,7 @@
         inherited: Option<Inherited>,
     ) -> Result<SocketAddr, StartError> {
         let FrontendContext { core, limits, service, .. } = self.shared.clone();
-        let frontend = Arc::new(Platform { core, limits, service });
+        let frontend = Arc::new(PlatformFrontend { core, limits, service });
         let Some(inherited) = inherited else { return self.listen(address, frontend) };
         http_server::listen_inherited(inherited, frontend, self.shared.clone())
             .map_err(StartError::ListenInherited)
