--- a/src/frontend/features/query.rs
+++ b/src/frontend/features/query.rs
@@ -12,7 +12,7 @@
 use crate::frontend::http_server::{Answer, Served};
 use crate::frontend::problem::query_deadline;
 use crate::net::http;
-use crate::net::messages::Reply;
+use crate::net::messages::OutcomeCallback;
 
 /// The client of a query, and when its request was received.
 pub(super) struct Requester {
@@ -89,7 +89,7 @@
         collection: usize,
         parts: QueryParts,
         requester: Requester,
-        reply: Reply,
+        reply: OutcomeCallback,
     ) -> Served {
         let class = self.core.deployment().current_class(self.collections[collection].1);
         let ranges = parts.first_range.0..self.ranges;
--- a/src/net/coordinator/actor.rs
+++ b/src/net/coordinator/actor.rs
@@ -15,7 +15,7 @@
 use crate::net::coordinator::handle::CoreHandle;
 use crate::net::coordinator::node::NodeHandle;
 use crate::net::endpoint_list_lease::EndpointListLease;
-use crate::net::messages::{CoreMessage, DiscoveryMessage, Reply, REQUEST_LOG_TARGET};
+use crate::net::messages::{CoreMessage, DiscoveryMessage, OutcomeCallback, REQUEST_LOG_TARGET};
 use crate::runtime::{lock, Timer};
 use crate::settings::Deployment;
 
@@ -41,7 +41,7 @@
     pub(super) start_node: StartNode,
     pub(super) timer: Timer,
     pub(super) nodes: HashMap<ServerId, NodeHandle>,
-    pub(super) replies: HashMap<QueryId, Reply>,
+    pub(super) replies: HashMap<QueryId, OutcomeCallback>,
     pub(super) endpoint_list: EndpointListState,
     pub(super) lease: EndpointListLease,
     /// Time of the last update or confirmation of the endpoint list.
@@ -102,7 +102,7 @@
         }
     }
 
-    fn submit(&mut self, now: Nanos, query: QueryId, request: QueryRequest, reply: Reply) {
+    fn submit(&mut self, now: Nanos, query: QueryId, request: QueryRequest, reply: OutcomeCallback) {
         self.handle.mailbox_queries.fetch_sub(1, Ordering::AcqRel);
         let class = request.class;
         let is_logged = log::log_enabled!(target: REQUEST_LOG_TARGET, log::Level::Debug);
--- a/src/net/coordinator/commands.rs
+++ b/src/net/coordinator/commands.rs
@@ -5,7 +5,7 @@
 use crate::api::{Nanos, QueryId, ServerId};
 use crate::engine::{AttemptEvent, AttemptId, Command, Dispatch, QueryOutcome};
 use crate::net::coordinator::actor::CoreActor;
-use crate::net::messages::{NodeMessage, Reply, REQUEST_LOG_TARGET};
+use crate::net::messages::{NodeMessage, OutcomeCallback, REQUEST_LOG_TARGET};
 
 /// Number of yields between a cancellation and the delivery of answers. A cancellation passes through two coroutines on
 /// its way to a data node's connection. One worker runs all coroutines in the order in which they are woken. The number
@@ -16,7 +16,7 @@
 #[derive(Default)]
 struct RunEffects {
     any_cancelled: bool,
-    answers: Vec<(Reply, QueryOutcome)>,
+    answers: Vec<(OutcomeCallback, QueryOutcome)>,
 }
 
 impl CoreActor {
--- a/src/net/coordinator/handle.rs
+++ b/src/net/coordinator/handle.rs
@@ -11,7 +11,7 @@
 use crate::api::{ClassId, Nanos, QueryId};
 use crate::counters::Counters;
 use crate::engine::{QueryRequest, RejectReason};
-use crate::net::messages::{CoreMailbox, CoreMessage, Reply};
+use crate::net::messages::{CoreMailbox, CoreMessage, OutcomeCallback};
 use crate::runtime::{lock, Clock};
 use crate::settings::Deployment;
 
@@ -40,7 +40,7 @@
 
 impl CoreHandle {
     /// Submits a query. Calls `reply` once, unless the client is reported as disconnected before.
-    pub fn submit(&self, request: QueryRequest, reply: Reply) -> QueryId {
+    pub fn submit(&self, request: QueryRequest, reply: OutcomeCallback) -> QueryId {
         let query = QueryId(self.next_query.fetch_add(1, Ordering::Relaxed));
         if self.mailbox_queries.fetch_add(1, Ordering::AcqRel) >= self.max_mailbox_queries {
             self.mailbox_queries.fetch_sub(1, Ordering::AcqRel);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -22,7 +22,7 @@
 pub use crate::net::received_frames::{ReceivedFrames, TrailingBytes};
 
 /// Delivers a query's outcome to its frontend; called at most once.
-pub type Reply = Box<dyn FnOnce(Result<QueryOutcome, RejectReason>) + Send>;
+pub type OutcomeCallback = Box<dyn FnOnce(Result<QueryOutcome, RejectReason>) + Send>;
 
 /// A message to the coordinator.
 pub enum CoreMessage {
@@ -33,7 +33,7 @@
         /// The parts, class and deadline of the query.
         request: QueryRequest,
         /// Receives the outcome.
-        reply: Reply,
+        reply: OutcomeCallback,
     },
     /// A query's client has disconnected.
     ClientDisconnected(QueryId),
