--- a/benches/update_to_gate.rs
+++ b/benches/update_to_gate.rs
@@ -19,7 +19,7 @@
 
 use harness::scripted::{chunk, news, Scripted, WATCH};
 use harness::stand_in::{exchange, DataNode, NodeReply, Part};
-use harness::{query_bytes, ready, served, TestCluster};
+use harness::{query_bytes, successful_reply, wait_until_healthy, TestCluster};
 
 /// Updates measured under each load.
 const UPDATES_PER_LOAD: u32 = 200;
@@ -157,7 +157,7 @@
     let (mut watch, _) = discovery.call();
     let full_list = news(1, true, &[("a", 0, active, "up"), ("b", 1, drained, "up")]);
     watch.write_all(&[WATCH, &chunk(&(full_list + "\n"))].concat()).unwrap();
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     (coordinator, discovery, watch)
 }
 
@@ -167,20 +167,20 @@
 }
 
 fn while_idle() {
-    let (a, b) = (DataNode::start(served), DataNode::start(served));
+    let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
     print("idle", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
 }
 
 fn under_request_flood() {
-    let (a, b) = (DataNode::start(served), DataNode::start(served));
+    let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
     let _load = start_clients(coordinator.listen, 32);
     print("request flood", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
 }
 
 fn under_request_flood_and_busy_processors() {
-    let (a, b) = (DataNode::start(served), DataNode::start(served));
+    let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
     let _load = (start_clients(coordinator.listen, 32), start_busy_threads(8));
     print("request flood and busy processors", &measure(&coordinator, &mut watch, (a.addr, b.addr)));
@@ -194,7 +194,7 @@
 }
 
 fn under_endless_answers() {
-    let (b, (addr, bytes_written)) = (DataNode::start(served), start_endless_data_node());
+    let (b, (addr, bytes_written)) = (DataNode::start(successful_reply), start_endless_data_node());
     let (coordinator, _discovery, mut watch) = start_coordinator(addr, b.addr);
     let _load = start_clients(coordinator.listen, 8);
     let summary = measure(&coordinator, &mut watch, (addr, b.addr));
@@ -203,7 +203,7 @@
 }
 
 fn under_endless_client_requests() {
-    let (a, b) = (DataNode::start(served), DataNode::start(served));
+    let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let (coordinator, _discovery, mut watch) = start_coordinator(a.addr, b.addr);
     let addr = coordinator.listen;
     let _load = Load::start(4, move || {
--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -15,7 +15,10 @@
 
 use harness::scripted::{chunk, list, Scripted, WATCH};
 use harness::stand_in::{read_answer, Answer, DataNode, Discovery, NodeReply, Part};
-use harness::{held_back, member, query, query_bytes, ready, served, start, two, until, TestCluster};
+use harness::{
+    gated_reply, member, query, query_bytes, start, start_two_data_nodes, successful_reply, wait_until,
+    wait_until_healthy, TestCluster,
+};
 
 /// Read timeout of the clients, far longer than any exchange of these tests takes.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
@@ -141,7 +144,7 @@
         &c.queries_rejected,
         &c.queries_failed,
     ];
-    until("the query's end", || ended.iter().any(|end| count(end) > 0));
+    wait_until("the query's end", || ended.iter().any(|end| count(end) > 0));
 }
 
 /// Starts a coordinator with a stored endpoint list that discovery has not confirmed; returns it with its open call.
@@ -181,7 +184,7 @@
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, listener.local_addr().unwrap())]);
     let coordinator =
         TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     (coordinator, discovery, listener, fillers)
 }
 
@@ -191,11 +194,11 @@
 #[test]
 fn no_attempt_begins_if_the_client_disconnected_before_the_list_was_confirmed() {
     let _guard = exclusive_test();
-    let (a, b) = (DataNode::start(served), DataNode::start(served));
+    let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
     let (coordinator, mut call) = start_with_unconfirmed_list(&nodes);
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0, 1]);
-    until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
+    wait_until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
     let disconnected = sent.disconnect();
     wait_for_query_end(&coordinator);
     confirm_list(&mut call, &nodes);
@@ -210,10 +213,10 @@
     let _guard = exclusive_test();
     let (coordinator, _discovery, listener, fillers) = start_with_unreachable_node();
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
-    until("the dial", || count(&coordinator.core.counters.dials) > 0);
+    wait_until("the dial", || count(&coordinator.core.counters.dials) > 0);
     let disconnected = sent.disconnect();
     wait_for_query_end(&coordinator);
-    let node = DataNode::at(listener, served);
+    let node = DataNode::at(listener, successful_reply);
     drop(fillers);
     assert_eq!(query(coordinator.listen, "tag-lookup", &[1]).unwrap().status, 200);
     sent.assert_no_attempt_after(disconnected, &[&node]);
@@ -229,18 +232,18 @@
         let fail_on_signal = {
             let failing = failing.clone();
             move |part: &Part| {
-                until("the failure", || failing.load(Ordering::SeqCst));
+                wait_until("the failure", || failing.load(Ordering::SeqCst));
                 match part.shard {
                     0 => NodeReply::Answer(500, 0, String::new()),
-                    _ => served(part),
+                    _ => successful_reply(part),
                 }
             }
         };
-        let (a, b, discovery) = two(fail_on_signal.clone(), fail_on_signal);
+        let (a, b, discovery) = start_two_data_nodes(fail_on_signal.clone(), fail_on_signal);
         let coordinator = TestCluster::default().start(discovery.addr, "");
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
-        until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
+        wait_until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
         let disconnected = if round % 2 == 0 {
             let disconnected = sent.disconnect();
             failing.store(true, Ordering::SeqCst);
@@ -262,12 +265,12 @@
     let _guard = exclusive_test();
     // Measures the hedge delay with a client that stays connected.
     let hedge_delay = {
-        let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+        let (a, b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
         let coordinator = TestCluster::default().start(discovery.addr, "");
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         let send = || SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
         let mut query = send();
-        until("the hedge", || {
+        wait_until("the hedge", || {
             // A query that was delayed for too long is rejected; another one takes its place.
             if query.sent_at.elapsed() > CLIENT_TIMEOUT {
                 query = send();
@@ -280,11 +283,11 @@
     };
     let rounds = [-60, -20, -5, 0, 5, 20].map(|ms: i64| {
         thread::spawn(move || {
-            let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+            let (a, b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
             let coordinator = TestCluster::default().start(discovery.addr, "");
-            ready(&coordinator);
+            wait_until_healthy(&coordinator);
             let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
-            until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
+            wait_until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
             let first = sent.attempts(&[&a, &b])[0].1;
             let disconnect_at = (first + hedge_delay).checked_add(Duration::from_millis(ms.unsigned_abs()));
             let disconnect_at = if ms < 0 {
@@ -309,12 +312,12 @@
 fn no_second_phase_begins_for_a_disconnected_client() {
     let _guard = exclusive_test();
     for round in 0..10 {
-        let (release, slow) = held_back();
-        let (a, b, discovery) = two(slow.clone(), slow);
+        let (release, slow) = gated_reply();
+        let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
         let coordinator = TestCluster::default().start(discovery.addr, "");
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         let sent = SentQuery::new(coordinator.listen, "monthly-settle", &[0, 1, 2, 3]);
-        until("the first phase", || sent.attempts(&[&a, &b]).len() >= 4);
+        wait_until("the first phase", || sent.attempts(&[&a, &b]).len() >= 4);
         let disconnected = if round % 2 == 0 {
             let disconnected = sent.disconnect();
             release.store(true, Ordering::SeqCst);
@@ -334,15 +337,15 @@
 #[test]
 fn half_closed_client_counts_as_disconnected() {
     let _guard = exclusive_test();
-    let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+    let (a, b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
-    until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
+    wait_until("the attempt", || !sent.attempts(&[&a, &b]).is_empty());
     sent.stream.shutdown(Shutdown::Write).unwrap();
     let disconnected = Instant::now();
     wait_for_query_end(&coordinator);
-    until("the cancellation of the attempt", || !a.given_up().is_empty() || !b.given_up().is_empty());
+    wait_until("the cancellation of the attempt", || !a.given_up().is_empty() || !b.given_up().is_empty());
     sent.assert_no_attempt_after(disconnected, &[&a, &b]);
 }
 
@@ -359,7 +362,7 @@
         let first = Arc::new(AtomicBool::new(true));
         let reply = move |part: &Part| {
             if part.id.ends_with(".fetch") || !first.swap(false, Ordering::SeqCst) && kind != "second phase" {
-                return served(part);
+                return successful_reply(part);
             }
             match kind {
                 "hedge" => NodeReply::Silence,
@@ -369,13 +372,13 @@
                 }
                 _ => {
                     thread::sleep(first_phase_delay);
-                    served(part)
+                    successful_reply(part)
                 }
             }
         };
-        let (a, b, discovery) = two(reply.clone(), reply);
+        let (a, b, discovery) = start_two_data_nodes(reply.clone(), reply);
         let coordinator = TestCluster::default().start(discovery.addr, "");
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         let sent = SentQuery::new(coordinator.listen, class, &[0]);
         assert_eq!(sent.answer().unwrap().status, 200, "{kind}");
         assert!(sent.assert_deadlines_respected(&[&a, &b]) >= 2, "{kind}");
@@ -386,11 +389,11 @@
 #[test]
 fn query_that_waited_for_the_list_gets_the_remaining_time() {
     let _guard = exclusive_test();
-    let (a, b) = (DataNode::start(served), DataNode::start(served));
+    let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
     let (coordinator, mut call) = start_with_unconfirmed_list(&nodes);
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0, 1]);
-    until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
+    wait_until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
     thread::sleep(Duration::from_millis(600));
     confirm_list(&mut call, &nodes);
     assert_eq!(sent.answer().unwrap().status, 200);
@@ -403,9 +406,9 @@
     let _guard = exclusive_test();
     let (coordinator, _discovery, listener, fillers) = start_with_unreachable_node();
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
-    until("the dial", || count(&coordinator.core.counters.dials) > 0);
+    wait_until("the dial", || count(&coordinator.core.counters.dials) > 0);
     thread::sleep(Duration::from_millis(400));
-    let node = DataNode::at(listener, served);
+    let node = DataNode::at(listener, successful_reply);
     drop(fillers);
     assert_eq!(sent.answer().unwrap().status, 200);
     assert!(sent.assert_deadlines_respected(&[&node]) >= 1);
@@ -415,12 +418,12 @@
 #[test]
 fn pipelined_query_gets_the_remaining_time() {
     let _guard = exclusive_test();
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let first = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
-    until("the first attempt", || !first.attempts(&[&a, &b]).is_empty());
+    wait_until("the first attempt", || !first.attempts(&[&a, &b]).is_empty());
     let second = first.pipeline("tag-lookup", &[1]);
     thread::sleep(Duration::from_millis(800));
     release.store(true, Ordering::SeqCst);
@@ -436,14 +439,14 @@
 #[test]
 fn pipelined_query_is_rejected_if_its_timeout_expired_in_the_queue() {
     let _guard = exclusive_test();
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    until("the first attempt", || a.parts().len() + b.parts().len() > 0);
+    wait_until("the first attempt", || a.parts().len() + b.parts().len() > 0);
     stream.write_all(&query_bytes("tag-lookup", &[1], "200m")).unwrap();
     thread::sleep(Duration::from_millis(400));
     release.store(true, Ordering::SeqCst);
@@ -460,9 +463,9 @@
 #[test]
 fn request_on_a_new_connection_is_answered_or_never_forwarded() {
     let _guard = exclusive_test();
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster { sockets: 128, ..TestCluster::default() }.start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let addr = coordinator.listen;
     // Idle connections that take up the limit.
     let idle: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(addr).unwrap()).collect();
@@ -503,11 +506,11 @@
         4 => NodeReply::Raw(vec![1, 0, 0, 0, b'?']),
         // An incomplete frame.
         5 => NodeReply::Raw(vec![200, 0, 0, 0, b'O', b'x']),
-        _ => served(part),
+        _ => successful_reply(part),
     };
-    let (_a, _b, discovery) = two(faulty.clone(), faulty);
+    let (_a, _b, discovery) = start_two_data_nodes(faulty.clone(), faulty);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let addr = coordinator.listen;
     let done = Arc::new(AtomicBool::new(false));
     let faulty_clients: Vec<_> = (0..4)
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -19,7 +19,7 @@
 use checker::{Asked, Walk};
 use curlewdeck::startup::Coordinator;
 use harness::stand_in::{exchange, get, post_bytes, read_answer, Answer, DataNode, Discovery, NodeReply};
-use harness::{member, ready, until, TestCluster};
+use harness::{member, wait_until, wait_until_healthy, TestCluster};
 use serde_json::{json, Value as Json};
 use stand_in::{answer, History, Manner, Row};
 
@@ -133,7 +133,7 @@
         let discovery = Discovery::start("127.0.0.1:0", members);
         let cluster = TestCluster { cells: 4, in_a_row: 2, ..TestCluster::default() };
         let coordinator = cluster.start(discovery.addr, edge);
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         let desk = coordinator.aggregation.unwrap();
         Self { coordinator, discovery, state, nodes, desk }
     }
@@ -158,7 +158,7 @@
     /// engine avoids data nodes that failed until it tries them again.
     fn query_until(&self, set: &str, body: &Json, expected: impl Fn(&Json) -> bool) -> Json {
         let last = Mutex::new(Json::Null);
-        until("the expected answer", || {
+        wait_until("the expected answer", || {
             let answer = self.send_query(set, body);
             let answer = if answer.status == 200 { validated_json(&answer) } else { Json::Null };
             let is_expected = expected(&answer);
@@ -426,7 +426,7 @@
         let body = json!({"op": "rank", "limit": 3});
         let json = fleet.query_until("passages", &body, |json| json["whole"] == true);
         checker::check(&request("rank", false, 3, 0.5), &json, &fleet.data()).unwrap();
-        until("a rejected value", || {
+        wait_until("a rejected value", || {
             validated_json(&fleet.send_query("passages", &body));
             fleet.count(|c| &c.values_invalid) > 0
         });
@@ -453,7 +453,7 @@
     let oversized = send("accounts", json!({"op": "list", "timeoutMs": 500}));
     assert!([503, 504].contains(&problem(&oversized).0), "{}", oversized.body);
     (0..4).for_each(|c| fleet.set_mode(c, Mode::Healthy));
-    until("a successful answer on the same connection", || {
+    wait_until("a successful answer on the same connection", || {
         send("accounts", json!({"op": "list", "timeoutMs": 500})).status == 200
     });
 }
@@ -489,7 +489,7 @@
     let (changes, state) = (fleet.count(|c| &c.endpoint_list_changes), fleet.state.clone());
     let node = DataNode::start(move |part| serve(&state, 1, part));
     fleet.discovery.add(member("s9", 1, node.addr));
-    until("the endpoint list change", || fleet.count(|c| &c.endpoint_list_changes) > changes);
+    wait_until("the endpoint list change", || fleet.count(|c| &c.endpoint_list_changes) > changes);
     let json = fleet.query_until("passages", &body, one_missing);
     assert_eq!((json["missing"][0].get("boundedAtVersion"), &json["certain"]), (None, &0.into()));
 }
@@ -505,7 +505,7 @@
     let unsuccessful = || fleet.count(|c| &c.queries_failed) + fleet.count(|c| &c.queries_rejected);
     let before = unsuccessful();
     let child = client.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    until("a failed or rejected query", || unsuccessful() > before);
+    wait_until("a failed or rejected query", || unsuccessful() > before);
     fleet.state.lock().unwrap().fail_from = usize::MAX;
     let output = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -562,7 +562,7 @@
     fleet.set_mode(1, Mode::Failing);
     fleet.set_mode(2, Mode::Failing);
     fleet.query_until("passages", &json!({"op": "sum", "timeoutMs": 1500}), |json| json["whole"] == false);
-    until("a partial answer", || {
+    wait_until("a partial answer", || {
         let (status, text) = run("DESK passages sum --timeout 1500");
         status == 2 && text.contains("range 1 no-answer")
     });
--- a/tests/drain_lease.rs
+++ b/tests/drain_lease.rs
@@ -12,7 +12,7 @@
 use harness::drain_check::{Delivery, NodeState};
 use harness::drain_trial::{assert_all_pass, Trial, TrialResult, BOTH_DELIVERIES};
 use harness::faulty_discovery::FaultyDiscovery;
-use harness::until;
+use harness::wait_until;
 
 const NODES: [&str; 4] = ["drains", "removed", "stays-1", "stays-2"];
 const DRAINED_AND_REMOVED: [(&str, NodeState); 2] =
@@ -126,7 +126,7 @@
     // Calls made during the silence are not answered.
     service.faults(|f| f.all_calls = Some(CallFault::NoAnswer));
     let before = service.writes().len();
-    until("a line of the watch", || service.writes().len() > before);
+    wait_until("a line of the watch", || service.writes().len() > before);
     let last_line = Instant::now();
     service.silence_watches();
     trial.catalog.set_all(&DRAINED_AND_REMOVED, Duration::ZERO);
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -21,7 +21,10 @@
 use harness::stand_in::{
     exchange, post_bytes, read_answer, store, Answer, Discovery, FeatureServer, Member, NodeReply, Part,
 };
-use harness::{held_back, member, query, query_bytes, ready, served, until, Program, TestCluster};
+use harness::{
+    gated_reply, member, query, query_bytes, successful_reply, wait_until, wait_until_healthy, Program,
+    TestCluster,
+};
 
 /// Time after a drain in which the data node may still receive new parts.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
@@ -73,8 +76,8 @@
     fn start(config: impl Fn(SocketAddr) -> String, edge: &str, members: Vec<Member>) -> Self {
         let discovery = Discovery::start("127.0.0.1:0", members);
         let coordinator = harness::start(&config(discovery.addr), edge);
-        ready(&coordinator);
-        until("the watch", || discovery.watches() > 0);
+        wait_until_healthy(&coordinator);
+        wait_until("the watch", || discovery.watches() > 0);
         Self { coordinator, discovery }
     }
 
@@ -91,7 +94,7 @@
         let changes = || self.coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
         let (before, updated_at) = (changes(), Instant::now());
         update(&self.discovery);
-        until("the list change", || changes() > before);
+        wait_until("the list change", || changes() > before);
         updated_at
     }
 
@@ -149,8 +152,8 @@
 fn holding(release: &Arc<AtomicBool>) -> impl Fn(&Part) -> NodeReply + Send + Sync + 'static {
     let release = release.clone();
     move |part: &Part| {
-        until("the release", || part.shard != HELD_SHARD || release.load(Ordering::SeqCst));
-        served(part)
+        wait_until("the release", || part.shard != HELD_SHARD || release.load(Ordering::SeqCst));
+        successful_reply(part)
     }
 }
 
@@ -183,22 +186,23 @@
 #[test]
 fn part_waiting_for_a_connection_is_rerouted_at_once() {
     for update in CLOSING_UPDATES {
-        let (late, stays) = (StallingDataNode::unreachable(served), StallingDataNode::serving(served));
+        let (late, stays) =
+            (StallingDataNode::unreachable(successful_reply), StallingDataNode::serving(successful_reply));
         let fixture = Fixture::long_timeouts(vec![up("late", late.addr)]);
         let waiting = spawn_query(fixture.addr(), "tag-lookup", &[0]);
-        until("the dial", || fixture.dials() == 1);
+        wait_until("the dial", || fixture.dials() == 1);
         fixture.change(&[up("stays", stays.addr)]);
         let updated_at = update.apply(&fixture, ("late", late.addr), &[up("stays", stays.addr)]);
         expect_answer(waiting, "the part that waited for a connection");
         fixture.query_past_the_grace(updated_at);
         late.accepts();
         if update == ClosingUpdate::Draining {
-            until("the late connection", || late.connections() == 1);
+            wait_until("the late connection", || late.connections() == 1);
         }
         // A node that is up again receives parts of later queries only.
         let again = Instant::now();
         fixture.change(&[up("late", late.addr)]);
-        until("a part at the node that is up again", || {
+        wait_until("a part at the node that is up again", || {
             fixture.send_queries(1);
             !late.arrivals().is_empty()
         });
@@ -211,14 +215,15 @@
 /// the new address, and the old connection must be closed when it opens.
 #[test]
 fn part_waiting_for_an_earlier_address_is_sent_to_the_new_one() {
-    let (old, new) = (StallingDataNode::unreachable(served), StallingDataNode::serving(served));
+    let (old, new) =
+        (StallingDataNode::unreachable(successful_reply), StallingDataNode::serving(successful_reply));
     let fixture = Fixture::long_timeouts(vec![up("moves", old.addr)]);
     let waiting = spawn_query(fixture.addr(), "tag-lookup", &[0]);
-    until("the dial", || fixture.dials() == 1);
+    wait_until("the dial", || fixture.dials() == 1);
     fixture.change(&[up("moves", new.addr)]);
     expect_answer(waiting, "the part that waited for a connection to the earlier address");
     old.accepts();
-    until("the end of the late connection", || old.connections() == 1 && old.open() == 0);
+    wait_until("the end of the late connection", || old.connections() == 1 && old.open() == 0);
     fixture.send_queries(QUERIES);
     assert_eq!(old.arrivals(), []);
 }
@@ -230,10 +235,11 @@
 #[test]
 fn busy_connection_to_an_earlier_address_receives_nothing_new() {
     let release = Arc::new(AtomicBool::new(false));
-    let (old, new) = (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(served));
+    let (old, new) =
+        (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(successful_reply));
     let fixture = Fixture::long_timeouts(vec![up("moves", old.addr)]);
     let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
-    until("the held part", || old.arrivals().len() == 1);
+    wait_until("the held part", || old.arrivals().len() == 1);
     fixture.send_queries(1);
     assert_eq!((old.arrivals().len(), old.connections()), (3, 1));
     let updated_at = fixture.change(&[up("moves", new.addr)]);
@@ -243,7 +249,7 @@
     assert_eq!(old.open(), 1, "closed with a part in flight");
     release.store(true, Ordering::SeqCst);
     assert_eq!(expect_answer(held, "the held part").body, r#"{"exact":true,"rows":[{"id":3,"data":"v3"}]}"#);
-    until("the end of the idle connection", || old.open() == 0);
+    wait_until("the end of the idle connection", || old.open() == 0);
     fixture.send_queries(QUERIES);
     assert_eq!(old.arrivals().len(), 3);
 }
@@ -257,7 +263,7 @@
         let node = StallingDataNode::serving(holding(&release));
         let fixture = Fixture::long_timeouts(vec![up("first", node.addr)]);
         let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
-        until("the held part", || node.arrivals().len() == 1);
+        wait_until("the held part", || node.arrivals().len() == 1);
         let of_first = node.arrivals()[0].connection;
         // One object carries both entries, in either order, so that there is always a data node.
         match update {
@@ -285,7 +291,7 @@
         release.store(true, Ordering::SeqCst);
         expect_answer(held, "the part in flight at the first");
         // The second node can be drained separately.
-        let stays = StallingDataNode::serving(served);
+        let stays = StallingDataNode::serving(successful_reply);
         fixture.change(&[up("stays", stays.addr)]);
         let updated_at = fixture.change(&[in_state("draining", "second", node.addr)]);
         fixture.query_past_the_grace(updated_at);
@@ -299,13 +305,14 @@
 fn removed_node_that_returns_is_used_and_drained_like_any_other() {
     for (part_in_flight, at_once) in [(false, false), (false, true), (true, false), (true, true)] {
         let release = Arc::new(AtomicBool::new(false));
-        let (old, stays) = (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(served));
-        let new = StallingDataNode::serving(served);
+        let (old, stays) =
+            (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(successful_reply));
+        let new = StallingDataNode::serving(successful_reply);
         let fixture = Fixture::long_timeouts(vec![up("back", old.addr)]);
         fixture.send_queries(1);
         let held = part_in_flight
             .then(|| spawn_query_within(HELD_PART_LIMIT, fixture.addr(), "tag-lookup", &[HELD_SHARD]));
-        until("the parts", || old.arrivals().len() == 2 + usize::from(part_in_flight));
+        wait_until("the parts", || old.arrivals().len() == 2 + usize::from(part_in_flight));
         fixture.change(&[up("stays", stays.addr)]);
         let gone = in_state("removed", "back", old.addr);
         let back = Member { boot_ms: 1_700_000_000_000, ..up("back", new.addr) };
@@ -317,7 +324,7 @@
             fixture.change(std::slice::from_ref(&back));
             updated_at
         };
-        until("a part at the node that is back", || {
+        wait_until("a part at the node that is back", || {
             fixture.send_queries(1);
             !new.arrivals().is_empty()
         });
@@ -343,9 +350,9 @@
     let release = release.clone();
     StallingDataNode::serving(move |part: &Part| {
         if part.shard != HELD_SHARD {
-            return served(part);
+            return successful_reply(part);
         }
-        until("the release", || release.load(Ordering::SeqCst));
+        wait_until("the release", || release.load(Ordering::SeqCst));
         NodeReply::Answer(500, 0, String::new())
     })
 }
@@ -356,12 +363,13 @@
     const RETRIES: usize = 12;
     let release = Arc::new(AtomicBool::new(false));
     let fails = failing_once_released(&release);
-    let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
+    let (drains, stays) =
+        (StallingDataNode::serving(successful_reply), StallingDataNode::serving(successful_reply));
     let fixture = Fixture::long_timeouts(vec![up("fails", fails.addr)]);
     let held: Vec<_> =
         (0..RETRIES).map(|_| spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD])).collect();
     let out = || fails.arrivals().len();
-    until("the held parts", || out() >= 3);
+    wait_until("the held parts", || out() >= 3);
     fixture.change(&[up("drains", drains.addr), up("stays", stays.addr)]);
     fixture.send_queries(QUERIES);
     assert!(!drains.arrivals().is_empty());
@@ -377,7 +385,8 @@
 fn hedges_skip_a_draining_node() {
     let release = Arc::new(AtomicBool::new(false));
     let holds = StallingDataNode::serving(holding(&release));
-    let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
+    let (drains, stays) =
+        (StallingDataNode::serving(successful_reply), StallingDataNode::serving(successful_reply));
     let members = vec![up("holds", holds.addr), up("drains", drains.addr), up("stays", stays.addr)];
     let short_aim =
         |discovery| TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery);
@@ -389,7 +398,7 @@
         let ledger = fixture.coordinator.ledger_snapshot().expect("the core answers");
         ledger.nodes.iter().map(|node| node.attempts.hedges).sum()
     };
-    until("two hedges", || {
+    wait_until("two hedges", || {
         // First sends continue, because hedges are limited to a tenth of them.
         fixture.send_queries(QUERIES);
         let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
@@ -404,23 +413,23 @@
 /// whichever node answered the first step.
 #[test]
 fn second_step_skips_a_draining_node() {
-    let (release, slow) = held_back();
+    let (release, slow) = gated_reply();
     let (drains, stays) = (StallingDataNode::serving(slow.clone()), StallingDataNode::serving(slow));
     let fixture = Fixture::long_timeouts(vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let parts = || drains.arrivals().len() + stays.arrivals().len();
     let mut held = Vec::new();
-    until("a first step at each", || {
+    wait_until("a first step at each", || {
         if !drains.arrivals().is_empty() && !stays.arrivals().is_empty() {
             return true;
         }
         let before = parts();
         held.push(spawn_query(fixture.addr(), "monthly-settle", &[0, 1, 2, 3]));
-        until("the parts of the first step", || parts() > before);
+        wait_until("the parts of the first step", || parts() > before);
         false
     });
     let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
     // Nothing is answered before the release, so no queries can fill the grace.
-    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
+    wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     release.store(true, Ordering::SeqCst);
     held.into_iter().for_each(|held| drop(expect_answer(held, "a query in two steps")));
     assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
@@ -474,7 +483,8 @@
 
 /// Returns whether the update arrived while the frame was waiting.
 fn updates_while_a_frame_waits(update: ClosingUpdate) -> bool {
-    let (full, stays) = (StallingDataNode::unread(served), StallingDataNode::serving(served));
+    let (full, stays) =
+        (StallingDataNode::unread(successful_reply), StallingDataNode::serving(successful_reply));
     let fixture = Fixture::start(large_calls, "", vec![up("full", full.addr)]);
     let addr = fixture.addr();
     let started = || -> usize {
@@ -489,7 +499,7 @@
             stream.write_all(&sized_query_bytes(name, parts, text)).unwrap();
             read_answer(&mut BufReader::new(stream)).ok()
         });
-        until("the call to start", || started() >= before + parts);
+        wait_until("the call to start", || started() >= before + parts);
         client
     };
     // These may fail: more parts may be lost with the connection than can be retried.
@@ -504,12 +514,12 @@
         return false;
     }
     expect_answer(waiting, "the call that waited for room");
-    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
+    wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     assert!(stays.arrivals().iter().any(|a| a.id == "waits.0"), "{update:?}");
     full.reads();
     // The frame that had started arrives complete, or its connection was closed meanwhile.
     let ended = || full.connections() > 0 && full.open() == 0;
-    until("the frame that had started", || full.arrivals().len() >= LARGE_PARTS || ended());
+    wait_until("the frame that had started", || full.arrivals().len() >= LARGE_PARTS || ended());
     let begun: Vec<_> = full.arrivals().into_iter().filter(|a| a.id == "waits.0").collect();
     assert_eq!(begun, [], "{update:?}");
     true
@@ -520,7 +530,8 @@
 /// An older process ends while a newer one runs on the same listener. The older one must apply drains until it ends.
 #[test]
 fn older_process_on_a_shared_listener_applies_drains() {
-    let (drains, stays) = (StallingDataNode::serving(served), StallingDataNode::serving(served));
+    let (drains, stays) =
+        (StallingDataNode::serving(successful_reply), StallingDataNode::serving(successful_reply));
     let discovery = Discovery::start("127.0.0.1:0", vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = long_timeouts(discovery.addr);
@@ -532,11 +543,11 @@
     };
     let of_older = connect(older.addr);
     let newer = Program::start_with(&config, Some(&listener));
-    until("both watches", || discovery.watches() == 2);
+    wait_until("both watches", || discovery.watches() == 2);
     older.signal("TERM");
     let updated_at = Instant::now();
     discovery.set("drains", "draining");
-    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
+    wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     let answered = of_older.into_iter().filter_map(|mut stream| query_on(&mut stream)).count();
     assert!(answered > 0, "the older process answered no query");
     (0..QUERIES).for_each(|_| assert_eq!(query(newer.addr, "tag-lookup", &[0, 1]).unwrap().status, 200));
@@ -580,12 +591,12 @@
         let answer = exchange(desk, &post_bytes("/v1/sets/accounts/query", r#"{"op":"rank"}"#)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
     };
-    until("parts of the desk at each", || {
+    wait_until("parts of the desk at each", || {
         ask();
         !drains.arrivals().is_empty() && !stays.arrivals().is_empty()
     });
     let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
-    until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
+    wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     let before = stays.arrivals().len();
     (0..QUERIES).for_each(|_| ask());
     assert!(stays.arrivals().len() >= before + QUERIES as usize);
@@ -632,11 +643,11 @@
 #[test]
 fn pages_waiting_for_a_connection_are_rerouted_at_once() {
     for update in CLOSING_UPDATES.map(Some).into_iter().chain([None]) {
-        let late = StallingDataNode::unreachable(served);
+        let late = StallingDataNode::unreachable(successful_reply);
         let stays = FeatureServer::start(|query| store(query, RANGE_FEATURES, PAGE_FEATURES));
         let fixture = Fixture::start(features_with_long_timeouts, FEATURES, vec![up("late", late.addr)]);
         let waiting = request_features(fixture.coordinator.features.unwrap());
-        until("the dials", || fixture.dials() > 0);
+        wait_until("the dials", || fixture.dials() > 0);
         match update {
             Some(update) => {
                 fixture.change(&[up("stays", stays.addr)]);
@@ -655,7 +666,7 @@
     let release = Arc::new(AtomicBool::new(false));
     let held = release.clone();
     let old = FeatureServer::start(move |query| {
-        until("the release", || held.load(Ordering::SeqCst));
+        wait_until("the release", || held.load(Ordering::SeqCst));
         store(query, RANGE_FEATURES, RANGE_FEATURES)
     });
     let new = FeatureServer::start(|query| store(query, RANGE_FEATURES, PAGE_FEATURES));
@@ -663,7 +674,7 @@
     let ogc = fixture.coordinator.features.unwrap();
     let reading = request_features(ogc);
     // The first page of each range; all later pages are requested after the move.
-    until("the pages", || old.seen().len() == RANGES);
+    wait_until("the pages", || old.seen().len() == RANGES);
     fixture.change(&[up("moves", new.addr)]);
     release.store(true, Ordering::SeqCst);
     expect_all_features(reading, "the collection that was being read");
--- a/tests/drain_updates.rs
+++ b/tests/drain_updates.rs
@@ -11,7 +11,7 @@
 use harness::drain_check::{Delivery, NodeState, WrittenUpdate};
 use harness::drain_trial::{assert_all_pass, within, Trial, TrialResult, BOTH_DELIVERIES, WAIT_LIMIT};
 use harness::faulty_discovery::FaultyDiscovery;
-use harness::until;
+use harness::wait_until;
 
 const NODES: [&str; 3] = ["drains", "stays-1", "stays-2"];
 
@@ -23,7 +23,7 @@
 fn until_written(service: &FaultyDiscovery, before: usize) {
     let changes =
         || service.writes().into_iter().skip(before).any(|write| write.update != WrittenUpdate::Heartbeat);
-    until("the change to be written", changes);
+    wait_until("the change to be written", changes);
 }
 
 // ---- Watches refused for their index ----
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -10,7 +10,7 @@
 
 use curlewdeck::startup::Coordinator;
 use harness::stand_in::{exchange, get, store, Answer, Discovery, FeatureQuery, FeatureReply, FeatureServer};
-use harness::{change, member, ready, until, TestCluster};
+use harness::{member, set_member_state, wait_until, wait_until_healthy, TestCluster};
 use serde_json::Value as Json;
 
 const EDGE: &str = r#"
@@ -35,8 +35,8 @@
         servers.iter().zip(0..).map(|(s, cell)| member(&format!("f{cell}"), cell, s.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", members);
     let coordinator = cluster.start(discovery.addr, EDGE);
-    ready(&coordinator);
-    until("the watch", || discovery.watches() > 0);
+    wait_until_healthy(&coordinator);
+    wait_until("the watch", || discovery.watches() > 0);
     let ogc = coordinator.features.unwrap();
     (coordinator, discovery, ogc)
 }
@@ -178,7 +178,7 @@
     });
     let good = healthy_server();
     let (coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&bad, &good]);
-    until("a stall", || {
+    wait_until("a stall", || {
         let body = json(&get(ogc, "/collections/plazas/items?limit=100").unwrap());
         assert_eq!((feature_ids(&body), &body["complete"]), (all_feature_ids(), &Json::Bool(true)));
         stalled.load(Ordering::SeqCst)
@@ -207,7 +207,7 @@
     let (coordinator, discovery, ogc) = start(&TestCluster::default(), &[&draining, &good]);
     let answer = std::thread::spawn(move || get(ogc, "/collections/plazas/items?limit=100").unwrap());
     first_request.recv().unwrap();
-    change(&coordinator, &discovery, "f0", "draining");
+    set_member_state(&coordinator, &discovery, "f0", "draining");
     drop(release);
     let body = json(&answer.join().unwrap());
     assert_eq!((feature_ids(&body), &body["complete"]), (all_feature_ids(), &Json::Bool(true)));
@@ -290,7 +290,7 @@
     let discovery = Discovery::start("127.0.0.1:0", members);
     let edge = EDGE.replace("\"features\"", "\"frames\"");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let body = json(&get(coordinator.features.unwrap(), "/collections/plazas/items").unwrap());
     assert_eq!(feature_ids(&body), ["0-0", "1-0", "2-0", "3-0"]);
     let texts: BTreeSet<String> = a.parts().into_iter().chain(b.parts()).map(|p| p.text).collect();
@@ -349,7 +349,7 @@
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
     // Each range is held by one server.
     let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, &edge);
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let ogc = coordinator.features.unwrap();
     let mut target = "/collections/segments/items?limit=5".to_string();
     let (mut got, mut removed, mut partial_pages) = (Vec::new(), BTreeSet::new(), 0);
@@ -358,7 +358,7 @@
         let failed = (page % 4 == 1).then_some(page / 4 % 2);
         (0..2).for_each(|n| failing[n].store(failed == Some(n), Ordering::SeqCst));
         let mut body = Json::Null;
-        until("a page with the expected missing ranges", || {
+        wait_until("a page with the expected missing ranges", || {
             let answer = get(ogc, &target).unwrap();
             body = if answer.status == 200 { json(&answer) } else { Json::Null };
             body["missingRanges"].as_array().is_some_and(|m| m.len() == if failed.is_some() { 2 } else { 0 })
@@ -414,9 +414,9 @@
     let discovery = Discovery::start("127.0.0.1:0", members);
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let invalid_values = || coordinator.core.counters.values_invalid.load(Ordering::SeqCst);
-    until("an invalid value", || {
+    wait_until("an invalid value", || {
         let body = json(&get(coordinator.features.unwrap(), "/collections/plazas/items").unwrap());
         assert_eq!((feature_ids(&body), &body["complete"]), (vec!["a".to_string()], &Json::Bool(true)));
         invalid_values() > 0
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,7 +14,7 @@
 
 use harness::scripted::{chunk, Scripted, WATCH};
 use harness::stand_in::DataNode;
-use harness::{query, ready, served, until, TestCluster};
+use harness::{query, successful_reply, wait_until, wait_until_healthy, TestCluster};
 
 const NODES: u32 = 1024;
 /// The smallest limit of descriptors that the platform sets.
@@ -67,13 +67,13 @@
 
 /// Waits until the ledger lists all data nodes as active.
 fn wait_until_all_nodes_are_active(coordinator: &Coordinator) {
-    ready(coordinator);
+    wait_until_healthy(coordinator);
     let active_nodes = || {
         let ledger = coordinator.ledger_snapshot().unwrap();
         assert_eq!((ledger.nodes_unlisted, ledger.nodes_evicted), (0, 0));
         ledger.nodes.iter().filter(|n| n.state == EndpointState::Active).count()
     };
-    until("all data nodes", || active_nodes() == NODES as usize);
+    wait_until("all data nodes", || active_nodes() == NODES as usize);
 }
 
 fn discovery_call_errors(coordinator: &Coordinator) -> u64 {
@@ -84,7 +84,7 @@
 #[test]
 fn a_complete_list_of_1024_nodes_is_read() {
     for chunked in [false, true] {
-        let node = DataNode::start(served);
+        let node = DataNode::start(successful_reply);
         let (discovery, addr) = Scripted::new();
         let coordinator = large_cluster().start(addr, "");
         // An invalid line makes the coordinator request the complete list.
@@ -106,7 +106,7 @@
 /// Reads changes to all data nodes from a watch: all in one object, or one object for each data node.
 #[test]
 fn changes_to_1024_nodes_are_read_from_a_watch() {
-    let node = DataNode::start(served);
+    let node = DataNode::start(successful_reply);
     let single_object = indented(&endpoint_list(41, false, node.addr));
     let change = |cell| json!({ "rev": 1 + cell, "all": false, "targets": [list_entry(cell, node.addr)] });
     let lines: String = (0..NODES).map(|cell| change(cell).to_string() + "\n").collect();
@@ -125,7 +125,7 @@
 /// discovery has confirmed the list.
 #[test]
 fn nodes_of_the_configured_list_are_active_before_discovery_answers() {
-    let node = DataNode::start(served);
+    let node = DataNode::start(successful_reply);
     let (discovery, addr) = Scripted::new();
     let mut config: Value = serde_json::from_str(&large_cluster().config(addr)).unwrap();
     config["known"] = endpoint_list(41, true, node.addr);
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -15,7 +15,10 @@
 use curlewdeck::startup::Coordinator;
 use harness::scripted::{asked, chunk, news, Line, Scripted, WATCH};
 use harness::stand_in::{exchange, Answer, DataNode, Part};
-use harness::{held_back, query, query_bytes, ready, served, two, until, Program, TestCluster};
+use harness::{
+    gated_reply, query, query_bytes, start_two_data_nodes, successful_reply, wait_until, wait_until_healthy,
+    Program, TestCluster,
+};
 
 /// Far longer than any read here takes.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
@@ -38,8 +41,8 @@
     let nodes = std::array::from_fn(|_| {
         let released = release.clone();
         DataNode::start(move |part: &Part| {
-            until("the release", || part.shard != HELD_SHARD || released.load(Ordering::SeqCst));
-            served(part)
+            wait_until("the release", || part.shard != HELD_SHARD || released.load(Ordering::SeqCst));
+            successful_reply(part)
         })
     });
     (release, nodes)
@@ -48,14 +51,14 @@
 /// Sends queries until each data node holds an unanswered part; returns the threads that wait for the answers.
 fn hold_a_part_at_each(addr: SocketAddr, nodes: &[DataNode]) -> Vec<thread::JoinHandle<Answer>> {
     let mut waiting = Vec::new();
-    until("a held part at each data node", || {
+    wait_until("a held part at each data node", || {
         if nodes.iter().all(|node| !node.parts().is_empty()) {
             return true;
         }
         let sent = || nodes.iter().map(|node| node.parts().len()).sum::<usize>();
         let before = sent();
         waiting.push(thread::spawn(move || query(addr, "tag-lookup", &[HELD_SHARD]).unwrap()));
-        until("the part", || sent() > before);
+        wait_until("the part", || sent() > before);
         false
     });
     waiting
@@ -194,7 +197,7 @@
         let send_list = |watch: &mut TcpStream, text: String| {
             let before = changes();
             watch.write_all(&chunk(&(text + "\n"))).unwrap();
-            until("the change to the list", || changes() > before);
+            wait_until("the change to the list", || changes() > before);
         };
         let mut waiting = Vec::new();
         watch.write_all(WATCH).unwrap();
@@ -205,7 +208,7 @@
             waiting = hold_a_part_at_each(coordinator.listen, &nodes);
             send_list(&mut watch, news(2, false, &both("draining")[..1]));
         }
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         assert_eq!(node_state(&coordinator, "drains"), EndpointState::Draining, "{arrival:?}");
         if arrival == CompleteList::OnTheNextWatch {
             drop(watch);
@@ -223,7 +226,7 @@
         release.store(true, Ordering::SeqCst);
         assert_all_answered(waiting);
         send_list(&mut watch, news(5, true, &both("up")));
-        until("a part at the data node that was listed again", || {
+        wait_until("a part at the data node that was listed again", || {
             send_queries(coordinator.listen, 1);
             draining.parts().len() > before
         });
@@ -254,7 +257,7 @@
         ("pushed", 10, incomplete),
     ];
     let check = |(mode, call_interval_s, last_bytes): (&'static str, u32, &'static str)| {
-        let (old, new) = (DataNode::start(served), DataNode::start(served));
+        let (old, new) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
         let (discovery, addr) = Scripted::new();
         let cluster = TestCluster { cells: 1, in_a_row: 1, discovery: mode, ..TestCluster::default() };
         let setting = |seconds: u32| format!(r#""must_ask_in_ns":{seconds}000000000"#);
@@ -264,7 +267,7 @@
         let (mut watch, _) = discovery.call();
         let text = news(1, true, &[("old", 0, old.addr, "up")]);
         watch.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         let opened = Instant::now();
         while opened.elapsed() < WATCH_AGE {
             watch.write_all(&chunk("\n")).unwrap();
@@ -281,7 +284,7 @@
         thread::sleep(Limits::default().discovery_call_timeout - TIME_BEFORE_CALL_TIMEOUT);
         let text = news(2, false, &[("old", 0, old.addr, "removed"), ("new", 0, new.addr, "up")]);
         next.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
-        until("a part at the new data node", || {
+        wait_until("a part at the new data node", || {
             // Both changes are in one object, so a data node is available throughout.
             send_queries(coordinator.listen, 1);
             !new.parts().is_empty()
@@ -310,8 +313,8 @@
 /// request. All of them end without an answer, and a new process with an empty folder serves at the same address.
 #[test]
 fn after_sigkill_a_new_process_serves_at_the_same_address() {
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     // A loopback address that no other test uses, so that the port is still free at the restart.
     let config_at = |addr: &str| {
         TestCluster::default()
@@ -326,7 +329,7 @@
         if stopped {
             // Connections from now on wait to be accepted.
             program.signal("STOP");
-            until("the stop", || program.state() == 'T');
+            wait_until("the stop", || program.state() == 'T');
         }
         let sent = parts();
         let request = query_bytes("tag-lookup", &[0], "60000m");
@@ -338,7 +341,7 @@
         }
         if !stopped {
             // Connections are accepted in order: once the last one has caused a part, all are accepted.
-            until("the part of the last request", || parts() > sent);
+            wait_until("the part of the last request", || parts() > sent);
         }
         program.killed();
         for (n, client) in clients.iter_mut().enumerate() {
--- a/tests/harness/drain_trial.rs
+++ b/tests/harness/drain_trial.rs
@@ -16,7 +16,7 @@
 use super::faulty_discovery::FaultyDiscovery;
 use super::load_generator::{coordinator_of, query, query_id, Answered, LoadGenerator};
 use super::stand_in::{lock, DataNode, Part};
-use super::{served, until, Program, TestCluster};
+use super::{successful_reply, wait_until, Program, TestCluster};
 
 /// Load-generating clients of each coordinator.
 const CLIENTS_PER_COORDINATOR: u64 = 2;
@@ -75,7 +75,7 @@
     /// Starts data nodes, all up and each with every shard.
     pub fn new(name: &str, delivery: Delivery, uids: &[&str]) -> Self {
         let nodes: BTreeMap<String, DataNode> =
-            uids.iter().map(|uid| (uid.to_string(), DataNode::start(served))).collect();
+            uids.iter().map(|uid| (uid.to_string(), DataNode::start(successful_reply))).collect();
         let lines: Vec<_> = nodes.iter().map(|(uid, node)| (uid.as_str(), node.addr)).collect();
         let catalog = Arc::new(Catalog::new(&lines));
         let name = format!("{} {name}", delivery.name());
@@ -160,7 +160,7 @@
     pub fn while_stopped(&self, number: usize, action: impl FnOnce()) {
         let program = self.running[number].program.as_ref().unwrap();
         program.signal("STOP");
-        until("the process to stop", || program.state() == 'T');
+        wait_until("the process to stop", || program.state() == 'T');
         action();
         program.signal("CONT");
     }
@@ -177,7 +177,7 @@
             parts.iter().any(|p| coordinator_of(&p.id) == Some(number))
         };
         let coordinators = || 0..self.running.len();
-        until("a part of each coordinator at each node", || {
+        wait_until("a part of each coordinator at each node", || {
             uids.iter().all(|uid| coordinators().all(|n| sent(uid, n)))
         });
     }
--- a/tests/harness/faulty_discovery.rs
+++ b/tests/harness/faulty_discovery.rs
@@ -12,7 +12,7 @@
 use super::discovery_faults::Faults;
 use super::drain_check::{AvailableVersion, ReachabilityChange, ServiceLog, Silence, WatchEnd, Write};
 use super::stand_in::lock;
-use super::until;
+use super::wait_until;
 use socket2::SockRef;
 
 /// State shared by the connections of a service.
@@ -171,7 +171,7 @@
 /// Binds a listener to an explicit port number: only such a port stays with its socket when the socket stops listening.
 fn bind_fixed_port() -> TcpListener {
     let mut listener = None;
-    until("a free port", || {
+    wait_until("a free port", || {
         let free = TcpListener::bind("127.0.0.1:0").and_then(|any| any.local_addr()).unwrap();
         listener = TcpListener::bind(free).ok();
         listener.is_some()
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -102,7 +102,7 @@
 }
 
 /// Polls until the condition holds. Panics after 120 s, far longer than any awaited event takes.
-pub fn until(what: &str, mut happened: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut happened: impl FnMut() -> bool) {
     let start = Instant::now();
     while !happened() {
         assert!(start.elapsed() < Duration::from_secs(120), "timed out waiting for {what}");
@@ -111,18 +111,18 @@
 }
 
 /// Waits until the coordinator's health check passes.
-pub fn ready(coordinator: &Coordinator) {
-    until("a passing health check", || {
+pub fn wait_until_healthy(coordinator: &Coordinator) {
+    wait_until("a passing health check", || {
         stand_in::get(coordinator.listen, "/_health").is_ok_and(|a| a.status == 200)
     });
 }
 
 /// Changes a member's state in discovery and waits until the coordinator has received an endpoint list change.
-pub fn change(coordinator: &Coordinator, discovery: &Discovery, uid: &str, state: &'static str) {
+pub fn set_member_state(coordinator: &Coordinator, discovery: &Discovery, uid: &str, state: &'static str) {
     let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
     let before = changes();
     discovery.set(uid, state);
-    until("the endpoint list change", || changes() > before);
+    wait_until("the endpoint list change", || changes() > before);
 }
 
 /// Sends one query over the platform's protocol and returns the response.
@@ -143,23 +143,23 @@
     (head + &body).into_bytes()
 }
 
-pub fn served(part: &Part) -> NodeReply {
+pub fn successful_reply(part: &Part) -> NodeReply {
     NodeReply::Answer(200, u64::from(part.shard), format!("v{}", part.id.split_once('.').unwrap().1))
 }
 
 /// Returns a flag and a data node's reply function that blocks until the flag is set.
-pub fn held_back() -> (Arc<AtomicBool>, impl Fn(&Part) -> NodeReply + Clone + Send + Sync + 'static) {
+pub fn gated_reply() -> (Arc<AtomicBool>, impl Fn(&Part) -> NodeReply + Clone + Send + Sync + 'static) {
     let release = Arc::new(AtomicBool::new(false));
     let released = release.clone();
     let slow = move |part: &Part| {
-        until("the test to release the replies", || released.load(Ordering::SeqCst));
-        served(part)
+        wait_until("the test to release the replies", || released.load(Ordering::SeqCst));
+        successful_reply(part)
     };
     (release, slow)
 }
 
 /// Starts two data nodes that hold every shard, and a discovery service that lists them.
-pub fn two(
+pub fn start_two_data_nodes(
     first: impl Fn(&Part) -> NodeReply + Send + Sync + 'static,
     second: impl Fn(&Part) -> NodeReply + Send + Sync + 'static,
 ) -> (DataNode, DataNode, Discovery) {
@@ -243,8 +243,10 @@
         let log = Some(std::thread::spawn(move || std::io::read_to_string(log).unwrap()));
         let program = Self { child, addr, control, dir, log };
         match control {
-            Some(control) => until("readiness", || yes(control, "GET", "/ops/readiness")),
-            None => until("a passing health check", || {
+            Some(control) => {
+                wait_until("readiness", || control_request_succeeds(control, "GET", "/ops/readiness"))
+            }
+            None => wait_until("a passing health check", || {
                 stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200)
             }),
         }
@@ -258,9 +260,9 @@
     /// Stops the process with SIGSTOP and continues it with SIGCONT, which interrupts its blocking system calls.
     pub fn interrupt(&self) {
         self.signal("STOP");
-        until("the process to stop", || self.state() == 'T');
+        wait_until("the process to stop", || self.state() == 'T');
         self.signal("CONT");
-        until("the process to continue", || self.state() != 'T');
+        wait_until("the process to continue", || self.state() != 'T');
     }
 
     /// Processor time used by the process, in clock ticks (hundredths of a second).
@@ -309,7 +311,7 @@
 
     /// Polls until the condition holds; panics at once if the program ends first.
     pub fn until(&mut self, what: &str, mut happened: impl FnMut() -> bool) {
-        until(what, || {
+        wait_until(what, || {
             // The exit status is read first: a condition that is false after the exit can never hold.
             let ended = self.child.try_wait().unwrap();
             let happened = happened();
@@ -338,7 +340,7 @@
 
     /// Reads one value of `GET /ops/stats` on the control address.
     pub fn statistic(&self, name: &str) -> Option<u64> {
-        let text = operate(self.control.unwrap(), "GET", "/ops/stats").unwrap().body;
+        let text = send_control_request(self.control.unwrap(), "GET", "/ops/stats").unwrap().body;
         let line =
             text.lines().find_map(|l| l.strip_prefix("edge_lb.")?.strip_prefix(name)?.strip_prefix('='));
         line.map(|value| value.parse().unwrap())
@@ -346,7 +348,7 @@
 
     /// Sends a request to the control address and asserts that its status is 2xx.
     pub fn control_request(&self, method: &str, path: &str) {
-        assert!(yes(self.control.unwrap(), method, path), "{method} {path}");
+        assert!(control_request_succeeds(self.control.unwrap(), method, path), "{method} {path}");
     }
 }
 
@@ -369,11 +371,11 @@
 }
 
 /// Sends a request without a body to the control address and returns the response.
-pub fn operate(control: SocketAddr, method: &str, path: &str) -> std::io::Result<Answer> {
+pub fn send_control_request(control: SocketAddr, method: &str, path: &str) -> std::io::Result<Answer> {
     exchange(control, &call_bytes(method, path, ""))
 }
 
 /// Reports whether a request to the control address gets a 2xx status.
-pub fn yes(control: SocketAddr, method: &str, path: &str) -> bool {
-    operate(control, method, path).is_ok_and(|a| a.status / 100 == 2)
+pub fn control_request_succeeds(control: SocketAddr, method: &str, path: &str) -> bool {
+    send_control_request(control, method, path).is_ok_and(|a| a.status / 100 == 2)
 }
--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -14,7 +14,7 @@
 
 use harness::scripted::{chunk, Scripted, WATCH};
 use harness::stand_in::{self, DataNode, Part};
-use harness::{query, served, TestCluster};
+use harness::{query, successful_reply, TestCluster};
 
 /// Both modes of discovery.
 const DISCOVERY_MODES: [&str; 2] = ["on_request", "pushed"];
@@ -154,7 +154,7 @@
 fn nodes() -> [DataNode; 3] {
     let work = |part: &Part| {
         thread::sleep(WORK);
-        served(part)
+        successful_reply(part)
     };
     std::array::from_fn(|_| DataNode::start(work))
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -15,7 +15,8 @@
 
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
 use harness::{
-    held_back, member, operate, query, query_bytes, served, two, until, yes, Program, TestCluster,
+    control_request_succeeds, gated_reply, member, query, query_bytes, send_control_request,
+    start_two_data_nodes, successful_reply, wait_until, Program, TestCluster,
 };
 
 /// Renders a configuration with a control address, after `change` has modified it.
@@ -49,10 +50,10 @@
 /// matching status.
 #[test]
 fn control_requests_are_answered_despite_stuck_clients_and_load() {
-    let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+    let (_a, _b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let program = Program::start(&config(&discovery, |_| ()));
     let control = program.control.unwrap();
-    let status = |method: &str, path: &str| operate(control, method, path).unwrap().status;
+    let status = |method: &str, path: &str| send_control_request(control, method, path).unwrap().status;
     assert_eq!(status("GET", "/ops/nothing"), 404);
     assert_eq!(status("POST", "/ops/stats"), 405);
     assert_eq!(status("GET", "/ops/drain/start"), 405);
@@ -63,15 +64,18 @@
     let flood: Vec<TcpStream> = (0..200)
         .map(|_| connect_and_send(program.addr, &query_bytes("tag-lookup", &[0, 1, 2, 3], "60000m")))
         .collect();
-    until("the flood to be in flight", || program.statistic("in_flight").unwrap() > 0);
+    wait_until("the flood to be in flight", || program.statistic("in_flight").unwrap() > 0);
     for _ in 0..20 {
-        assert!(program.statistic("attempts").is_some() && yes(control, "GET", "/ops/readiness"));
+        assert!(
+            program.statistic("attempts").is_some()
+                && control_request_succeeds(control, "GET", "/ops/readiness")
+        );
     }
     // The oldest stuck connection was closed for newer ones, and none of the incomplete requests was executed.
     assert_eq!(stuck[0].read(&mut [0]).unwrap_or(0), 0);
     program.control_request("POST", "/ops/drain/stop");
     drop((stuck, flood));
-    until("the flood's end", || program.statistic("in_flight") == Some(0));
+    wait_until("the flood's end", || program.statistic("in_flight") == Some(0));
 }
 
 /// The statistics match the counts of the clients and the data nodes.
@@ -81,9 +85,9 @@
     let reply = move |part: &harness::stand_in::Part| match turn.fetch_add(1, Ordering::SeqCst) % 5 {
         0 => NodeReply::Answer(500, 0, String::new()),
         1 => NodeReply::Answer(503, 0, String::new()),
-        _ => served(part),
+        _ => successful_reply(part),
     };
-    let (a, b, discovery) = two(reply.clone(), reply);
+    let (a, b, discovery) = start_two_data_nodes(reply.clone(), reply);
     let program = Program::start(&config(&discovery, |_| ()));
     let mut outcomes = [0_u64; 3];
     for n in 0..20 {
@@ -100,17 +104,17 @@
     }
     assert!(outcomes[0] > 0 && outcomes[1] > 0, "{outcomes:?}");
     let names = ["served.tag-lookup", "refused.tag-lookup", "failed.tag-lookup"];
-    until("the clients' outcomes", || names.map(|n| program.statistic(n).unwrap()) == outcomes);
+    wait_until("the clients' outcomes", || names.map(|n| program.statistic(n).unwrap()) == outcomes);
     let attempts = || (a.parts().len() + b.parts().len()) as u64;
-    until("the data nodes' attempts", || program.statistic("attempts") == Some(attempts()));
+    wait_until("the data nodes' attempts", || program.statistic("attempts") == Some(attempts()));
     assert_eq!(program.statistic("in_flight"), Some(0));
     assert_eq!(program.statistic("served.plaza-ranking"), Some(0));
     assert_eq!(program.statistic("data_nodes_known"), Some(2));
     discovery.set("a", "draining");
-    until("the drain of a data node", || program.statistic("data_nodes_excluded") >= Some(1));
+    wait_until("the drain of a data node", || program.statistic("data_nodes_excluded") >= Some(1));
     assert_eq!(program.statistic("data_nodes_known"), Some(2));
     discovery.set("a", "removed");
-    until("its removal", || program.statistic("data_nodes_known") == Some(1));
+    wait_until("its removal", || program.statistic("data_nodes_known") == Some(1));
 }
 
 /// During a drain the health check fails at once, open queries are answered, and connections that are idle or have only
@@ -118,20 +122,20 @@
 /// drain ends the process as usual.
 #[test]
 fn drain_completes_open_queries_and_can_be_stopped() {
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let program = Program::start(&config(&discovery, |_| ()));
     let health = || get(program.addr, "/_health").unwrap().status;
     let bytes = query_bytes("tag-lookup", &[0, 1], "60000m");
     let open = connect_and_send(program.addr, &bytes);
-    until("the parts", || a.parts().len() + b.parts().len() >= 2);
+    wait_until("the parts", || a.parts().len() + b.parts().len() >= 2);
     let idle = connect_and_send(program.addr, b"");
     let incomplete = connect_and_send(program.addr, &query_bytes("tag-lookup", &[0], "60000m")[..40]);
     for _ in 0..2 {
         program.control_request("POST", "/ops/drain/start");
         assert_eq!(health(), 503);
     }
-    assert!(!yes(program.control.unwrap(), "GET", "/ops/readiness"));
+    assert!(!control_request_succeeds(program.control.unwrap(), "GET", "/ops/readiness"));
     assert_eq!((read_status(idle), read_status(incomplete)), (None, None));
     release.store(true, Ordering::SeqCst);
     let mut reader = BufReader::new(open);
@@ -147,7 +151,9 @@
     assert_eq!(read_status(persistent), Some(200));
     program.control_request("POST", "/ops/drain/start");
     program.signal("TERM");
-    until("the shutdown", || !yes(program.control.unwrap(), "POST", "/ops/drain/stop"));
+    wait_until("the shutdown", || {
+        !control_request_succeeds(program.control.unwrap(), "POST", "/ops/drain/stop")
+    });
     assert!(program.ended().contains("drained by an operator"));
 }
 
@@ -155,7 +161,7 @@
 /// under which it was accepted; a new class is served; a lower attempt limit applies to new queries only.
 #[test]
 fn open_queries_keep_the_settings_of_their_acceptance() {
-    let (release, slow) = held_back();
+    let (release, slow) = gated_reply();
     let released = release.clone();
     let fail_shard_3 =
         move |part: &harness::stand_in::Part| match (part.text.as_str(), released.load(Ordering::SeqCst)) {
@@ -164,19 +170,19 @@
                 _ if part.id.ends_with(".3") => NodeReply::Answer(500, 0, String::new()),
                 reply => reply,
             },
-            _ => served(part),
+            _ => successful_reply(part),
         };
-    let (a, b, discovery) = two(fail_shard_3.clone(), fail_shard_3);
+    let (a, b, discovery) = start_two_data_nodes(fail_shard_3.clone(), fail_shard_3);
     let program = Program::start(&config(&discovery, |_| ()));
     let open = connect_and_send(program.addr, &query_bytes("monthly-settle", &[0, 1], "60000m"));
     let failing = connect_and_send(program.addr, &query_bytes("monthly-settle", &[2, 3], "5000m"));
-    until("the parts", || a.parts().len() + b.parts().len() >= 4);
+    wait_until("the parts", || a.parts().len() + b.parts().len() >= 4);
     program.reload(&config(&discovery, |c| {
         remove_last_class(c);
         c["settings"]["limits"]["max_attempts"] = json!(1);
         c["settings"]["classes"][0]["name"] = json!("bridge-toll");
     }));
-    until("the new class", || query(program.addr, "bridge-toll", &[9]).unwrap().status == 400);
+    wait_until("the new class", || query(program.addr, "bridge-toll", &[9]).unwrap().status == 400);
     assert_eq!(query(program.addr, "monthly-settle", &[0]).unwrap().status, 404);
     let before = a.parts().len() + b.parts().len();
     release.store(true, Ordering::SeqCst);
@@ -188,7 +194,7 @@
     assert_ne!(query(program.addr, "bridge-toll", &[3]).unwrap().status, 200);
     assert_eq!(attempts(".3"), 5);
     // The statistics of both classes remain.
-    until("the statistics", || program.statistic("served.bridge-toll") == Some(1));
+    wait_until("the statistics", || program.statistic("served.bridge-toll") == Some(1));
     assert_eq!(program.statistic("served.monthly-settle"), Some(1));
 }
 
@@ -196,7 +202,7 @@
 /// discovery address.
 #[test]
 fn invalid_file_changes_nothing() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let program = Program::start(&config(&discovery, |_| ()));
     let other = Discovery::start("127.0.0.1:0", Vec::new());
     let remove_key = |c: &mut Value, at: &str, key: &str| {
@@ -224,17 +230,17 @@
     }
     for (turn, text) in invalid.iter().enumerate() {
         program.reload(text);
-        until("the file's rejection", || program.statistic("reloads_failed") == Some(turn as u64 + 1));
+        wait_until("the file's rejection", || program.statistic("reloads_failed") == Some(turn as u64 + 1));
     }
     assert_eq!((program.statistic("reloads_ok"), other.watches() + other.lists()), (Some(0), 0));
     program.reload(&valid);
-    until("the valid file", || program.statistic("reloads_ok") == Some(1) && other.lists() == 1);
+    wait_until("the valid file", || program.statistic("reloads_ok") == Some(1) && other.lists() == 1);
     // After several reloads in quick succession the last file is in effect.
     let last = Discovery::start("127.0.0.1:0", Vec::new());
     for n in 0..10 {
         program.reload(&config(if n == 9 { &last } else { &other }, |_| ()));
     }
-    until("the last file", || last.lists() == 1);
+    wait_until("the last file", || last.lists() == 1);
     program.signal("TERM");
     let log = program.ended();
     let rejections: Vec<&str> = log.lines().filter(|l| l.contains("configuration rejected")).collect();
@@ -253,7 +259,7 @@
 /// the read, the truncated file is rejected, and the file that replaced it is applied.
 #[test]
 fn file_may_be_replaced_while_it_is_read() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let program = Program::start(&config(&discovery, |_| ()));
     let pipe = |path: &std::path::Path| {
         assert!(std::process::Command::new("mkfifo").arg(path).status().unwrap().success());
@@ -267,10 +273,12 @@
     assert_eq!(query(program.addr, "monthly-settle", &[0, 1]).unwrap().status, 200);
     assert_eq!((program.statistic("reloads_ok"), program.statistic("reloads_failed")), (Some(0), Some(0)));
     drop(slow_writer);
-    until("both files", || {
+    wait_until("both files", || {
         (program.statistic("reloads_ok"), program.statistic("reloads_failed")) == (Some(1), Some(1))
     });
-    until("the removal of the class", || query(program.addr, "monthly-settle", &[0]).unwrap().status == 404);
+    wait_until("the removal of the class", || {
+        query(program.addr, "monthly-settle", &[0]).unwrap().status == 404
+    });
     // This pipe has no writer.
     program.reload_with(pipe);
     program.signal("TERM");
@@ -281,7 +289,7 @@
 /// persistent connections is answered; none is rejected or reset.
 #[test]
 fn new_version_takes_over_without_rejecting_requests() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let start = || Program::start_with(&config(&discovery, |_| ()), Some(&listener));
@@ -305,17 +313,17 @@
         })
     };
     let clients: Vec<_> = (0..6).map(|n| client(n % 2 == 0)).collect();
-    until("traffic", || old.statistic("served.tag-lookup") > Some(50));
+    wait_until("traffic", || old.statistic("served.tag-lookup") > Some(50));
     let new = start();
     old.signal("TERM");
     let log = old.ended();
     let served_by_new = || new.statistic("served.tag-lookup").unwrap();
     let before = served_by_new();
-    until("traffic at the new process", || served_by_new() > before + 50);
+    wait_until("traffic at the new process", || served_by_new() > before + 50);
     stop.store(true, Ordering::SeqCst);
     let served: u64 = clients.into_iter().map(|c| c.join().unwrap()).sum();
     let served_by_old = log.lines().find_map(|l| l.trim().strip_prefix("cdAnswersWhole ")).unwrap();
-    until("the count of all answers", || {
+    wait_until("the count of all answers", || {
         served_by_old.trim().parse::<u64>().unwrap() + served_by_new() == served
     });
     assert!(a.parts().len() + b.parts().len() >= 2 * served as usize);
@@ -324,7 +332,7 @@
 /// An address or descriptor that the program cannot listen on ends the start with one line that names the cause.
 #[test]
 fn unusable_listening_address_ends_the_start() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let dir = std::env::temp_dir().join(format!("curlewdeck-start-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let file = dir.join("config.json");
@@ -351,7 +359,7 @@
 #[test]
 fn lack_of_sockets_is_logged_at_a_limited_rate() {
     let started = Instant::now();
-    let (release, slow) = held_back();
+    let (release, slow) = gated_reply();
     let node = DataNode::start(slow);
     // One shard per data node, and fewer sockets than data nodes.
     let nodes = 60;
@@ -363,7 +371,7 @@
     let program = Program::start(&cluster.config(discovery.addr));
     let shards: Vec<u32> = (0..nodes).collect();
     let open = connect_and_send(program.addr, &query_bytes("plaza-ranking", &shards, "60000m"));
-    until("the use of all sockets", || node.parts().len() == limits.node_sockets);
+    wait_until("the use of all sockets", || node.parts().len() == limits.node_sockets);
     // The remaining parts were dispatched together with these and are retried until the end.
     program.signal("TERM");
     release.store(true, Ordering::SeqCst);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -15,14 +15,15 @@
 
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply, Part};
 use harness::{
-    change, held_back, member, query, query_bytes, ready, served, two, until, Program, TestCluster,
+    gated_reply, member, query, query_bytes, set_member_state, start_two_data_nodes, successful_reply,
+    wait_until, wait_until_healthy, Program, TestCluster,
 };
 
 #[test]
 fn complete_answer_contains_the_data_nodes_values() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let answer = query(coordinator.listen, "tag-lookup", &[3, 0]).unwrap();
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":3,"data":"v3"},{"id":0,"data":"v0"}]}"#);
@@ -35,9 +36,9 @@
 /// consists of its values alone.
 #[test]
 fn second_phase_goes_to_the_shards_with_the_highest_scores() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let answer = query(coordinator.listen, "monthly-settle", &[0, 1, 2, 3]).unwrap();
     assert_eq!(
         answer.body,
@@ -53,9 +54,9 @@
 /// follows.
 #[test]
 fn second_phase_follows_a_client_retry() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     for shards in [&[3][..], &[0, 1, 2, 3]] {
         let request = String::from_utf8(query_bytes("monthly-settle", shards, "60000m")).unwrap();
         let retry = request.replacen("Host: a\r\n", "Host: a\r\nX-Retried: 1\r\n", 1);
@@ -83,11 +84,11 @@
         || NodeReply::Answer(503, 0, String::new()),
     ];
     for fault in faults {
-        let (a, b, discovery) = two(move |_| fault(), served);
+        let (a, b, discovery) = start_two_data_nodes(move |_| fault(), successful_reply);
         let coordinator = TestCluster::default().start(discovery.addr, "");
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         // One part per query: the engine chooses which replica gets it first.
-        until("a part at the faulty data node", || {
+        wait_until("a part at the faulty data node", || {
             let answer = query(coordinator.listen, "tag-lookup", &[1]).unwrap();
             assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#);
             !a.parts().is_empty()
@@ -124,10 +125,10 @@
         Box::new(move |p: &Part| valid(p, b"-", &frame(b'O', format!("{} 200 1 -\nv1", p.id).as_bytes()))),
     ];
     for (n, fault) in faults.into_iter().enumerate() {
-        let (a, b, discovery) = two(fault, served);
+        let (a, b, discovery) = start_two_data_nodes(fault, successful_reply);
         let coordinator = TestCluster::default().start(discovery.addr, "");
-        ready(&coordinator);
-        until("a part at the faulty data node", || {
+        wait_until_healthy(&coordinator);
+        wait_until("a part at the faulty data node", || {
             let answer = exchange(coordinator.listen, &query_bytes("tag-lookup", &[1], "20000m")).unwrap();
             assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#, "{n}");
             !a.parts().is_empty()
@@ -156,9 +157,9 @@
 /// not read the disconnect yet: the liveness check before each part detects it.
 #[test]
 fn no_further_parts_are_sent_after_a_client_disconnects() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let checks = AtomicUsize::new(0);
     let client = ClientLiveness::new(move || checks.fetch_add(1, Ordering::SeqCst) == 0);
     coordinator.core.submit(query_of_all_shards(&coordinator, "tag-lookup", client), Box::new(|_| ()));
@@ -176,12 +177,12 @@
 #[test]
 fn unanswered_parts_are_cancelled_before_the_answer_is_sent() {
     let late_node = TcpListener::bind("127.0.0.1:0").unwrap();
-    let a = DataNode::start(served);
+    let a = DataNode::start(successful_reply);
     let members = vec![member("a", 0, a.addr), member("b", 1, late_node.local_addr().unwrap())];
     let discovery = Discovery::start("127.0.0.1:0", members);
     // The late node alone holds half of the shards; the class allows a partial answer from the other half.
     let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let request = query_of_all_shards(&coordinator, "plaza-ranking", ClientLiveness::default());
     let (sender, receiver) = std::sync::mpsc::channel();
     coordinator.core.submit(
@@ -215,11 +216,11 @@
 /// The drain rule: after the list has reported the drain of a data node, no part is sent to it.
 #[test]
 fn draining_data_node_gets_no_new_parts() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
-    until("the watch", || discovery.watches() > 0);
-    change(&coordinator, &discovery, "a", "draining");
+    wait_until_healthy(&coordinator);
+    wait_until("the watch", || discovery.watches() > 0);
+    set_member_state(&coordinator, &discovery, "a", "draining");
     let before = a.parts().len();
     for _ in 0..20 {
         assert_eq!(query(coordinator.listen, "tag-lookup", &[0, 1]).unwrap().status, 200);
@@ -231,11 +232,11 @@
 /// A watch may stay open and silent with no reset to end it. The coordinator opens another one.
 #[test]
 fn silent_watch_is_reopened() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    until("the watch", || discovery.watches() == 1);
+    wait_until("the watch", || discovery.watches() == 1);
     discovery.silence(true);
-    until("another watch", || discovery.watches() > 1);
+    wait_until("another watch", || discovery.watches() > 1);
     assert!(coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst) > 0);
 }
 
@@ -244,28 +245,28 @@
 fn pushed_list_is_watched_without_a_request_of_the_engine() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
     let coordinator = TestCluster { discovery: "pushed", ..TestCluster::default() }.start(discovery.addr, "");
-    until("the watch", || discovery.watches() == 1);
-    let a = DataNode::start(served);
+    wait_until("the watch", || discovery.watches() == 1);
+    let a = DataNode::start(successful_reply);
     discovery.add(member("a", 0, a.addr));
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
 }
 
 #[test]
 fn health_check_fails_until_a_data_node_is_listed() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    until("the watch", || discovery.watches() > 0);
+    wait_until("the watch", || discovery.watches() > 0);
     assert_eq!(get(coordinator.listen, "/_health").unwrap().status, 503);
-    let a = DataNode::start(served);
+    let a = DataNode::start(successful_reply);
     discovery.add(member("a", 0, a.addr));
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
 }
 
 #[test]
 fn connections_to_data_nodes_are_reused() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     for _ in 0..10 {
@@ -282,9 +283,9 @@
 /// Each kind of invalid request gets its own status.
 #[test]
 fn invalid_requests_get_the_matching_status() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let post = |path: &str, head: &str, body: &str| {
         let length = body.len();
         format!("POST {path} HTTP/1.1\r\nX-Request-ID: a1\r\n{head}Content-Length: {length}\r\n\r\n{body}")
@@ -322,9 +323,9 @@
 /// coordinator rejects it, closes the connection and forwards nothing.
 #[test]
 fn smuggled_request_is_never_forwarded() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let hidden = String::from_utf8(query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     for (coding, length) in [("chunked", 5), ("Chunked", 5 + hidden.len()), ("identity", 5), ("", 5)] {
         let text = format!(
@@ -342,14 +343,14 @@
 /// A request with the id of an open request is rejected with 409, and the first request is answered.
 #[test]
 fn duplicate_id_of_an_open_request_is_rejected() {
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let (addr, bytes) = (coordinator.listen, query_bytes("tag-lookup", &[1], "60000m"));
     let same = bytes.clone();
     let first = std::thread::spawn(move || exchange(addr, &bytes).unwrap());
-    until("the part", || a.parts().len() + b.parts().len() >= 1);
+    wait_until("the part", || a.parts().len() + b.parts().len() >= 1);
     assert_eq!(exchange(addr, &same).unwrap().status, 409);
     release.store(true, Ordering::SeqCst);
     assert_eq!(first.join().unwrap().body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#);
@@ -362,16 +363,16 @@
     let release = Arc::new(AtomicBool::new(false));
     let released = release.clone();
     let slow = move |part: &Part| {
-        until("the test to release the reply", || part.shard != 3 || released.load(Ordering::SeqCst));
-        served(part)
+        wait_until("the test to release the reply", || part.shard != 3 || released.load(Ordering::SeqCst));
+        successful_reply(part)
     };
-    let (_a, _b, discovery) = two(slow.clone(), slow);
+    let (_a, _b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let cluster = TestCluster { sockets: 128, ..TestCluster::default() };
     let coordinator = cluster.start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let addr = coordinator.listen;
     let open = std::thread::spawn(move || query(addr, "tag-lookup", &[3]).unwrap());
-    until("the open request", || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst) == 1);
+    wait_until("the open request", || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst) == 1);
     let send_query = || {
         let mut stream = TcpStream::connect(addr).unwrap();
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
@@ -399,9 +400,9 @@
 /// and one that sends too large a body gets 413 although it keeps sending.
 #[test]
 fn silent_incomplete_and_oversized_requests_end_their_connections() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let silent = TcpStream::connect(coordinator.listen).unwrap();
     let mut incomplete = TcpStream::connect(coordinator.listen).unwrap();
     incomplete.write_all(b"POST /tag-lookup HTTP/1.1\r\nContent-Length: 9\r\n\r\n{").unwrap();
@@ -416,9 +417,9 @@
 /// A query over the `max_open` limit of the settings is rejected with 503 and a `Retry-After` header.
 #[test]
 fn query_over_the_limit_is_rejected_with_retry_after() {
-    let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+    let (_a, _b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster { max_open: 4, ..TestCluster::default() }.start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let answer = query(coordinator.listen, "tag-lookup", &[0, 1, 2, 3]).unwrap();
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some_and(|s| s.parse::<f64>().unwrap() > 0.0));
@@ -428,9 +429,9 @@
 /// A query that no data node answers is rejected or abandoned within its timeout.
 #[test]
 fn query_without_answers_ends_in_time() {
-    let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+    let (_a, _b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let answer = exchange(coordinator.listen, &query_bytes("tag-lookup", &[0, 1], "1500m")).unwrap();
     assert!(matches!(answer.status, 503 | 504), "{}", answer.status);
 }
@@ -438,31 +439,31 @@
 /// The parts of a disconnected client are cancelled at the data nodes.
 #[test]
 fn client_disconnect_cancels_its_parts() {
-    let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+    let (a, b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).unwrap();
-    until("the parts", || a.parts().len() + b.parts().len() >= 2);
+    wait_until("the parts", || a.parts().len() + b.parts().len() >= 2);
     drop(stream);
-    until("the client's disconnect", || {
+    wait_until("the client's disconnect", || {
         coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
     });
-    until("the cancellation of the parts", || a.given_up().len() + b.given_up().len() >= 2);
+    wait_until("the cancellation of the parts", || a.given_up().len() + b.given_up().len() >= 2);
 }
 
 /// SIGTERM: open queries are answered, idle connections are closed, and the program exits with status 0.
 #[test]
 fn sigterm_completes_open_queries() {
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
     let addr = program.addr;
     let idle = TcpStream::connect(addr).unwrap();
     let client = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
-    until("the parts", || a.parts().len() + b.parts().len() >= 2);
+    wait_until("the parts", || a.parts().len() + b.parts().len() >= 2);
     program.signal("TERM");
-    until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
+    wait_until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
     release.store(true, Ordering::SeqCst);
     assert_eq!(client.join().unwrap().status, 200);
     assert!(program.ended().contains("cdAnswersWhole 1"));
@@ -473,11 +474,11 @@
 /// longer and no data node answers.
 #[test]
 fn query_accepted_after_sigterm_is_answered_before_the_exit() {
-    let (_a, _b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+    let (_a, _b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
     let addr = program.addr;
     program.signal("TERM");
-    until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
+    wait_until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
     let answer = query(addr, "tag-lookup", &[0, 1]);
     let log = program.ended();
     let counter = |name: &str| -> u64 {
@@ -493,26 +494,26 @@
 /// at once, whatever its version, also at a second change and after SIGTERM. An unreadable file changes nothing.
 #[test]
 fn sighup_changes_the_discovery_address() {
-    let (release, slow) = held_back();
-    let (a, b, first) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, first) = start_two_data_nodes(slow.clone(), slow);
     // The statistics on the control address show whether a file was rejected.
     let config = |discovery: &Discovery| {
         TestCluster::default().config(discovery.addr).replacen('{', r#"{"control":"127.0.0.1:0","#, 1)
     };
     let mut program = Program::start(&config(&first));
-    until("the first watch", || first.watches() == 1);
+    wait_until("the first watch", || first.watches() == 1);
     program.reload("{");
     // Signals in quick succession are merged and the file is read afterwards, so the next file must not replace this
     // one before it is rejected.
-    until("the file's rejection", || program.statistic("reloads_failed") == Some(1));
+    wait_until("the file's rejection", || program.statistic("reloads_failed") == Some(1));
     // The second discovery service lists one of the two data nodes, the third both.
     let second = Discovery::start("127.0.0.1:0", vec![member("b", 1, b.addr)]);
     program.reload(&config(&second));
-    until("the second watch", || second.watches() == 1 && second.lists() == 1);
+    wait_until("the second watch", || second.watches() == 1 && second.lists() == 1);
     assert_eq!(first.watches(), 1);
     let addr = program.addr;
     let client = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
-    until("the parts", || b.parts().len() == 2);
+    wait_until("the parts", || b.parts().len() == 2);
     assert_eq!(a.parts().len(), 0);
     // SIGTERM starts the program's shutdown timeout, so everything but the SIGHUP is prepared before it.
     let third = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -14,7 +14,10 @@
 
 use harness::scripted::{chunk, list, Scripted, WATCH};
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
-use harness::{held_back, member, query_bytes, ready, served, two, until, Program, TestCluster};
+use harness::{
+    gated_reply, member, query_bytes, start_two_data_nodes, successful_reply, wait_until, wait_until_healthy,
+    Program, TestCluster,
+};
 
 /// Read timeout of the clients, far longer than any exchange of these tests takes.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
@@ -30,7 +33,7 @@
 }
 
 fn wait_until_draining(addr: SocketAddr) {
-    until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
+    wait_until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
 }
 
 // ---- Shutdown. ----
@@ -40,7 +43,7 @@
 /// SIGHUP change nothing.
 #[test]
 fn open_queries_at_sigterm_are_answered_before_sigkill() {
-    let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+    let (a, b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let config = TestCluster { deadline_s: 1, ..TestCluster::default() }.config(discovery.addr);
     let program = Program::start(&config);
     let addr = program.addr;
@@ -48,7 +51,7 @@
         let bytes = query_bytes(class, &[0, 1], "60000m");
         thread::spawn(move || (exchange(addr, &bytes), Instant::now()))
     });
-    until("the parts", || a.parts().len() + b.parts().len() >= 6);
+    wait_until("the parts", || a.parts().len() + b.parts().len() >= 6);
     program.signal("TERM");
     let terminated = Instant::now();
     program.signal("TERM");
@@ -65,7 +68,7 @@
 /// read to its end and answered.
 #[test]
 fn partial_request_is_answered_while_shutdown_closes_idle_connections() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     // With this deadline idle connections are closed half a second after SIGTERM.
     let program =
         Program::start(&TestCluster { deadline_s: 1, ..TestCluster::default() }.config(discovery.addr));
@@ -90,7 +93,7 @@
 /// connection is not reset, so that the client reads the end of the stream and can retry elsewhere.
 #[test]
 fn request_that_crosses_the_close_of_its_connection_is_not_forwarded() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
     let mut idle = connect(program.addr);
     idle.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
@@ -110,7 +113,7 @@
 /// Requests on persistent connections are served after SIGTERM for as long as the connections stay open.
 #[test]
 fn persistent_connection_is_served_after_sigterm() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let program = Program::start(&TestCluster::default().config(discovery.addr));
     let mut persistent = connect(program.addr);
     persistent.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
@@ -127,9 +130,9 @@
 /// do not cause such a reset.
 #[test]
 fn trailing_bytes_after_the_last_request_do_not_reset_its_answer() {
-    let (_a, _b, discovery) = two(served, served);
+    let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let mut stream = connect(coordinator.listen);
     let last = String::from_utf8(query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     let last = last.replacen("\r\n", "\r\nConnection: close\r\n", 1);
@@ -143,10 +146,10 @@
 /// cause a reset.
 #[test]
 fn rejected_client_gets_503_without_a_connection_reset() {
-    let (release, slow) = held_back();
-    let (_a, _b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (_a, _b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let coordinator = TestCluster { sockets: 128, ..TestCluster::default() }.start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let addr = coordinator.listen;
     let client_limit =
         Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap().clients;
@@ -155,7 +158,7 @@
         .map(|n| {
             let mut stream = connect(addr);
             stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-            until("the open query", || accepted() == n);
+            wait_until("the open query", || accepted() == n);
             stream
         })
         .collect();
@@ -176,21 +179,21 @@
 #[test]
 fn disconnect_is_detected_behind_pipelined_requests() {
     for pipelined in [1, 2000] {
-        let (a, b, discovery) = two(|_| NodeReply::Silence, |_| NodeReply::Silence);
+        let (a, b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
         let coordinator = TestCluster::default().start(discovery.addr, "");
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         let parts = || [a.parts(), b.parts()].concat();
         let mut stream = connect(coordinator.listen);
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-        until("the part", || !parts().is_empty());
+        wait_until("the part", || !parts().is_empty());
         let requests: Vec<u8> =
             (0..pipelined).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
         stream.write_all(&requests).unwrap();
         drop(stream);
-        until("the disconnect", || {
+        wait_until("the disconnect", || {
             coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
         });
-        until("the part's cancellation", || a.given_up().len() + b.given_up().len() == parts().len());
+        wait_until("the part's cancellation", || a.given_up().len() + b.given_up().len() == parts().len());
         assert!(parts().iter().all(|p| p.shard == 0), "forwarded a request of a disconnected client");
     }
 }
@@ -198,15 +201,15 @@
 /// Pipelined requests are answered in order. More of them than the read-ahead buffer holds end the connection.
 #[test]
 fn pipelined_requests_are_answered_in_order_up_to_the_read_ahead_limit() {
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let mut stream = connect(coordinator.listen);
     let request_len = query_bytes("tag-lookup", &[0], "60000m").len();
     let max_pipelined = Limits::default().read_ahead.div_ceil(request_len) + 1 + 4096 / request_len;
     stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    until("the part", || a.parts().len() + b.parts().len() == 1);
+    wait_until("the part", || a.parts().len() + b.parts().len() == 1);
     // More than the socket buffers hold: once it is written, the coordinator has read more than its read-ahead limit.
     let requests: Vec<u8> =
         (0..16_000_000 / request_len).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
@@ -224,10 +227,10 @@
 /// is never forwarded.
 #[test]
 fn queued_query_is_not_forwarded_after_its_client_disconnects() {
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let send_query = || {
         let mut stream = connect(coordinator.listen);
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
@@ -240,7 +243,7 @@
     loop {
         let (parts_before, accepted_before) = (parts(), accepted());
         open.push(send_query());
-        until("the query", || accepted() > accepted_before);
+        wait_until("the query", || accepted() > accepted_before);
         let start = Instant::now();
         while parts() == parts_before && start.elapsed() < Duration::from_millis(100) {
             thread::sleep(Duration::from_millis(1));
@@ -251,7 +254,9 @@
     }
     let (queued, forwarded) = (open.pop().unwrap(), parts());
     drop(queued);
-    until("the disconnect", || coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1);
+    wait_until("the disconnect", || {
+        coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
+    });
     release.store(true, Ordering::SeqCst);
     open.iter().for_each(|stream| assert_eq!(read_answer_on(stream).unwrap().status, 200));
     assert_eq!(parts(), forwarded);
@@ -282,9 +287,9 @@
                 thread::sleep(Duration::from_millis(break_delay_ms));
                 return NodeReply::Close;
             }
-            served(part)
+            successful_reply(part)
         };
-        let (a, b, discovery) = two(close_first_connection.clone(), close_first_connection);
+        let (a, b, discovery) = start_two_data_nodes(close_first_connection.clone(), close_first_connection);
         let config = with_effect(TestCluster::default().config(discovery.addr), &effect);
         let program = Program::start(&config);
         let answer = exchange(program.addr, &query_bytes("tag-lookup", &[0], "2000m")).unwrap();
@@ -326,7 +331,7 @@
 
 /// Starts two data nodes that hold every shard; returns them with the text of their endpoint list.
 fn listed_data_nodes() -> (DataNode, DataNode, String) {
-    let (a, b) = (DataNode::start(served), DataNode::start(served));
+    let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let text = list(1, &[("a", 0, a.addr), ("b", 1, b.addr)]);
     (a, b, text)
 }
@@ -348,7 +353,7 @@
         } else {
             watch.write_all(&[b"HTTP/1.1 200 OK\r\n\r\n", indented.as_bytes()].concat()).unwrap();
         }
-        ready(&coordinator);
+        wait_until_healthy(&coordinator);
         assert_eq!(coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst), 0);
     }
 }
@@ -405,10 +410,10 @@
     // Ends the watch, so that the next call is open when the address changes.
     drop(first);
     let (mut open, _) = old.call();
-    let c = DataNode::start(served);
+    let c = DataNode::start(successful_reply);
     let new = Discovery::start("127.0.0.1:0", vec![member("c", 0, c.addr), member("d", 1, c.addr)]);
     program.reload(&TestCluster::default().config(new.addr));
-    until("the new watch", || new.watches() == 1 && new.lists() == 1);
+    wait_until("the new watch", || new.watches() == 1 && new.lists() == 1);
     // The late list is ignored, whether or not the connection still accepts it.
     let late = list(9, &[("a", 0, a.addr), ("b", 1, b.addr)]);
     let _ = open.write_all(&[WATCH, &chunk(&(late + "\n"))].concat());
@@ -434,7 +439,7 @@
     program.reload(&TestCluster::default().config(addr));
     // Closing the socket with the request unread resets the connection after the written response.
     let (mut reset, _) = next.listener.accept().unwrap();
-    until("the request", || reset.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
+    wait_until("the request", || reset.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
     let only_c = list(7, &[("c", 0, a.addr)]);
     reset.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{only_c}").as_bytes()).unwrap();
     drop(reset);
@@ -457,7 +462,7 @@
     let coordinator = cluster.start(addr, "");
     let (mut watch, _) = discovery.call();
     watch.write_all(&[WATCH, &chunk(&(text.clone() + "\n"))].concat()).unwrap();
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     drop((discovery, watch));
     let idle: Vec<TcpStream> = (0..200).map(|_| connect(coordinator.listen)).collect();
     let listener = loop {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -15,7 +15,7 @@
 use serde_json::{json, Value};
 
 use harness::stand_in::{DataNode, Discovery};
-use harness::{member, query, served, until, Program, TestCluster};
+use harness::{member, query, successful_reply, wait_until, Program, TestCluster};
 
 /// Time after SIGHUP at which the content of the new discovery counts as notified.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(4);
@@ -42,7 +42,7 @@
 
 impl MovingDiscovery {
     fn start() -> Self {
-        let nodes = [DataNode::start(served), DataNode::start(served)];
+        let nodes = [DataNode::start(successful_reply), DataNode::start(successful_reply)];
         let members = || vec![member("a", 0, nodes[0].addr), member("b", 1, nodes[1].addr)];
         let (old, new) =
             (Discovery::start("127.0.0.1:0", members()), Discovery::start("127.0.0.1:0", members()));
@@ -73,7 +73,7 @@
 
     /// Waits until this number of files has been rejected.
     fn wait_for_rejections(&self, files: u64) {
-        until("the file's rejection", || self.reloads().1 == files);
+        wait_until("the file's rejection", || self.reloads().1 == files);
     }
 
     /// Asserts that the program watches the new discovery in time and applies a drain that only the new discovery
@@ -85,7 +85,7 @@
             sleep(Duration::from_millis(5));
         }
         self.new.set("a", "draining");
-        until("the drain", || self.program.statistic("data_nodes_excluded") == Some(1));
+        wait_until("the drain", || self.program.statistic("data_nodes_excluded") == Some(1));
         let parts = || self.nodes[0].parts().len();
         let before = parts();
         for shard in 0..4 {
@@ -118,7 +118,7 @@
         moving.program.replace_config(&complete);
         match turn {
             0 => moving.assert_follows_new_discovery(signalled),
-            _ => until("the complete file", || moving.reloads().0 == 2),
+            _ => wait_until("the complete file", || moving.reloads().0 == 2),
         }
     }
     assert_eq!(moving.reloads(), (2, 2));
@@ -227,7 +227,7 @@
     moving.program.reload("{");
     moving.wait_for_rejections(1);
     moving.program.replace_config(&config_with_discovery(&moving.new));
-    until("the file", || moving.reloads() == (1, 1));
+    wait_until("the file", || moving.reloads() == (1, 1));
     // The same text through a pipe, whose open returns when the read of this SIGHUP has begun.
     let mut same = moving.reload_pipe();
     same.write_all(config_with_discovery(&moving.new).as_bytes()).unwrap();
@@ -236,7 +236,7 @@
     moving.wait_for_rejections(2);
     assert_eq!(moving.reloads(), (1, 2));
     moving.program.reload(&config_with_discovery(&moving.new));
-    until("the next signal's file", || moving.reloads() == (2, 2));
+    wait_until("the next signal's file", || moving.reloads() == (2, 2));
     assert_eq!((moving.new.watches(), moving.new.lists()), (1, 1));
 }
 
@@ -256,13 +256,15 @@
     // Changes back to the old address, and then reloads the same file.
     let watches = moving.old.watches();
     moving.program.reload(&old);
-    until("the return to the old discovery", || moving.old.watches() == watches + 1);
+    wait_until("the return to the old discovery", || moving.old.watches() == watches + 1);
     let (applied, _) = moving.reloads();
     moving.program.reload(&old);
-    until("the same file", || moving.reloads().0 > applied);
+    wait_until("the same file", || moving.reloads().0 > applied);
     assert_eq!(moving.old.watches(), watches + 1, "reconnected although the address is unchanged");
     moving.old.set("b", "draining");
-    until("the drain at the old discovery", || moving.program.statistic("data_nodes_excluded") == Some(1));
+    wait_until("the drain at the old discovery", || {
+        moving.program.statistic("data_nodes_excluded") == Some(1)
+    });
 }
 
 /// SIGTERM arrives while a file waits for a retry, or while a read hangs. The process ends as usual, and a file that is
--- a/tests/replicated_state.rs
+++ b/tests/replicated_state.rs
@@ -17,7 +17,7 @@
 use curlewdeck_testkit::proxy::{DroppedMessages, Faults, Proxy};
 use raft::eraftpb::MessageType;
 
-use harness::{operate, until, yes, TestCluster};
+use harness::{control_request_succeeds, send_control_request, wait_until, TestCluster};
 
 const SIZE: usize = 3;
 const TICK: Duration = Duration::from_millis(50);
@@ -80,7 +80,7 @@
             let value = fields.lines().next()?.split(' ').find_map(|f| f.strip_prefix(name))?;
             value.strip_prefix('=')?.parse().ok()
         };
-        until("the member", || field("members_address").is_some() && field("clients_address").is_some());
+        wait_until("the member", || field("members_address").is_some() && field("clients_address").is_some());
         let (listen, control) = (field("members_address").unwrap(), field("clients_address").unwrap());
         Self { child, log, started: Instant::now(), listen, control }
     }
@@ -101,7 +101,11 @@
             self.assert_runs();
             std::thread::sleep(TICK);
         }
-        assert!(yes(self.control, "GET", "/group/status"), "the log:\n{}", lock(&self.log));
+        assert!(
+            control_request_succeeds(self.control, "GET", "/group/status"),
+            "the log:\n{}",
+            lock(&self.log)
+        );
     }
 
     /// Waits until the process has loaded its state, and asserts the number of its start.
@@ -202,11 +206,11 @@
 
     fn leader(&self) -> usize {
         let leads = |member: &Member| {
-            let status = operate(member.control, "GET", "/group/status");
+            let status = send_control_request(member.control, "GET", "/group/status");
             status.is_ok_and(|status| status.body.lines().any(|line| line == "role=leader"))
         };
         let mut leader = None;
-        until("a leader", || {
+        wait_until("a leader", || {
             leader = self.members.iter().find(|(_, member)| leads(member)).map(|(&n, _)| n);
             leader.is_some()
         });
@@ -237,7 +241,9 @@
 
     /// The version of the replicated state of coordinator `n`, read at member `at`.
     fn state_version(&self, n: usize, at: usize) -> Option<u64> {
-        let answer = operate(self.members[&at].control, "GET", &format!("/group/keys/state/n{n}")).ok()?;
+        let answer =
+            send_control_request(self.members[&at].control, "GET", &format!("/group/keys/state/n{n}"))
+                .ok()?;
         answer.header("version")?.parse().ok()
     }
 
@@ -275,7 +281,7 @@
         }),
     );
     group.start_member(starting);
-    until("the first write", || PROPOSED.load(Ordering::SeqCst));
+    wait_until("the first write", || PROPOSED.load(Ordering::SeqCst));
     group.member(starting).assert_runs_for(2 * REQUEST_TIMEOUT);
     assert!(!group.member(starting).has_logged("] state loaded "), "the state was loaded without a write");
     group.clear_faults();
@@ -291,7 +297,7 @@
     let mut group = Group::start("lost-answer");
     let (starting, other) = group.kill_a_follower();
     let mut before = None;
-    until("the state's version", || {
+    wait_until("the state's version", || {
         before = group.state_version(starting, other);
         before.is_some()
     });
@@ -305,7 +311,7 @@
     );
     group.set_faults_to(starting, drop_frames(|_| PROPOSED.load(Ordering::SeqCst)));
     group.start_member(starting);
-    until("the commit", || group.state_version(starting, other).is_some_and(|v| Some(v) > before));
+    wait_until("the commit", || group.state_version(starting, other).is_some_and(|v| Some(v) > before));
     group.member(starting).assert_runs_for(2 * REQUEST_TIMEOUT);
     assert!(!group.member(starting).has_logged("] state loaded "), "the state was loaded without an answer");
     group.clear_faults();
@@ -328,7 +334,7 @@
         }),
     );
     group.start_member(starting);
-    until("the first write", || PROPOSED.load(Ordering::SeqCst));
+    wait_until("the first write", || PROPOSED.load(Ordering::SeqCst));
     let leader = group.leader();
     group.kill(leader);
     group.clear_faults();
@@ -346,7 +352,7 @@
     let (first, rest) = (0, 1..SIZE);
     rest.for_each(|n| group.kill(n));
     let log = group.member(first).log.clone();
-    until("a write of the state without a quorum", || lock(&log).contains("] state not replicated "));
+    wait_until("a write of the state without a quorum", || lock(&log).contains("] state not replicated "));
     let terminated = Instant::now();
     harness::signal(&group.member(first).child, "TERM");
     let ended = group.member(first).child.wait().unwrap();
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -18,7 +18,7 @@
 use curlewdeck_testkit::proxy::{Faults, MessageLength, Proxy};
 
 use harness::stand_in::{read_answer, Answer};
-use harness::{call_bytes, until, TestCluster};
+use harness::{call_bytes, wait_until, TestCluster};
 
 /// Longer than any call may take: only a call to a stalled process exceeds it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
@@ -66,7 +66,7 @@
             lines.lines().map_while(Result::ok).for_each(|l| *lock(&log_in_thread) += &(l + "\n"))
         });
         let started = || log_line(&lock(&log), "member started");
-        until("the member", || started().is_some());
+        wait_until("the member", || started().is_some());
         let started = started().unwrap();
         let id = log_field(&started, "member").parse().unwrap();
         let listen = log_field(&started, "members_address").parse().unwrap();
@@ -178,7 +178,7 @@
     /// Waits until a member other than those in `excluded` reports that it is the leader.
     fn leader_except(&self, excluded: &[usize]) -> usize {
         let mut found = None;
-        until("a leader", || {
+        wait_until("a leader", || {
             found = (0..self.members.len())
                 .filter(|n| !excluded.contains(n))
                 .find(|&n| self.members[n].as_ref().is_some_and(|m| m.status()["role"] == "leader"));
@@ -193,7 +193,7 @@
 
     /// Repeats a call at member `by` until it succeeds; it may fail while a leader is being elected.
     fn call_until_ok(&self, method: &str, path: &str, body: &str, by: usize) {
-        until(path, || call(self.member(by).control, method, path, body).is_ok_and(|a| a.status == 200));
+        wait_until(path, || call(self.member(by).control, method, path, body).is_ok_and(|a| a.status == 200));
     }
 
     /// Replaces the former member `old` with the new member of process `n`, which was restarted with an empty folder.
@@ -209,7 +209,7 @@
     fn wait_until_caught_up(&self, n: usize, by: usize) {
         let applied = |n: usize| self.member(n).status()["applied"].parse::<u64>().unwrap();
         let target_index = applied(by);
-        until("the member to catch up", || {
+        wait_until("the member to catch up", || {
             self.member(n).status()["role"] != "without a leader" && applied(n) >= target_index
         });
     }
@@ -285,7 +285,7 @@
     /// Waits until `more` further writes are committed.
     fn wait_for_commits(&self, more: u64) {
         let before = self.committed();
-        until("commits", || self.committed() >= before + more);
+        wait_until("commits", || self.committed() >= before + more);
     }
 
     /// Stops the clients, reads each committed key again at one member, and checks the complete history for
@@ -299,7 +299,7 @@
             operations.iter().filter(written).map(|e| e.key.clone()).collect();
         for key in &keys {
             let mut last = None;
-            until("the final read", || {
+            wait_until("the final read", || {
                 last = get(self.started, at, key);
                 last.is_some()
             });
@@ -347,7 +347,7 @@
     clients.wait_for_commits(60);
     let lost = group.leader();
     let old = group.member(lost).id;
-    until("the count of the first start", || {
+    wait_until("the count of the first start", || {
         lock(&group.member(lost).log).contains("] state loaded start=1 directory=")
     });
     group.kill(lost, true);
@@ -357,7 +357,7 @@
     clients.wait_for_commits(30);
     clients.check_history(group.member(lost).control);
     // The count of its starts continues from the replicated copy.
-    until("the state of the new member", || {
+    wait_until("the state of the new member", || {
         lock(&group.member(lost).log).contains("] state loaded start=2 directory=")
     });
     assert_eq!(group.member(lost).status()["voters"].split(',').count(), 3);
@@ -390,12 +390,12 @@
         let answer = call(group.member(n).control, "GET", "keys/k0", "").unwrap();
         answer.status == 503 && answer.header("retry-after").is_some()
     };
-    until("the minority to reject reads", || rejects_reads(leader) && rejects_reads(follower));
+    wait_until("the minority to reject reads", || rejects_reads(leader) && rejects_reads(follower));
     let by = group.leader_except(&[leader, follower]);
     group.call_until_ok("PUT", "keys/cut", "most", by);
     assert!(rejects_reads(leader) && rejects_reads(follower), "the minority answers during the partition");
     group.clear_faults();
-    until("the minority to read what the majority committed", || {
+    wait_until("the minority to read what the majority committed", || {
         call(group.member(follower).control, "GET", "keys/cut", "").is_ok_and(|a| a.body == "most")
     });
     let leader = group.leader();
@@ -483,7 +483,7 @@
             "{name}"
         );
         group.replace(corrupted, old, leader);
-        until("the value from the other members", || {
+        wait_until("the value from the other members", || {
             let answer = call(group.member(corrupted).control, "GET", "keys/plaza", "").unwrap();
             answer.status == 200 && answer.body == "a value found on the disk"
         });
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -9,7 +9,7 @@
 use curlewdeck_accounting::{ClassRow, LedgerSnapshot, QueryEnd};
 use curlewdeck_snapshot::record;
 use harness::stand_in::{DataNode, Discovery, NodeReply};
-use harness::{change, member, query, ready, until, TestCluster};
+use harness::{member, query, set_member_state, wait_until, wait_until_healthy, TestCluster};
 
 const CLASSES: [&str; 3] = ["tag-lookup", "plaza-ranking", "monthly-settle"];
 
@@ -34,7 +34,7 @@
     let discovery = Discovery::start("127.0.0.1:0", members);
     // Each shard is held by one cell: even shards by cell 0, odd shards by cell 1.
     let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     // Answers that clients got, by class: complete, partial and others.
     let mut answers = [[0u64; 3]; 3];
     for round in 0..6 {
@@ -50,7 +50,7 @@
         }
     }
     // Some attempts are still open when their query ends.
-    until("all attempts have ended", || ledger(&coordinator).attempts.in_flight() == 0);
+    wait_until("all attempts have ended", || ledger(&coordinator).attempts.in_flight() == 0);
     let snapshot = ledger(&coordinator);
     for (class, name) in CLASSES.iter().enumerate() {
         let row: &ClassRow = &snapshot.classes[class];
@@ -79,13 +79,13 @@
     assert!(report.contains("class tag-lookup taken=6 open=0"), "{report}");
     assert!(report.contains("node 1 s0 In drains=0"), "{report}");
     // A drain and a removal are recorded, and the row of a removed data node is kept for a while.
-    change(&coordinator, &discovery, "s1", "draining");
+    set_member_state(&coordinator, &discovery, "s1", "draining");
     assert_eq!(
         (ledger(&coordinator).nodes[1].state, ledger(&coordinator).nodes[1].drains),
         (EndpointState::Draining, 1)
     );
-    change(&coordinator, &discovery, "s1", "removed");
-    until("the removal of the data node", || ledger(&coordinator).nodes[1].removed_at.is_some());
+    set_member_state(&coordinator, &discovery, "s1", "removed");
+    wait_until("the removal of the data node", || ledger(&coordinator).nodes[1].removed_at.is_some());
     assert_eq!(ledger(&coordinator).nodes[1].attempts, snapshot.nodes[1].attempts);
 }
 
@@ -132,7 +132,7 @@
         };
         // Drain the pipe, so that the process does not block on writing its log.
         std::thread::spawn(move || lines.for_each(drop));
-        until("health", || harness::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200));
+        wait_until("health", || harness::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200));
         (child, addr)
     };
     let total = || total_ended(&read_stored_state(&folder));
@@ -171,7 +171,7 @@
         Discovery::start("127.0.0.1:0", vec![member("a", 0, node.addr), member("b", 1, node.addr)]);
     let edge = format!("[state]\nfolder = {folder:?}\nevery_s = 1\n");
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let total = || total_ended(&read_stored_state(&folder));
     // State is first written to a file of this name: a folder in its place makes all writes fail.
     let obstacle = folder.join("books.new");
@@ -185,6 +185,6 @@
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
     std::fs::remove_dir(&obstacle).unwrap();
-    until("the stored counts", || total() == 5);
+    wait_until("the stored counts", || total() == 5);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use harness::stand_in::{DataNode, Discovery, NodeReply};
-use harness::{change, member, query, ready, TestCluster};
+use harness::{member, query, set_member_state, wait_until_healthy, TestCluster};
 use rasn::types::ObjectIdentifier;
 use rasn_snmp::v2::{GetRequest, Pdu, Pdus, VarBind, VarBindValue};
 use rasn_snmp::v2c::Message;
@@ -19,7 +19,7 @@
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, node.addr)]);
     let edge = "[snmp]\nlisten = \"127.0.0.1:0\"\ncommunity = \"public\"\n";
     let coordinator = TestCluster::default().start(discovery.addr, edge);
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     for _ in 0..3 {
         assert_eq!(query(coordinator.listen, "tag-lookup", &[0]).unwrap().status, 200);
     }
@@ -98,11 +98,11 @@
         [[snmp.views]]\nof = \"public\"\nexclude = [\"1.3.6.1.4.1.32473.1.3\"]\n"
     );
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     for class in ["tag-lookup", "plaza-ranking", "plaza-ranking"] {
         query(coordinator.listen, class, &[0, 3]).unwrap();
     }
-    harness::until("all attempts have ended", || {
+    harness::wait_until("all attempts have ended", || {
         coordinator.ledger_snapshot().is_some_and(|ledger| ledger.attempts.in_flight() == 0)
     });
     let agent = coordinator.snmp.unwrap();
@@ -199,7 +199,7 @@
         [[snmp.notify]]\nto = \"{to}\"\ncommunity = \"c\"\ninform = true\n"
     );
     let coordinator = TestCluster::default().start(discovery.addr, &edge);
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let module = curlewdeck::mib::module();
     let mut buf = [0; 2048];
     // Receives an inform, acknowledges it if asked to, and returns its name and its first own object.
@@ -213,10 +213,10 @@
     };
     assert_eq!(receive(false).0, "cdStarted");
     assert_eq!(receive(true).0, "cdStarted", "an unanswered inform is sent again");
-    change(&coordinator, &discovery, "b", "draining");
+    set_member_state(&coordinator, &discovery, "b", "draining");
     let (name, object) = receive(true);
     assert_eq!((name, object.unwrap().1), ("cdNodeDraining", Value::Text(b"b".to_vec())));
-    change(&coordinator, &discovery, "b", "removed");
+    set_member_state(&coordinator, &discovery, "b", "removed");
     assert_eq!(receive(true).0, "cdNodeLost");
     let wrong_users = users.replace("1b", "1c");
     let mut eve = Session::new(Security::User(User::read_all(&wrong_users).unwrap().remove(0)), 1, 7);
--- a/tests/stalled_process.rs
+++ b/tests/stalled_process.rs
@@ -13,7 +13,10 @@
 
 use harness::scripted::{chunk, list, news, Line, Scripted, WATCH};
 use harness::stand_in::{exchange, DataNode, Discovery};
-use harness::{change, member, query_bytes, ready, served, until, Program, TestCluster};
+use harness::{
+    member, query_bytes, set_member_state, successful_reply, wait_until, wait_until_healthy, Program,
+    TestCluster,
+};
 
 /// The grace of the drain rule, measured on sockets: no new attempt may begin after it.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
@@ -54,7 +57,7 @@
 
     fn stop(&self) {
         self.program.signal("STOP");
-        until("the stop", || self.program.state() == 'T');
+        wait_until("the stop", || self.program.state() == 'T');
     }
 
     /// Announces a state of the data node that the test drains.
@@ -128,19 +131,19 @@
 #[test]
 fn a_process_stopped_under_load_sends_no_parts_to_a_drained_node() {
     const STOPS: usize = 12;
-    let (kept, drained) = (DataNode::start(served), DataNode::start(served));
+    let (kept, drained) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let mut test = StallTest::start(kept.addr, drained.addr);
     let clients = Clients::start(test.program.addr, 12);
     let mut late = Vec::new();
     for _ in 0..STOPS {
         let before = drained.parts().len();
-        until("parts", || drained.parts().len() > before + 20);
+        wait_until("parts", || drained.parts().len() > before + 20);
         test.drain_while_stopped();
         // By now the data node has read all that was sent to it before the stop.
         let parts_before = drained.parts().len();
         let served_before = kept.parts().len();
         test.resume();
-        until("parts at the other data node", || kept.parts().len() > served_before + 20);
+        wait_until("parts at the other data node", || kept.parts().len() > served_before + 20);
         late.push(drained.parts().len() - parts_before);
         test.announce_state("up");
     }
@@ -153,7 +156,7 @@
 /// drained data node.
 #[test]
 fn requests_received_during_a_stop_are_not_sent_to_a_drained_node() {
-    let (kept, drained) = (DataNode::start(served), DataNode::start(served));
+    let (kept, drained) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
     let mut test = StallTest::start(kept.addr, drained.addr);
     test.assert_answers();
     let open_and_query = || {
@@ -205,20 +208,20 @@
 /// connection must not be sent over it.
 #[test]
 fn a_connection_established_during_a_stop_sends_nothing_to_a_drained_node() {
-    let kept = DataNode::start(served);
+    let kept = DataNode::start(successful_reply);
     let (listener, first) = listener_with_full_backlog();
     let drained = listener.local_addr().unwrap();
     let mut test = StallTest::start_with_nodes(drained, &[("drained", 1, drained)]);
     let addr = test.program.addr;
     let client = thread::spawn(move || exchange(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
-    until("the connection attempt", || is_connecting(drained));
+    wait_until("the connection attempt", || is_connecting(drained));
     test.stop();
     drop(listener.accept().unwrap());
     drop(first);
     // The kernel retransmits the SYN a second after the first, whether or not the process runs.
     listener.set_nonblocking(true).unwrap();
     let mut accepted = None;
-    until("the retransmitted SYN", || {
+    wait_until("the retransmitted SYN", || {
         accepted = listener.accept().ok();
         accepted.is_some()
     });
@@ -226,7 +229,7 @@
     test.announce(&[("kept", 0, kept.addr, "up"), ("drained", 1, drained, "draining")]);
     thread::sleep(DRAIN_GRACE);
     test.resume();
-    until("the end of the query", || client.is_finished());
+    wait_until("the end of the query", || client.is_finished());
     test.assert_answers();
     connection.set_nonblocking(true).unwrap();
     match connection.read(&mut [0; 64]) {
@@ -257,13 +260,13 @@
 /// of the endpoint list reach the core.
 #[test]
 fn a_flooding_data_node_does_not_block_endpoint_list_changes() {
-    let (flooding, drained) = (start_flooding_node(), DataNode::start(served));
+    let (flooding, drained) = (start_flooding_node(), DataNode::start(successful_reply));
     let list = vec![member("sends", 0, flooding), member("drained", 1, drained.addr)];
     let discovery = Discovery::start("127.0.0.1:0", list);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    ready(&coordinator);
+    wait_until_healthy(&coordinator);
     let _clients = Clients::start(coordinator.listen, 8);
     for state in ["draining", "up", "draining", "up", "draining", "up"] {
-        change(&coordinator, &discovery, "drained", state);
+        set_member_state(&coordinator, &discovery, "drained", state);
     }
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -8,7 +8,10 @@
 use std::time::{Duration, Instant};
 
 use harness::stand_in::{exchange, read_answer, DataNode, Discovery};
-use harness::{call_bytes, held_back, member, query, query_bytes, served, two, until, Program, TestCluster};
+use harness::{
+    call_bytes, gated_reply, member, query, query_bytes, start_two_data_nodes, successful_reply, wait_until,
+    Program, TestCluster,
+};
 
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 /// Enough for the program itself and a few clients.
@@ -26,13 +29,13 @@
 /// answered. Connections are accepted again as soon as descriptors are available.
 #[test]
 fn a_listener_without_descriptors_neither_ends_nor_spins() {
-    let (release, slow) = held_back();
-    let (a, b, discovery) = two(slow.clone(), slow);
+    let (release, slow) = gated_reply();
+    let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let program =
         Program::start_short_of_descriptors(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
     let mut open = connect(program.addr);
     open.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    until("the attempt", || a.parts().len() + b.parts().len() > 0);
+    wait_until("the attempt", || a.parts().len() + b.parts().len() > 0);
     // More than the program can accept; the others wait in the kernel's backlog.
     let idle: Vec<TcpStream> = (0..2 * DESCRIPTORS).map(|_| connect(program.addr)).collect();
     let (start, ticks) = (Instant::now(), program.processor_ticks());
@@ -53,7 +56,7 @@
 /// deadline. Once descriptors are available again, the shortage is not held against the data nodes.
 #[test]
 fn requests_without_descriptors_get_final_answers_in_time() {
-    let (a, b, discovery) = two(served, served);
+    let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let program =
         Program::start_short_of_descriptors(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
     let mut clients: Vec<TcpStream> = Vec::new();
@@ -80,7 +83,9 @@
     }
     drop(clients);
     let available_since = Instant::now();
-    until("queries to succeed", || query(program.addr, "tag-lookup", &[0, 1]).is_ok_and(|a| a.status == 200));
+    wait_until("queries to succeed", || {
+        query(program.addr, "tag-lookup", &[0, 1]).is_ok_and(|a| a.status == 200)
+    });
     assert!(available_since.elapsed() < Duration::from_secs(1), "{:?}", available_since.elapsed());
     program.signal("TERM");
     let report = program.ended();
@@ -93,7 +98,7 @@
 /// endpoint list and a partly received call of the second address.
 #[test]
 fn interrupted_waits_are_resumed() {
-    let (release, slow) = held_back();
+    let (release, slow) = gated_reply();
     let (a, b) = (DataNode::start(slow.clone()), DataNode::start(slow));
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
     let config = TestCluster::default().config(discovery.addr);
@@ -106,7 +111,7 @@
     complete.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     partial.write_all(&bytes[..40]).unwrap();
     call.write_all(&call_bytes[..10]).unwrap();
-    until("the attempt", || a.parts().len() + b.parts().len() > 0);
+    wait_until("the attempt", || a.parts().len() + b.parts().len() > 0);
     for _ in 0..5 {
         program.interrupt();
     }
