--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -183,7 +183,7 @@
     let (listener, fillers) = listener_with_full_queue();
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, listener.local_addr().unwrap())]);
     let coordinator =
-        TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
+        TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }.start(discovery.addr, "");
     wait_until_healthy(&coordinator);
     (coordinator, discovery, listener, fillers)
 }
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -131,7 +131,7 @@
             .collect();
         let members = (0..).zip(&nodes).map(|(c, n)| member(&format!("s{c}"), c, n.addr)).collect();
         let discovery = Discovery::start("127.0.0.1:0", members);
-        let cluster = TestCluster { cells: 4, in_a_row: 2, ..TestCluster::default() };
+        let cluster = TestCluster { partition_groups: 4, replicas: 2, ..TestCluster::default() };
         let coordinator = cluster.start(discovery.addr, edge);
         wait_until_healthy(&coordinator);
         let desk = coordinator.aggregation.unwrap();
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -39,12 +39,15 @@
 
 /// One cell with every shard, without hedges and with a connect timeout of one minute.
 fn long_timeouts(discovery: SocketAddr) -> String {
-    config(&TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }, discovery)
+    config(&TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }, discovery)
 }
 
 /// The same with as many ranges as a data node without measurements is sent at once.
 fn features_with_long_timeouts(discovery: SocketAddr) -> String {
-    config(&TestCluster { cells: 1, in_a_row: 1, ranges: RANGES as u32, ..TestCluster::default() }, discovery)
+    config(
+        &TestCluster { partition_groups: 1, replicas: 1, ranges: RANGES as u32, ..TestCluster::default() },
+        discovery,
+    )
 }
 
 fn config(cluster: &TestCluster, discovery: SocketAddr) -> String {
@@ -388,8 +391,9 @@
     let (drains, stays) =
         (StallingDataNode::serving(successful_reply), StallingDataNode::serving(successful_reply));
     let members = vec![up("holds", holds.addr), up("drains", drains.addr), up("stays", stays.addr)];
-    let short_aim =
-        |discovery| TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery);
+    let short_aim = |discovery| {
+        TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }.config(discovery)
+    };
     let fixture = Fixture::start(short_aim, "", members);
     fixture.send_queries(QUERIES);
     let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
@@ -456,8 +460,8 @@
 /// Settings for calls of many parts and connections with many parts in flight.
 fn large_calls(discovery: SocketAddr) -> String {
     let cluster = TestCluster {
-        cells: 1,
-        in_a_row: 1,
+        partition_groups: 1,
+        replicas: 1,
         ranges: LARGE_PARTS as u32,
         max_open: 4000,
         ..TestCluster::default()
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -225,7 +225,7 @@
         _ => store(q, FEATURES_PER_RANGE, 2),
     });
     let bad = FeatureServer::start(|_| FeatureReply::Body(500, "{}".to_string()));
-    let cluster = TestCluster { in_a_row: 1, ..TestCluster::default() };
+    let cluster = TestCluster { replicas: 1, ..TestCluster::default() };
     let (coordinator, _discovery, ogc) = start(&cluster, &[&good, &bad]);
     let body = json(&get(ogc, "/collections/segments/items?limit=100").unwrap());
     assert_eq!((&body["complete"], &body["missingRanges"]), (&Json::Bool(false), &serde_json::json!([1, 3])));
@@ -348,7 +348,7 @@
     let discovery = Discovery::start("127.0.0.1:0", members);
     let edge = EDGE.replace("[ogc]", "after_parameter = \"behind\"\n[ogc]\nby_id = true");
     // Each range is held by one server.
-    let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, &edge);
+    let coordinator = TestCluster { replicas: 1, ..TestCluster::default() }.start(discovery.addr, &edge);
     wait_until_healthy(&coordinator);
     let ogc = coordinator.features.unwrap();
     let mut target = "/collections/segments/items?limit=5".to_string();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,8 +26,8 @@
 fn large_cluster() -> TestCluster {
     let sockets = DESCRIPTORS;
     TestCluster {
-        cells: NODES,
-        in_a_row: 1,
+        partition_groups: NODES,
+        replicas: 1,
         ranges: NODES,
         discovery: "pushed",
         sockets,
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -31,7 +31,7 @@
 
 /// Configures one cell that holds all shards, and a latency target so long that no part is retried or hedged.
 fn config_without_hedges(discovery: SocketAddr) -> String {
-    let config = TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery);
+    let config = TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }.config(discovery);
     config.replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#)
 }
 
@@ -259,7 +259,8 @@
     let check = |(mode, call_interval_s, last_bytes): (&'static str, u32, &'static str)| {
         let (old, new) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
         let (discovery, addr) = Scripted::new();
-        let cluster = TestCluster { cells: 1, in_a_row: 1, discovery: mode, ..TestCluster::default() };
+        let cluster =
+            TestCluster { partition_groups: 1, replicas: 1, discovery: mode, ..TestCluster::default() };
         let setting = |seconds: u32| format!(r#""must_ask_in_ns":{seconds}000000000"#);
         let config = cluster.config(addr).replace(&setting(10), &setting(call_interval_s));
         assert!(config.contains(&setting(call_interval_s)));
--- a/tests/harness/drain_trial.rs
+++ b/tests/harness/drain_trial.rs
@@ -91,7 +91,8 @@
 
     fn config(&self, service: &FaultyDiscovery) -> String {
         let (sockets, discovery) = (self.sockets, self.delivery.name());
-        let cluster = TestCluster { cells: 1, in_a_row: 1, discovery, sockets, ..TestCluster::default() };
+        let cluster =
+            TestCluster { partition_groups: 1, replicas: 1, discovery, sockets, ..TestCluster::default() };
         let fleet = format!(r#""balancers":{}"#, self.fleet);
         cluster.config(service.addr).replace(r#""balancers":1"#, &fleet)
     }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -30,8 +30,8 @@
 
 /// Parameters of a test cluster. The default deadline is so long that no test waits for it to pass.
 pub struct TestCluster {
-    pub cells: u32,
-    pub in_a_row: u32,
+    pub partition_groups: u32,
+    pub replicas: u32,
     pub ranges: u32,
     pub max_open: u32,
     pub deadline_s: u64,
@@ -42,8 +42,8 @@
 impl Default for TestCluster {
     fn default() -> Self {
         Self {
-            cells: 2,
-            in_a_row: 2,
+            partition_groups: 2,
+            replicas: 2,
             ranges: 4,
             max_open: 400,
             deadline_s: 60,
@@ -56,7 +56,7 @@
 impl TestCluster {
     /// Renders the configuration file.
     pub fn config(&self, discovery: SocketAddr) -> String {
-        let Self { cells, in_a_row, ranges, max_open, deadline_s, discovery: how, sockets } = self;
+        let Self { partition_groups, replicas, ranges, max_open, deadline_s, discovery: how, sockets } = self;
         let class = |name: &str| {
             format!(
                 r#"{{"name":"{name}","aim_ns":1000000000,"deadline_ns":{deadline_s}000000000,"effect":"idempotent","importance":1.0,"late_worth":0.3}}"#
@@ -68,7 +68,7 @@
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
             "settings":{{"balancers":1,"classes":[{classes}],"discovery":"{how}",
             "domain":{{"batch":1,"class_floor":[1.0,0.5,1.0],"class_partial":[0.9,0.8,0.9],"complete_from":[1.0,1.0,1.0],
-            "in_a_row":{in_a_row},"overhead_ns":0,"positions":{cells},"ranges":{ranges},"second_step":[0,0,2]}},
+            "in_a_row":{replicas},"overhead_ns":0,"positions":{partition_groups},"ranges":{ranges},"second_step":[0,0,2]}},
             "limits":{{"cancel":true,"conn_idle_ns":30000000000,"connect_timeout_ns":2000000000,"max_attempts":4,
             "max_open":{max_open},"max_retry_after_ns":2000000000,"may_duplicate":true,"multiplex":32,"probes":true,
             "retry_after":true}},
--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -127,7 +127,7 @@
 }
 
 fn cluster(mode: &'static str) -> TestCluster {
-    TestCluster { cells: 1, in_a_row: 1, ranges: 1, discovery: mode, ..TestCluster::default() }
+    TestCluster { partition_groups: 1, replicas: 1, ranges: 1, discovery: mode, ..TestCluster::default() }
 }
 
 /// Sends queries, `CONCURRENT` at a time, and asserts that all are answered.
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -365,8 +365,13 @@
     let nodes = 60;
     let list = (0..nodes).map(|n| member(&format!("n{n}"), n, node.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", list);
-    let cluster =
-        TestCluster { cells: nodes, in_a_row: 1, ranges: nodes, sockets: 128, ..TestCluster::default() };
+    let cluster = TestCluster {
+        partition_groups: nodes,
+        replicas: 1,
+        ranges: nodes,
+        sockets: 128,
+        ..TestCluster::default()
+    };
     let limits = Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap();
     let program = Program::start(&cluster.config(discovery.addr));
     let shards: Vec<u32> = (0..nodes).collect();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -181,7 +181,7 @@
     let members = vec![member("a", 0, a.addr), member("b", 1, late_node.local_addr().unwrap())];
     let discovery = Discovery::start("127.0.0.1:0", members);
     // The late node alone holds half of the shards; the class allows a partial answer from the other half.
-    let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { replicas: 1, ..TestCluster::default() }.start(discovery.addr, "");
     wait_until_healthy(&coordinator);
     let request = query_of_all_shards(&coordinator, "plaza-ranking", ClientLiveness::default());
     let (sender, receiver) = std::sync::mpsc::channel();
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -305,7 +305,7 @@
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = Discovery::start("127.0.0.1:0", vec![member("a", 0, node.local_addr().unwrap())]);
     let config = with_effect(
-        TestCluster { cells: 1, in_a_row: 1, ..TestCluster::default() }.config(discovery.addr),
+        TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }.config(discovery.addr),
         "at_most_once",
     );
     let program = Program::start(&config);
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -33,7 +33,7 @@
     let members = (0..).zip(&nodes).map(|(cell, n)| member(&format!("s{cell}"), cell, n.addr)).collect();
     let discovery = Discovery::start("127.0.0.1:0", members);
     // Each shard is held by one cell: even shards by cell 0, odd shards by cell 1.
-    let coordinator = TestCluster { in_a_row: 1, ..TestCluster::default() }.start(discovery.addr, "");
+    let coordinator = TestCluster { replicas: 1, ..TestCluster::default() }.start(discovery.addr, "");
     wait_until_healthy(&coordinator);
     // Answers that clients got, by class: complete, partial and others.
     let mut answers = [[0u64; 3]; 3];
