--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -557,7 +557,7 @@
     (0..QUERIES).for_each(|_| assert_eq!(query(newer.addr, "tag-lookup", &[0, 1]).unwrap().status, 200));
     assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
     assert_eq!(stays.begun_after(updated_at + DRAIN_GRACE).len(), 2 * (answered + QUERIES as usize));
-    older.ended();
+    older.wait_for_exit();
 }
 
 /// Sends one query on a connection; returns the status, or `None` if the connection was closed.
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -344,7 +344,7 @@
             // Connections are accepted in order: once the last one has caused a part, all are accepted.
             wait_until("the part of the last request", || parts() > sent);
         }
-        program.killed();
+        program.kill();
         for (n, client) in clients.iter_mut().enumerate() {
             let mut received = Vec::new();
             let end = client.read_to_end(&mut received);
--- a/tests/harness/drain_trial.rs
+++ b/tests/harness/drain_trial.rs
@@ -136,7 +136,7 @@
 
     /// Kills a coordinator that may have exited already.
     pub fn kill(&mut self, number: usize) {
-        let log = self.running[number].program.take().unwrap().killed();
+        let log = self.running[number].program.take().unwrap().kill();
         self.logs.push(log);
     }
 
@@ -210,10 +210,10 @@
         for TrialCoordinator { program, load, services } in running {
             let answers = load.stop();
             if let Some(mut program) = program {
-                if let Some(status) = program.has_ended() {
+                if let Some(status) = program.exit_status() {
                     self.failures.push(format!("coordinator {} exited: {status}", logs.len()));
                 }
-                self.logs.push(program.killed());
+                self.logs.push(program.kill());
                 served.push((logs.len(), complete_answer_count(&answers, end - FINAL_SPAN, end)));
                 longest_gap = longest_gap.max(longest_answer_gap(&answers, services[0].0, end));
             }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -195,7 +195,7 @@
     }
 
     /// Starts the program with this limit on open descriptors (`ulimit -n`), whatever its configuration sets.
-    pub fn start_short_of_descriptors(config: &str, descriptors: u32) -> Self {
+    pub fn start_with_descriptor_limit(config: &str, descriptors: u32) -> Self {
         Self::launch(config, None, &format!("ulimit -n {descriptors}; "), |_| ())
     }
 
@@ -258,7 +258,7 @@
     }
 
     /// Stops the process with SIGSTOP and continues it with SIGCONT, which interrupts its blocking system calls.
-    pub fn interrupt(&self) {
+    pub fn stop_and_continue(&self) {
         self.signal("STOP");
         wait_until("the process to stop", || self.state() == 'T');
         self.signal("CONT");
@@ -305,12 +305,12 @@
     }
 
     /// The program's working directory, which contains `config.json`.
-    pub fn folder(&self) -> &Path {
+    pub fn directory(&self) -> &Path {
         &self.dir
     }
 
     /// Polls until the condition holds; panics at once if the program ends first.
-    pub fn until(&mut self, what: &str, mut happened: impl FnMut() -> bool) {
+    pub fn wait_until(&mut self, what: &str, mut happened: impl FnMut() -> bool) {
         wait_until(what, || {
             // The exit status is read first: a condition that is false after the exit can never hold.
             let ended = self.child.try_wait().unwrap();
@@ -321,18 +321,18 @@
     }
 
     /// Waits for the program to exit with status 0; returns its log.
-    pub fn ended(mut self) -> String {
+    pub fn wait_for_exit(mut self) -> String {
         assert!(self.child.wait().unwrap().success());
         self.log.take().unwrap().join().unwrap()
     }
 
     /// The exit status, or `None` while the program runs.
-    pub fn has_ended(&mut self) -> Option<std::process::ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
     /// Kills the program with SIGKILL and waits for its exit; returns its log.
-    pub fn killed(mut self) -> String {
+    pub fn kill(mut self) -> String {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         self.log.take().unwrap().join().unwrap()
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -154,7 +154,7 @@
     wait_until("the shutdown", || {
         !control_request_succeeds(program.control.unwrap(), "POST", "/ops/drain/stop")
     });
-    assert!(program.ended().contains("drained by an operator"));
+    assert!(program.wait_for_exit().contains("drained by an operator"));
 }
 
 /// The settings change while queries are open. A query of a removed class, with a retry pending, keeps the settings
@@ -242,7 +242,7 @@
     }
     wait_until("the last file", || last.lists() == 1);
     program.signal("TERM");
-    let log = program.ended();
+    let log = program.wait_for_exit();
     let rejections: Vec<&str> = log.lines().filter(|l| l.contains("configuration rejected")).collect();
     assert!(
         rejections.len() == invalid.len()
@@ -282,7 +282,7 @@
     // This pipe has no writer.
     program.reload_with(pipe);
     program.signal("TERM");
-    assert!(program.ended().contains("configuration applied"));
+    assert!(program.wait_for_exit().contains("configuration applied"));
 }
 
 /// A new process takes over the listening socket under load and the old one gets SIGTERM. Every request on new and on
@@ -316,7 +316,7 @@
     wait_until("traffic", || old.statistic("served.tag-lookup") > Some(50));
     let new = start();
     old.signal("TERM");
-    let log = old.ended();
+    let log = old.wait_for_exit();
     let served_by_new = || new.statistic("served.tag-lookup").unwrap();
     let before = served_by_new();
     wait_until("traffic at the new process", || served_by_new() > before + 50);
@@ -381,7 +381,7 @@
     program.signal("TERM");
     release.store(true, Ordering::SeqCst);
     read_status(open);
-    let log = program.ended();
+    let log = program.wait_for_exit();
     let messages =
         log.lines().filter(|l| l.contains("no socket left for a connection to a data node")).count();
     let max_messages = 1 + started.elapsed().as_nanos() / limits.no_socket_log_interval.as_nanos();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -466,7 +466,7 @@
     wait_until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
     release.store(true, Ordering::SeqCst);
     assert_eq!(client.join().unwrap().status, 200);
-    assert!(program.ended().contains("cdAnswersWhole 1"));
+    assert!(program.wait_for_exit().contains("cdAnswersWhole 1"));
     assert!(read_answer(&mut BufReader::new(idle)).is_err());
 }
 
@@ -480,7 +480,7 @@
     program.signal("TERM");
     wait_until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
     let answer = query(addr, "tag-lookup", &[0, 1]);
-    let log = program.ended();
+    let log = program.wait_for_exit();
     let counter = |name: &str| -> u64 {
         let line = log.lines().find_map(|l| l.trim().strip_prefix(name)).unwrap();
         line.trim().parse().unwrap()
@@ -519,13 +519,13 @@
     let third = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
     program.replace_config(&config(&third));
     program.signal("TERM");
-    program.until("the drain", || get(addr, "/_health").is_ok_and(|a| a.status == 503));
+    program.wait_until("the drain", || get(addr, "/_health").is_ok_and(|a| a.status == 503));
     assert_eq!((third.watches(), third.lists()), (0, 0));
     program.signal("HUP");
-    program.until("the third watch", || third.watches() == 1 && third.lists() == 1);
+    program.wait_until("the third watch", || third.watches() == 1 && third.lists() == 1);
     release.store(true, Ordering::SeqCst);
     assert_eq!(client.join().unwrap().status, 200);
-    let log = program.ended();
+    let log = program.wait_for_exit();
     assert_eq!(log.lines().filter(|l| l.contains("configuration rejected")).count(), 1, "{log}");
 }
 
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -61,7 +61,7 @@
         assert!(matches!(answer.unwrap().status, 503 | 504));
         assert!(at - terminated < Duration::from_millis(1700), "{:?}", at - terminated);
     }
-    program.ended();
+    program.wait_for_exit();
 }
 
 /// Shutdown closes idle connections. A connection on which a part of a request has arrived is not idle: the request is
@@ -86,7 +86,7 @@
     partial.write_all(&bytes[40..]).unwrap();
     assert_eq!(read_answer_on(&partial).unwrap().status, 200);
     drop((partial, idle));
-    program.ended();
+    program.wait_for_exit();
 }
 
 /// A client may send a request while the server closes its idle connection. The request is not forwarded and the
@@ -106,7 +106,7 @@
     idle.write_all(&query_bytes("tag-lookup", &[2], "60000m")).unwrap();
     assert_eq!(idle.read(&mut [0; 8]).unwrap(), 0, "unexpected data after the close");
     drop(idle);
-    program.ended();
+    program.wait_for_exit();
     assert_eq!(a.parts().len() + b.parts().len(), parts);
 }
 
@@ -123,7 +123,7 @@
     persistent.write_all(&query_bytes("tag-lookup", &[1], "60000m")).unwrap();
     assert_eq!(read_answer_on(&persistent).unwrap().status, 200);
     drop(persistent);
-    program.ended();
+    program.wait_for_exit();
 }
 
 /// Closing a socket with unread input resets it, and the client loses its answer. Trailing bytes after the last request
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -56,7 +56,7 @@
     }
 
     fn config_file(&self) -> PathBuf {
-        self.program.folder().join("config.json")
+        self.program.directory().join("config.json")
     }
 
     fn send_sighup(&self) -> Instant {
@@ -124,7 +124,7 @@
     assert_eq!(moving.reloads(), (2, 2));
     assert_eq!((moving.new.lists(), moving.old.watches()), (1, 1));
     moving.program.signal("TERM");
-    let log = moving.program.ended();
+    let log = moving.program.wait_for_exit();
     assert_eq!(rejection_count(&log), 2, "{log}");
 }
 
@@ -161,7 +161,7 @@
         moving.assert_follows_new_discovery(signalled);
         assert_eq!(moving.reloads(), (1, 1), "{error}");
         moving.program.signal("TERM");
-        let log = moving.program.ended();
+        let log = moving.program.wait_for_exit();
         let line = log.lines().find(|l| l.contains("configuration rejected")).unwrap();
         assert!(line.contains(error) && rejection_count(&log) == 1, "{log}");
     }
@@ -199,7 +199,7 @@
     moving.wait_for_rejections(2);
     assert_eq!((moving.reloads().0, moving.old.watches(), moving.new.watches()), (1, 1, 1));
     moving.program.signal("TERM");
-    let log = moving.program.ended();
+    let log = moving.program.wait_for_exit();
     assert!(rejection_count(&log) == 2 && log.contains("too long"), "{log}");
 }
 
@@ -282,9 +282,9 @@
         if !hangs {
             moving.program.replace_config(&config_with_discovery(&moving.new));
             let new = moving.new.clone();
-            moving.program.until("the new discovery", || new.watches() == 1);
+            moving.program.wait_until("the new discovery", || new.watches() == 1);
         }
-        let log = moving.program.ended();
+        let log = moving.program.wait_for_exit();
         assert!(log.contains(" ends; counters:"), "{log}");
     }
 }
@@ -311,7 +311,7 @@
         std::fs::set_permissions(directory.join("keys"), PermissionsExt::from_mode(0o600)).unwrap();
     });
     let moving = MovingDiscovery { program, old, new, nodes };
-    std::fs::remove_file(moving.program.folder().join("keys")).unwrap();
+    std::fs::remove_file(moving.program.directory().join("keys")).unwrap();
     moving.program.replace_config(&config_with_discovery(&moving.new));
     let signalled = moving.send_sighup();
     moving.assert_follows_new_discovery(signalled);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -32,7 +32,7 @@
     let (release, slow) = gated_reply();
     let (a, b, discovery) = start_two_data_nodes(slow.clone(), slow);
     let program =
-        Program::start_short_of_descriptors(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
+        Program::start_with_descriptor_limit(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
     let mut open = connect(program.addr);
     open.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     wait_until("the attempt", || a.parts().len() + b.parts().len() > 0);
@@ -47,7 +47,7 @@
     drop((idle, open));
     assert_eq!(query(program.addr, "tag-lookup", &[1]).unwrap().status, 200);
     program.signal("TERM");
-    let log = program.ended();
+    let log = program.wait_for_exit();
     let reports = log.lines().filter(|l| l.contains("Too many open files")).count();
     assert!((1..=2).contains(&reports), "{reports} log lines report the shortage");
 }
@@ -58,7 +58,7 @@
 fn requests_without_descriptors_get_final_answers_in_time() {
     let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let program =
-        Program::start_short_of_descriptors(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
+        Program::start_with_descriptor_limit(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
     let mut clients: Vec<TcpStream> = Vec::new();
     // Connects clients until no more are accepted.
     loop {
@@ -88,7 +88,7 @@
     });
     assert!(available_since.elapsed() < Duration::from_secs(1), "{:?}", available_since.elapsed());
     program.signal("TERM");
-    let report = program.ended();
+    let report = program.wait_for_exit();
     let node_failures =
         report.lines().any(|l| l.trim_start().starts_with("node ") && !l.contains(" noRoute=0 "));
     assert!(!node_failures, "the shortage of descriptors was counted as a failure of a data node:\n{report}");
@@ -113,7 +113,7 @@
     call.write_all(&call_bytes[..10]).unwrap();
     wait_until("the attempt", || a.parts().len() + b.parts().len() > 0);
     for _ in 0..5 {
-        program.interrupt();
+        program.stop_and_continue();
     }
     call.write_all(&call_bytes[10..]).unwrap();
     assert_eq!(read_answer(&mut BufReader::new(call)).expect("an answer to the call").status, 200);
