--- a/benches/update_to_gate.rs
+++ b/benches/update_to_gate.rs
@@ -17,7 +17,7 @@
 
 use curlewdeck::startup::Coordinator;
 
-use harness::scripted::{chunk, news, Scripted, WATCH};
+use harness::scripted::{chunk, list_update, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
 use harness::stand_in::{exchange, DataNode, NodeReply, Part};
 use harness::{query_bytes, successful_reply, wait_until_healthy, TestCluster};
 
@@ -133,7 +133,7 @@
     let mut latencies = Vec::new();
     for round in 0..UPDATES_PER_LOAD {
         let state = if round % 2 == 0 { "draining" } else { "up" };
-        let line = news(round + 2, false, &[("a", 0, active, "up"), ("b", 1, drained, state)]);
+        let line = list_update(round + 2, false, &[("a", 0, active, "up"), ("b", 1, drained, state)]);
         let bytes = chunk(&(line + "\n"));
         let changes_before = applied_changes();
         let sent_at = Instant::now();
@@ -151,12 +151,15 @@
 }
 
 /// Starts a coordinator with two data nodes. Returns it with its discovery service and its endpoint list watch.
-fn start_coordinator(active: SocketAddr, drained: SocketAddr) -> (Coordinator, Scripted, TcpStream) {
-    let (discovery, addr) = Scripted::new();
+fn start_coordinator(
+    active: SocketAddr,
+    drained: SocketAddr,
+) -> (Coordinator, ScriptedDiscoveryServer, TcpStream) {
+    let (discovery, addr) = ScriptedDiscoveryServer::new();
     let coordinator = TestCluster::default().start(addr, "");
-    let (mut watch, _) = discovery.call();
-    let full_list = news(1, true, &[("a", 0, active, "up"), ("b", 1, drained, "up")]);
-    watch.write_all(&[WATCH, &chunk(&(full_list + "\n"))].concat()).unwrap();
+    let (mut watch, _) = discovery.accept_call();
+    let full_list = list_update(1, true, &[("a", 0, active, "up"), ("b", 1, drained, "up")]);
+    watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(full_list + "\n"))].concat()).unwrap();
     wait_until_healthy(&coordinator);
     (coordinator, discovery, watch)
 }
--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -13,7 +13,7 @@
 
 use curlewdeck::startup::Coordinator;
 
-use harness::scripted::{chunk, list, Scripted, WATCH};
+use harness::scripted::{chunk, complete_list, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
 use harness::stand_in::{read_answer, Answer, DataNode, Discovery, NodeReply, Part};
 use harness::{
     gated_reply, member, query, query_bytes, start, start_two_data_nodes, successful_reply, wait_until,
@@ -149,18 +149,18 @@
 
 /// Starts a coordinator with a stored endpoint list that discovery has not confirmed; returns it with its open call.
 fn start_with_unconfirmed_list(nodes: &[(&str, u32, SocketAddr)]) -> (Coordinator, TcpStream) {
-    let (discovery, addr) = Scripted::new();
-    let known = format!(r#""known":{},"seed""#, list(1, nodes));
+    let (discovery, addr) = ScriptedDiscoveryServer::new();
+    let known = format!(r#""known":{},"seed""#, complete_list(1, nodes));
     // A long latency goal, so that a query that waits for the list is not rejected for the wait.
     let config =
         TestCluster::default().config(addr).replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#);
     let coordinator = start(&config.replacen(r#""seed""#, &known, 1), "");
-    let (call, _) = discovery.call();
+    let (call, _) = discovery.accept_call();
     (coordinator, call)
 }
 
 fn confirm_list(call: &mut TcpStream, nodes: &[(&str, u32, SocketAddr)]) {
-    call.write_all(&[WATCH, &chunk(&(list(2, nodes) + "\n"))].concat()).unwrap();
+    call.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(complete_list(2, nodes) + "\n"))].concat()).unwrap();
 }
 
 /// Returns a data node's listener with a full queue, so that further connections are not established, and the
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,7 +12,7 @@
 use curlewdeck::startup::{self, Coordinator};
 use serde_json::{json, Value};
 
-use harness::scripted::{chunk, Scripted, WATCH};
+use harness::scripted::{chunk, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
 use harness::stand_in::DataNode;
 use harness::{query, successful_reply, wait_until, wait_until_healthy, TestCluster};
 
@@ -85,16 +85,16 @@
 fn a_complete_list_of_1024_nodes_is_read() {
     for chunked in [false, true] {
         let node = DataNode::start(successful_reply);
-        let (discovery, addr) = Scripted::new();
+        let (discovery, addr) = ScriptedDiscoveryServer::new();
         let coordinator = large_cluster().start(addr, "");
         // An invalid line makes the coordinator request the complete list.
-        let (mut watch, _) = discovery.call();
-        watch.write_all(&[WATCH, &chunk("nonsense\n")].concat()).unwrap();
-        let (mut call, target) = discovery.call();
+        let (mut watch, _) = discovery.accept_call();
+        watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk("nonsense\n")].concat()).unwrap();
+        let (mut call, target) = discovery.accept_call();
         assert_eq!(target, "/catalog/members");
         let text = indented(&endpoint_list(41, true, node.addr));
         let answer = match chunked {
-            true => [WATCH, &chunks(&text), b"0\r\n\r\n"].concat(),
+            true => [WATCH_RESPONSE_HEAD, &chunks(&text), b"0\r\n\r\n"].concat(),
             false => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes(),
         };
         call.write_all(&answer).unwrap();
@@ -112,10 +112,10 @@
     let lines: String = (0..NODES).map(|cell| change(cell).to_string() + "\n").collect();
     let objects: String = (0..NODES).map(|cell| indented(&change(cell))).collect();
     for text in [single_object, lines, objects] {
-        let (discovery, addr) = Scripted::new();
+        let (discovery, addr) = ScriptedDiscoveryServer::new();
         let coordinator = large_cluster().start(addr, "");
-        let (mut watch, _): (TcpStream, String) = discovery.call();
-        watch.write_all(&[WATCH, &chunks(&text)].concat()).unwrap();
+        let (mut watch, _): (TcpStream, String) = discovery.accept_call();
+        watch.write_all(&[WATCH_RESPONSE_HEAD, &chunks(&text)].concat()).unwrap();
         assert_all_nodes_serve(&coordinator);
         assert_eq!(discovery_call_errors(&coordinator), 0);
     }
@@ -126,7 +126,7 @@
 #[test]
 fn nodes_of_the_configured_list_are_active_before_discovery_answers() {
     let node = DataNode::start(successful_reply);
-    let (discovery, addr) = Scripted::new();
+    let (discovery, addr) = ScriptedDiscoveryServer::new();
     let mut config: Value = serde_json::from_str(&large_cluster().config(addr)).unwrap();
     config["known"] = endpoint_list(41, true, node.addr);
     let config = Config::read(&indented(&config), |_| None).unwrap();
@@ -134,8 +134,10 @@
     let coordinator = startup::start(config, Edge::default()).unwrap();
     wait_until_all_nodes_are_active(&coordinator);
     assert!(node.parts().is_empty());
-    let (mut watch, target) = discovery.call();
+    let (mut watch, target) = discovery.accept_call();
     assert!(target.ends_with("index=41"), "{target}");
-    watch.write_all(&[WATCH, &chunk("{\"rev\":41,\"all\":false,\"targets\":[]}\n")].concat()).unwrap();
+    watch
+        .write_all(&[WATCH_RESPONSE_HEAD, &chunk("{\"rev\":41,\"all\":false,\"targets\":[]}\n")].concat())
+        .unwrap();
     assert_all_nodes_serve(&coordinator);
 }
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -13,7 +13,9 @@
 use curlewdeck::api::EndpointState;
 use curlewdeck::limits::Limits;
 use curlewdeck::startup::Coordinator;
-use harness::scripted::{asked, chunk, news, Line, Scripted, WATCH};
+use harness::scripted::{
+    chunk, list_update, read_request_target, ListEntry, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD,
+};
 use harness::stand_in::{exchange, Answer, DataNode, Part};
 use harness::{
     gated_reply, query, query_bytes, start_two_data_nodes, successful_reply, wait_until, wait_until_healthy,
@@ -106,19 +108,19 @@
 fn after_discovery_moves_draining_and_unlisted_nodes_get_no_parts() {
     let (release, nodes) = nodes_holding_one_shard::<5>();
     let [drained_before, drains_in_list, unlisted, drains_in_change, active] = &nodes;
-    let (old, old_addr) = Scripted::new();
+    let (old, old_addr) = ScriptedDiscoveryServer::new();
     let starting = thread::spawn(move || Program::start(&config_without_hedges(old_addr)));
-    let (mut old_watch, _) = old.call();
-    let all = |states: [&'static str; 5]| -> Vec<Line> {
+    let (mut old_watch, _) = old.accept_call();
+    let all = |states: [&'static str; 5]| -> Vec<ListEntry> {
         let names = ["drained", "drains", "left-out", "drains-next", "stays"];
         nodes.iter().zip(names).zip(states).map(|((n, name), state)| (name, 0, n.addr, state)).collect()
     };
-    let first = news(1, true, &all(["up"; 5]));
-    old_watch.write_all(&[WATCH, &chunk(&(first + "\n"))].concat()).unwrap();
+    let first = list_update(1, true, &all(["up"; 5]));
+    old_watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(first + "\n"))].concat()).unwrap();
     let program = starting.join().unwrap();
     let addr = program.addr;
     let waiting = hold_a_part_at_each(addr, &nodes);
-    old_watch.write_all(&chunk(&(news(2, false, &all(["draining"; 5])[..1]) + "\n"))).unwrap();
+    old_watch.write_all(&chunk(&(list_update(2, false, &all(["draining"; 5])[..1]) + "\n"))).unwrap();
     let announced = Instant::now();
     assert_excluded_after_the_grace(
         addr,
@@ -127,18 +129,18 @@
         &[drains_in_list, unlisted, drains_in_change, active],
     );
 
-    let (new, new_addr) = Scripted::new();
+    let (new, new_addr) = ScriptedDiscoveryServer::new();
     program.reload(&config_without_hedges(new_addr));
-    let (mut call, target) = new.call();
+    let (mut call, target) = new.accept_call();
     assert_eq!(target, "/catalog/members");
     let mut lines = all(["draining", "draining", "", "up", "up"]);
     lines.remove(2);
-    let list = news(1, true, &lines);
+    let list = list_update(1, true, &lines);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
     call.write_all((head + &list).as_bytes()).unwrap();
     let announced = Instant::now();
     // The old service no longer has an effect, whether or not its connection still accepts this write.
-    let _ = old_watch.write_all(&chunk(&(news(3, true, &all(["up"; 5])) + "\n")));
+    let _ = old_watch.write_all(&chunk(&(list_update(3, true, &all(["up"; 5])) + "\n")));
     assert_excluded_after_the_grace(
         addr,
         announced,
@@ -146,9 +148,9 @@
         &[drains_in_change, active],
     );
 
-    assert!(asked(&call).ends_with("stream=1&index=1"));
-    let change = news(2, false, &[("drains-next", 0, drains_in_change.addr, "draining")]);
-    call.write_all(&[WATCH, &chunk(&(change + "\n"))].concat()).unwrap();
+    assert!(read_request_target(&call).ends_with("stream=1&index=1"));
+    let change = list_update(2, false, &[("drains-next", 0, drains_in_change.addr, "draining")]);
+    call.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(change + "\n"))].concat()).unwrap();
     let announced = Instant::now();
     assert_excluded_after_the_grace(
         addr,
@@ -186,13 +188,13 @@
         let [draining, active] = &nodes;
         let both = |state| [("drains", 0, draining.addr, state), ("stays", 0, active.addr, "up")];
         let configured = arrival == CompleteList::AfterTheConfiguredList;
-        let (discovery, addr) = Scripted::new();
+        let (discovery, addr) = ScriptedDiscoveryServer::new();
         let mut config = config_without_hedges(addr);
         if configured {
-            config.insert_str(1, &format!(r#""known":{},"#, news(1, true, &both("draining"))));
+            config.insert_str(1, &format!(r#""known":{},"#, list_update(1, true, &both("draining"))));
         }
         let coordinator = harness::start(&config, "");
-        let (mut watch, target) = discovery.call();
+        let (mut watch, target) = discovery.accept_call();
         let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
         let send_list = |watch: &mut TcpStream, text: String| {
             let before = changes();
@@ -200,32 +202,32 @@
             wait_until("the change to the list", || changes() > before);
         };
         let mut waiting = Vec::new();
-        watch.write_all(WATCH).unwrap();
+        watch.write_all(WATCH_RESPONSE_HEAD).unwrap();
         if configured {
             assert!(target.ends_with("index=1"), "{target}");
         } else {
-            send_list(&mut watch, news(1, true, &both("up")));
+            send_list(&mut watch, list_update(1, true, &both("up")));
             waiting = hold_a_part_at_each(coordinator.listen, &nodes);
-            send_list(&mut watch, news(2, false, &both("draining")[..1]));
+            send_list(&mut watch, list_update(2, false, &both("draining")[..1]));
         }
         wait_until_healthy(&coordinator);
         assert_eq!(node_state(&coordinator, "drains"), EndpointState::Draining, "{arrival:?}");
         if arrival == CompleteList::OnTheNextWatch {
             drop(watch);
-            (watch, _) = discovery.call();
-            watch.write_all(WATCH).unwrap();
+            (watch, _) = discovery.accept_call();
+            watch.write_all(WATCH_RESPONSE_HEAD).unwrap();
         }
-        send_list(&mut watch, news(3, true, &both("up")[1..]));
+        send_list(&mut watch, list_update(3, true, &both("up")[1..]));
         assert_eq!(node_state(&coordinator, "drains"), EndpointState::Removed, "{arrival:?}");
         let before = draining.parts().len();
         send_queries(coordinator.listen, QUERIES);
         // A change that does not contain the removed data node does not affect it.
-        send_list(&mut watch, news(4, false, &both("up")[1..]));
+        send_list(&mut watch, list_update(4, false, &both("up")[1..]));
         send_queries(coordinator.listen, QUERIES);
         assert_eq!(draining.parts().len(), before, "{arrival:?}: a removed data node got a part");
         release.store(true, Ordering::SeqCst);
         assert_all_answered(waiting);
-        send_list(&mut watch, news(5, true, &both("up")));
+        send_list(&mut watch, list_update(5, true, &both("up")));
         wait_until("a part at the data node that was listed again", || {
             send_queries(coordinator.listen, 1);
             draining.parts().len() > before
@@ -258,16 +260,16 @@
     ];
     let check = |(mode, call_interval_s, last_bytes): (&'static str, u32, &'static str)| {
         let (old, new) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
-        let (discovery, addr) = Scripted::new();
+        let (discovery, addr) = ScriptedDiscoveryServer::new();
         let cluster =
             TestCluster { partition_groups: 1, replicas: 1, discovery: mode, ..TestCluster::default() };
         let setting = |seconds: u32| format!(r#""must_ask_in_ns":{seconds}000000000"#);
         let config = cluster.config(addr).replace(&setting(10), &setting(call_interval_s));
         assert!(config.contains(&setting(call_interval_s)));
         let coordinator = harness::start(&config, "");
-        let (mut watch, _) = discovery.call();
-        let text = news(1, true, &[("old", 0, old.addr, "up")]);
-        watch.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
+        let (mut watch, _) = discovery.accept_call();
+        let text = list_update(1, true, &[("old", 0, old.addr, "up")]);
+        watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(text + "\n"))].concat()).unwrap();
         wait_until_healthy(&coordinator);
         let opened = Instant::now();
         while opened.elapsed() < WATCH_AGE {
@@ -279,12 +281,12 @@
         if !last_bytes.is_empty() {
             watch.write_all(&chunk(last_bytes)).unwrap();
         }
-        let (mut next, target) = discovery.call();
+        let (mut next, target) = discovery.accept_call();
         assert!(target.ends_with("stream=1&index=1"), "{target}");
         // Answers just before the program's own timeout of the call.
         thread::sleep(Limits::default().discovery_call_timeout - TIME_BEFORE_CALL_TIMEOUT);
-        let text = news(2, false, &[("old", 0, old.addr, "removed"), ("new", 0, new.addr, "up")]);
-        next.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
+        let text = list_update(2, false, &[("old", 0, old.addr, "removed"), ("new", 0, new.addr, "up")]);
+        next.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(text + "\n"))].concat()).unwrap();
         wait_until("a part at the new data node", || {
             // Both changes are in one object, so a data node is available throughout.
             send_queries(coordinator.listen, 1);
--- a/tests/harness/scripted.rs
+++ b/tests/harness/scripted.rs
@@ -4,11 +4,11 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 /// A scripted discovery service: the test accepts each call and writes the response.
-pub struct Scripted {
+pub struct ScriptedDiscoveryServer {
     pub listener: TcpListener,
 }
 
-impl Scripted {
+impl ScriptedDiscoveryServer {
     pub fn new() -> (Self, SocketAddr) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -16,15 +16,15 @@
     }
 
     /// Accepts the next connection and reads its request; returns the connection and the request's target.
-    pub fn call(&self) -> (TcpStream, String) {
+    pub fn accept_call(&self) -> (TcpStream, String) {
         let (stream, _) = self.listener.accept().unwrap();
-        let target = asked(&stream);
+        let target = read_request_target(&stream);
         (stream, target)
     }
 }
 
 /// Reads the head of one request; returns its target.
-pub fn asked(stream: &TcpStream) -> String {
+pub fn read_request_target(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let (mut first, mut line) = (String::new(), String::new());
     reader.read_line(&mut first).unwrap();
@@ -36,7 +36,7 @@
 }
 
 /// Response head of a watch.
-pub const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Encodes one chunk of a watch's response body.
 pub fn chunk(text: &str) -> Vec<u8> {
@@ -44,19 +44,20 @@
 }
 
 /// A data node's entry in an endpoint list: uid, partition group, address and state.
-pub type Line<'a> = (&'a str, u32, SocketAddr, &'a str);
+pub type ListEntry<'a> = (&'a str, u32, SocketAddr, &'a str);
 
 /// Renders a full endpoint list in which every data node is up.
-pub fn list(rev: u32, nodes: &[(&str, u32, SocketAddr)]) -> String {
-    let lines: Vec<Line> = nodes.iter().map(|&(uid, cell, addr)| (uid, cell, addr, "up")).collect();
-    news(rev, true, &lines)
+pub fn complete_list(rev: u32, nodes: &[(&str, u32, SocketAddr)]) -> String {
+    let entries: Vec<ListEntry> =
+        nodes.iter().map(|&(uid, partition_group, addr)| (uid, partition_group, addr, "up")).collect();
+    list_update(rev, true, &entries)
 }
 
 /// Renders a full endpoint list (`all`) or a change to the previous one.
-pub fn news(rev: u32, all: bool, lines: &[Line]) -> String {
-    let line = |(uid, cell, addr, state): &Line| {
-        format!(r#"{{"uid":"{uid}","endpoint":"{addr}","pod_group":{cell},"state":"{state}"}}"#)
+pub fn list_update(rev: u32, all: bool, entries: &[ListEntry]) -> String {
+    let entry = |(uid, partition_group, addr, state): &ListEntry| {
+        format!(r#"{{"uid":"{uid}","endpoint":"{addr}","pod_group":{partition_group},"state":"{state}"}}"#)
     };
-    let lines: Vec<String> = lines.iter().map(line).collect();
-    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, lines.join(","))
+    let entries: Vec<String> = entries.iter().map(entry).collect();
+    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, entries.join(","))
 }
--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -12,7 +12,7 @@
 use curlewdeck::config::Config;
 use curlewdeck::startup::Coordinator;
 
-use harness::scripted::{chunk, Scripted, WATCH};
+use harness::scripted::{chunk, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
 use harness::stand_in::{self, DataNode, Part};
 use harness::{query, successful_reply, TestCluster};
 
@@ -48,12 +48,12 @@
 
 impl ScriptedDiscovery {
     fn start(lines: Vec<String>) -> (Self, SocketAddr) {
-        let (scripted, addr) = Scripted::new();
+        let (scripted, addr) = ScriptedDiscoveryServer::new();
         let state =
             Arc::new(Mutex::new(Membership { version: 1, lines, watch_objects: Vec::new(), calls: 0 }));
         let shared = state.clone();
         thread::spawn(move || loop {
-            let (stream, target) = scripted.call();
+            let (stream, target) = scripted.accept_call();
             let shared = shared.clone();
             thread::spawn(move || answer(stream, &target, &shared));
         });
@@ -103,7 +103,7 @@
         return;
     }
     let first = if target.ends_with(&format!("index={version}")) { "\n" } else { &snapshot };
-    if stream.write_all(&[WATCH, &chunk(first)].concat()).is_err() {
+    if stream.write_all(&[WATCH_RESPONSE_HEAD, &chunk(first)].concat()).is_err() {
         return;
     }
     for _ in 0..MAX_HEARTBEATS {
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -12,7 +12,7 @@
 
 use curlewdeck::limits::{Limits, Platform};
 
-use harness::scripted::{chunk, list, Scripted, WATCH};
+use harness::scripted::{chunk, complete_list, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
 use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
 use harness::{
     gated_reply, member, query_bytes, start_two_data_nodes, successful_reply, wait_until, wait_until_healthy,
@@ -332,7 +332,7 @@
 /// Starts two data nodes that hold every shard; returns them with the text of their endpoint list.
 fn listed_data_nodes() -> (DataNode, DataNode, String) {
     let (a, b) = (DataNode::start(successful_reply), DataNode::start(successful_reply));
-    let text = list(1, &[("a", 0, a.addr), ("b", 1, b.addr)]);
+    let text = complete_list(1, &[("a", 0, a.addr), ("b", 1, b.addr)]);
     (a, b, text)
 }
 
@@ -343,13 +343,13 @@
         let (_a, _b, text) = listed_data_nodes();
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
         let indented = serde_json::to_string_pretty(&value).unwrap() + "\n";
-        let (discovery, addr) = Scripted::new();
+        let (discovery, addr) = ScriptedDiscoveryServer::new();
         let coordinator = TestCluster::default().start(addr, "");
-        let (mut watch, target) = discovery.call();
+        let (mut watch, target) = discovery.accept_call();
         assert!(target.contains("stream=1"), "{target}");
         let (head, tail) = indented.split_at(indented.len() / 2);
         if chunked {
-            watch.write_all(&[WATCH, &chunk(head), &chunk(tail)].concat()).unwrap();
+            watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk(head), &chunk(tail)].concat()).unwrap();
         } else {
             watch.write_all(&[b"HTTP/1.1 200 OK\r\n\r\n", indented.as_bytes()].concat()).unwrap();
         }
@@ -364,15 +364,15 @@
 fn watch_without_complete_lines_is_reopened_in_time() {
     for kind in ["nothing", "head only", "partial line", "endless line"] {
         let (_a, _b, text) = listed_data_nodes();
-        let (discovery, addr) = Scripted::new();
+        let (discovery, addr) = ScriptedDiscoveryServer::new();
         let coordinator = TestCluster::default().start(addr, "");
-        let (mut watch, _) = discovery.call();
+        let (mut watch, _) = discovery.accept_call();
         let started = Instant::now();
         let watch_thread = thread::spawn(move || {
             let sent = match kind {
                 "nothing" => Vec::new(),
-                "head only" => WATCH.to_vec(),
-                _ => [WATCH, &chunk(&(text + "\n"))].concat(),
+                "head only" => WATCH_RESPONSE_HEAD.to_vec(),
+                _ => [WATCH_RESPONSE_HEAD, &chunk(&(text + "\n"))].concat(),
             };
             watch.write_all(&sent).unwrap();
             let incomplete: &[&str] = match kind {
@@ -387,7 +387,7 @@
             }
             watch
         });
-        let (_next_call, _) = discovery.call();
+        let (_next_call, _) = discovery.accept_call();
         // 6 s less the 2.2 s that a call may take.
         assert!(started.elapsed() < Duration::from_millis(3800), "{kind}: {:?}", started.elapsed());
         drop((watch_thread, coordinator));
@@ -398,25 +398,25 @@
 /// at once and ignores a late response of the old one.
 #[test]
 fn changing_the_discovery_address_abandons_the_open_call() {
-    let (old, addr) = Scripted::new();
+    let (old, addr) = ScriptedDiscoveryServer::new();
     let program_thread = thread::spawn({
         let config = TestCluster::default().config(addr);
         move || Program::start(&config)
     });
-    let (mut first, _) = old.call();
+    let (mut first, _) = old.accept_call();
     let (a, b, text) = listed_data_nodes();
-    first.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
+    first.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(text + "\n"))].concat()).unwrap();
     let program = program_thread.join().unwrap();
     // Ends the watch, so that the next call is open when the address changes.
     drop(first);
-    let (mut open, _) = old.call();
+    let (mut open, _) = old.accept_call();
     let c = DataNode::start(successful_reply);
     let new = Discovery::start("127.0.0.1:0", vec![member("c", 0, c.addr), member("d", 1, c.addr)]);
     program.reload(&TestCluster::default().config(new.addr));
     wait_until("the new watch", || new.watches() == 1 && new.lists() == 1);
     // The late list is ignored, whether or not the connection still accepts it.
-    let late = list(9, &[("a", 0, a.addr), ("b", 1, b.addr)]);
-    let _ = open.write_all(&[WATCH, &chunk(&(late + "\n"))].concat());
+    let late = complete_list(9, &[("a", 0, a.addr), ("b", 1, b.addr)]);
+    let _ = open.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(late + "\n"))].concat());
     let parts = a.parts().len() + b.parts().len();
     for shard in 0..4 {
         assert_eq!(
@@ -435,19 +435,19 @@
     let (a, b, text) = listed_data_nodes();
     let first = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
     let program = Program::start(&TestCluster::default().config(first.addr));
-    let (next, addr) = Scripted::new();
+    let (next, addr) = ScriptedDiscoveryServer::new();
     program.reload(&TestCluster::default().config(addr));
     // Closing the socket with the request unread resets the connection after the written response.
     let (mut reset, _) = next.listener.accept().unwrap();
     wait_until("the request", || reset.peek(&mut [0; 8]).is_ok_and(|n| n > 0));
-    let only_c = list(7, &[("c", 0, a.addr)]);
+    let only_c = complete_list(7, &[("c", 0, a.addr)]);
     reset.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{only_c}").as_bytes()).unwrap();
     drop(reset);
-    let (mut closing, target) = next.call();
+    let (mut closing, target) = next.accept_call();
     assert_eq!(target, "/catalog/members", "applied the list of a reset connection");
     closing.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{text}").as_bytes()).unwrap();
     drop(closing);
-    let (_watch, target) = next.call();
+    let (_watch, target) = next.accept_call();
     assert!(target.ends_with("stream=1&index=1"), "{target}");
     drop(program);
 }
@@ -457,11 +457,11 @@
 #[test]
 fn discovery_is_reached_while_idle_clients_hold_all_client_connections() {
     let (a, b, text) = listed_data_nodes();
-    let (discovery, addr) = Scripted::new();
+    let (discovery, addr) = ScriptedDiscoveryServer::new();
     let cluster = TestCluster { sockets: 128, ..TestCluster::default() };
     let coordinator = cluster.start(addr, "");
-    let (mut watch, _) = discovery.call();
-    watch.write_all(&[WATCH, &chunk(&(text.clone() + "\n"))].concat()).unwrap();
+    let (mut watch, _) = discovery.accept_call();
+    watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(text.clone() + "\n"))].concat()).unwrap();
     wait_until_healthy(&coordinator);
     drop((discovery, watch));
     let idle: Vec<TcpStream> = (0..200).map(|_| connect(coordinator.listen)).collect();
@@ -472,7 +472,7 @@
             Err(e) => panic!("{e}"),
         }
     };
-    let (mut watch, _) = Scripted { listener }.call();
-    watch.write_all(&[WATCH, &chunk(&(text + "\n"))].concat()).unwrap();
+    let (mut watch, _) = ScriptedDiscoveryServer { listener }.accept_call();
+    watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(text + "\n"))].concat()).unwrap();
     drop((idle, a, b));
 }
--- a/tests/stalled_process.rs
+++ b/tests/stalled_process.rs
@@ -11,7 +11,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use harness::scripted::{chunk, list, news, Line, Scripted, WATCH};
+use harness::scripted::{
+    chunk, complete_list, list_update, ListEntry, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD,
+};
 use harness::stand_in::{exchange, DataNode, Discovery};
 use harness::{
     member, query_bytes, set_member_state, successful_reply, wait_until, wait_until_healthy, Program,
@@ -28,7 +30,7 @@
     program: Program,
     watch: Arc<Mutex<TcpStream>>,
     /// Keeps the address of discovery in use.
-    _discovery: Scripted,
+    _discovery: ScriptedDiscoveryServer,
     drained: SocketAddr,
     version: u32,
 }
@@ -40,12 +42,12 @@
     }
 
     fn start_with_nodes(drained: SocketAddr, nodes: &[(&str, u32, SocketAddr)]) -> Self {
-        let (discovery, addr) = Scripted::new();
+        let (discovery, addr) = ScriptedDiscoveryServer::new();
         let config = TestCluster::default().config(addr);
         let starting = thread::spawn(move || Program::start(&config));
-        let (mut watch, _) = discovery.call();
-        let complete_list = list(1, nodes);
-        watch.write_all(&[WATCH, &chunk(&(complete_list + "\n"))].concat()).unwrap();
+        let (mut watch, _) = discovery.accept_call();
+        let complete_list = complete_list(1, nodes);
+        watch.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(complete_list + "\n"))].concat()).unwrap();
         let program = starting.join().unwrap();
         let watch = Arc::new(Mutex::new(watch));
         thread::spawn({
@@ -65,9 +67,9 @@
         self.announce(&[("drained", 1, self.drained, state)]);
     }
 
-    fn announce(&mut self, lines: &[Line]) {
+    fn announce(&mut self, lines: &[ListEntry]) {
         self.version += 1;
-        let line = news(self.version, false, lines);
+        let line = list_update(self.version, false, lines);
         self.watch.lock().unwrap().write_all(&chunk(&(line + "\n"))).unwrap();
     }
 
