--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -189,8 +189,10 @@
 #[test]
 fn part_waiting_for_a_connection_is_rerouted_at_once() {
     for update in CLOSING_UPDATES {
-        let (late, stays) =
-            (StallingDataNode::unreachable(successful_reply), StallingDataNode::serving(successful_reply));
+        let (late, stays) = (
+            StallingDataNode::start_unreachable(successful_reply),
+            StallingDataNode::start_serving(successful_reply),
+        );
         let fixture = Fixture::long_timeouts(vec![up("late", late.addr)]);
         let waiting = spawn_query(fixture.addr(), "tag-lookup", &[0]);
         wait_until("the dial", || fixture.dials() == 1);
@@ -198,7 +200,7 @@
         let updated_at = update.apply(&fixture, ("late", late.addr), &[up("stays", stays.addr)]);
         expect_answer(waiting, "the part that waited for a connection");
         fixture.query_past_the_grace(updated_at);
-        late.accepts();
+        late.start_accepting();
         if update == ClosingUpdate::Draining {
             wait_until("the late connection", || late.connections() == 1);
         }
@@ -218,15 +220,17 @@
 /// the new address, and the old connection must be closed when it opens.
 #[test]
 fn part_waiting_for_an_earlier_address_is_sent_to_the_new_one() {
-    let (old, new) =
-        (StallingDataNode::unreachable(successful_reply), StallingDataNode::serving(successful_reply));
+    let (old, new) = (
+        StallingDataNode::start_unreachable(successful_reply),
+        StallingDataNode::start_serving(successful_reply),
+    );
     let fixture = Fixture::long_timeouts(vec![up("moves", old.addr)]);
     let waiting = spawn_query(fixture.addr(), "tag-lookup", &[0]);
     wait_until("the dial", || fixture.dials() == 1);
     fixture.change(&[up("moves", new.addr)]);
     expect_answer(waiting, "the part that waited for a connection to the earlier address");
-    old.accepts();
-    wait_until("the end of the late connection", || old.connections() == 1 && old.open() == 0);
+    old.start_accepting();
+    wait_until("the end of the late connection", || old.connections() == 1 && old.open_connections() == 0);
     fixture.send_queries(QUERIES);
     assert_eq!(old.arrivals(), []);
 }
@@ -238,8 +242,10 @@
 #[test]
 fn busy_connection_to_an_earlier_address_receives_nothing_new() {
     let release = Arc::new(AtomicBool::new(false));
-    let (old, new) =
-        (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(successful_reply));
+    let (old, new) = (
+        StallingDataNode::start_serving(holding(&release)),
+        StallingDataNode::start_serving(successful_reply),
+    );
     let fixture = Fixture::long_timeouts(vec![up("moves", old.addr)]);
     let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
     wait_until("the held part", || old.arrivals().len() == 1);
@@ -247,12 +253,12 @@
     assert_eq!((old.arrivals().len(), old.connections()), (3, 1));
     let updated_at = fixture.change(&[up("moves", new.addr)]);
     fixture.query_past_the_grace(updated_at);
-    assert_eq!(old.begun_after(updated_at + DRAIN_GRACE), [], "sent to the earlier address");
+    assert_eq!(old.parts_begun_after(updated_at + DRAIN_GRACE), [], "sent to the earlier address");
     assert!(new.arrivals().len() >= 2 * QUERIES as usize);
-    assert_eq!(old.open(), 1, "closed with a part in flight");
+    assert_eq!(old.open_connections(), 1, "closed with a part in flight");
     release.store(true, Ordering::SeqCst);
     assert_eq!(expect_answer(held, "the held part").body, r#"{"exact":true,"rows":[{"id":3,"data":"v3"}]}"#);
-    wait_until("the end of the idle connection", || old.open() == 0);
+    wait_until("the end of the idle connection", || old.open_connections() == 0);
     fixture.send_queries(QUERIES);
     assert_eq!(old.arrivals().len(), 3);
 }
@@ -263,7 +269,7 @@
 fn data_nodes_that_share_an_address_in_turn_stay_separate() {
     for update in CLOSING_UPDATES {
         let release = Arc::new(AtomicBool::new(false));
-        let node = StallingDataNode::serving(holding(&release));
+        let node = StallingDataNode::start_serving(holding(&release));
         let fixture = Fixture::long_timeouts(vec![up("first", node.addr)]);
         let held = spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD]);
         wait_until("the held part", || node.arrivals().len() == 1);
@@ -294,11 +300,11 @@
         release.store(true, Ordering::SeqCst);
         expect_answer(held, "the part in flight at the first");
         // The second node can be drained separately.
-        let stays = StallingDataNode::serving(successful_reply);
+        let stays = StallingDataNode::start_serving(successful_reply);
         fixture.change(&[up("stays", stays.addr)]);
         let updated_at = fixture.change(&[in_state("draining", "second", node.addr)]);
         fixture.query_past_the_grace(updated_at);
-        assert_eq!(node.begun_after(updated_at + DRAIN_GRACE), [], "{update:?}");
+        assert_eq!(node.parts_begun_after(updated_at + DRAIN_GRACE), [], "{update:?}");
     }
 }
 
@@ -308,9 +314,11 @@
 fn removed_node_that_returns_is_used_and_drained_like_any_other() {
     for (part_in_flight, at_once) in [(false, false), (false, true), (true, false), (true, true)] {
         let release = Arc::new(AtomicBool::new(false));
-        let (old, stays) =
-            (StallingDataNode::serving(holding(&release)), StallingDataNode::serving(successful_reply));
-        let new = StallingDataNode::serving(successful_reply);
+        let (old, stays) = (
+            StallingDataNode::start_serving(holding(&release)),
+            StallingDataNode::start_serving(successful_reply),
+        );
+        let new = StallingDataNode::start_serving(successful_reply);
         let fixture = Fixture::long_timeouts(vec![up("back", old.addr)]);
         fixture.send_queries(1);
         let held = part_in_flight
@@ -333,11 +341,11 @@
         });
         let drained = fixture.change(&[Member { state: "draining", ..back.clone() }]);
         fixture.query_past_the_grace(drained);
-        assert_eq!(new.begun_after(drained + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
+        assert_eq!(new.parts_begun_after(drained + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
         let omitted = fixture.update_list(|discovery| discovery.replace(vec![up("stays", stays.addr)]));
         fixture.query_past_the_grace(omitted);
-        assert_eq!(new.begun_after(drained + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
-        assert_eq!(old.begun_after(updated_at + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
+        assert_eq!(new.parts_begun_after(drained + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
+        assert_eq!(old.parts_begun_after(updated_at + DRAIN_GRACE), [], "{part_in_flight} {at_once}");
         release.store(true, Ordering::SeqCst);
         let released = Instant::now();
         held.into_iter()
@@ -351,7 +359,7 @@
 /// Starts a data node that holds parts of `HELD_SHARD` until the release and then fails them.
 fn failing_once_released(release: &Arc<AtomicBool>) -> StallingDataNode {
     let release = release.clone();
-    StallingDataNode::serving(move |part: &Part| {
+    StallingDataNode::start_serving(move |part: &Part| {
         if part.shard != HELD_SHARD {
             return successful_reply(part);
         }
@@ -366,8 +374,10 @@
     const RETRIES: usize = 12;
     let release = Arc::new(AtomicBool::new(false));
     let fails = failing_once_released(&release);
-    let (drains, stays) =
-        (StallingDataNode::serving(successful_reply), StallingDataNode::serving(successful_reply));
+    let (drains, stays) = (
+        StallingDataNode::start_serving(successful_reply),
+        StallingDataNode::start_serving(successful_reply),
+    );
     let fixture = Fixture::long_timeouts(vec![up("fails", fails.addr)]);
     let held: Vec<_> =
         (0..RETRIES).map(|_| spawn_query(fixture.addr(), "tag-lookup", &[HELD_SHARD])).collect();
@@ -380,16 +390,18 @@
     fixture.query_past_the_grace(updated_at);
     release.store(true, Ordering::SeqCst);
     held.into_iter().for_each(|held| drop(expect_answer(held, "a retried part")));
-    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
+    assert_eq!(drains.parts_begun_after(updated_at + DRAIN_GRACE), []);
 }
 
 /// Parts are overdue after a data node has drained. Their hedges must go to the remaining node.
 #[test]
 fn hedges_skip_a_draining_node() {
     let release = Arc::new(AtomicBool::new(false));
-    let holds = StallingDataNode::serving(holding(&release));
-    let (drains, stays) =
-        (StallingDataNode::serving(successful_reply), StallingDataNode::serving(successful_reply));
+    let holds = StallingDataNode::start_serving(holding(&release));
+    let (drains, stays) = (
+        StallingDataNode::start_serving(successful_reply),
+        StallingDataNode::start_serving(successful_reply),
+    );
     let members = vec![up("holds", holds.addr), up("drains", drains.addr), up("stays", stays.addr)];
     let short_aim = |discovery| {
         TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }.config(discovery)
@@ -409,7 +421,7 @@
         expect_answer(held, "a part that one node holds");
         hedges() >= 2
     });
-    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
+    assert_eq!(drains.parts_begun_after(updated_at + DRAIN_GRACE), []);
     release.store(true, Ordering::SeqCst);
 }
 
@@ -418,7 +430,8 @@
 #[test]
 fn second_step_skips_a_draining_node() {
     let (release, slow) = gated_reply();
-    let (drains, stays) = (StallingDataNode::serving(slow.clone()), StallingDataNode::serving(slow));
+    let (drains, stays) =
+        (StallingDataNode::start_serving(slow.clone()), StallingDataNode::start_serving(slow));
     let fixture = Fixture::long_timeouts(vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let parts = || drains.arrivals().len() + stays.arrivals().len();
     let mut held = Vec::new();
@@ -436,7 +449,7 @@
     wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     release.store(true, Ordering::SeqCst);
     held.into_iter().for_each(|held| drop(expect_answer(held, "a query in two steps")));
-    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
+    assert_eq!(drains.parts_begun_after(updated_at + DRAIN_GRACE), []);
     assert!(stays.arrivals().iter().any(|a| a.id.ends_with(".fetch")));
 }
 
@@ -487,8 +500,10 @@
 
 /// Returns whether the update arrived while the frame was waiting.
 fn updates_while_a_frame_waits(update: ClosingUpdate) -> bool {
-    let (full, stays) =
-        (StallingDataNode::unread(successful_reply), StallingDataNode::serving(successful_reply));
+    let (full, stays) = (
+        StallingDataNode::start_without_reading(successful_reply),
+        StallingDataNode::start_serving(successful_reply),
+    );
     let fixture = Fixture::start(large_calls, "", vec![up("full", full.addr)]);
     let addr = fixture.addr();
     let started = || -> usize {
@@ -520,9 +535,9 @@
     expect_answer(waiting, "the call that waited for room");
     wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     assert!(stays.arrivals().iter().any(|a| a.id == "waits.0"), "{update:?}");
-    full.reads();
+    full.start_reading();
     // The frame that had started arrives complete, or its connection was closed meanwhile.
-    let ended = || full.connections() > 0 && full.open() == 0;
+    let ended = || full.connections() > 0 && full.open_connections() == 0;
     wait_until("the frame that had started", || full.arrivals().len() >= LARGE_PARTS || ended());
     let begun: Vec<_> = full.arrivals().into_iter().filter(|a| a.id == "waits.0").collect();
     assert_eq!(begun, [], "{update:?}");
@@ -534,8 +549,10 @@
 /// An older process ends while a newer one runs on the same listener. The older one must apply drains until it ends.
 #[test]
 fn older_process_on_a_shared_listener_applies_drains() {
-    let (drains, stays) =
-        (StallingDataNode::serving(successful_reply), StallingDataNode::serving(successful_reply));
+    let (drains, stays) = (
+        StallingDataNode::start_serving(successful_reply),
+        StallingDataNode::start_serving(successful_reply),
+    );
     let discovery = Discovery::start("127.0.0.1:0", vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = long_timeouts(discovery.addr);
@@ -555,8 +572,8 @@
     let answered = of_older.into_iter().filter_map(|mut stream| query_on(&mut stream)).count();
     assert!(answered > 0, "the older process answered no query");
     (0..QUERIES).for_each(|_| assert_eq!(query(newer.addr, "tag-lookup", &[0, 1]).unwrap().status, 200));
-    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
-    assert_eq!(stays.begun_after(updated_at + DRAIN_GRACE).len(), 2 * (answered + QUERIES as usize));
+    assert_eq!(drains.parts_begun_after(updated_at + DRAIN_GRACE), []);
+    assert_eq!(stays.parts_begun_after(updated_at + DRAIN_GRACE).len(), 2 * (answered + QUERIES as usize));
     older.wait_for_exit();
 }
 
@@ -587,7 +604,8 @@
 /// Desk requests are queries of the core like any others and must follow the drain rule.
 #[test]
 fn desk_queries_skip_a_draining_node() {
-    let (drains, stays) = (StallingDataNode::serving(desk_value), StallingDataNode::serving(desk_value));
+    let (drains, stays) =
+        (StallingDataNode::start_serving(desk_value), StallingDataNode::start_serving(desk_value));
     let fixture =
         Fixture::start(long_timeouts, DESK, vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let desk = fixture.coordinator.aggregation.unwrap();
@@ -604,7 +622,7 @@
     let before = stays.arrivals().len();
     (0..QUERIES).for_each(|_| ask());
     assert!(stays.arrivals().len() >= before + QUERIES as usize);
-    assert_eq!(drains.begun_after(updated_at + DRAIN_GRACE), []);
+    assert_eq!(drains.parts_begun_after(updated_at + DRAIN_GRACE), []);
 }
 
 // ---- Feature servers ----
@@ -647,7 +665,7 @@
 #[test]
 fn pages_waiting_for_a_connection_are_rerouted_at_once() {
     for update in CLOSING_UPDATES.map(Some).into_iter().chain([None]) {
-        let late = StallingDataNode::unreachable(successful_reply);
+        let late = StallingDataNode::start_unreachable(successful_reply);
         let stays = FeatureServer::start(|query| store(query, RANGE_FEATURES, PAGE_FEATURES));
         let fixture = Fixture::start(features_with_long_timeouts, FEATURES, vec![up("late", late.addr)]);
         let waiting = request_features(fixture.coordinator.features.unwrap());
--- a/tests/harness/stalling_data_node.rs
+++ b/tests/harness/stalling_data_node.rs
@@ -54,9 +54,9 @@
 }
 
 impl StallingDataNode {
-    /// Starts a data node whose listener's queue is full. Connections are established after [`Self::accepts`], when the
+    /// Starts a data node whose listener's queue is full. Connections are established after [`Self::start_accepting`], when the
     /// kernel retransmits their SYN.
-    pub fn unreachable(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
+    pub fn start_unreachable(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
         let node = Self::new(reply);
         let mut failed = 0;
         while failed < TIMEOUTS_WHEN_FULL {
@@ -67,21 +67,21 @@
             assert!(lock(&node.fillers).len() < MAX_FILLERS, "the listener's queue does not fill up");
         }
         node.filled.store(lock(&node.fillers).len(), Ordering::SeqCst);
-        node.reads();
+        node.start_reading();
         node
     }
 
-    /// Starts a data node that accepts connections and reads nothing until [`Self::reads`].
-    pub fn unread(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
+    /// Starts a data node that accepts connections and reads nothing until [`Self::start_reading`].
+    pub fn start_without_reading(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
         let node = Self::new(reply);
-        node.accepts();
+        node.start_accepting();
         node
     }
 
     /// Starts a data node that accepts connections and reads from them at once.
-    pub fn serving(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
-        let node = Self::unread(reply);
-        node.reads();
+    pub fn start_serving(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
+        let node = Self::start_without_reading(reply);
+        node.start_reading();
         node
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Empties the listener's queue and accepts connections from now on.
-    pub fn accepts(&self) {
+    pub fn start_accepting(&self) {
         lock(&self.fillers).clear();
         let (listener, state, reply) =
             (self.listener.try_clone().unwrap(), self.state.clone(), self.reply.clone());
@@ -120,7 +120,7 @@
     }
 
     /// Reads frames from now on, including those already received.
-    pub fn reads(&self) {
+    pub fn start_reading(&self) {
         self.state.reads.store(true, Ordering::SeqCst);
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Frames other than calls, by type and connection.
-    pub fn others(&self) -> Vec<(u8, usize)> {
+    pub fn frames_other_than_calls(&self) -> Vec<(u8, usize)> {
         lock(&self.state.others).clone()
     }
 
@@ -140,14 +140,14 @@
     }
 
     /// Number of accepted connections that the peer has not closed.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         // Closed connections are counted first, since a further one may be accepted and closed between the two reads.
         let ended = lock(&self.state.ended).len();
         *lock(&self.state.accepted) - ended
     }
 
     /// Parts whose first byte arrived after this moment.
-    pub fn begun_after(&self, at: Instant) -> Vec<Arrival> {
+    pub fn parts_begun_after(&self, at: Instant) -> Vec<Arrival> {
         self.arrivals().into_iter().filter(|a| a.begun > at).collect()
     }
 }
