--- a/tests/drain_check.rs
+++ b/tests/drain_check.rs
@@ -6,7 +6,8 @@
 
 use harness::drain_check::{
     violations, Assignment, AvailableVersion, Change, CoordinatorLog, Delivery, NodeState, PartStart,
-    ReachabilityChange, Reason, Said, ServiceLog, Silence, Violation, WatchEnd, Write, WrittenUpdate,
+    ReachabilityChange, Reason, ReportedState, ServiceLog, Silence, Violation, WatchEnd, Write,
+    WrittenUpdate,
 };
 
 /// Converts seconds since its creation to instants.
@@ -38,8 +39,8 @@
     }
 }
 
-fn listed(said: Said) -> Vec<(String, Said)> {
-    vec![("x".to_string(), said)]
+fn listed(state: ReportedState) -> Vec<(String, ReportedState)> {
+    vec![("x".to_string(), state)]
 }
 
 /// Logs of one coordinator that starts at second 0, and of a node that drains in version 2 at second 10; its discovery
@@ -107,8 +108,8 @@
 #[test]
 fn written_update_notifies_from_its_last_byte() {
     for update in [
-        WrittenUpdate::Delta(listed(Said::Shut)),
-        WrittenUpdate::Snapshot(listed(Said::Shut)),
+        WrittenUpdate::Delta(listed(ReportedState::Closed)),
+        WrittenUpdate::Snapshot(listed(ReportedState::Closed)),
         WrittenUpdate::Snapshot(Vec::new()),
     ] {
         let mut log = Log::new(Delivery::OnRequest);
@@ -119,10 +120,10 @@
 
 #[test]
 fn heartbeats_malformed_lines_and_changes_of_other_nodes_do_not_notify() {
-    let other = vec![("y".to_string(), Said::Shut)];
+    let other = vec![("y".to_string(), ReportedState::Closed)];
     for update in [
         WrittenUpdate::Heartbeat,
-        WrittenUpdate::Snapshot(listed(Said::Unreadable)),
+        WrittenUpdate::Snapshot(listed(ReportedState::Unreadable)),
         WrittenUpdate::Delta(other),
     ] {
         let mut log = Log::new(Delivery::OnRequest);
@@ -161,7 +162,7 @@
         let mut log = Log::new(delivery);
         log.coordinator.assignments[0].from = log.clock.at(20.0);
         // Written to an earlier process: the update notifies that process only.
-        log.write(10.0, 1, WrittenUpdate::Delta(listed(Said::Shut)));
+        log.write(10.0, 1, WrittenUpdate::Delta(listed(ReportedState::Closed)));
         assert_eq!(log.violations(&[20.01]).iter().map(|v| v.reason).collect::<Vec<_>>(), [late]);
     }
 }
@@ -263,7 +264,7 @@
 #[test]
 fn writes_of_the_previous_service_after_a_move_do_not_notify() {
     let mut log = moved_log(Delivery::OnRequest, 10.0, 12.0);
-    log.write(12.5, 1, WrittenUpdate::Delta(listed(Said::Shut)));
+    log.write(12.5, 1, WrittenUpdate::Delta(listed(ReportedState::Closed)));
     log.assert_notified_at(16.0, Reason::SighupFor4s);
 }
 
@@ -273,7 +274,7 @@
     log.changes.push(log.clock.change(12.0, 3, "x", NodeState::Removed));
     let available = log.clock.available(12.0, 3);
     log.service().available.push(available);
-    log.write(12.5, 1, WrittenUpdate::Delta(listed(Said::Shut)));
+    log.write(12.5, 1, WrittenUpdate::Delta(listed(ReportedState::Closed)));
     log.assert_notified_at(12.5, Reason::Written);
     assert_eq!(log.violations(&[15.0])[0].reason, Reason::Written);
 }
@@ -281,15 +282,15 @@
 #[test]
 fn older_update_with_the_state_up_does_not_reopen_a_node() {
     let mut log = Log::new(Delivery::OnRequest);
-    log.write(11.0, 1, WrittenUpdate::Delta(listed(Said::Shut)));
-    log.write(12.0, 2, WrittenUpdate::Snapshot(listed(Said::Up)));
+    log.write(11.0, 1, WrittenUpdate::Delta(listed(ReportedState::Closed)));
+    log.write(12.0, 2, WrittenUpdate::Snapshot(listed(ReportedState::Up)));
     assert_eq!(log.violations(&[12.1, 20.0]).len(), 2);
 }
 
 #[test]
 fn node_that_is_up_again_may_receive_parts() {
     let mut log = Log::new(Delivery::OnRequest);
-    log.write(11.0, 1, WrittenUpdate::Delta(listed(Said::Shut)));
+    log.write(11.0, 1, WrittenUpdate::Delta(listed(ReportedState::Closed)));
     log.changes.push(log.clock.change(20.0, 3, "x", NodeState::Up));
     assert_eq!(log.violations(&[19.0]).len(), 1);
     assert_eq!(log.violations(&[20.5, 60.0]), []);
@@ -303,11 +304,11 @@
 fn snapshot_without_a_node_that_is_up_removes_it() {
     let mut log = Log::new(Delivery::OnRequest);
     log.changes.pop();
-    log.write(5.0, 1, WrittenUpdate::Snapshot(listed(Said::Up)));
+    log.write(5.0, 1, WrittenUpdate::Snapshot(listed(ReportedState::Up)));
     log.write(8.0, 1, WrittenUpdate::Snapshot(Vec::new()));
     log.write(9.0, 1, WrittenUpdate::Snapshot(Vec::new()));
     log.assert_notified_at(8.0, Reason::Written);
-    log.write(12.0, 1, WrittenUpdate::Snapshot(listed(Said::Up)));
+    log.write(12.0, 1, WrittenUpdate::Snapshot(listed(ReportedState::Up)));
     assert_eq!(log.violations(&[12.1, 20.0]), []);
 }
 
@@ -315,7 +316,7 @@
 fn coordinator_is_checked_against_its_own_updates_only() {
     let mut log = Log::new(Delivery::OnRequest);
     let not_notified = log.coordinator.clone();
-    log.write(11.0, 1, WrittenUpdate::Delta(listed(Said::Shut)));
+    log.write(11.0, 1, WrittenUpdate::Delta(listed(ReportedState::Closed)));
     let at = log.clock.at(12.0);
     let part = |coordinator| PartStart { coordinator, uid: "x".to_string(), at };
     let found = violations(&log.changes, &[log.coordinator.clone(), not_notified], &[part(0), part(1)]);
--- a/tests/drain_updates.rs
+++ b/tests/drain_updates.rs
@@ -195,7 +195,7 @@
 fn malformed_line_does_not_hide_other_changes() {
     let all = [
         MalformedLine::EndpointNull,
-        MalformedLine::EndpointNoAddress,
+        MalformedLine::EndpointNotAnAddress,
         MalformedLine::CellMissing,
         MalformedLine::CapacityNull,
         MalformedLine::BootTimeNull,
@@ -206,7 +206,7 @@
     // A draining node's line reports nothing if its state or uid cannot be read.
     let of_draining_node = all
         .iter()
-        .filter(|malformed| malformed.says_state())
+        .filter(|malformed| malformed.has_readable_state())
         .map(|&malformed| (MalformedNode::DrainingNode, malformed));
     let lines = all.iter().map(|&malformed| (MalformedNode::OtherNode, malformed)).chain(of_draining_node);
     let trials = lines.flat_map(|(node, malformed)| {
--- a/tests/harness/catalog.rs
+++ b/tests/harness/catalog.rs
@@ -5,7 +5,7 @@
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use super::drain_check::{Change, NodeState, Said, WrittenUpdate};
+use super::drain_check::{Change, NodeState, ReportedState, WrittenUpdate};
 use super::stand_in::lock;
 
 /// Version of the initial list.
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MalformedLine {
     EndpointNull,
-    EndpointNoAddress,
+    EndpointNotAnAddress,
     CellMissing,
     CapacityNull,
     BootTimeNull,
@@ -37,17 +37,17 @@
 
 impl MalformedLine {
     /// Reports whether the uid and the state remain readable.
-    pub fn says_state(self) -> bool {
+    pub fn has_readable_state(self) -> bool {
         !matches!(self, Self::StateNull | Self::UidMissing | Self::NotAnObject)
     }
 }
 
 impl Line {
-    fn said(&self) -> Said {
+    fn reported_state(&self) -> ReportedState {
         if self.state == NodeState::Up {
-            Said::Up
+            ReportedState::Up
         } else {
-            Said::Shut
+            ReportedState::Closed
         }
     }
 
@@ -65,7 +65,7 @@
         match defect {
             None => text,
             Some(MalformedLine::EndpointNull) => text.replace(&endpoint, "null"),
-            Some(MalformedLine::EndpointNoAddress) => text.replace(&endpoint, r#""nowhere""#),
+            Some(MalformedLine::EndpointNotAnAddress) => text.replace(&endpoint, r#""nowhere""#),
             Some(MalformedLine::CellMissing) => text.replace(r#""pod_group":0,"#, ""),
             Some(MalformedLine::CapacityNull) => {
                 text.replace(r#""capacity_hint":1.0"#, r#""capacity_hint":null"#)
@@ -82,7 +82,7 @@
 
 /// A rendered list or change, together with its content for the checker.
 #[derive(Debug, Clone)]
-pub struct Text {
+pub struct RenderedUpdate {
     pub json: String,
     pub update: WrittenUpdate,
 }
@@ -169,11 +169,16 @@
 
     /// Renders the full list as of `version` without removed nodes. Its `rev` field is `rev`, which may differ from
     /// `version`, and `defects` names the malformed lines by uid.
-    pub fn snapshot(&self, version: u64, rev: u64, defects: &BTreeMap<String, MalformedLine>) -> Text {
+    pub fn snapshot(
+        &self,
+        version: u64,
+        rev: u64,
+        defects: &BTreeMap<String, MalformedLine>,
+    ) -> RenderedUpdate {
         let mut lines = self.lines(0, version);
         lines.retain(|line| line.state != NodeState::Removed);
-        let (json, said) = render(rev, true, &lines, defects);
-        Text { json, update: WrittenUpdate::Snapshot(said) }
+        let (json, reported_states) = render(rev, true, &lines, defects);
+        RenderedUpdate { json, update: WrittenUpdate::Snapshot(reported_states) }
     }
 
     /// Renders the changes after one version up to and including another, with the `rev` field `rev`. Returns `None` if
@@ -184,10 +189,10 @@
         version: u64,
         rev: u64,
         defects: &BTreeMap<String, MalformedLine>,
-    ) -> Option<Text> {
+    ) -> Option<RenderedUpdate> {
         let lines = self.lines(after, version);
-        let (json, said) = render(rev, false, &lines, defects);
-        (!lines.is_empty()).then_some(Text { json, update: WrittenUpdate::Delta(said) })
+        let (json, reported_states) = render(rev, false, &lines, defects);
+        (!lines.is_empty()).then_some(RenderedUpdate { json, update: WrittenUpdate::Delta(reported_states) })
     }
 
     /// The latest state of each line changed after one version, up to and including another.
@@ -205,13 +210,13 @@
     all: bool,
     lines: &[Line],
     defects: &BTreeMap<String, MalformedLine>,
-) -> (String, Vec<(String, Said)>) {
+) -> (String, Vec<(String, ReportedState)>) {
     let defect_of = |line: &Line| defects.get(&line.uid).copied();
     let texts: Vec<String> = lines.iter().map(|line| line.json(defect_of(line))).collect();
-    let said = |line: &Line| match defect_of(line) {
-        Some(defect) if !defect.says_state() => Said::Unreadable,
-        _ => line.said(),
+    let reported_state = |line: &Line| match defect_of(line) {
+        Some(defect) if !defect.has_readable_state() => ReportedState::Unreadable,
+        _ => line.reported_state(),
     };
-    let said = lines.iter().map(|line| (line.uid.clone(), said(line))).collect();
-    (format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, texts.join(",")), said)
+    let reported_states = lines.iter().map(|line| (line.uid.clone(), reported_state(line))).collect();
+    (format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, texts.join(",")), reported_states)
 }
--- a/tests/harness/discovery_connection.rs
+++ b/tests/harness/discovery_connection.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::catalog::{Text, FIRST_VERSION};
+use super::catalog::{RenderedUpdate, FIRST_VERSION};
 use super::discovery_faults::{AheadAnswer, CallFault, IndexAnswer, Pieces};
 use super::drain_check::{Write, WrittenUpdate};
 use super::faulty_discovery::{Service, Turn, VersionTime};
@@ -145,7 +145,7 @@
     }
 
     /// Returns the current version and its complete list.
-    fn current_list(&self) -> (u64, Text) {
+    fn current_list(&self) -> (u64, RenderedUpdate) {
         let mut state = lock(&self.service.state);
         self.service.log_versions(&mut state, VersionTime::OfChange);
         let (faults, version) = (&state.faults, self.service.version(&state.faults));
@@ -247,7 +247,7 @@
     }
 
     /// Returns the version that the first line of a watch covers, and the line, or `None` if nothing has changed.
-    fn first_line(&self, index: u64) -> (u64, Option<Text>) {
+    fn first_line(&self, index: u64) -> (u64, Option<RenderedUpdate>) {
         let (version, current_list) = self.current_list();
         let state = lock(&self.service.state);
         let faults = &state.faults;
--- a/tests/harness/drain_check.rs
+++ b/tests/harness/drain_check.rs
@@ -44,10 +44,10 @@
 
 /// State that an entry of a list reports for a data node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Said {
+pub enum ReportedState {
     Up,
     /// Draining or removed.
-    Shut,
+    Closed,
     /// The uid or the state cannot be parsed: the entry reports no state, but the node counts as listed.
     Unreadable,
 }
@@ -56,22 +56,22 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum WrittenUpdate {
     /// Complete list: a node that it does not name is removed.
-    Snapshot(Vec<(String, Said)>),
+    Snapshot(Vec<(String, ReportedState)>),
     /// Changed entries only.
-    Delta(Vec<(String, Said)>),
+    Delta(Vec<(String, ReportedState)>),
     Heartbeat,
 }
 
 impl WrittenUpdate {
     /// Returns the state that this update reports for a data node, if any.
-    fn state_of(&self, uid: &str) -> Option<Said> {
+    fn state_of(&self, uid: &str) -> Option<ReportedState> {
         let (lines, unnamed) = match self {
-            Self::Snapshot(lines) => (lines, Some(Said::Shut)),
+            Self::Snapshot(lines) => (lines, Some(ReportedState::Closed)),
             Self::Delta(lines) => (lines, None),
             Self::Heartbeat => return None,
         };
-        let said = lines.iter().find(|line| line.0 == uid).map(|line| line.1).or(unnamed);
-        said.filter(|&said| said != Said::Unreadable)
+        let reported = lines.iter().find(|line| line.0 == uid).map(|line| line.1).or(unnamed);
+        reported.filter(|&state| state != ReportedState::Unreadable)
     }
 }
 
@@ -232,8 +232,8 @@
         let mut closed = None;
         for write in self.writes().filter(|w| w.at <= now && since.is_none_or(|since| w.at >= since)) {
             match write.update.state_of(uid) {
-                Some(Said::Shut) => closed = closed.or(Some((write.at, Reason::Written))),
-                Some(Said::Up) => closed = None,
+                Some(ReportedState::Closed) => closed = closed.or(Some((write.at, Reason::Written))),
+                Some(ReportedState::Up) => closed = None,
                 _ => {}
             }
         }
@@ -242,8 +242,9 @@
 
     /// Returns when the coordinator counts as notified of a change that drains or removes a node.
     fn notified_of_change(&self, change: &Change) -> Option<Notified> {
-        let written =
-            self.writes().find(|w| w.at >= change.at && w.update.state_of(&change.uid) == Some(Said::Shut));
+        let written = self
+            .writes()
+            .find(|w| w.at >= change.at && w.update.state_of(&change.uid) == Some(ReportedState::Closed));
         let written = written.map(|w| (w.at, Reason::Written));
         let notified_by_service =
             (0..self.coordinator.assignments.len()).flat_map(|n| self.notified_by_service(n, change));
--- a/tests/harness/stalling_data_node.rs
+++ b/tests/harness/stalling_data_node.rs
@@ -54,8 +54,8 @@
 }
 
 impl StallingDataNode {
-    /// Starts a data node whose listener's queue is full. Connections are established after [`Self::start_accepting`], when the
-    /// kernel retransmits their SYN.
+    /// Starts a data node whose listener's queue is full. Connections are established after
+    /// [`Self::start_accepting`], when the kernel retransmits their SYN.
     pub fn start_unreachable(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
         let node = Self::new(reply);
         let mut failed = 0;
