--- a/tests/harness/drain_trial.rs
+++ b/tests/harness/drain_trial.rs
@@ -14,7 +14,7 @@
     Silence, Violation, WatchEnd, Write,
 };
 use super::faulty_discovery::FaultyDiscovery;
-use super::load_generator::{coordinator_of, query, query_id, Answered, LoadGenerator};
+use super::load_generator::{coordinator_of, query, query_id, LoadGenerator, TimedAnswer};
 use super::stand_in::{lock, DataNode, Part};
 use super::{successful_reply, wait_until, Program, TestCluster};
 
@@ -300,18 +300,22 @@
 }
 
 /// Returns the longest time without a complete answer.
-fn longest_answer_gap(answers: &[Answered], from: Instant, to: Instant) -> Duration {
+fn longest_answer_gap(answers: &[TimedAnswer], from: Instant, to: Instant) -> Duration {
     let mut moments: Vec<Instant> = complete_answers(answers, from, to).map(|a| a.at).collect();
     moments.extend([from, to]);
     moments.sort();
     moments.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or_default()
 }
 
-fn complete_answers(answers: &[Answered], from: Instant, to: Instant) -> impl Iterator<Item = &Answered> {
+fn complete_answers(
+    answers: &[TimedAnswer],
+    from: Instant,
+    to: Instant,
+) -> impl Iterator<Item = &TimedAnswer> {
     answers.iter().filter(move |a| a.status == 200 && a.at >= from && a.at <= to)
 }
 
-fn complete_answer_count(answers: &[Answered], from: Instant, to: Instant) -> usize {
+fn complete_answer_count(answers: &[TimedAnswer], from: Instant, to: Instant) -> usize {
     complete_answers(answers, from, to).count()
 }
 
--- a/tests/harness/load_generator.rs
+++ b/tests/harness/load_generator.rs
@@ -13,7 +13,7 @@
 
 /// An answer's status and the moment of its arrival.
 #[derive(Debug, Clone, Copy)]
-pub struct Answered {
+pub struct TimedAnswer {
     pub at: Instant,
     pub status: u16,
 }
@@ -21,7 +21,7 @@
 /// A set of clients that send queries until they are stopped.
 pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
-    answers: Arc<Mutex<Vec<Answered>>>,
+    answers: Arc<Mutex<Vec<TimedAnswer>>>,
     clients: Vec<thread::JoinHandle<()>>,
 }
 
@@ -36,7 +36,7 @@
 impl LoadGenerator {
     /// Starts clients whose query ids begin with the coordinator's number.
     pub fn start(addr: SocketAddr, coordinator: usize, clients: u64) -> Self {
-        let (stop, answers) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Vec<Answered>>>::default());
+        let (stop, answers) = (Arc::<AtomicBool>::default(), Arc::<Mutex<Vec<TimedAnswer>>>::default());
         let client = |client: u64| {
             let (stop, answers) = (stop.clone(), answers.clone());
             thread::spawn(move || {
@@ -45,7 +45,7 @@
                     let id = query_id(coordinator, client, number);
                     let status = send_query(&mut connection, addr, &id, number);
                     match status {
-                        Ok(status) => lock(&answers).push(Answered { at: Instant::now(), status }),
+                        Ok(status) => lock(&answers).push(TimedAnswer { at: Instant::now(), status }),
                         // The coordinator may close an idle connection between two queries.
                         Err(_) => connection = None,
                     }
@@ -58,12 +58,12 @@
     }
 
     /// The answers so far.
-    pub fn answers(&self) -> Vec<Answered> {
+    pub fn answers(&self) -> Vec<TimedAnswer> {
         lock(&self.answers).clone()
     }
 
     /// Stops the clients and waits for their threads; returns all answers.
-    pub fn stop(mut self) -> Vec<Answered> {
+    pub fn stop(mut self) -> Vec<TimedAnswer> {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| client.join().unwrap());
         self.answers()
