--- a/examples/toy/stand_in.rs
+++ b/examples/toy/stand_in.rs
@@ -142,7 +142,7 @@
     }
 
     /// Changes a member's state and sends the change to the watchers.
-    pub fn set(&self, uid: &str, state: &'static str) {
+    pub fn set_state(&self, uid: &str, state: &'static str) {
         let mut discovery = lock(&self.state);
         discovery.rev += 1;
         let rev = discovery.rev;
@@ -156,7 +156,7 @@
     pub fn add(&self, member: Member) {
         let (uid, state) = (member.uid.clone(), member.state);
         lock(&self.state).members.insert(uid.clone(), member);
-        self.set(&uid, state);
+        self.set_state(&uid, state);
     }
 
     /// Replaces all members and sends the full list to the watchers.
@@ -180,17 +180,17 @@
     }
 
     /// Stops or resumes sending to the watchers; their connections stay open.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         lock(&self.state).silent = silent;
     }
 
     /// Returns the number of watches requested.
-    pub fn watches(&self) -> usize {
+    pub fn watch_requests(&self) -> usize {
         lock(&self.state).watch_requests
     }
 
     /// Returns the number of requests for the full list, watches excluded.
-    pub fn lists(&self) -> usize {
+    pub fn list_requests(&self) -> usize {
         lock(&self.state).list_requests
     }
 }
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -80,7 +80,7 @@
         let discovery = Discovery::start("127.0.0.1:0", members);
         let coordinator = harness::start(&config(discovery.addr), edge);
         wait_until_healthy(&coordinator);
-        wait_until("the watch", || discovery.watches() > 0);
+        wait_until("the watch", || discovery.watch_requests() > 0);
         Self { coordinator, discovery }
     }
 
@@ -564,10 +564,10 @@
     };
     let of_older = connect(older.addr);
     let newer = Program::start_with(&config, Some(&listener));
-    wait_until("both watches", || discovery.watches() == 2);
+    wait_until("both watches", || discovery.watch_requests() == 2);
     older.signal("TERM");
     let updated_at = Instant::now();
-    discovery.set("drains", "draining");
+    discovery.set_state("drains", "draining");
     wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     let answered = of_older.into_iter().filter_map(|mut stream| query_on(&mut stream)).count();
     assert!(answered > 0, "the older process answered no query");
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -36,7 +36,7 @@
     let discovery = Discovery::start("127.0.0.1:0", members);
     let coordinator = cluster.start(discovery.addr, EDGE);
     wait_until_healthy(&coordinator);
-    wait_until("the watch", || discovery.watches() > 0);
+    wait_until("the watch", || discovery.watch_requests() > 0);
     let ogc = coordinator.features.unwrap();
     (coordinator, discovery, ogc)
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -121,7 +121,7 @@
 pub fn set_member_state(coordinator: &Coordinator, discovery: &Discovery, uid: &str, state: &'static str) {
     let changes = || coordinator.core.counters.endpoint_list_changes.load(Ordering::SeqCst);
     let before = changes();
-    discovery.set(uid, state);
+    discovery.set_state(uid, state);
     wait_until("the endpoint list change", || changes() > before);
 }
 
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -110,10 +110,10 @@
     assert_eq!(program.statistic("in_flight"), Some(0));
     assert_eq!(program.statistic("served.plaza-ranking"), Some(0));
     assert_eq!(program.statistic("data_nodes_known"), Some(2));
-    discovery.set("a", "draining");
+    discovery.set_state("a", "draining");
     wait_until("the drain of a data node", || program.statistic("data_nodes_excluded") >= Some(1));
     assert_eq!(program.statistic("data_nodes_known"), Some(2));
-    discovery.set("a", "removed");
+    discovery.set_state("a", "removed");
     wait_until("its removal", || program.statistic("data_nodes_known") == Some(1));
 }
 
@@ -232,15 +232,18 @@
         program.reload(text);
         wait_until("the file's rejection", || program.statistic("reloads_failed") == Some(turn as u64 + 1));
     }
-    assert_eq!((program.statistic("reloads_ok"), other.watches() + other.lists()), (Some(0), 0));
+    assert_eq!(
+        (program.statistic("reloads_ok"), other.watch_requests() + other.list_requests()),
+        (Some(0), 0)
+    );
     program.reload(&valid);
-    wait_until("the valid file", || program.statistic("reloads_ok") == Some(1) && other.lists() == 1);
+    wait_until("the valid file", || program.statistic("reloads_ok") == Some(1) && other.list_requests() == 1);
     // After several reloads in quick succession the last file is in effect.
     let last = Discovery::start("127.0.0.1:0", Vec::new());
     for n in 0..10 {
         program.reload(&config(if n == 9 { &last } else { &other }, |_| ()));
     }
-    wait_until("the last file", || last.lists() == 1);
+    wait_until("the last file", || last.list_requests() == 1);
     program.signal("TERM");
     let log = program.wait_for_exit();
     let rejections: Vec<&str> = log.lines().filter(|l| l.contains("configuration rejected")).collect();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -219,7 +219,7 @@
     let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     wait_until_healthy(&coordinator);
-    wait_until("the watch", || discovery.watches() > 0);
+    wait_until("the watch", || discovery.watch_requests() > 0);
     set_member_state(&coordinator, &discovery, "a", "draining");
     let before = a.parts().len();
     for _ in 0..20 {
@@ -234,9 +234,9 @@
 fn silent_watch_is_reopened() {
     let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    wait_until("the watch", || discovery.watches() == 1);
-    discovery.silence(true);
-    wait_until("another watch", || discovery.watches() > 1);
+    wait_until("the watch", || discovery.watch_requests() == 1);
+    discovery.set_silent(true);
+    wait_until("another watch", || discovery.watch_requests() > 1);
     assert!(coordinator.core.counters.discovery_call_errors.load(Ordering::SeqCst) > 0);
 }
 
@@ -245,7 +245,7 @@
 fn pushed_list_is_watched_without_a_request_of_the_engine() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
     let coordinator = TestCluster { discovery: "pushed", ..TestCluster::default() }.start(discovery.addr, "");
-    wait_until("the watch", || discovery.watches() == 1);
+    wait_until("the watch", || discovery.watch_requests() == 1);
     let a = DataNode::start(successful_reply);
     discovery.add(member("a", 0, a.addr));
     wait_until_healthy(&coordinator);
@@ -255,7 +255,7 @@
 fn health_check_fails_until_a_data_node_is_listed() {
     let discovery = Discovery::start("127.0.0.1:0", Vec::new());
     let coordinator = TestCluster::default().start(discovery.addr, "");
-    wait_until("the watch", || discovery.watches() > 0);
+    wait_until("the watch", || discovery.watch_requests() > 0);
     assert_eq!(get(coordinator.listen, "/_health").unwrap().status, 503);
     let a = DataNode::start(successful_reply);
     discovery.add(member("a", 0, a.addr));
@@ -501,7 +501,7 @@
         TestCluster::default().config(discovery.addr).replacen('{', r#"{"control":"127.0.0.1:0","#, 1)
     };
     let mut program = Program::start(&config(&first));
-    wait_until("the first watch", || first.watches() == 1);
+    wait_until("the first watch", || first.watch_requests() == 1);
     program.reload("{");
     // Signals in quick succession are merged and the file is read afterwards, so the next file must not replace this
     // one before it is rejected.
@@ -509,8 +509,8 @@
     // The second discovery service lists one of the two data nodes, the third both.
     let second = Discovery::start("127.0.0.1:0", vec![member("b", 1, b.addr)]);
     program.reload(&config(&second));
-    wait_until("the second watch", || second.watches() == 1 && second.lists() == 1);
-    assert_eq!(first.watches(), 1);
+    wait_until("the second watch", || second.watch_requests() == 1 && second.list_requests() == 1);
+    assert_eq!(first.watch_requests(), 1);
     let addr = program.addr;
     let client = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
     wait_until("the parts", || b.parts().len() == 2);
@@ -520,9 +520,9 @@
     program.replace_config(&config(&third));
     program.signal("TERM");
     program.wait_until("the drain", || get(addr, "/_health").is_ok_and(|a| a.status == 503));
-    assert_eq!((third.watches(), third.lists()), (0, 0));
+    assert_eq!((third.watch_requests(), third.list_requests()), (0, 0));
     program.signal("HUP");
-    program.wait_until("the third watch", || third.watches() == 1 && third.lists() == 1);
+    program.wait_until("the third watch", || third.watch_requests() == 1 && third.list_requests() == 1);
     release.store(true, Ordering::SeqCst);
     assert_eq!(client.join().unwrap().status, 200);
     let log = program.wait_for_exit();
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -413,7 +413,7 @@
     let c = DataNode::start(successful_reply);
     let new = Discovery::start("127.0.0.1:0", vec![member("c", 0, c.addr), member("d", 1, c.addr)]);
     program.reload(&TestCluster::default().config(new.addr));
-    wait_until("the new watch", || new.watches() == 1 && new.lists() == 1);
+    wait_until("the new watch", || new.watch_requests() == 1 && new.list_requests() == 1);
     // The late list is ignored, whether or not the connection still accepts it.
     let late = complete_list(9, &[("a", 0, a.addr), ("b", 1, b.addr)]);
     let _ = open.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(late + "\n"))].concat());
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -79,12 +79,12 @@
     /// Asserts that the program watches the new discovery in time and applies a drain that only the new discovery
     /// reports.
     fn assert_follows_new_discovery(&self, signalled: Instant) {
-        while self.new.watches() == 0 {
+        while self.new.watch_requests() == 0 {
             let waited = signalled.elapsed();
             assert!(waited < NOTIFIED_AFTER, "no watch of the new discovery {waited:?} after SIGHUP");
             sleep(Duration::from_millis(5));
         }
-        self.new.set("a", "draining");
+        self.new.set_state("a", "draining");
         wait_until("the drain", || self.program.statistic("data_nodes_excluded") == Some(1));
         let parts = || self.nodes[0].parts().len();
         let before = parts();
@@ -114,7 +114,7 @@
         moving.program.replace_config(&complete[..cut]);
         let signalled = moving.send_sighup();
         moving.wait_for_rejections(turn as u64 + 1);
-        assert_eq!(moving.new.lists(), usize::from(turn > 0));
+        assert_eq!(moving.new.list_requests(), usize::from(turn > 0));
         moving.program.replace_config(&complete);
         match turn {
             0 => moving.assert_follows_new_discovery(signalled),
@@ -122,7 +122,7 @@
         }
     }
     assert_eq!(moving.reloads(), (2, 2));
-    assert_eq!((moving.new.lists(), moving.old.watches()), (1, 1));
+    assert_eq!((moving.new.list_requests(), moving.old.watch_requests()), (1, 1));
     moving.program.signal("TERM");
     let log = moving.program.wait_for_exit();
     assert_eq!(rejection_count(&log), 2, "{log}");
@@ -197,7 +197,7 @@
     drop(silent_writer);
     moving.program.reload("{}");
     moving.wait_for_rejections(2);
-    assert_eq!((moving.reloads().0, moving.old.watches(), moving.new.watches()), (1, 1, 1));
+    assert_eq!((moving.reloads().0, moving.old.watch_requests(), moving.new.watch_requests()), (1, 1, 1));
     moving.program.signal("TERM");
     let log = moving.program.wait_for_exit();
     assert!(rejection_count(&log) == 2 && log.contains("too long"), "{log}");
@@ -213,7 +213,7 @@
     moving.wait_for_rejections(1);
     moving.program.replace_config(&config_with_discovery(&moving.new));
     sleep(NOTIFIED_AFTER + Duration::from_millis(200));
-    assert_eq!((moving.reloads(), moving.new.lists() + moving.new.watches()), ((0, 1), 0));
+    assert_eq!((moving.reloads(), moving.new.list_requests() + moving.new.watch_requests()), ((0, 1), 0));
     let signalled = moving.send_sighup();
     moving.assert_follows_new_discovery(signalled);
     assert_eq!(moving.reloads(), (1, 1));
@@ -237,7 +237,7 @@
     assert_eq!(moving.reloads(), (1, 2));
     moving.program.reload(&config_with_discovery(&moving.new));
     wait_until("the next signal's file", || moving.reloads() == (2, 2));
-    assert_eq!((moving.new.watches(), moving.new.lists()), (1, 1));
+    assert_eq!((moving.new.watch_requests(), moving.new.list_requests()), (1, 1));
 }
 
 /// The discovery address changes back and forth in quick succession, with incomplete files in between. The last file
@@ -254,14 +254,14 @@
     // effect.
     moving.assert_follows_new_discovery(signalled);
     // Changes back to the old address, and then reloads the same file.
-    let watches = moving.old.watches();
+    let watches = moving.old.watch_requests();
     moving.program.reload(&old);
-    wait_until("the return to the old discovery", || moving.old.watches() == watches + 1);
+    wait_until("the return to the old discovery", || moving.old.watch_requests() == watches + 1);
     let (applied, _) = moving.reloads();
     moving.program.reload(&old);
     wait_until("the same file", || moving.reloads().0 > applied);
-    assert_eq!(moving.old.watches(), watches + 1, "reconnected although the address is unchanged");
-    moving.old.set("b", "draining");
+    assert_eq!(moving.old.watch_requests(), watches + 1, "reconnected although the address is unchanged");
+    moving.old.set_state("b", "draining");
     wait_until("the drain at the old discovery", || {
         moving.program.statistic("data_nodes_excluded") == Some(1)
     });
@@ -282,7 +282,7 @@
         if !hangs {
             moving.program.replace_config(&config_with_discovery(&moving.new));
             let new = moving.new.clone();
-            moving.program.wait_until("the new discovery", || new.watches() == 1);
+            moving.program.wait_until("the new discovery", || new.watch_requests() == 1);
         }
         let log = moving.program.wait_for_exit();
         assert!(log.contains(" ends; counters:"), "{log}");
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -122,6 +122,6 @@
     for stream in [partial, complete] {
         assert_eq!(read_answer(&mut BufReader::new(stream)).unwrap().status, 200);
     }
-    assert_eq!(discovery.watches(), 1, "the watch was opened again");
+    assert_eq!(discovery.watch_requests(), 1, "the watch was opened again");
     assert_eq!(exchange(program.addr, &query_bytes("tag-lookup", &[0], "60000m")).unwrap().status, 200);
 }
