--- a/examples/toy/stand_in.rs
+++ b/examples/toy/stand_in.rs
@@ -286,11 +286,14 @@
 
 impl DataNode {
     pub fn start(reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
-        Self::at(TcpListener::bind("127.0.0.1:0").expect("bind a loopback address"), reply)
+        Self::start_on(TcpListener::bind("127.0.0.1:0").expect("bind a loopback address"), reply)
     }
 
     /// Starts a data node on a bound listener.
-    pub fn at(listener: TcpListener, reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static) -> Self {
+    pub fn start_on(
+        listener: TcpListener,
+        reply: impl Fn(&Part) -> NodeReply + Send + Sync + 'static,
+    ) -> Self {
         let received = Arc::new(Mutex::new(Received::default()));
         let (log, reply) = (received.clone(), Arc::new(reply));
         let addr = serve_listener(listener, move |mut stream| {
@@ -338,18 +341,18 @@
         Self { addr, received }
     }
 
-    pub fn parts(&self) -> Vec<Part> {
+    pub fn received_parts(&self) -> Vec<Part> {
         lock(&self.received).parts.clone()
     }
 
     /// Returns the received parts, each with the time when the first byte of its frame arrived.
-    pub fn begun(&self) -> Vec<(Part, Instant)> {
+    pub fn parts_with_first_byte_time(&self) -> Vec<(Part, Instant)> {
         let received = lock(&self.received);
         received.parts.iter().cloned().zip(received.first_byte_times.iter().copied()).collect()
     }
 
     /// Returns the names of cancelled parts, and of parts that were unanswered when their connection ended.
-    pub fn given_up(&self) -> Vec<String> {
+    pub fn cancelled_parts(&self) -> Vec<String> {
         lock(&self.received).cancelled.clone()
     }
 
--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -97,7 +97,7 @@
 
     /// The query's attempts with their start times.
     fn attempts(&self, nodes: &[&DataNode]) -> Vec<(Part, Instant)> {
-        let all = nodes.iter().flat_map(|node| node.begun());
+        let all = nodes.iter().flat_map(|node| node.parts_with_first_byte_time());
         all.filter(|(part, _)| part.id.starts_with(&self.id)).collect()
     }
 
@@ -216,7 +216,7 @@
     wait_until("the dial", || count(&coordinator.core.counters.dials) > 0);
     let disconnected = sent.disconnect();
     wait_for_query_end(&coordinator);
-    let node = DataNode::at(listener, successful_reply);
+    let node = DataNode::start_on(listener, successful_reply);
     drop(fillers);
     assert_eq!(query(coordinator.listen, "tag-lookup", &[1]).unwrap().status, 200);
     sent.assert_no_attempt_after(disconnected, &[&node]);
@@ -345,7 +345,9 @@
     sent.stream.shutdown(Shutdown::Write).unwrap();
     let disconnected = Instant::now();
     wait_for_query_end(&coordinator);
-    wait_until("the cancellation of the attempt", || !a.given_up().is_empty() || !b.given_up().is_empty());
+    wait_until("the cancellation of the attempt", || {
+        !a.cancelled_parts().is_empty() || !b.cancelled_parts().is_empty()
+    });
     sent.assert_no_attempt_after(disconnected, &[&a, &b]);
 }
 
@@ -408,7 +410,7 @@
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0]);
     wait_until("the dial", || count(&coordinator.core.counters.dials) > 0);
     thread::sleep(Duration::from_millis(400));
-    let node = DataNode::at(listener, successful_reply);
+    let node = DataNode::start_on(listener, successful_reply);
     drop(fillers);
     assert_eq!(sent.answer().unwrap().status, 200);
     assert!(sent.assert_deadlines_respected(&[&node]) >= 1);
@@ -446,14 +448,17 @@
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    wait_until("the first attempt", || a.parts().len() + b.parts().len() > 0);
+    wait_until("the first attempt", || a.received_parts().len() + b.received_parts().len() > 0);
     stream.write_all(&query_bytes("tag-lookup", &[1], "200m")).unwrap();
     thread::sleep(Duration::from_millis(400));
     release.store(true, Ordering::SeqCst);
     let mut reader = BufReader::new(stream);
     assert_eq!(read_answer(&mut reader).unwrap().status, 200);
     assert_eq!(read_answer(&mut reader).unwrap().status, 503);
-    assert!(a.parts().iter().chain(&b.parts()).all(|p| p.shard == 0), "forwarded an expired query");
+    assert!(
+        a.received_parts().iter().chain(&b.received_parts()).all(|p| p.shard == 0),
+        "forwarded an expired query"
+    );
 }
 
 // ---- Final answers. ----
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -239,7 +239,7 @@
     // Each part's text names the part's own range.
     for node in &fleet.nodes {
         assert!(node
-            .parts()
+            .received_parts()
             .iter()
             .all(|p| p.text.contains(&format!("\"range\":{},", p.shard).replace(",", ""))));
     }
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -293,7 +293,8 @@
     wait_until_healthy(&coordinator);
     let body = json(&get(coordinator.features.unwrap(), "/collections/plazas/items").unwrap());
     assert_eq!(feature_ids(&body), ["0-0", "1-0", "2-0", "3-0"]);
-    let texts: BTreeSet<String> = a.parts().into_iter().chain(b.parts()).map(|p| p.text).collect();
+    let texts: BTreeSet<String> =
+        a.received_parts().into_iter().chain(b.received_parts()).map(|p| p.text).collect();
     assert_eq!(texts.into_iter().collect::<Vec<_>>(), ["/collections/plazas/items?limit=10&cursor=0.0"]);
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -133,7 +133,7 @@
     assert_eq!(config.platform(0).nodes, NODES as usize);
     let coordinator = startup::start(config, Edge::default()).unwrap();
     wait_until_all_nodes_are_active(&coordinator);
-    assert!(node.parts().is_empty());
+    assert!(node.received_parts().is_empty());
     let (mut watch, target) = discovery.accept_call();
     assert!(target.ends_with("index=41"), "{target}");
     watch
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -54,10 +54,10 @@
 fn hold_a_part_at_each(addr: SocketAddr, nodes: &[DataNode]) -> Vec<thread::JoinHandle<Answer>> {
     let mut waiting = Vec::new();
     wait_until("a held part at each data node", || {
-        if nodes.iter().all(|node| !node.parts().is_empty()) {
+        if nodes.iter().all(|node| !node.received_parts().is_empty()) {
             return true;
         }
-        let sent = || nodes.iter().map(|node| node.parts().len()).sum::<usize>();
+        let sent = || nodes.iter().map(|node| node.received_parts().len()).sum::<usize>();
         let before = sent();
         waiting.push(thread::spawn(move || query(addr, "tag-lookup", &[HELD_SHARD]).unwrap()));
         wait_until("the part", || sent() > before);
@@ -91,7 +91,8 @@
     while announced.elapsed() <= DRAIN_GRACE {
         send_queries(addr, 1);
     }
-    let parts = |nodes: &[&DataNode]| nodes.iter().map(|node| node.parts().len()).collect::<Vec<_>>();
+    let parts =
+        |nodes: &[&DataNode]| nodes.iter().map(|node| node.received_parts().len()).collect::<Vec<_>>();
     let (excluded_before, available_before) = (parts(excluded), parts(available));
     send_queries(addr, QUERIES);
     assert_eq!(parts(excluded), excluded_before, "a draining or removed data node got a part");
@@ -219,18 +220,18 @@
         }
         send_list(&mut watch, list_update(3, true, &both("up")[1..]));
         assert_eq!(node_state(&coordinator, "drains"), EndpointState::Removed, "{arrival:?}");
-        let before = draining.parts().len();
+        let before = draining.received_parts().len();
         send_queries(coordinator.listen, QUERIES);
         // A change that does not contain the removed data node does not affect it.
         send_list(&mut watch, list_update(4, false, &both("up")[1..]));
         send_queries(coordinator.listen, QUERIES);
-        assert_eq!(draining.parts().len(), before, "{arrival:?}: a removed data node got a part");
+        assert_eq!(draining.received_parts().len(), before, "{arrival:?}: a removed data node got a part");
         release.store(true, Ordering::SeqCst);
         assert_all_answered(waiting);
         send_list(&mut watch, list_update(5, true, &both("up")));
         wait_until("a part at the data node that was listed again", || {
             send_queries(coordinator.listen, 1);
-            draining.parts().len() > before
+            draining.received_parts().len() > before
         });
     }
 }
@@ -290,14 +291,14 @@
         wait_until("a part at the new data node", || {
             // Both changes are in one object, so a data node is available throughout.
             send_queries(coordinator.listen, 1);
-            !new.parts().is_empty()
+            !new.received_parts().is_empty()
         });
         let took = silent_since.elapsed();
         println!("{mode} {call_interval_s} '{last_bytes}': in effect after {took:?}");
         assert!(took < EFFECT_DEADLINE, "{mode} {call_interval_s} '{last_bytes}': {took:?}");
-        let sent = old.parts().len();
+        let sent = old.received_parts().len();
         send_queries(coordinator.listen, QUERIES);
-        assert_eq!(old.parts().len(), sent, "{mode} '{last_bytes}'");
+        assert_eq!(old.received_parts().len(), sent, "{mode} '{last_bytes}'");
         drop(watch);
     };
     thread::scope(|scope| cases.map(|case| scope.spawn(move || check(case))).map(|t| t.join().unwrap()));
@@ -324,7 +325,7 @@
             .config(discovery.addr)
             .replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{addr}""#))
     };
-    let parts = || a.parts().len() + b.parts().len();
+    let parts = || a.received_parts().len() + b.received_parts().len();
     let mut program = Program::start(&config_at("127.0.40.1:0"));
     let addr = program.addr;
     for stopped in [false, true, false, true] {
--- a/tests/harness/drain_trial.rs
+++ b/tests/harness/drain_trial.rs
@@ -168,13 +168,13 @@
 
     /// Returns the number of parts that a data node has received from all coordinators.
     fn part_count(&self, uid: &str) -> usize {
-        self.nodes[uid].parts().len()
+        self.nodes[uid].received_parts().len()
     }
 
     /// Waits until each of these nodes has received a part from each coordinator.
     pub fn wait_until_used(&self, uids: &[&str]) {
         let sent = |uid: &str, number: usize| {
-            let parts = self.nodes[uid].parts();
+            let parts = self.nodes[uid].received_parts();
             parts.iter().any(|p| coordinator_of(&p.id) == Some(number))
         };
         let coordinators = || 0..self.running.len();
@@ -260,7 +260,7 @@
             let begun = |(part, at): (Part, Instant)| {
                 coordinator_of(&part.id).map(|coordinator| PartStart { coordinator, uid: uid.clone(), at })
             };
-            node.begun().into_iter().filter_map(begun).collect::<Vec<_>>()
+            node.parts_with_first_byte_time().into_iter().filter_map(begun).collect::<Vec<_>>()
         };
         self.nodes.iter().flat_map(starts_at).collect()
     }
--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -162,7 +162,7 @@
 /// Sends queries until each of these data nodes has received a part, which shows that its gate is open.
 fn assert_gates_open(coordinator: &Coordinator, nodes: &[&DataNode]) {
     let begun = Instant::now();
-    while nodes.iter().any(|node| node.parts().is_empty()) {
+    while nodes.iter().any(|node| node.received_parts().is_empty()) {
         assert!(begun.elapsed() < APPLIED_WITHIN, "a node has received no part after {APPLIED_WITHIN:?}");
         send_queries(coordinator);
     }
@@ -170,7 +170,7 @@
 
 /// Sends queries and returns whether these data nodes receive nothing.
 fn receive_nothing(coordinator: &Coordinator, nodes: &[&DataNode]) -> bool {
-    let parts = || nodes.iter().map(|node| node.parts().len()).sum::<usize>();
+    let parts = || nodes.iter().map(|node| node.received_parts().len()).sum::<usize>();
     let before = parts();
     send_queries(coordinator);
     parts() == before
@@ -225,7 +225,7 @@
         let coordinator = cluster(mode).start(addr, "");
         wait_until_ready(&coordinator);
         assert_gates_open(&coordinator, &[&first, &second]);
-        assert!(drains.parts().is_empty(), "{mode}");
+        assert!(drains.received_parts().is_empty(), "{mode}");
         service.assert_few_calls();
     }
 }
@@ -248,9 +248,9 @@
         let partial_lines = vec![partial("kept", "up"), partial("drained", "draining")];
         service.publish(update(2, true, &partial_lines), partial_lines);
         assert_gates_closed(&coordinator, &[&drained, &omitted]);
-        let before = kept.parts().len();
+        let before = kept.received_parts().len();
         send_queries(&coordinator);
-        assert_eq!(kept.parts().len(), before + QUERIES, "{mode}");
+        assert_eq!(kept.received_parts().len(), before + QUERIES, "{mode}");
         // A delta with a partly readable line does not open the gate either.
         service.publish(
             update(3, false, &[partial("drained", "up")]),
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -105,7 +105,7 @@
     assert!(outcomes[0] > 0 && outcomes[1] > 0, "{outcomes:?}");
     let names = ["served.tag-lookup", "refused.tag-lookup", "failed.tag-lookup"];
     wait_until("the clients' outcomes", || names.map(|n| program.statistic(n).unwrap()) == outcomes);
-    let attempts = || (a.parts().len() + b.parts().len()) as u64;
+    let attempts = || (a.received_parts().len() + b.received_parts().len()) as u64;
     wait_until("the data nodes' attempts", || program.statistic("attempts") == Some(attempts()));
     assert_eq!(program.statistic("in_flight"), Some(0));
     assert_eq!(program.statistic("served.plaza-ranking"), Some(0));
@@ -128,7 +128,7 @@
     let health = || get(program.addr, "/_health").unwrap().status;
     let bytes = query_bytes("tag-lookup", &[0, 1], "60000m");
     let open = connect_and_send(program.addr, &bytes);
-    wait_until("the parts", || a.parts().len() + b.parts().len() >= 2);
+    wait_until("the parts", || a.received_parts().len() + b.received_parts().len() >= 2);
     let idle = connect_and_send(program.addr, b"");
     let incomplete = connect_and_send(program.addr, &query_bytes("tag-lookup", &[0], "60000m")[..40]);
     for _ in 0..2 {
@@ -176,7 +176,7 @@
     let program = Program::start(&config(&discovery, |_| ()));
     let open = connect_and_send(program.addr, &query_bytes("monthly-settle", &[0, 1], "60000m"));
     let failing = connect_and_send(program.addr, &query_bytes("monthly-settle", &[2, 3], "5000m"));
-    wait_until("the parts", || a.parts().len() + b.parts().len() >= 4);
+    wait_until("the parts", || a.received_parts().len() + b.received_parts().len() >= 4);
     program.reload(&config(&discovery, |c| {
         remove_last_class(c);
         c["settings"]["limits"]["max_attempts"] = json!(1);
@@ -184,11 +184,13 @@
     }));
     wait_until("the new class", || query(program.addr, "bridge-toll", &[9]).unwrap().status == 400);
     assert_eq!(query(program.addr, "monthly-settle", &[0]).unwrap().status, 404);
-    let before = a.parts().len() + b.parts().len();
+    let before = a.received_parts().len() + b.received_parts().len();
     release.store(true, Ordering::SeqCst);
     assert_eq!(read_status(open), Some(200));
     assert_ne!(read_status(failing), Some(200));
-    let attempts = |id: &str| a.parts().iter().chain(&b.parts()).filter(|p| p.id.ends_with(id)).count();
+    let attempts = |id: &str| {
+        a.received_parts().iter().chain(&b.received_parts()).filter(|p| p.id.ends_with(id)).count()
+    };
     assert_eq!(attempts(".3"), 4, "attempt limit of the old settings; parts before the release: {before}");
     assert_eq!(query(program.addr, "bridge-toll", &[0, 1]).unwrap().status, 200);
     assert_ne!(query(program.addr, "bridge-toll", &[3]).unwrap().status, 200);
@@ -329,7 +331,7 @@
     wait_until("the count of all answers", || {
         served_by_old.trim().parse::<u64>().unwrap() + served_by_new() == served
     });
-    assert!(a.parts().len() + b.parts().len() >= 2 * served as usize);
+    assert!(a.received_parts().len() + b.received_parts().len() >= 2 * served as usize);
 }
 
 /// An address or descriptor that the program cannot listen on ends the start with one line that names the cause.
@@ -379,7 +381,7 @@
     let program = Program::start(&cluster.config(discovery.addr));
     let shards: Vec<u32> = (0..nodes).collect();
     let open = connect_and_send(program.addr, &query_bytes("plaza-ranking", &shards, "60000m"));
-    wait_until("the use of all sockets", || node.parts().len() == limits.node_sockets);
+    wait_until("the use of all sockets", || node.received_parts().len() == limits.node_sockets);
     // The remaining parts were dispatched together with these and are retried until the end.
     program.signal("TERM");
     release.store(true, Ordering::SeqCst);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -27,7 +27,7 @@
     let answer = query(coordinator.listen, "tag-lookup", &[3, 0]).unwrap();
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":3,"data":"v3"},{"id":0,"data":"v0"}]}"#);
-    let parts: Vec<Part> = a.parts().into_iter().chain(b.parts()).collect();
+    let parts: Vec<Part> = a.received_parts().into_iter().chain(b.received_parts()).collect();
     assert_eq!(parts.len(), 2);
     assert!(parts.iter().all(|p| p.text == "c41e77d0" && p.list.starts_with("d=")), "{parts:?}");
 }
@@ -44,8 +44,12 @@
         answer.body,
         r#"{"exact":true,"rows":[{"id":3,"data":"v3.fetch"},{"id":2,"data":"v2.fetch"}]}"#
     );
-    let second: Vec<Part> =
-        a.parts().into_iter().chain(b.parts()).filter(|p| p.id.ends_with(".fetch")).collect();
+    let second: Vec<Part> = a
+        .received_parts()
+        .into_iter()
+        .chain(b.received_parts())
+        .filter(|p| p.id.ends_with(".fetch"))
+        .collect();
     assert_eq!(second.len(), 2);
     assert!(second.iter().all(|p| p.list.ends_with(",from=0+1+2+3,whole=1")), "{second:?}");
 }
@@ -68,7 +72,7 @@
         };
         assert_eq!((answer.status, &*answer.body), (200, expected));
     }
-    let sent: Vec<Part> = a.parts().into_iter().chain(b.parts()).collect();
+    let sent: Vec<Part> = a.received_parts().into_iter().chain(b.received_parts()).collect();
     assert_eq!(sent.iter().filter(|p| p.id.ends_with(".fetch")).count(), 3, "{sent:?}");
 }
 
@@ -91,9 +95,9 @@
         wait_until("a part at the faulty data node", || {
             let answer = query(coordinator.listen, "tag-lookup", &[1]).unwrap();
             assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#);
-            !a.parts().is_empty()
+            !a.received_parts().is_empty()
         });
-        assert!(!b.parts().is_empty());
+        assert!(!b.received_parts().is_empty());
     }
 }
 
@@ -131,10 +135,10 @@
         wait_until("a part at the faulty data node", || {
             let answer = exchange(coordinator.listen, &query_bytes("tag-lookup", &[1], "20000m")).unwrap();
             assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#, "{n}");
-            !a.parts().is_empty()
+            !a.received_parts().is_empty()
         });
         let bad = coordinator.core.counters.bad_frames.load(Ordering::SeqCst);
-        assert!(b.connections() <= 1 && bad <= a.parts().len() as u64, "{n}");
+        assert!(b.connections() <= 1 && bad <= a.received_parts().len() as u64, "{n}");
     }
 }
 
@@ -168,7 +172,7 @@
     let next = query_of_all_shards(&coordinator, "plaza-ranking", ClientLiveness::default());
     coordinator.core.submit(next, Box::new(move |outcome| sender.send(outcome).unwrap()));
     assert!(matches!(receiver.recv().unwrap(), Ok(QueryOutcome::Answered { complete: true, .. })));
-    let parts = a.parts().into_iter().chain(b.parts());
+    let parts = a.received_parts().into_iter().chain(b.received_parts());
     assert_eq!(parts.filter(|p| p.id.starts_with("whole-tag-lookup")).count(), 1);
 }
 
@@ -221,12 +225,12 @@
     wait_until_healthy(&coordinator);
     wait_until("the watch", || discovery.watch_requests() > 0);
     set_member_state(&coordinator, &discovery, "a", "draining");
-    let before = a.parts().len();
+    let before = a.received_parts().len();
     for _ in 0..20 {
         assert_eq!(query(coordinator.listen, "tag-lookup", &[0, 1]).unwrap().status, 200);
     }
-    assert_eq!(a.parts().len(), before);
-    assert!(b.parts().len() >= 40);
+    assert_eq!(a.received_parts().len(), before);
+    assert!(b.received_parts().len() >= 40);
 }
 
 /// A watch may stay open and silent with no reset to end it. The coordinator opens another one.
@@ -337,7 +341,7 @@
         assert_eq!(read_answer(&mut reader).unwrap().status, 400);
         assert!(read_answer(&mut reader).is_err(), "the connection stayed open");
     }
-    assert_eq!((a.parts(), b.parts()), (Vec::new(), Vec::new()));
+    assert_eq!((a.received_parts(), b.received_parts()), (Vec::new(), Vec::new()));
 }
 
 /// A request with the id of an open request is rejected with 409, and the first request is answered.
@@ -350,7 +354,7 @@
     let (addr, bytes) = (coordinator.listen, query_bytes("tag-lookup", &[1], "60000m"));
     let same = bytes.clone();
     let first = std::thread::spawn(move || exchange(addr, &bytes).unwrap());
-    wait_until("the part", || a.parts().len() + b.parts().len() >= 1);
+    wait_until("the part", || a.received_parts().len() + b.received_parts().len() >= 1);
     assert_eq!(exchange(addr, &same).unwrap().status, 409);
     release.store(true, Ordering::SeqCst);
     assert_eq!(first.join().unwrap().body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#);
@@ -444,12 +448,14 @@
     wait_until_healthy(&coordinator);
     let mut stream = TcpStream::connect(coordinator.listen).unwrap();
     stream.write_all(&query_bytes("tag-lookup", &[0, 1], "60000m")).unwrap();
-    wait_until("the parts", || a.parts().len() + b.parts().len() >= 2);
+    wait_until("the parts", || a.received_parts().len() + b.received_parts().len() >= 2);
     drop(stream);
     wait_until("the client's disconnect", || {
         coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
     });
-    wait_until("the cancellation of the parts", || a.given_up().len() + b.given_up().len() >= 2);
+    wait_until("the cancellation of the parts", || {
+        a.cancelled_parts().len() + b.cancelled_parts().len() >= 2
+    });
 }
 
 /// SIGTERM: open queries are answered, idle connections are closed, and the program exits with status 0.
@@ -461,7 +467,7 @@
     let addr = program.addr;
     let idle = TcpStream::connect(addr).unwrap();
     let client = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
-    wait_until("the parts", || a.parts().len() + b.parts().len() >= 2);
+    wait_until("the parts", || a.received_parts().len() + b.received_parts().len() >= 2);
     program.signal("TERM");
     wait_until("the drain", || get(addr, "/_health").map_or(true, |a| a.status == 503));
     release.store(true, Ordering::SeqCst);
@@ -513,8 +519,8 @@
     assert_eq!(first.watch_requests(), 1);
     let addr = program.addr;
     let client = std::thread::spawn(move || query(addr, "tag-lookup", &[0, 1]).unwrap());
-    wait_until("the parts", || b.parts().len() == 2);
-    assert_eq!(a.parts().len(), 0);
+    wait_until("the parts", || b.received_parts().len() == 2);
+    assert_eq!(a.received_parts().len(), 0);
     // SIGTERM starts the program's shutdown timeout, so everything but the SIGHUP is prepared before it.
     let third = Discovery::start("127.0.0.1:0", vec![member("a", 0, a.addr), member("b", 1, b.addr)]);
     program.replace_config(&config(&third));
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -51,7 +51,7 @@
         let bytes = query_bytes(class, &[0, 1], "60000m");
         thread::spawn(move || (exchange(addr, &bytes), Instant::now()))
     });
-    wait_until("the parts", || a.parts().len() + b.parts().len() >= 6);
+    wait_until("the parts", || a.received_parts().len() + b.received_parts().len() >= 6);
     program.signal("TERM");
     let terminated = Instant::now();
     program.signal("TERM");
@@ -98,7 +98,7 @@
     let mut idle = connect(program.addr);
     idle.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     assert_eq!(read_answer_on(&idle).unwrap().status, 200);
-    let parts = a.parts().len() + b.parts().len();
+    let parts = a.received_parts().len() + b.received_parts().len();
     program.signal("TERM");
     assert_eq!(idle.read(&mut [0; 8]).unwrap(), 0);
     // The program cannot distinguish these from requests that were sent before the client read the end of the stream.
@@ -107,7 +107,7 @@
     assert_eq!(idle.read(&mut [0; 8]).unwrap(), 0, "unexpected data after the close");
     drop(idle);
     program.wait_for_exit();
-    assert_eq!(a.parts().len() + b.parts().len(), parts);
+    assert_eq!(a.received_parts().len() + b.received_parts().len(), parts);
 }
 
 /// Requests on persistent connections are served after SIGTERM for as long as the connections stay open.
@@ -182,7 +182,7 @@
         let (a, b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
         let coordinator = TestCluster::default().start(discovery.addr, "");
         wait_until_healthy(&coordinator);
-        let parts = || [a.parts(), b.parts()].concat();
+        let parts = || [a.received_parts(), b.received_parts()].concat();
         let mut stream = connect(coordinator.listen);
         stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
         wait_until("the part", || !parts().is_empty());
@@ -193,7 +193,9 @@
         wait_until("the disconnect", || {
             coordinator.core.counters.clients_disconnected.load(Ordering::SeqCst) == 1
         });
-        wait_until("the part's cancellation", || a.given_up().len() + b.given_up().len() == parts().len());
+        wait_until("the part's cancellation", || {
+            a.cancelled_parts().len() + b.cancelled_parts().len() == parts().len()
+        });
         assert!(parts().iter().all(|p| p.shard == 0), "forwarded a request of a disconnected client");
     }
 }
@@ -209,7 +211,7 @@
     let request_len = query_bytes("tag-lookup", &[0], "60000m").len();
     let max_pipelined = Limits::default().read_ahead.div_ceil(request_len) + 1 + 4096 / request_len;
     stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    wait_until("the part", || a.parts().len() + b.parts().len() == 1);
+    wait_until("the part", || a.received_parts().len() + b.received_parts().len() == 1);
     // More than the socket buffers hold: once it is written, the coordinator has read more than its read-ahead limit.
     let requests: Vec<u8> =
         (0..16_000_000 / request_len).flat_map(|_| query_bytes("tag-lookup", &[1], "60000m")).collect();
@@ -237,7 +239,7 @@
         stream
     };
     let accepted = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
-    let parts = || a.parts().len() + b.parts().len();
+    let parts = || a.received_parts().len() + b.received_parts().len();
     // Sends queries until one is accepted and queued.
     let mut open = Vec::new();
     loop {
@@ -294,7 +296,7 @@
         let program = Program::start(&config);
         let answer = exchange(program.addr, &query_bytes("tag-lookup", &[0], "2000m")).unwrap();
         assert_eq!(answer.status == 200, attempts == 2, "{effect}: {}", answer.status);
-        assert_eq!(a.parts().len() + b.parts().len(), attempts, "{effect}");
+        assert_eq!(a.received_parts().len() + b.received_parts().len(), attempts, "{effect}");
     }
 }
 
@@ -417,15 +419,15 @@
     // The late list is ignored, whether or not the connection still accepts it.
     let late = complete_list(9, &[("a", 0, a.addr), ("b", 1, b.addr)]);
     let _ = open.write_all(&[WATCH_RESPONSE_HEAD, &chunk(&(late + "\n"))].concat());
-    let parts = a.parts().len() + b.parts().len();
+    let parts = a.received_parts().len() + b.received_parts().len();
     for shard in 0..4 {
         assert_eq!(
             exchange(program.addr, &query_bytes("tag-lookup", &[shard], "20000m")).unwrap().status,
             200
         );
     }
-    assert_eq!(a.parts().len() + b.parts().len(), parts);
-    assert_eq!(c.parts().len(), 4);
+    assert_eq!(a.received_parts().len() + b.received_parts().len(), parts);
+    assert_eq!(c.received_parts().len(), 4);
 }
 
 /// The body of a response without a length ends when the connection closes. A reset may cut the body short, so the list
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -86,7 +86,7 @@
         }
         self.new.set_state("a", "draining");
         wait_until("the drain", || self.program.statistic("data_nodes_excluded") == Some(1));
-        let parts = || self.nodes[0].parts().len();
+        let parts = || self.nodes[0].received_parts().len();
         let before = parts();
         for shard in 0..4 {
             assert_eq!(query(self.program.addr, "tag-lookup", &[shard]).unwrap().status, 200);
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -67,7 +67,7 @@
         let received = row.attempts.started
             - row.attempts.ended_with(Outcome::NotSent)
             - row.attempts.ended_with(Outcome::ConnectFailed);
-        assert_eq!(received, node.parts().len() as u64, "node {}", row.name);
+        assert_eq!(received, node.received_parts().len() as u64, "node {}", row.name);
         assert_eq!((row.state, row.drains), (EndpointState::Active, 0));
     }
     assert!(snapshot.nodes[1].attempts.ended_with(Outcome::ServerError) > 0);
--- a/tests/stalled_process.rs
+++ b/tests/stalled_process.rs
@@ -138,15 +138,15 @@
     let clients = Clients::start(test.program.addr, 12);
     let mut late = Vec::new();
     for _ in 0..STOPS {
-        let before = drained.parts().len();
-        wait_until("parts", || drained.parts().len() > before + 20);
+        let before = drained.received_parts().len();
+        wait_until("parts", || drained.received_parts().len() > before + 20);
         test.drain_while_stopped();
         // By now the data node has read all that was sent to it before the stop.
-        let parts_before = drained.parts().len();
-        let served_before = kept.parts().len();
+        let parts_before = drained.received_parts().len();
+        let served_before = kept.received_parts().len();
         test.resume();
-        wait_until("parts at the other data node", || kept.parts().len() > served_before + 20);
-        late.push(drained.parts().len() - parts_before);
+        wait_until("parts at the other data node", || kept.received_parts().len() > served_before + 20);
+        late.push(drained.received_parts().len() - parts_before);
         test.announce_state("up");
     }
     drop(clients);
@@ -170,7 +170,7 @@
     let mut clients: Vec<TcpStream> = (0..8).map(|_| open_and_query()).collect();
     clients.iter_mut().for_each(|stream| assert!(stream.read(&mut [0; 4096]).unwrap() > 0));
     test.stop();
-    let parts_before = drained.parts().len();
+    let parts_before = drained.received_parts().len();
     for stream in &mut clients {
         stream.write_all(&query_bytes("tag-lookup", &[2, 3], "20000m")).unwrap();
     }
@@ -183,7 +183,7 @@
     for stream in &mut clients {
         assert!(stream.read(&mut [0; 4096]).unwrap() > 0);
     }
-    assert_eq!(drained.parts().len(), parts_before);
+    assert_eq!(drained.received_parts().len(), parts_before);
     test.assert_answers();
 }
 
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -35,7 +35,7 @@
         Program::start_with_descriptor_limit(&TestCluster::default().config(discovery.addr), DESCRIPTORS);
     let mut open = connect(program.addr);
     open.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-    wait_until("the attempt", || a.parts().len() + b.parts().len() > 0);
+    wait_until("the attempt", || a.received_parts().len() + b.received_parts().len() > 0);
     // More than the program can accept; the others wait in the kernel's backlog.
     let idle: Vec<TcpStream> = (0..2 * DESCRIPTORS).map(|_| connect(program.addr)).collect();
     let (start, ticks) = (Instant::now(), program.processor_ticks());
@@ -111,7 +111,7 @@
     complete.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
     partial.write_all(&bytes[..40]).unwrap();
     call.write_all(&call_bytes[..10]).unwrap();
-    wait_until("the attempt", || a.parts().len() + b.parts().len() > 0);
+    wait_until("the attempt", || a.received_parts().len() + b.received_parts().len() > 0);
     for _ in 0..5 {
         program.stop_and_continue();
     }
