--- a/examples/toy/stand_in.rs
+++ b/examples/toy/stand_in.rs
@@ -203,7 +203,7 @@
     pub id: String,
     pub shard: u32,
     /// The part's parameters as `key=value` fields, separated by commas.
-    pub list: String,
+    pub parameters: String,
     pub text: String,
 }
 
@@ -243,43 +243,43 @@
 }
 
 /// Encodes a frame: the length as 4 little-endian bytes, the type letter, then the payload.
-pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let mut bytes = (rest.len() as u32 + 1).to_le_bytes().to_vec();
-    bytes.push(letter);
-    bytes.extend_from_slice(rest);
+pub fn frame(frame_type: u8, payload: &[u8]) -> Vec<u8> {
+    let mut bytes = (payload.len() as u32 + 1).to_le_bytes().to_vec();
+    bytes.push(frame_type);
+    bytes.extend_from_slice(payload);
     bytes
 }
 
 /// A received frame, and when its first byte arrived.
-pub struct ReadFrame {
-    pub letter: u8,
-    pub rest: Vec<u8>,
-    pub begun: Instant,
+pub struct ReceivedFrame {
+    pub frame_type: u8,
+    pub payload: Vec<u8>,
+    pub first_byte_time: Instant,
 }
 
 /// Reads one frame, or returns `None` if the connection ends or the frame is empty.
-pub fn read_frame(stream: &mut TcpStream) -> Option<ReadFrame> {
+pub fn read_frame(stream: &mut TcpStream) -> Option<ReceivedFrame> {
     let mut head = [0; 4];
     stream.read_exact(&mut head[..1]).ok()?;
-    let begun = Instant::now();
+    let first_byte_time = Instant::now();
     stream.read_exact(&mut head[1..]).ok()?;
     let mut body = vec![0; u32::from_le_bytes(head) as usize];
     stream.read_exact(&mut body).ok()?;
-    let letter = *body.first()?;
-    Some(ReadFrame { letter, rest: body.split_off(1), begun })
+    let frame_type = *body.first()?;
+    Some(ReceivedFrame { frame_type, payload: body.split_off(1), first_byte_time })
 }
 
 /// Decodes the parts of a call, up to the first malformed header line.
-pub fn read_parts(mut rest: &[u8]) -> Vec<Part> {
+pub fn read_parts(mut payload: &[u8]) -> Vec<Part> {
     let mut parts = Vec::new();
-    while let Some(end) = rest.iter().position(|&b| b == b'\n') {
-        let line = String::from_utf8_lossy(&rest[..end]).into_owned();
+    while let Some(end) = payload.iter().position(|&b| b == b'\n') {
+        let line = String::from_utf8_lossy(&payload[..end]).into_owned();
         let fields: Vec<&str> = line.split(' ').collect();
-        let [id, shard, list, length] = fields[..] else { break };
+        let [id, shard, parameters, length] = fields[..] else { break };
         let (Ok(shard), Ok(length)) = (shard.parse(), length.parse::<usize>()) else { break };
-        let text = String::from_utf8_lossy(&rest[end + 1..][..length]).into_owned();
-        parts.push(Part { id: id.to_string(), shard, list: list.to_string(), text });
-        rest = &rest[end + 1 + length..];
+        let text = String::from_utf8_lossy(&payload[end + 1..][..length]).into_owned();
+        parts.push(Part { id: id.to_string(), shard, parameters: parameters.to_string(), text });
+        payload = &payload[end + 1 + length..];
     }
     parts
 }
@@ -299,11 +299,11 @@
         let addr = serve_listener(listener, move |mut stream| {
             lock(&log).connections += 1;
             let unanswered = Arc::new(Mutex::new(Vec::<String>::new()));
-            while let Some(ReadFrame { letter, rest, begun }) = read_frame(&mut stream) {
-                match letter {
+            while let Some(ReceivedFrame { frame_type, payload, first_byte_time }) = read_frame(&mut stream) {
+                match frame_type {
                     b'D' => {
-                        for part in read_parts(&rest) {
-                            lock(&log).push_part(part.clone(), begun);
+                        for part in read_parts(&payload) {
+                            lock(&log).push_part(part.clone(), first_byte_time);
                             lock(&unanswered).push(part.id.clone());
                             let connection_parts = unanswered.clone();
                             let Ok(mut out) = stream.try_clone() else { return };
@@ -326,7 +326,7 @@
                         }
                     }
                     b'K' => {
-                        let cancelled = String::from_utf8_lossy(&rest).into_owned();
+                        let cancelled = String::from_utf8_lossy(&payload).into_owned();
                         lock(&unanswered).retain(|id| *id != cancelled);
                         lock(&log).cancelled.push(cancelled);
                     }
--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -117,7 +117,7 @@
     fn assert_deadlines_respected(&self, nodes: &[&DataNode]) -> usize {
         let attempts = self.attempts(nodes);
         for (part, begun) in &attempts {
-            let given = part.list.split(',').find_map(|f| f.strip_prefix("d=")).unwrap();
+            let given = part.parameters.split(',').find_map(|f| f.strip_prefix("d=")).unwrap();
             let given = Duration::from_millis(given.parse().unwrap());
             let remaining = CLIENT_TIMEOUT.saturating_sub(begun.duration_since(self.sent_at));
             assert!(
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -211,7 +211,7 @@
             fixture.send_queries(1);
             !late.arrivals().is_empty()
         });
-        let early: Vec<_> = late.arrivals().into_iter().filter(|a| a.begun < again).collect();
+        let early: Vec<_> = late.arrivals().into_iter().filter(|a| a.first_byte_time < again).collect();
         assert_eq!(early, [], "{update:?}");
     }
 }
--- a/tests/harness/stalling_data_node.rs
+++ b/tests/harness/stalling_data_node.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::stand_in::{frame, lock, read_frame, read_parts, NodeReply, Part, ReadFrame};
+use super::stand_in::{frame, lock, read_frame, read_parts, NodeReply, Part, ReceivedFrame};
 
 /// A received part.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,7 +18,7 @@
     /// The connection, numbered in the order in which they were accepted.
     pub connection: usize,
     /// When the first byte of its frame was read.
-    pub begun: Instant,
+    pub first_byte_time: Instant,
 }
 
 /// State shared by the data node's threads.
@@ -148,7 +148,7 @@
 
     /// Parts whose first byte arrived after this moment.
     pub fn parts_begun_after(&self, at: Instant) -> Vec<Arrival> {
-        self.arrivals().into_iter().filter(|a| a.begun > at).collect()
+        self.arrivals().into_iter().filter(|a| a.first_byte_time > at).collect()
     }
 }
 
@@ -164,16 +164,18 @@
         while !state.reads.load(Ordering::SeqCst) {
             thread::sleep(POLL_INTERVAL);
         }
-        let Some(ReadFrame { letter, rest, begun }) = read_frame(&mut stream) else { return };
-        if letter != b'D' {
-            lock(&state.others).push((letter, connection));
-            if letter == b'I' {
+        let Some(ReceivedFrame { frame_type, payload, first_byte_time }) = read_frame(&mut stream) else {
+            return;
+        };
+        if frame_type != b'D' {
+            lock(&state.others).push((frame_type, connection));
+            if frame_type == b'I' {
                 let _ = stream.write_all(&frame(b'I', b"200"));
             }
             continue;
         }
-        for part in read_parts(&rest) {
-            lock(&state.arrivals).push(Arrival { id: part.id.clone(), connection, begun });
+        for part in read_parts(&payload) {
+            lock(&state.arrivals).push(Arrival { id: part.id.clone(), connection, first_byte_time });
             let (Ok(mut out), reply) = (stream.try_clone(), reply.clone()) else { return };
             thread::spawn(move || match reply(&part) {
                 NodeReply::Answer(end, score, value) => {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -29,7 +29,7 @@
     assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":3,"data":"v3"},{"id":0,"data":"v0"}]}"#);
     let parts: Vec<Part> = a.received_parts().into_iter().chain(b.received_parts()).collect();
     assert_eq!(parts.len(), 2);
-    assert!(parts.iter().all(|p| p.text == "c41e77d0" && p.list.starts_with("d=")), "{parts:?}");
+    assert!(parts.iter().all(|p| p.text == "c41e77d0" && p.parameters.starts_with("d=")), "{parts:?}");
 }
 
 /// The second phase goes to the shards with the highest scores and names all shards of the first phase. The answer
@@ -51,7 +51,7 @@
         .filter(|p| p.id.ends_with(".fetch"))
         .collect();
     assert_eq!(second.len(), 2);
-    assert!(second.iter().all(|p| p.list.ends_with(",from=0+1+2+3,whole=1")), "{second:?}");
+    assert!(second.iter().all(|p| p.parameters.ends_with(",from=0+1+2+3,whole=1")), "{second:?}");
 }
 
 /// A client retries a two-phase query. A retry with a single part completes the first phase too, and the second phase
