--- a/benches/update_to_gate.rs
+++ b/benches/update_to_gate.rs
@@ -18,7 +18,7 @@
 use curlewdeck::startup::Coordinator;
 
 use harness::scripted::{chunk, list_update, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
-use harness::stand_in::{exchange, DataNode, NodeReply, Part};
+use harness::stand_in::{send_request, DataNode, NodeReply, Part};
 use harness::{query_bytes, successful_reply, wait_until_healthy, TestCluster};
 
 /// Updates measured under each load.
@@ -59,7 +59,7 @@
 
 /// Starts clients that send one query after another and ignore the answers.
 fn start_clients(addr: SocketAddr, threads: usize) -> Load {
-    Load::start(threads, move || drop(exchange(addr, &query_bytes("plaza-ranking", &[0, 1], "200m"))))
+    Load::start(threads, move || drop(send_request(addr, &query_bytes("plaza-ranking", &[0, 1], "200m"))))
 }
 
 /// Starts threads that keep processors busy.
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -11,7 +11,7 @@
 mod stand_in;
 
 use merge_node::{answer, Manner, Row, Snapshot};
-use stand_in::{store, DataNode, Discovery, FeatureServer, Member, NodeReply, Part};
+use stand_in::{feature_store_reply, DataNode, Discovery, FeatureServer, Member, NodeReply, Part};
 
 const FEATURES_PER_RANGE: usize = 7;
 const MAX_PAGE_FEATURES: usize = 3;
@@ -43,7 +43,8 @@
         _ if desk => member((cell, DataNode::start(mergeable_reply).addr)),
         true => member((
             cell,
-            FeatureServer::start(|query| store(query, FEATURES_PER_RANGE, MAX_PAGE_FEATURES)).addr,
+            FeatureServer::start(|query| feature_store_reply(query, FEATURES_PER_RANGE, MAX_PAGE_FEATURES))
+                .addr,
         )),
         false => {
             let value = |shard: u32| format!("{:016x}", u64::from(shard) * 0x9e37_79b9);
--- a/examples/toy/stand_in.rs
+++ b/examples/toy/stand_in.rs
@@ -381,12 +381,12 @@
     }
 
     /// Returns a parameter as a number, or `None` if it is absent or not a number.
-    pub fn number(&self, name: &str) -> Option<usize> {
+    pub fn number_parameter(&self, name: &str) -> Option<usize> {
         self.parameters.get(name)?.parse().ok()
     }
 
     /// Returns the last segment of the path.
-    pub fn last(&self) -> &str {
+    pub fn last_path_segment(&self) -> &str {
         let path = self.target.split('?').next().unwrap_or("");
         path.rsplit('/').next().unwrap_or("")
     }
@@ -437,7 +437,7 @@
     }
 
     /// Returns the requests received so far.
-    pub fn seen(&self) -> Vec<FeatureQuery> {
+    pub fn queries(&self) -> Vec<FeatureQuery> {
         lock(&self.queries).clone()
     }
 }
@@ -452,14 +452,14 @@
 
 /// Replies from a small feature store with `count` features in each range. A page has at most `page` features, and a
 /// `next` link if more follow.
-pub fn store(query: &FeatureQuery, count: usize, page: usize) -> FeatureReply {
+pub fn feature_store_reply(query: &FeatureQuery, count: usize, page: usize) -> FeatureReply {
     let path = query.target.split('?').next().unwrap_or("");
     if path == "/" {
         return FeatureReply::Body(200, r#"{"links":[]}"#.to_string());
     }
     if !path.ends_with("/items") {
         let requested = query
-            .last()
+            .last_path_segment()
             .split_once('-')
             .and_then(|(range, number)| Some((range.parse().ok()?, number.parse().ok()?)));
         return match requested {
@@ -467,9 +467,9 @@
             _ => FeatureReply::Body(404, r#"{"title":"Not Found"}"#.to_string()),
         };
     }
-    let range = query.number("tag_range").unwrap_or(0);
-    let offset = query.number("offset").unwrap_or(0);
-    let limit = query.number("limit").unwrap_or(10);
+    let range = query.number_parameter("tag_range").unwrap_or(0);
+    let offset = query.number_parameter("offset").unwrap_or(0);
+    let limit = query.number_parameter("limit").unwrap_or(10);
     let end = (offset + limit.min(page)).min(count);
     let features: Vec<String> = (offset..end).map(|n| feature(range, n)).collect();
     let next = match end < count {
@@ -502,7 +502,7 @@
 }
 
 /// Sends bytes on a new connection and reads one response.
-pub fn exchange(addr: SocketAddr, bytes: &[u8]) -> std::io::Result<Answer> {
+pub fn send_request(addr: SocketAddr, bytes: &[u8]) -> std::io::Result<Answer> {
     let mut stream = TcpStream::connect(addr)?;
     stream.write_all(bytes)?;
     read_answer(&mut BufReader::new(stream))
@@ -558,5 +558,5 @@
 
 /// Sends a `GET` request on a new connection and reads the response.
 pub fn get(addr: SocketAddr, target: &str) -> std::io::Result<Answer> {
-    exchange(addr, format!("GET {target} HTTP/1.1\r\nHost: edge\r\n\r\n").as_bytes())
+    send_request(addr, format!("GET {target} HTTP/1.1\r\nHost: edge\r\n\r\n").as_bytes())
 }
--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -545,8 +545,10 @@
                 for turn in 0..6 {
                     let class = ["tag-lookup", "plaza-ranking", "monthly-settle"][(n as usize + turn) % 3];
                     let (wait_before, start) = (processor_wait(), Instant::now());
-                    let answer =
-                        harness::stand_in::exchange(addr, &query_bytes(class, &[n % 4, (n + 1) % 4], "800m"));
+                    let answer = harness::stand_in::send_request(
+                        addr,
+                        &query_bytes(class, &[n % 4, (n + 1) % 4], "800m"),
+                    );
                     let took = start.elapsed();
                     let status =
                         answer.unwrap_or_else(|e| panic!("{class}: no answer after {took:?}: {e}")).status;
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -18,7 +18,7 @@
 
 use checker::{Asked, Walk};
 use curlewdeck::startup::Coordinator;
-use harness::stand_in::{exchange, get, post_bytes, read_answer, Answer, DataNode, Discovery, NodeReply};
+use harness::stand_in::{get, post_bytes, read_answer, send_request, Answer, DataNode, Discovery, NodeReply};
 use harness::{member, wait_until, wait_until_healthy, TestCluster};
 use serde_json::{json, Value as Json};
 use stand_in::{answer, History, Manner, Row};
@@ -151,7 +151,7 @@
     }
 
     fn send_query(&self, set: &str, body: &Json) -> Answer {
-        exchange(self.desk, &post_bytes(&format!("/v1/sets/{set}/query"), &body.to_string())).unwrap()
+        send_request(self.desk, &post_bytes(&format!("/v1/sets/{set}/query"), &body.to_string())).unwrap()
     }
 
     /// Repeats the query until the answer is the expected one. After a change of modes this takes a while, since the
@@ -266,7 +266,7 @@
         (r#"{"op":"sum"} x"#, "", "after the object"),
         ("", "", "EOF"),
     ] {
-        let answer = exchange(fleet.desk, &post_bytes("/v1/sets/passages/query", body)).unwrap();
+        let answer = send_request(fleet.desk, &post_bytes("/v1/sets/passages/query", body)).unwrap();
         let (status, at, detail) = problem(&answer);
         assert!((status, at.as_str()) == (400, field) && detail.contains(why), "{body}: {at}: {detail}");
     }
@@ -277,7 +277,7 @@
         (b"GET /v2 HTTP/1.1\r\n\r\n".to_vec(), 404),
         (b"nonsense\r\n\r\n".to_vec(), 400),
     ] {
-        assert_eq!(problem(&exchange(fleet.desk, &bytes).unwrap()).0, status);
+        assert_eq!(problem(&send_request(fleet.desk, &bytes).unwrap()).0, status);
     }
     assert_eq!(fleet.count(|c| &c.queries_accepted), 0);
 }
@@ -464,11 +464,11 @@
     let fleet = Fleet::start(200);
     let body = json!({"op": "list", "limit": 800}).to_string();
     let target = "/v1/sets/passages/query";
-    let chunked = exchange(fleet.desk, &post_bytes(target, &body)).unwrap();
+    let chunked = send_request(fleet.desk, &post_bytes(target, &body)).unwrap();
     assert_eq!(chunked.header("transfer-encoding"), Some("chunked"));
     assert_eq!(validated_json(&chunked)["rows"].as_array().unwrap().len(), 800);
     let old = String::from_utf8(post_bytes(target, &body)).unwrap().replace("HTTP/1.1", "HTTP/1.0");
-    let plain = exchange(fleet.desk, old.as_bytes()).unwrap();
+    let plain = send_request(fleet.desk, old.as_bytes()).unwrap();
     assert_eq!((plain.header("transfer-encoding"), plain.body.len()), (None, chunked.body.len()));
 }
 
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -19,7 +19,8 @@
 use desk_stand_in::{History, Manner};
 use harness::stalling_data_node::StallingDataNode;
 use harness::stand_in::{
-    exchange, post_bytes, read_answer, store, Answer, Discovery, FeatureServer, Member, NodeReply, Part,
+    feature_store_reply, post_bytes, read_answer, send_request, Answer, Discovery, FeatureServer, Member,
+    NodeReply, Part,
 };
 use harness::{
     gated_reply, member, query, query_bytes, successful_reply, wait_until, wait_until_healthy, Program,
@@ -610,7 +611,7 @@
         Fixture::start(long_timeouts, DESK, vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let desk = fixture.coordinator.aggregation.unwrap();
     let ask = || {
-        let answer = exchange(desk, &post_bytes("/v1/sets/accounts/query", r#"{"op":"rank"}"#)).unwrap();
+        let answer = send_request(desk, &post_bytes("/v1/sets/accounts/query", r#"{"op":"rank"}"#)).unwrap();
         assert_eq!(answer.status, 200, "{}", answer.body);
     };
     wait_until("parts of the desk at each", || {
@@ -666,7 +667,7 @@
 fn pages_waiting_for_a_connection_are_rerouted_at_once() {
     for update in CLOSING_UPDATES.map(Some).into_iter().chain([None]) {
         let late = StallingDataNode::start_unreachable(successful_reply);
-        let stays = FeatureServer::start(|query| store(query, RANGE_FEATURES, PAGE_FEATURES));
+        let stays = FeatureServer::start(|query| feature_store_reply(query, RANGE_FEATURES, PAGE_FEATURES));
         let fixture = Fixture::start(features_with_long_timeouts, FEATURES, vec![up("late", late.addr)]);
         let waiting = request_features(fixture.coordinator.features.unwrap());
         wait_until("the dials", || fixture.dials() > 0);
@@ -689,20 +690,20 @@
     let held = release.clone();
     let old = FeatureServer::start(move |query| {
         wait_until("the release", || held.load(Ordering::SeqCst));
-        store(query, RANGE_FEATURES, RANGE_FEATURES)
+        feature_store_reply(query, RANGE_FEATURES, RANGE_FEATURES)
     });
-    let new = FeatureServer::start(|query| store(query, RANGE_FEATURES, PAGE_FEATURES));
+    let new = FeatureServer::start(|query| feature_store_reply(query, RANGE_FEATURES, PAGE_FEATURES));
     let fixture = Fixture::start(features_with_long_timeouts, FEATURES, vec![up("moves", old.addr)]);
     let ogc = fixture.coordinator.features.unwrap();
     let reading = request_features(ogc);
     // The first page of each range; all later pages are requested after the move.
-    wait_until("the pages", || old.seen().len() == RANGES);
+    wait_until("the pages", || old.queries().len() == RANGES);
     fixture.change(&[up("moves", new.addr)]);
     release.store(true, Ordering::SeqCst);
     expect_all_features(reading, "the collection that was being read");
     for _ in 0..QUERIES {
         expect_all_features(request_features(ogc), "the collection requested after the move");
     }
-    let after = old.seen().split_off(RANGES);
+    let after = old.queries().split_off(RANGES);
     assert!(after.is_empty(), "{} pages requested from the earlier address", after.len());
 }
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -9,7 +9,9 @@
 use std::sync::{mpsc, Arc, Mutex};
 
 use curlewdeck::startup::Coordinator;
-use harness::stand_in::{exchange, get, store, Answer, Discovery, FeatureQuery, FeatureReply, FeatureServer};
+use harness::stand_in::{
+    feature_store_reply, get, send_request, Answer, Discovery, FeatureQuery, FeatureReply, FeatureServer,
+};
 use harness::{member, set_member_state, wait_until, wait_until_healthy, TestCluster};
 use serde_json::Value as Json;
 
@@ -42,7 +44,7 @@
 }
 
 fn healthy_server() -> FeatureServer {
-    FeatureServer::start(|q| store(q, FEATURES_PER_RANGE, 2))
+    FeatureServer::start(|q| feature_store_reply(q, FEATURES_PER_RANGE, 2))
 }
 
 fn json(answer: &Answer) -> Json {
@@ -128,9 +130,9 @@
         assert_eq!(answer.header("content-type"), Some("application/problem+json"), "{target}");
         assert_eq!(json(&answer)["status"], status);
     }
-    let post = exchange(ogc, b"POST /collections HTTP/1.1\r\n\r\n").unwrap();
+    let post = send_request(ogc, b"POST /collections HTTP/1.1\r\n\r\n").unwrap();
     assert_eq!((post.status, post.header("allow")), (405, Some("GET, HEAD")));
-    let malformed = exchange(ogc, b"nonsense\r\n\r\n").unwrap();
+    let malformed = send_request(ogc, b"nonsense\r\n\r\n").unwrap();
     assert_eq!((malformed.status, malformed.header("content-type")), (400, Some("application/problem+json")));
 }
 
@@ -156,8 +158,8 @@
         assert!(got.len() <= 20, "more features than the servers hold");
     }
     assert_eq!(got, all_feature_ids());
-    let asked: Vec<FeatureQuery> = a.seen().into_iter().chain(b.seen()).collect();
-    let ranges: BTreeSet<usize> = asked.iter().filter_map(|q| q.number("tag_range")).collect();
+    let asked: Vec<FeatureQuery> = a.queries().into_iter().chain(b.queries()).collect();
+    let ranges: BTreeSet<usize> = asked.iter().filter_map(|q| q.number_parameter("tag_range")).collect();
     assert_eq!(ranges, (0..4).collect());
     let first = asked.iter().filter(|q| q.parameters.contains_key("bbox"));
     assert!(first.clone().count() > 0 && first.clone().all(|q| q.parameters["bbox"] == "-180,-90,180,90"));
@@ -170,11 +172,11 @@
     let stalled = Arc::new(AtomicBool::new(false));
     let stalled_in_server = stalled.clone();
     let bad = FeatureServer::start(move |q| {
-        if q.number("offset").unwrap_or(0) > 0 {
+        if q.number_parameter("offset").unwrap_or(0) > 0 {
             stalled_in_server.store(true, Ordering::SeqCst);
             return FeatureReply::Stall;
         }
-        store(q, FEATURES_PER_RANGE, 2)
+        feature_store_reply(q, FEATURES_PER_RANGE, 2)
     });
     let good = healthy_server();
     let (coordinator, _discovery, ogc) = start(&TestCluster::default(), &[&bad, &good]);
@@ -196,12 +198,12 @@
     let (release, released) = mpsc::channel::<()>();
     let (page_requested, released) = (Mutex::new(page_requested), Mutex::new(released));
     let draining = FeatureServer::start(move |q| {
-        if q.number("offset").is_none() && q.target.contains("/items?") {
+        if q.number_parameter("offset").is_none() && q.target.contains("/items?") {
             let _ = page_requested.lock().unwrap().send(());
             // Returns an error once the test has dropped the sender.
             let _ = released.lock().unwrap().recv();
         }
-        store(q, FEATURES_PER_RANGE, 2)
+        feature_store_reply(q, FEATURES_PER_RANGE, 2)
     });
     let good = healthy_server();
     let (coordinator, discovery, ogc) = start(&TestCluster::default(), &[&draining, &good]);
@@ -211,8 +213,8 @@
     drop(release);
     let body = json(&answer.join().unwrap());
     assert_eq!((feature_ids(&body), &body["complete"]), (all_feature_ids(), &Json::Bool(true)));
-    let is_first_page = |q: &FeatureQuery| q.number("offset").is_none();
-    assert!(draining.seen().iter().all(is_first_page), "a page was requested after the drain");
+    let is_first_page = |q: &FeatureQuery| q.number_parameter("offset").is_none();
+    assert!(draining.queries().iter().all(is_first_page), "a page was requested after the drain");
 }
 
 /// One of two servers fails: answers list the ranges that are missing, and a request for a feature that may lie in one
@@ -220,9 +222,9 @@
 #[test]
 fn partial_answers_list_missing_ranges() {
     // This server holds only the even ranges.
-    let good = FeatureServer::start(|q| match q.last().split_once('-') {
+    let good = FeatureServer::start(|q| match q.last_path_segment().split_once('-') {
         Some(("1" | "3", _)) => FeatureReply::Body(404, "{}".to_string()),
-        _ => store(q, FEATURES_PER_RANGE, 2),
+        _ => feature_store_reply(q, FEATURES_PER_RANGE, 2),
     });
     let bad = FeatureServer::start(|_| FeatureReply::Body(500, "{}".to_string()));
     let cluster = TestCluster { replicas: 1, ..TestCluster::default() };
@@ -247,7 +249,7 @@
         1 => FeatureReply::Body(500, String::new()),
         2 => FeatureReply::Body(200, "no json".to_string()),
         3 => FeatureReply::Body(503, String::new()),
-        _ => store(q, FEATURES_PER_RANGE, 2),
+        _ => feature_store_reply(q, FEATURES_PER_RANGE, 2),
     };
     let (a, b) = (FeatureServer::start(faulty.clone()), FeatureServer::start(faulty));
     let (coordinator, _discovery, ogc) =
@@ -324,7 +326,8 @@
         if failing.load(Ordering::SeqCst) {
             return FeatureReply::Body(500, "{}".to_string());
         }
-        let (range, limit) = (q.number("tag_range").unwrap_or(0), q.number("limit").unwrap_or(10));
+        let (range, limit) =
+            (q.number_parameter("tag_range").unwrap_or(0), q.number_parameter("limit").unwrap_or(10));
         let behind = q.parameters.get("behind").cloned().unwrap_or_default();
         let data = data.lock().unwrap();
         let ids = data[range].iter().filter(|id| **id > behind).take(limit);
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -16,7 +16,7 @@
 use harness::scripted::{
     chunk, list_update, read_request_target, ListEntry, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD,
 };
-use harness::stand_in::{exchange, Answer, DataNode, Part};
+use harness::stand_in::{send_request, Answer, DataNode, Part};
 use harness::{
     gated_reply, query, query_bytes, start_two_data_nodes, successful_reply, wait_until, wait_until_healthy,
     Program, TestCluster,
@@ -360,7 +360,7 @@
         program = Program::start(&config_at(&addr.to_string()));
         assert_eq!(program.addr, addr);
         // A retry with the same request id gets the only answer.
-        let answer = exchange(addr, &request).unwrap();
+        let answer = send_request(addr, &request).unwrap();
         assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":0,"data":"v0"}]}"#);
         send_queries(addr, QUERIES);
     }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -26,7 +26,7 @@
 use curlewdeck::config::{Config, Edge};
 use curlewdeck::limits::Limits;
 use curlewdeck::startup::{self, Coordinator};
-use stand_in::{exchange, Answer, DataNode, Discovery, Member, NodeReply, Part};
+use stand_in::{send_request, Answer, DataNode, Discovery, Member, NodeReply, Part};
 
 /// Parameters of a test cluster. The default deadline is so long that no test waits for it to pass.
 pub struct TestCluster {
@@ -127,7 +127,7 @@
 
 /// Sends one query over the platform's protocol and returns the response.
 pub fn query(addr: SocketAddr, class: &str, shards: &[u32]) -> std::io::Result<Answer> {
-    exchange(addr, &query_bytes(class, shards, "60000m"))
+    send_request(addr, &query_bytes(class, shards, "60000m"))
 }
 
 pub fn query_bytes(class: &str, shards: &[u32], timeout: &str) -> Vec<u8> {
@@ -372,7 +372,7 @@
 
 /// Sends a request without a body to the control address and returns the response.
 pub fn send_control_request(control: SocketAddr, method: &str, path: &str) -> std::io::Result<Answer> {
-    exchange(control, &call_bytes(method, path, ""))
+    send_request(control, &call_bytes(method, path, ""))
 }
 
 /// Reports whether a request to the control address gets a 2xx status.
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -13,7 +13,7 @@
 
 use curlewdeck::limits::{Limits, Platform};
 
-use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
+use harness::stand_in::{get, read_answer, send_request, DataNode, Discovery, NodeReply};
 use harness::{
     control_request_succeeds, gated_reply, member, query, query_bytes, send_control_request,
     start_two_data_nodes, successful_reply, wait_until, Program, TestCluster,
@@ -57,7 +57,7 @@
     assert_eq!(status("GET", "/ops/nothing"), 404);
     assert_eq!(status("POST", "/ops/stats"), 405);
     assert_eq!(status("GET", "/ops/drain/start"), 405);
-    assert_eq!(exchange(control, b"no call at all\r\n\r\n").unwrap().status, 400);
+    assert_eq!(send_request(control, b"no call at all\r\n\r\n").unwrap().status, 400);
     let incomplete: [&[u8]; 3] =
         [b"", b"GET /ops/st", b"POST /ops/drain/start HTTP/1.1\r\nContent-Length: 9\r\n\r\n"];
     let mut stuck: Vec<TcpStream> = (0..50).map(|n| connect_and_send(control, incomplete[n % 3])).collect();
@@ -93,7 +93,7 @@
     for n in 0..20 {
         // Every tenth query's timeout is too short for the query to be accepted.
         let timeout = if n % 10 == 9 { "1m" } else { "5000m" };
-        match exchange(program.addr, &query_bytes("tag-lookup", &[n % 4, (n + 1) % 4], timeout))
+        match send_request(program.addr, &query_bytes("tag-lookup", &[n % 4, (n + 1) % 4], timeout))
             .unwrap()
             .status
         {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -13,7 +13,7 @@
 use curlewdeck::limits::{Limits, Platform};
 use curlewdeck::startup::Coordinator;
 
-use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply, Part};
+use harness::stand_in::{get, read_answer, send_request, DataNode, Discovery, NodeReply, Part};
 use harness::{
     gated_reply, member, query, query_bytes, set_member_state, start_two_data_nodes, successful_reply,
     wait_until, wait_until_healthy, Program, TestCluster,
@@ -64,7 +64,7 @@
     for shards in [&[3][..], &[0, 1, 2, 3]] {
         let request = String::from_utf8(query_bytes("monthly-settle", shards, "60000m")).unwrap();
         let retry = request.replacen("Host: a\r\n", "Host: a\r\nX-Retried: 1\r\n", 1);
-        let answer = exchange(coordinator.listen, retry.as_bytes()).unwrap();
+        let answer = send_request(coordinator.listen, retry.as_bytes()).unwrap();
         let expected = if shards.len() == 1 {
             r#"{"exact":true,"rows":[{"id":3,"data":"v3.fetch"}]}"#
         } else {
@@ -133,7 +133,8 @@
         let coordinator = TestCluster::default().start(discovery.addr, "");
         wait_until_healthy(&coordinator);
         wait_until("a part at the faulty data node", || {
-            let answer = exchange(coordinator.listen, &query_bytes("tag-lookup", &[1], "20000m")).unwrap();
+            let answer =
+                send_request(coordinator.listen, &query_bytes("tag-lookup", &[1], "20000m")).unwrap();
             assert_eq!(answer.body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#, "{n}");
             !a.received_parts().is_empty()
         });
@@ -318,7 +319,7 @@
         ("POST /tag-lookup HTTP/1.1\r\nContent-Length: 65537\r\n\r\n".to_string(), 413),
         (format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(20_000)), 431),
     ] {
-        let answer = exchange(coordinator.listen, text.as_bytes()).unwrap();
+        let answer = send_request(coordinator.listen, text.as_bytes()).unwrap();
         assert_eq!(answer.status, status, "{text:.80}: {}", answer.body);
     }
 }
@@ -353,9 +354,9 @@
     wait_until_healthy(&coordinator);
     let (addr, bytes) = (coordinator.listen, query_bytes("tag-lookup", &[1], "60000m"));
     let same = bytes.clone();
-    let first = std::thread::spawn(move || exchange(addr, &bytes).unwrap());
+    let first = std::thread::spawn(move || send_request(addr, &bytes).unwrap());
     wait_until("the part", || a.received_parts().len() + b.received_parts().len() >= 1);
-    assert_eq!(exchange(addr, &same).unwrap().status, 409);
+    assert_eq!(send_request(addr, &same).unwrap().status, 409);
     release.store(true, Ordering::SeqCst);
     assert_eq!(first.join().unwrap().body, r#"{"exact":true,"rows":[{"id":1,"data":"v1"}]}"#);
 }
@@ -436,7 +437,7 @@
     let (_a, _b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
     let coordinator = TestCluster::default().start(discovery.addr, "");
     wait_until_healthy(&coordinator);
-    let answer = exchange(coordinator.listen, &query_bytes("tag-lookup", &[0, 1], "1500m")).unwrap();
+    let answer = send_request(coordinator.listen, &query_bytes("tag-lookup", &[0, 1], "1500m")).unwrap();
     assert!(matches!(answer.status, 503 | 504), "{}", answer.status);
 }
 
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -13,7 +13,7 @@
 use curlewdeck::limits::{Limits, Platform};
 
 use harness::scripted::{chunk, complete_list, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
-use harness::stand_in::{exchange, get, read_answer, DataNode, Discovery, NodeReply};
+use harness::stand_in::{get, read_answer, send_request, DataNode, Discovery, NodeReply};
 use harness::{
     gated_reply, member, query_bytes, start_two_data_nodes, successful_reply, wait_until, wait_until_healthy,
     Program, TestCluster,
@@ -49,7 +49,7 @@
     let addr = program.addr;
     let clients = ["tag-lookup", "plaza-ranking", "monthly-settle"].map(|class| {
         let bytes = query_bytes(class, &[0, 1], "60000m");
-        thread::spawn(move || (exchange(addr, &bytes), Instant::now()))
+        thread::spawn(move || (send_request(addr, &bytes), Instant::now()))
     });
     wait_until("the parts", || a.received_parts().len() + b.received_parts().len() >= 6);
     program.signal("TERM");
@@ -294,7 +294,7 @@
         let (a, b, discovery) = start_two_data_nodes(close_first_connection.clone(), close_first_connection);
         let config = with_effect(TestCluster::default().config(discovery.addr), &effect);
         let program = Program::start(&config);
-        let answer = exchange(program.addr, &query_bytes("tag-lookup", &[0], "2000m")).unwrap();
+        let answer = send_request(program.addr, &query_bytes("tag-lookup", &[0], "2000m")).unwrap();
         assert_eq!(answer.status == 200, attempts == 2, "{effect}: {}", answer.status);
         assert_eq!(a.received_parts().len() + b.received_parts().len(), attempts, "{effect}");
     }
@@ -314,7 +314,7 @@
     let addr = program.addr;
     for _ in 0..20 {
         let client =
-            thread::spawn(move || exchange(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
+            thread::spawn(move || send_request(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
         let (mut stream, _) = node.accept().unwrap();
         let mut head = [0; 4];
         stream.read_exact(&mut head).unwrap();
@@ -422,7 +422,7 @@
     let parts = a.received_parts().len() + b.received_parts().len();
     for shard in 0..4 {
         assert_eq!(
-            exchange(program.addr, &query_bytes("tag-lookup", &[shard], "20000m")).unwrap().status,
+            send_request(program.addr, &query_bytes("tag-lookup", &[shard], "20000m")).unwrap().status,
             200
         );
     }
--- a/tests/stalled_process.rs
+++ b/tests/stalled_process.rs
@@ -14,7 +14,7 @@
 use harness::scripted::{
     chunk, complete_list, list_update, ListEntry, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD,
 };
-use harness::stand_in::{exchange, DataNode, Discovery};
+use harness::stand_in::{send_request, DataNode, Discovery};
 use harness::{
     member, query_bytes, set_member_state, successful_reply, wait_until, wait_until_healthy, Program,
     TestCluster,
@@ -87,7 +87,7 @@
 
     /// Asserts that a query is answered, by the data node that is not drained.
     fn assert_answers(&self) {
-        let answer = exchange(self.program.addr, &query_bytes("tag-lookup", &[0, 1], "20000m")).unwrap();
+        let answer = send_request(self.program.addr, &query_bytes("tag-lookup", &[0, 1], "20000m")).unwrap();
         assert_eq!(answer.status, 200);
     }
 }
@@ -113,7 +113,7 @@
             let stop = stop.clone();
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let _ = exchange(addr, &query_bytes("plaza-ranking", &[0, 1, 2, 3], "2000m"));
+                    let _ = send_request(addr, &query_bytes("plaza-ranking", &[0, 1, 2, 3], "2000m"));
                 }
             })
         };
@@ -215,7 +215,8 @@
     let drained = listener.local_addr().unwrap();
     let mut test = StallTest::start_with_nodes(drained, &[("drained", 1, drained)]);
     let addr = test.program.addr;
-    let client = thread::spawn(move || exchange(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
+    let client =
+        thread::spawn(move || send_request(addr, &query_bytes("tag-lookup", &[0], "20000m")).unwrap());
     wait_until("the connection attempt", || is_connecting(drained));
     test.stop();
     drop(listener.accept().unwrap());
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use harness::stand_in::{exchange, read_answer, DataNode, Discovery};
+use harness::stand_in::{read_answer, send_request, DataNode, Discovery};
 use harness::{
     call_bytes, gated_reply, member, query, query_bytes, start_two_data_nodes, successful_reply, wait_until,
     Program, TestCluster,
@@ -123,5 +123,5 @@
         assert_eq!(read_answer(&mut BufReader::new(stream)).unwrap().status, 200);
     }
     assert_eq!(discovery.watch_requests(), 1, "the watch was opened again");
-    assert_eq!(exchange(program.addr, &query_bytes("tag-lookup", &[0], "60000m")).unwrap().status, 200);
+    assert_eq!(send_request(program.addr, &query_bytes("tag-lookup", &[0], "60000m")).unwrap().status, 200);
 }
