--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -33,7 +33,7 @@
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
     /// An environment variable is not a socket address.
-    #[error("{variable}: '{text}' is no address")]
+    #[error("{variable}: '{text}' is not an address")]
     Address {
         /// The name of the environment variable.
         variable: String,
@@ -143,7 +143,7 @@
     #[error("desk: cursor_life_s must be above 0")]
     ZeroCursorLifetime,
     /// No set is configured, or two sets have the same id.
-    #[error("desk: at least one set is needed, each with an id of its own")]
+    #[error("desk: at least one set is needed, each with a unique id")]
     AmbiguousSets,
     /// A set is invalid.
     #[error("desk: set '{id}': {source}")]
@@ -154,7 +154,7 @@
         source: SetConfigError,
     },
     /// The data nodes are feature servers, which return no values to merge.
-    #[error("desk: its values come in frames, and the data nodes are feature servers")]
+    #[error("desk: aggregation needs data nodes that use frames")]
     FeatureServers,
     /// The keys that seal cursors.
     #[error(transparent)]
@@ -165,10 +165,10 @@
 #[derive(Debug, Error)]
 pub enum SetConfigError {
     /// The set's id is not a valid path segment.
-    #[error("its id cannot stand in a path")]
+    #[error("its id is not a valid path segment")]
     InvalidId,
     /// The set has no measure, one has an empty name, or two have the same name.
-    #[error("at least one measure is needed, each with a name of its own")]
+    #[error("at least one measure is needed, each with a unique name")]
     AmbiguousMeasures,
     /// A measure has too many decimal places.
     #[error("measure '{measure}': the scale is at most {MAX_SCALE}")]
@@ -177,7 +177,7 @@
         measure: String,
     },
     /// The set's class is not in the settings.
-    #[error("there is no class '{0}'")]
+    #[error("unknown class '{0}'")]
     UnknownClass(String),
     /// The set's class has a second phase, whose values cannot be merged.
     #[error("the class '{0}' has a second step, whose answers cannot be merged")]
@@ -188,7 +188,7 @@
 #[derive(Debug, Error)]
 pub enum SnmpConfigError {
     /// A subtree of a view is not an object identifier.
-    #[error("snmp: '{0}' is no name in dots")]
+    #[error("snmp: '{0}' is not an object identifier")]
     InvalidOid(String),
     /// The operating system's random number generator failed.
     #[error("snmp: cannot generate random numbers: {0}")]
@@ -197,7 +197,7 @@
     #[error("snmp: engine_id '{0}': 5 to 32 bytes in hexadecimal digits are expected")]
     InvalidEngineId(String),
     /// Neither a community nor a file of users is configured.
-    #[error("snmp: nobody may ask: a community or a file of users is needed")]
+    #[error("snmp: a community or a file of users is required")]
     NoCommunityOrUsers,
     /// The file of users could not be read.
     #[error(transparent)]
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -105,7 +105,7 @@
 
     fn send_to_discovery(&self, message: DiscoveryMessage) {
         if self.discovery.send(message).is_err() {
-            log::error!("the actor of discovery has ended");
+            log::error!("the discovery actor has ended");
         }
     }
 
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -580,12 +580,12 @@
     );
     let info = info.unwrap().deployment;
     for (from, to, why) in [
-        ("plaza-ranking", "none", "there is no class 'none'"),
+        ("plaza-ranking", "none", "unknown class 'none'"),
         ("plaza-ranking", "monthly-settle", "has a second step"),
-        ("\"accounts\"", "\"passages\"", "an id of its own"),
-        ("\"axles\"", "\"fee\"", "a name of its own"),
+        ("\"accounts\"", "\"passages\"", "each with a unique id"),
+        ("\"axles\"", "\"fee\"", "each with a unique name"),
         ("scale = 2 }, {", "scale = 19 }, {", "at most 18"),
-        ("\"accounts\"", "\"a b\"", "cannot stand in a path"),
+        ("\"accounts\"", "\"a b\"", "is not a valid path segment"),
     ] {
         let edge = curlewdeck::config::Edge::read(&EDGE.replacen(from, to, 1)).unwrap();
         let fault = edge.aggregation.unwrap().check(&info).unwrap_err().to_string();
@@ -594,5 +594,5 @@
     // Feature servers return features, which the desk frontend cannot merge.
     let edge = format!("[nodes]\nprotocol = \"features\"\n{EDGE}");
     let fault = curlewdeck::config::Edge::read(&edge).unwrap().check(&info).unwrap_err().to_string();
-    assert!(fault.contains("come in frames"), "{fault}");
+    assert!(fault.contains("needs data nodes that use frames"), "{fault}");
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -345,7 +345,7 @@
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap().to_string();
     for (name, value, why) in [
-        ("LB_CONTROL", "nowhere", "no address"),
+        ("LB_CONTROL", "nowhere", "is not an address"),
         ("LB_CONTROL", taken.as_str(), "second address"),
         ("LB_LISTEN_FD", "three", "no number"),
         ("LB_LISTEN_FD", "3000", "'3000'"),
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -168,12 +168,12 @@
         let agent = curlewdeck::snmp::agent(&config, &curlewdeck::limits::Limits::default(), None);
         agent.err().map(|error| error.to_string()).unwrap_or_default()
     };
-    assert!(error_of("").contains("nobody may ask"));
+    assert!(error_of("").contains("a community or a file of users is required"));
     assert!(error_of("community = \"c\"\nengine_id = \"80\"").contains("5 to 32 bytes"));
     assert!(error_of("community = \"c\"\nusers = \"/nowhere\"").contains("/nowhere"));
     assert!(error_of("community = \"c\"\n[[snmp.views]]\nof = \"d\"").contains("view is of 'd'"));
     assert!(error_of("community = \"c\"\n[[snmp.views]]\nof = \"c\"\ninclude = [\"x\"]")
-        .contains("'x' is no name"));
+        .contains("'x' is not an object identifier"));
     assert_eq!(error_of("community = \"c\""), "");
 }
 
