--- a/src/net/dial_error.rs
+++ b/src/net/dial_error.rs
@@ -13,7 +13,7 @@
 ];
 
 /// Whether the error is a lack of local resources, which prevents connections to any peer.
-pub fn is_local_shortage(error: &Error) -> bool {
+pub fn is_local_resource_error(error: &Error) -> bool {
     error.raw_os_error().is_some_and(|number| LOCAL_RESOURCE_ERRORS.contains(&number))
 }
 
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -10,7 +10,7 @@
 use may::sync::mpsc::Sender;
 
 use crate::limits::Limits;
-use crate::net::dial_error::is_local_shortage;
+use crate::net::dial_error::is_local_resource_error;
 use crate::net::endpoints::{DiscoveryUpdate, LineError, WatchEvent, WatchParser};
 use crate::net::http::{self, ChunkDecoder};
 use crate::net::messages::{CallError, DiscoveryMessage};
@@ -76,7 +76,11 @@
         let stream =
             Stream::connect(&self.address, self.limits.discovery_call_timeout, None).map_err(|e| {
                 CallError {
-                    end: if is_local_shortage(&e) { CallEnd::LocalFailure } else { CallEnd::Unreachable },
+                    end: if is_local_resource_error(&e) {
+                        CallEnd::LocalFailure
+                    } else {
+                        CallEnd::Unreachable
+                    },
                     reason: format!("connection failed: {e}"),
                 }
             })?;
--- a/src/net/node/connection.rs
+++ b/src/net/node/connection.rs
@@ -8,7 +8,7 @@
 
 use crate::counters::Counters;
 use crate::net::connection_pool::{ConnectionId, Input};
-use crate::net::dial_error::is_local_shortage;
+use crate::net::dial_error::is_local_resource_error;
 use crate::net::frame::OutboundFrame;
 use crate::net::messages::{DrainGate, NodeMessage};
 use crate::net::node::reader::read_frames;
@@ -61,8 +61,11 @@
                 log::debug!(address:% = self.address, error:% = error; "failed to open a connection to a data node");
                 Counters::add(&self.context.counters.dials_failed);
                 // A lack of local resources does not count against the data node.
-                let input =
-                    if is_local_shortage(&error) { Input::NoSocketAvailable } else { Input::ConnectFailed };
+                let input = if is_local_resource_error(&error) {
+                    Input::NoSocketAvailable
+                } else {
+                    Input::ConnectFailed
+                };
                 report(&self.node, input(self.id));
                 None
             }
--- a/src/runtime/connect.rs
+++ b/src/runtime/connect.rs
@@ -6,7 +6,7 @@
 
 use may::net::TcpStream;
 
-use crate::net::dial_error::is_local_shortage;
+use crate::net::dial_error::is_local_resource_error;
 
 /// Socket time-outs are rounded up to a multiple of this, since `may` keeps a list per distinct duration and never
 /// frees it.
@@ -35,7 +35,7 @@
 /// Returns whether connecting failed for a local, possibly temporary reason, which implies nothing about the peer.
 fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{Interrupted, NetworkUnreachable, WouldBlock};
-    is_local_shortage(error) || matches!(error.kind(), Interrupted | NetworkUnreachable | WouldBlock)
+    is_local_resource_error(error) || matches!(error.kind(), Interrupted | NetworkUnreachable | WouldBlock)
 }
 
 /// Calls `connect` with the remaining time, up to [`CONNECT_ATTEMPTS`] times while its error is transient.
