--- a/src/frontend/features/mod.rs
+++ b/src/frontend/features/mod.rs
@@ -149,7 +149,7 @@
 
 /// Parses the features in the value of a range. Logs a malformed value and returns `None`.
 fn read_features(row: &Row) -> Option<RangeFeatures> {
-    match features::features_of(&row.data) {
+    match features::parse_features(&row.data) {
         Ok(features) => Some((row.shard, features)),
         Err(reason) => {
             log_malformed(row.shard, reason);
--- a/src/frontend/features/pages.rs
+++ b/src/frontend/features/pages.rs
@@ -53,7 +53,7 @@
 /// # Errors
 /// Returns the reason why the value is invalid.
 pub fn check_ids(value: &str, position: &Position, limit: usize) -> Result<(), InvalidFeatures> {
-    let features = features::features_of(value).map_err(InvalidFeatures)?;
+    let features = features::parse_features(value).map_err(InvalidFeatures)?;
     if features.len() > limit {
         return Err(InvalidFeatures("more features than the requested limit"));
     }
--- a/src/frontend/features/pages/tests.rs
+++ b/src/frontend/features/pages/tests.rs
@@ -7,7 +7,7 @@
 }
 
 fn value(ids: &[&str]) -> String {
-    features::value(&ids.iter().map(|i| feature(i)).collect::<Vec<_>>())
+    features::encode_features(&ids.iter().map(|i| feature(i)).collect::<Vec<_>>())
 }
 
 #[test]
--- a/src/net/feature_node/fetch.rs
+++ b/src/net/feature_node/fetch.rs
@@ -10,7 +10,7 @@
 use crate::engine::{CancellationToken, Dispatch, Value};
 use crate::net::feature_node::response::PageResponse;
 use crate::net::feature_node::FetchControl;
-use crate::net::features::{self, Names, RangeQuery};
+use crate::net::features::{self, ParameterNames, RangeQuery};
 use crate::net::messages::DrainGate;
 use crate::net::node::NodeContext;
 use crate::runtime::{Stream, WriteError};
@@ -24,7 +24,7 @@
 /// A running attempt or health check.
 pub(super) struct Fetch {
     pub(super) context: NodeContext,
-    pub(super) names: Arc<Names>,
+    pub(super) parameter_names: Arc<ParameterNames>,
     pub(super) gate: DrainGate,
     pub(super) control: Arc<FetchControl>,
     /// When the attempt times out.
@@ -61,7 +61,7 @@
     /// Fetches the range of a part, over the idle connection if there is one, else over a new one.
     pub(super) fn run(mut self, dispatch: &Dispatch, idle: Option<Arc<Stream>>) -> FetchEnd {
         let part = &dispatch.part;
-        let Some(query) = RangeQuery::new(&part.text, part.shard, &self.names) else {
+        let Some(query) = RangeQuery::new(&part.text, part.shard, &self.parameter_names) else {
             return FetchEnd::failed(Outcome::NotSent);
         };
         match self.fetch_range(query, idle) {
@@ -149,7 +149,7 @@
             match status {
                 200 => {}
                 404 if query.limit.is_none() => {
-                    return Ok(RangeValue { data: features::value(&[]), keep_alive });
+                    return Ok(RangeValue { data: features::encode_features(&[]), keep_alive });
                 }
                 429 | 503 if features.is_empty() => return Err(Outcome::Rejected),
                 _ => return Err(Outcome::ServerError),
@@ -163,7 +163,7 @@
                 Some(_) => return Err(Outcome::ServerError),
                 None => {
                     features.truncate(limit);
-                    return Ok(RangeValue { data: features::value(&features), keep_alive });
+                    return Ok(RangeValue { data: features::encode_features(&features), keep_alive });
                 }
             }
         }
--- a/src/net/feature_node/mod.rs
+++ b/src/net/feature_node/mod.rs
@@ -19,7 +19,7 @@
 use crate::counters::Counters;
 use crate::engine::{AttemptId, CancellationToken, Dispatch};
 use crate::net::feature_node::fetch::Fetch;
-use crate::net::features::Names;
+use crate::net::features::ParameterNames;
 use crate::net::messages::{CoreMessage, DrainGate, NodeMessage};
 use crate::net::node::NodeContext;
 use crate::runtime::{nanos, spawn, spawn_critical, Stream};
@@ -27,8 +27,13 @@
 /// Interval between checks of the idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts the actor; returns its mailbox. `names` contains the query parameters of the requested range.
-pub fn start(id: ServerId, gate: DrainGate, context: NodeContext, names: Arc<Names>) -> Sender<NodeMessage> {
+/// Starts the actor; returns its mailbox. `parameter_names` contains the query parameters of the requested range.
+pub fn start(
+    id: ServerId,
+    gate: DrainGate,
+    context: NodeContext,
+    parameter_names: Arc<ParameterNames>,
+) -> Sender<NodeMessage> {
     let (mailbox, inbox) = channel();
     let own_mailbox = mailbox.clone();
     let stack_words = context.limits.stack_words;
@@ -36,7 +41,7 @@
         let actor = FeatureNodeActor {
             id,
             context,
-            names,
+            parameter_names,
             mailbox: own_mailbox,
             address: None,
             gate,
@@ -95,7 +100,7 @@
 struct FeatureNodeActor {
     id: ServerId,
     context: NodeContext,
-    names: Arc<Names>,
+    parameter_names: Arc<ParameterNames>,
     /// The actor's own mailbox, to which its fetches report.
     mailbox: Sender<NodeMessage>,
     address: Option<SocketAddr>,
@@ -190,7 +195,7 @@
         self.fetches.insert(attempt, control.clone());
         let fetch = Fetch {
             context: self.context.clone(),
-            names: self.names.clone(),
+            parameter_names: self.parameter_names.clone(),
             gate: self.gate.clone(),
             control,
             deadline: dispatch.deadline,
@@ -218,7 +223,7 @@
         let deadline = now + nanos(self.context.limits.health_check_timeout);
         let fetch = self.address.map(|address| Fetch {
             context: self.context.clone(),
-            names: self.names.clone(),
+            parameter_names: self.parameter_names.clone(),
             gate: self.gate.clone(),
             control: Arc::new(FetchControl::new(address)),
             deadline,
--- a/src/net/features/mod.rs
+++ b/src/net/features/mod.rs
@@ -46,7 +46,7 @@
 
 /// The names of the query parameters of feature servers that the standard does not define.
 #[derive(Debug, Clone, Default)]
-pub struct Names {
+pub struct ParameterNames {
     /// The parameter for the tag range.
     pub range: String,
     /// The parameter for the id after which a listing continues; `None` if the servers have none.
@@ -64,7 +64,7 @@
 
 impl RangeQuery {
     /// Creates the request for one range of a feature query; `None` if the query's text is malformed.
-    pub fn new(text: &str, range: ShardId, names: &Names) -> Option<Self> {
+    pub fn new(text: &str, range: ShardId, names: &ParameterNames) -> Option<Self> {
         let Some((path, query)) = text.split_once('?') else {
             return Some(Self { target: text.to_string(), limit: None });
         };
@@ -89,7 +89,7 @@
 }
 
 impl QueryParameters {
-    fn parse(query: &str, names: &Names) -> Option<Self> {
+    fn parse(query: &str, names: &ParameterNames) -> Option<Self> {
         let mut parameters = Self { forwarded: Vec::new(), limit: None, cursor: Cursor::START };
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             match pair.split_once('=') {
@@ -166,7 +166,7 @@
 }
 
 /// Returns the value of a range: a JSON array of its features, each as its server wrote it.
-pub fn value(features: &[Box<RawValue>]) -> String {
+pub fn encode_features(features: &[Box<RawValue>]) -> String {
     let texts: Vec<&str> = features.iter().map(|feature| feature.get()).collect();
     format!("[{}]", texts.join(","))
 }
@@ -175,7 +175,7 @@
 ///
 /// # Errors
 /// The value is none of these.
-pub fn features_of(value: &str) -> Result<Vec<Box<RawValue>>, &'static str> {
+pub fn parse_features(value: &str) -> Result<Vec<Box<RawValue>>, &'static str> {
     match value.trim_start().as_bytes().first() {
         Some(b'[') => serde_json::from_str(value).map_err(|_| "value is not an array of features"),
         _ => parse_page(value).map(|page| page.features),
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -18,7 +18,7 @@
 use crate::net::endpoint_list_lease::EndpointListLease;
 use crate::net::endpoints::EndpointUpdate;
 use crate::net::feature_node;
-use crate::net::features::Names;
+use crate::net::features::ParameterNames;
 use crate::net::log_limit::LogRateLimit;
 use crate::net::messages::{self, CoreMailbox, DiscoveryMessage};
 use crate::net::node::{self, NodeContext};
@@ -191,7 +191,7 @@
     match nodes.protocol {
         NodeProtocol::Frames => Box::new(move |id, gate| node::start(id, gate, context.clone())),
         NodeProtocol::Features => {
-            let names = Arc::new(Names {
+            let names = Arc::new(ParameterNames {
                 range: nodes.range_parameter.clone(),
                 after: nodes.after_parameter.clone(),
             });
