--- a/crates/core/src/engine/outcome.rs
+++ b/crates/core/src/engine/outcome.rs
@@ -45,7 +45,7 @@
 
 impl QueryOutcome {
     /// Returns the outcome as a single word for logs.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Answered { complete: true, .. } => "complete",
             Self::Answered { .. } => "partial",
--- a/src/net/coordinator/commands.rs
+++ b/src/net/coordinator/commands.rs
@@ -105,7 +105,7 @@
             }
         }
         self.handle.counters.record_ledger(&self.ledger);
-        log::debug!(target: REQUEST_LOG_TARGET, query = query.0, outcome = outcome.word(); "query finished");
+        log::debug!(target: REQUEST_LOG_TARGET, query = query.0, outcome = outcome.as_str(); "query finished");
     }
 
     fn send_to_node(&self, server: ServerId, message: NodeMessage) {
