--- a/src/frontend/features/resource.rs
+++ b/src/frontend/features/resource.rs
@@ -73,7 +73,7 @@
             match name {
                 "cursor" => cursor = Some(value),
                 _ => filter
-                    .set(name, value, self.limits.page_features)
+                    .set(name, value, self.limits.max_page_features)
                     .map_err(|error| problem(400, &error.to_string()))?,
             }
         }
--- a/src/frontend/http_server/accept.rs
+++ b/src/frontend/http_server/accept.rs
@@ -142,7 +142,7 @@
 }
 
 /// Gets a permit for a new connection, and evicts another connection if needed. Returns `None` if no connection can be
-/// evicted, or none has freed its slot within `client_place_timeout`.
+/// evicted, or none has freed its slot within `client_slot_timeout`.
 fn admit(context: &FrontendContext) -> Option<Permit> {
     let start = Instant::now();
     loop {
@@ -150,7 +150,7 @@
             return Some(permit);
         }
         let none_is_evictable = context.service.evict(&context.limits) == Eviction::AllPending;
-        if none_is_evictable || start.elapsed() >= context.limits.client_place_timeout {
+        if none_is_evictable || start.elapsed() >= context.limits.client_slot_timeout {
             return None;
         }
         may::coroutine::sleep(EVICTION_PAUSE);
--- a/src/frontend/http_server/reader.rs
+++ b/src/frontend/http_server/reader.rs
@@ -177,7 +177,7 @@
                 return Flow::Break(FINISHED);
             }
         }
-        Flow::Continue(left.unwrap_or(limits.client_idle))
+        Flow::Continue(left.unwrap_or(limits.client_idle_timeout))
     }
 
     fn read(&self, buffer: &mut [u8], timeout: Duration) -> io::Result<usize> {
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -43,13 +43,13 @@
     /// Maximum size of an endpoint list or of an update to it, in bytes.
     pub max_update_bytes: usize,
     /// Maximum number of header fields of an HTTP request or response.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Messages in the core's mailbox above which new queries are rejected.
     pub core_backlog: usize,
     /// Maximum number of calls that may be queued at one data node's actor.
     pub queued_parts_per_node: usize,
     /// Idle time after which a client connection that has been answered is closed.
-    pub client_idle: Duration,
+    pub client_idle_timeout: Duration,
     /// Idle time after which such a connection may be closed to make room for a new one.
     pub client_evictable_idle: Duration,
     /// Time after which a connection without a complete request may be closed to make room for a new one, since the
@@ -57,7 +57,7 @@
     /// been idle for less than `client_evictable_idle`.
     pub client_evictable_silence: Duration,
     /// Time for which a new connection waits for another one to be closed before it is rejected.
-    pub client_place_timeout: Duration,
+    pub client_slot_timeout: Duration,
     /// Time within which a request must be complete: the first one since the connection was accepted, further ones
     /// since their first byte.
     pub request_read_timeout: Duration,
@@ -97,7 +97,7 @@
     /// Subtracted from a client's timeout to leave time for sending the answer.
     pub answer_margin: Duration,
     /// Time after its deadline, margin included, at which a query is ended if the policy has not ended it.
-    pub backstop: Duration,
+    pub deadline_backstop: Duration,
     /// Maximum query deadline that counts towards the time between SIGTERM and SIGKILL.
     pub term_deadline_max: Duration,
     /// SIGKILL follows SIGTERM no sooner than after the longest deadline, up to `term_deadline_max`, plus this.
@@ -122,13 +122,13 @@
     /// clients.
     pub drain_notice: Duration,
     /// Time after the start of such a drain at which idle connections are closed, and those without a complete request.
-    pub drain_rest: Duration,
+    pub drain_idle_close_delay: Duration,
     /// Minimum interval between updates of the statistics at the second address.
     pub stats_interval: Duration,
     /// Maximum number of pages that one part of a feature query may fetch.
-    pub pages: usize,
+    pub max_pages: usize,
     /// Maximum number of features on a page of an answer.
-    pub page_features: usize,
+    pub max_page_features: usize,
     /// Timeout of requests to the features frontend.
     pub features_timeout: Duration,
     /// Maximum number of rows in an answer or a page of the aggregation frontend.
@@ -154,7 +154,7 @@
     /// Maximum duration of a walk.
     pub snmp_walk: Duration,
     /// Age up to which a snapshot is shared with walks that begin later.
-    pub snmp_fresh: Duration,
+    pub snmp_snapshot_max_age: Duration,
     /// Minimum interval between notifications of the same kind and subject.
     pub notify_min_interval: Duration,
     /// Maximum number of notifications in a burst.
@@ -193,13 +193,13 @@
             no_socket_log_interval: Duration::from_secs(10),
             query_name_quarantine: Duration::from_secs(10),
             max_update_bytes: 1024 * 1024,
-            headers: 64,
+            max_headers: 64,
             core_backlog: 4096,
             queued_parts_per_node: 512,
-            client_idle: Duration::from_secs(15),
+            client_idle_timeout: Duration::from_secs(15),
             client_evictable_idle: Duration::from_secs(2),
             client_evictable_silence: Duration::from_millis(20),
-            client_place_timeout: Duration::from_millis(500),
+            client_slot_timeout: Duration::from_millis(500),
             request_read_timeout: Duration::from_secs(2),
             read_ahead: 16 * 1024,
             rejected_clients: 4,
@@ -217,7 +217,7 @@
             update_log_interval: Duration::from_millis(100),
             client_log_interval: Duration::from_millis(100),
             answer_margin: Duration::from_millis(12),
-            backstop: Duration::from_millis(6),
+            deadline_backstop: Duration::from_millis(6),
             term_deadline_max: Duration::from_secs(3),
             term_kill_delay: Duration::from_millis(700),
             term_margin: Duration::from_millis(300),
@@ -229,10 +229,10 @@
             control_timeout: Duration::from_secs(2),
             control_linger: Duration::from_millis(200),
             drain_notice: Duration::from_millis(400),
-            drain_rest: Duration::from_millis(1500),
+            drain_idle_close_delay: Duration::from_millis(1500),
             stats_interval: Duration::from_millis(50),
-            pages: 64,
-            page_features: 1000,
+            max_pages: 64,
+            max_page_features: 1000,
             features_timeout: Duration::from_secs(10),
             max_aggregation_rows: 1000,
             aggregation_chunk_bytes: 16 * 1024,
@@ -245,7 +245,7 @@
             snmp_objects: 80_000,
             snmp_walk_idle: Duration::from_secs(2),
             snmp_walk: Duration::from_secs(30),
-            snmp_fresh: Duration::from_millis(100),
+            snmp_snapshot_max_age: Duration::from_millis(100),
             notify_min_interval: Duration::from_secs(60),
             notify_burst: 20,
             notify_refill_interval: Duration::from_secs(5),
--- a/src/net/feature_node/fetch.rs
+++ b/src/net/feature_node/fetch.rs
@@ -143,7 +143,7 @@
 
     fn fetch_pages(&mut self, stream: &Stream, query: RangeQuery) -> Result<RangeValue, Outcome> {
         let (mut features, mut target) = (Vec::new(), query.target);
-        for _ in 0..self.context.limits.pages {
+        for _ in 0..self.context.limits.max_pages {
             self.check_may_request()?;
             let PageResponse { status, body, keep_alive } = self.fetch_page(stream, &target)?;
             match status {
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -158,7 +158,7 @@
 
 /// Parses the head of the first request in `bytes`; returns `None` while it is incomplete.
 fn parse_request_head(bytes: &[u8], limits: &Limits) -> Result<Option<ParsedHead>, BadMessage> {
-    let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut lines = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut head = httparse::Request::new(&mut lines);
     let size = match head.parse(bytes) {
         Ok(httparse::Status::Complete(size)) if size <= limits.max_head_bytes => size,
--- a/src/net/http/response_head.rs
+++ b/src/net/http/response_head.rs
@@ -24,7 +24,7 @@
 /// # Errors
 /// The head is malformed or too large.
 pub fn parse_head(bytes: &[u8], limits: &Limits) -> Result<Option<(Head, usize)>, BadMessage> {
-    let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut lines = vec![httparse::EMPTY_HEADER; limits.max_headers];
     let mut head = httparse::Response::new(&mut lines);
     match head.parse(bytes) {
         Ok(httparse::Status::Complete(size)) if size <= limits.max_head_bytes => {
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -154,7 +154,7 @@
         max_objects: limits.snmp_objects,
         idle_timeout: nanos(limits.snmp_walk_idle),
         max_walk_age: nanos(limits.snmp_walk),
-        max_shared_age: nanos(limits.snmp_fresh),
+        max_shared_age: nanos(limits.snmp_snapshot_max_age),
     });
     let started_at = core.clock.now();
     let mut server = SnmpServer { agent, core, counters, group_status, walkers, started_at };
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -67,7 +67,7 @@
         let limits = process.limits.clone();
         let timings = DrainTimings {
             drain_notice: nanos(limits.drain_notice),
-            idle_close_delay: nanos(limits.drain_rest),
+            idle_close_delay: nanos(limits.drain_idle_close_delay),
             shared_listener,
         };
         let service = Service::new(process.clock, Lifecycle::new(timings), nanos(limits.client_log_interval));
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -116,7 +116,12 @@
 
     fn engine(&self, seed: u64) -> Result<Engine, StartError> {
         let (deployment, limits) = (Deployment::clone(&self.deployment), &self.limits);
-        Ok(Engine::new(deployment, seed, nanos(limits.backstop), nanos(limits.query_name_quarantine))?)
+        Ok(Engine::new(
+            deployment,
+            seed,
+            nanos(limits.deadline_backstop),
+            nanos(limits.query_name_quarantine),
+        )?)
     }
 
     /// Starts the discovery actor. Returns its mailbox and the endpoint list that was known before the start.
