--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -9,7 +9,7 @@
 
 use super::missing_key::first_missing_key;
 use super::ConfigError;
-use crate::limits::Platform;
+use crate::limits::PlatformBounds;
 use crate::net::endpoints::DiscoveryUpdate;
 use crate::settings::{self, Deployment};
 
@@ -130,10 +130,11 @@
         })
     }
 
-    /// The platform's bounds for this process, which shares them with `others` processes of the same coordinator.
-    pub fn platform(&self, others: usize) -> Platform {
+    /// The platform's bounds for this process, which shares them with `other_processes` processes of the same
+    /// coordinator.
+    pub fn platform_bounds(&self, other_processes: usize) -> PlatformBounds {
         let nodes = self.known_endpoints.as_ref().map_or(0, |known| known.lines.len());
-        Platform { sockets: self.sockets, memory_mb: self.memory_mb, others, nodes }
+        PlatformBounds { sockets: self.sockets, memory_mb: self.memory_mb, other_processes, nodes }
     }
 
     /// Checks that this configuration may replace `before` while the process runs: it must have all of its keys.
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -301,13 +301,13 @@
 
 /// The platform's bounds for all processes of a coordinator together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Platform {
+pub struct PlatformBounds {
     /// Maximum number of file descriptors.
     pub sockets: usize,
     /// Maximum memory, in megabytes.
     pub memory_mb: usize,
     /// Other processes that may serve at the same address and share the bounds.
-    pub others: usize,
+    pub other_processes: usize,
     /// Data nodes in the endpoint list that was known before the start.
     pub nodes: usize,
 }
@@ -336,19 +336,19 @@
     ///
     /// # Errors
     /// The descriptors or the memory are too little for the minimum number of clients.
-    pub fn within(platform: Platform) -> Result<Self, LimitsError> {
-        let processes = platform.others + 1;
-        let sockets = platform.sockets / processes;
+    pub fn within(bounds: PlatformBounds) -> Result<Self, LimitsError> {
+        let processes = bounds.other_processes + 1;
+        let sockets = bounds.sockets / processes;
         if sockets < MIN_SOCKETS {
             return Err(LimitsError::TooFewSockets { allowed: sockets });
         }
-        let max_clients = clients_in_memory(platform.memory_mb.saturating_mul(KB_PER_MB) / processes);
+        let max_clients = clients_in_memory(bounds.memory_mb.saturating_mul(KB_PER_MB) / processes);
         if max_clients < MIN_CLIENTS {
             let needed = (PROCESS_KB + MIN_CLIENTS * CLIENT_KB).div_ceil(KB_PER_MB) * processes;
-            return Err(LimitsError::TooLittleMemory { allowed: platform.memory_mb, needed });
+            return Err(LimitsError::TooLittleMemory { allowed: bounds.memory_mb, needed });
         }
         let mut limits = Self::default();
-        limits.node_sockets = node_sockets(limits.node_sockets, sockets, platform.nodes);
+        limits.node_sockets = node_sockets(limits.node_sockets, sockets, bounds.nodes);
         limits.clients =
             limits.clients.min(sockets - RESERVED_SOCKETS - limits.node_sockets).min(max_clients);
         Ok(limits)
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -27,8 +27,9 @@
 /// The process must not run out of descriptors when every kind of socket reaches its limit.
 #[test]
 fn all_kinds_of_sockets_together_stay_within_the_bound() {
-    let within =
-        |sockets, memory_mb, others| Limits::within(Platform { sockets, memory_mb, others, nodes: 12 });
+    let within = |sockets, memory_mb, other_processes| {
+        Limits::within(PlatformBounds { sockets, memory_mb, other_processes, nodes: 12 })
+    };
     for sockets in [128, 256, 1024, 4096] {
         let limits = within(sockets, 192, 0).unwrap();
         assert!(limits.clients + limits.node_sockets + RESERVED_SOCKETS <= sockets);
@@ -42,7 +43,8 @@
 #[test]
 fn each_data_node_of_a_large_fleet_can_have_a_connection() {
     let of = |sockets, nodes| {
-        let limits = Limits::within(Platform { sockets, memory_mb: 192, others: 0, nodes }).unwrap();
+        let limits =
+            Limits::within(PlatformBounds { sockets, memory_mb: 192, other_processes: 0, nodes }).unwrap();
         assert!(limits.clients >= sockets / 3 - RESERVED_SOCKETS, "{limits:?}");
         limits.node_sockets
     };
@@ -54,14 +56,18 @@
 #[test]
 fn two_processes_share_the_bounds() {
     for (sockets, memory_mb) in [(256, 32), (1024, 32), (384, 48), (1024, 192)] {
-        let of = |others| Limits::within(Platform { sockets, memory_mb, others, nodes: 12 }).unwrap();
+        let of = |other_processes| {
+            Limits::within(PlatformBounds { sockets, memory_mb, other_processes, nodes: 12 }).unwrap()
+        };
         for (processes, limits) in [(1, of(0)), (2, of(1))] {
             let kilobytes = processes * (PROCESS_KB + limits.clients * CLIENT_KB);
             assert!(kilobytes <= memory_mb * 1024, "{processes} with {memory_mb} MB: {kilobytes} KB");
             assert!(processes * (limits.clients + limits.node_sockets + RESERVED_SOCKETS) <= sockets);
         }
     }
-    let error = Limits::within(Platform { sockets: 1024, memory_mb: 24, others: 1, nodes: 12 }).unwrap_err();
+    let error =
+        Limits::within(PlatformBounds { sockets: 1024, memory_mb: 24, other_processes: 1, nodes: 12 })
+            .unwrap_err();
     assert_eq!(error.to_string(), "limits.memory_mb is 24, at least 26 are needed");
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -152,7 +152,7 @@
 /// Validates both files and prints a summary.
 fn check(config: &Config, edge: &Edge) -> Result<(), CommandError> {
     edge.check(&config.deployment)?;
-    Limits::within(config.platform(0))?;
+    Limits::within(config.platform_bounds(0))?;
     let state = |on| if on { "on" } else { "off" };
     println!(
         "the configuration can be used: {} classes, feature front {}, desk front {}, management agent {}",
@@ -197,7 +197,7 @@
     start_logging();
     // Installs the handlers first, so that no early signal terminates the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).map_err(ServeError::Signals)?;
-    startup::set_up_workers(&Limits::within(config.platform(0))?);
+    startup::set_up_workers(&Limits::within(config.platform_bounds(0))?);
     let coordinator = Arc::new(startup::start(config, edge)?);
     let reloader =
         Reloader::start(coordinator.clone(), file.to_path_buf()).map_err(ServeError::ReloadThread)?;
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -107,7 +107,7 @@
 impl ProcessContext {
     pub(super) fn new(config: &Config, other_processes: u32) -> Result<Self, StartError> {
         Ok(Self {
-            limits: Arc::new(Limits::within(config.platform(other_processes as usize))?),
+            limits: Arc::new(Limits::within(config.platform_bounds(other_processes as usize))?),
             clock: Clock::start(),
             counters: Arc::default(),
             deployment: Arc::new(config.deployment.clone().with_sibling_processes(other_processes)),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -130,7 +130,7 @@
     let mut config: Value = serde_json::from_str(&large_cluster().config(addr)).unwrap();
     config["known"] = endpoint_list(41, true, node.addr);
     let config = Config::read(&indented(&config), |_| None).unwrap();
-    assert_eq!(config.platform(0).nodes, NODES as usize);
+    assert_eq!(config.platform_bounds(0).nodes, NODES as usize);
     let coordinator = startup::start(config, Edge::default()).unwrap();
     wait_until_all_nodes_are_active(&coordinator);
     assert!(node.received_parts().is_empty());
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -11,7 +11,7 @@
 
 use serde_json::{json, Value};
 
-use curlewdeck::limits::{Limits, Platform};
+use curlewdeck::limits::{Limits, PlatformBounds};
 
 use harness::stand_in::{get, read_answer, send_request, DataNode, Discovery, NodeReply};
 use harness::{
@@ -377,7 +377,9 @@
         sockets: 128,
         ..TestCluster::default()
     };
-    let limits = Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap();
+    let limits =
+        Limits::within(PlatformBounds { sockets: 128, memory_mb: 192, other_processes: 0, nodes: 0 })
+            .unwrap();
     let program = Program::start(&cluster.config(discovery.addr));
     let shards: Vec<u32> = (0..nodes).collect();
     let open = connect_and_send(program.addr, &query_bytes("plaza-ranking", &shards, "60000m"));
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -10,7 +10,7 @@
 
 use curlewdeck::api::ShardId;
 use curlewdeck::engine::{ClientLiveness, QueryOutcome, QueryRequest, ResponseValidator};
-use curlewdeck::limits::{Limits, Platform};
+use curlewdeck::limits::{Limits, PlatformBounds};
 use curlewdeck::startup::Coordinator;
 
 use harness::stand_in::{get, read_answer, send_request, DataNode, Discovery, NodeReply, Part};
@@ -386,7 +386,9 @@
     };
     // Opens twice as many silent connections as the limit allows, with served clients in between.
     let client_limit =
-        Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap().clients;
+        Limits::within(PlatformBounds { sockets: 128, memory_mb: 192, other_processes: 0, nodes: 0 })
+            .unwrap()
+            .clients;
     let mut silent = Vec::new();
     for _ in 0..client_limit {
         silent.extend((0..2).map(|_| TcpStream::connect(addr).unwrap()));
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use curlewdeck::limits::{Limits, Platform};
+use curlewdeck::limits::{Limits, PlatformBounds};
 
 use harness::scripted::{chunk, complete_list, ScriptedDiscoveryServer, WATCH_RESPONSE_HEAD};
 use harness::stand_in::{get, read_answer, send_request, DataNode, Discovery, NodeReply};
@@ -152,7 +152,9 @@
     wait_until_healthy(&coordinator);
     let addr = coordinator.listen;
     let client_limit =
-        Limits::within(Platform { sockets: 128, memory_mb: 192, others: 0, nodes: 0 }).unwrap().clients;
+        Limits::within(PlatformBounds { sockets: 128, memory_mb: 192, other_processes: 0, nodes: 0 })
+            .unwrap()
+            .clients;
     let accepted = || coordinator.core.counters.queries_accepted.load(Ordering::SeqCst);
     let open: Vec<TcpStream> = (1..=client_limit as u64)
         .map(|n| {
