--- a/src/config/aggregation.rs
+++ b/src/config/aggregation.rs
@@ -25,8 +25,8 @@
     #[serde(default)]
     pub cursor_keys: Option<PathBuf>,
     /// The lifetime of a cursor, in seconds.
-    #[serde(default = "default_cursor_lifetime_s")]
-    pub cursor_life_s: u64,
+    #[serde(rename = "cursor_life_s", default = "default_cursor_lifetime_s")]
+    pub cursor_lifetime_s: u64,
     /// The data sets that the frontend serves, each with a unique id.
     pub sets: Vec<SetConfig>,
 }
@@ -65,7 +65,7 @@
         if deployment.shards == 0 {
             return Err(AggregationConfigError::NoShards);
         }
-        if self.cursor_life_s == 0 {
+        if self.cursor_lifetime_s == 0 {
             return Err(AggregationConfigError::ZeroCursorLifetime);
         }
         let ids: BTreeSet<&str> = self.sets.iter().map(|set| set.id.as_str()).collect();
--- a/src/config/features.rs
+++ b/src/config/features.rs
@@ -30,8 +30,8 @@
     #[serde(default)]
     pub cursor_keys: Option<PathBuf>,
     /// The lifetime of a cursor, in seconds.
-    #[serde(default = "default_cursor_lifetime_s")]
-    pub cursor_life_s: u64,
+    #[serde(rename = "cursor_life_s", default = "default_cursor_lifetime_s")]
+    pub cursor_lifetime_s: u64,
     /// The collections that the frontend serves, each with a unique id.
     pub collections: Vec<CollectionConfig>,
 }
--- a/src/frontend/aggregation/mod.rs
+++ b/src/frontend/aggregation/mod.rs
@@ -75,7 +75,7 @@
             limits,
             range_cache,
             cursor_keys: config.keys()?,
-            cursor_lifetime_s: config.cursor_life_s,
+            cursor_lifetime_s: config.cursor_lifetime_s,
             sets: config.sets.iter().cloned().zip(classes).collect(),
             next_query: AtomicU64::new(seed & NAME_SEED_MASK),
         })
--- a/src/frontend/features/mod.rs
+++ b/src/frontend/features/mod.rs
@@ -110,7 +110,7 @@
         return Ok(None);
     }
     let keys = Arc::new(read_cursor_keys(config.cursor_keys.as_deref())?);
-    Ok(Some(CursorKeys { keys, lifetime_s: config.cursor_life_s }))
+    Ok(Some(CursorKeys { keys, lifetime_s: config.cursor_lifetime_s }))
 }
 
 impl Frontend for FeaturesFrontend {
