--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -18,9 +18,9 @@
 
 /// A listening TCP socket that other processes may share.
 #[derive(Debug)]
-pub struct Inherited(TcpListener);
+pub struct InheritedListener(TcpListener);
 
-impl Inherited {
+impl InheritedListener {
     /// Takes ownership of the socket with this descriptor number. Must be called once, before other threads are
     /// started, since it sets environment variables.
     ///
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// Fails if the socket cannot be polled.
-    pub fn waits(&self, timeout: Duration) -> io::Result<bool> {
+    pub fn wait_for_connection(&self, timeout: Duration) -> io::Result<bool> {
         let millis = PollTimeout::try_from(timeout).unwrap_or(PollTimeout::MAX);
         let mut fds = [PollFd::new(self.0.as_fd(), PollFlags::POLLIN)];
         match poll(&mut fds, millis) {
--- a/src/frontend/http_server/accept.rs
+++ b/src/frontend/http_server/accept.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use curlewdeck_listener::Inherited;
+use curlewdeck_listener::InheritedListener;
 use may::net::{TcpListener, TcpStream};
 use may::sync::mpsc::{channel, Sender};
 
@@ -63,7 +63,7 @@
 /// # Errors
 /// Fails if the socket is unusable or the coroutine or thread cannot be started.
 pub fn listen_inherited(
-    inherited: Inherited,
+    inherited: InheritedListener,
     frontend: Arc<dyn Frontend>,
     context: FrontendContext,
 ) -> io::Result<SocketAddr> {
@@ -91,7 +91,7 @@
 
 /// The thread that accepts connections on an inherited socket.
 struct InheritedAcceptor {
-    inherited: Inherited,
+    inherited: InheritedListener,
     service: Arc<Service>,
     errors: AcceptErrors,
     /// Sends accepted streams to the coroutine that registers or rejects them.
@@ -103,7 +103,7 @@
 impl InheritedAcceptor {
     fn run(mut self) {
         loop {
-            let accepted = match self.inherited.waits(SHUTDOWN_CHECK_INTERVAL) {
+            let accepted = match self.inherited.wait_for_connection(SHUTDOWN_CHECK_INTERVAL) {
                 Ok(_) if self.service.lifecycle().is_shutting_down() => return,
                 Ok(false) => Ok(None),
                 Ok(true) => self.inherited.accept(),
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use curlewdeck_lifecycle::{DrainTimings, Lifecycle};
-use curlewdeck_listener::Inherited;
+use curlewdeck_listener::InheritedListener;
 
 use super::operations::CoordinatorOperations;
 use super::subsystems::{ProcessContext, Subsystems};
@@ -87,7 +87,7 @@
         config: &Config,
         edge: &Edge,
         subsystems: &mut Subsystems,
-        inherited: Option<Inherited>,
+        inherited: Option<InheritedListener>,
     ) -> Result<StartedFrontends, StartError> {
         let range_cache = subsystems.range_cache.take();
         let restored = subsystems.restored.take();
@@ -165,7 +165,7 @@
     fn listen_for_clients(
         &self,
         address: SocketAddr,
-        inherited: Option<Inherited>,
+        inherited: Option<InheritedListener>,
     ) -> Result<SocketAddr, StartError> {
         let FrontendContext { core, limits, service, .. } = self.shared.clone();
         let frontend = Arc::new(PlatformFrontend { core, limits, service });
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use curlewdeck_listener::Inherited;
+use curlewdeck_listener::InheritedListener;
 
 pub use coordinator::{ConfigChange, Coordinator};
 pub use error::StartError;
@@ -82,7 +82,7 @@
 }
 
 /// Takes over the listening socket of another process, if `LB_LISTEN_FD` names one.
-fn take_inherited_listener(config: &Config) -> Result<Option<Inherited>, StartError> {
-    let inherited = config.listen_fd.as_deref().map(Inherited::take).transpose();
+fn take_inherited_listener(config: &Config) -> Result<Option<InheritedListener>, StartError> {
+    let inherited = config.listen_fd.as_deref().map(InheritedListener::take).transpose();
     inherited.map_err(StartError::InheritedListener)
 }
