--- a/crates/merge/examples/merge_check/run.rs
+++ b/crates/merge/examples/merge_check/run.rs
@@ -174,7 +174,7 @@
         let name = ["rank", "sum", "count", "min", "max", "mean", "list"]
             [ops.iter().position(|o| *o == op).unwrap_or(0)];
         let asked = Asked { op: name, descending: order == Order::Desc, grouped, limit, floor: min_coverage };
-        if !query.paged() {
+        if !query.is_paged() {
             let mut merger = QueryMerger::new(query, self.data.len() as u32);
             return self.run_attempts(&mut merger, &asked).map(drop);
         }
--- a/crates/merge/src/merger.rs
+++ b/crates/merge/src/merger.rs
@@ -65,7 +65,7 @@
     }
 
     /// The ranges whose last value was rejected, with the error.
-    pub fn rejected(&self) -> impl Iterator<Item = (Range, &InvalidValue)> {
+    pub fn rejected_values(&self) -> impl Iterator<Item = (Range, &InvalidValue)> {
         self.rejected.iter().map(|(&range, invalid)| (range, invalid))
     }
 
--- a/crates/merge/src/query.rs
+++ b/crates/merge/src/query.rs
@@ -100,7 +100,7 @@
 
 impl Query {
     /// Whether the answer is returned in pages, in key order: listings and grouped aggregates.
-    pub fn paged(&self) -> bool {
+    pub fn is_paged(&self) -> bool {
         self.op == Op::List || (self.op.is_aggregate() && self.grouped)
     }
 
--- a/src/frontend/aggregation/query.rs
+++ b/src/frontend/aggregation/query.rs
@@ -85,7 +85,7 @@
     fn merger(&self, query: Query, cursor: Option<&str>) -> Result<QueryMerger, Reply> {
         let ranges = self.core.deployment().shards;
         let Some(text) = cursor else { return Ok(QueryMerger::new(query, ranges)) };
-        if !query.paged() {
+        if !query.is_paged() {
             return Err(invalid_field("cursor", "only listings and grouped figures have pages"));
         }
         let cursor = self.cursor_keys.open(text, &query.digest(), ranges as usize, unix_now());
--- a/src/frontend/aggregation/response.rs
+++ b/src/frontend/aggregation/response.rs
@@ -83,7 +83,7 @@
     fn unanswered_reply(&self, ended: &Result<QueryOutcome, RejectReason>) -> Option<Reply> {
         let reply = unanswered_reply(ended, self.core.queue_full_retry_after())?;
         let merger = lock(&self.merger);
-        let invalid = merger.rejected().next();
+        let invalid = merger.rejected_values().next();
         match (ended, invalid) {
             (Ok(QueryOutcome::Failed), Some((range, reason))) => {
                 Some(problem(504, &format!("no answer in time; tag range {range}: {reason}")))
