--- a/crates/merge/examples/merge_check/checker.rs
+++ b/crates/merge/examples/merge_check/checker.rs
@@ -50,7 +50,7 @@
         let history = &data[range as usize];
         ensure!((1..=history.latest()).contains(&version), "range {range} never had version {version}");
         ensure!(
-            included.insert(range as u32, history.at(version)).is_none(),
+            included.insert(range as u32, history.snapshot(version)).is_none(),
             "range {range} is included twice"
         );
     }
@@ -59,7 +59,7 @@
         let range = entry["range"].as_u64().ok_or("no range")? as u32;
         ensure!(!included.contains_key(&range), "range {range} is both included and missing");
         match entry["boundedAtVersion"].as_u64() {
-            Some(version) => drop(bounded.insert(range, data[range as usize].at(version))),
+            Some(version) => drop(bounded.insert(range, data[range as usize].snapshot(version))),
             None => unbounded += 1,
         }
     }
--- a/crates/merge/examples/merge_check/run.rs
+++ b/crates/merge/examples/merge_check/run.rs
@@ -12,7 +12,7 @@
 use serde_json::Value as Json;
 
 use super::checker::{self, Asked, Walk};
-use super::stand_in::{answer, History, Manner, Row};
+use super::stand_in::{replica_value, History, Row, ValueOptions};
 
 /// An error injected into the answers, to show that the checker detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -253,14 +253,14 @@
     fn attempt(&mut self, merger: &mut QueryMerger, range: u32) -> Result<Option<String>, String> {
         let replicas = &self.replicas[range as usize];
         let Some(version) = replicas[self.rng.usize(..replicas.len())] else { return Ok(None) };
-        let manner = Manner {
-            terse: self.rng.u8(..) < 50,
-            no_total: self.rng.bool(),
-            room: if self.rng.u8(..) < 50 { self.rng.usize(1..5) } else { usize::MAX },
-            ..Manner::default()
+        let options = ValueOptions {
+            omit_bounds: self.rng.u8(..) < 50,
+            omit_total: self.rng.bool(),
+            max_rows: if self.rng.u8(..) < 50 { self.rng.usize(1..5) } else { usize::MAX },
+            ..ValueOptions::default()
         };
-        let snapshot = self.data[range as usize].at(version);
-        let text = answer(snapshot, version, &merger.request_text(range), manner)
+        let snapshot = self.data[range as usize].snapshot(version);
+        let text = replica_value(snapshot, version, &merger.request_text(range), options)
             .ok_or("the replica rejected the request")?;
         if self.rng.u8(..) < 25 {
             let corrupted = self.corrupt(&text);
--- a/crates/merge/examples/merge_check/stand_in.rs
+++ b/crates/merge/examples/merge_check/stand_in.rs
@@ -25,7 +25,7 @@
         self.0.len() as u64
     }
 
-    pub fn at(&self, version: u64) -> &Snapshot {
+    pub fn snapshot(&self, version: u64) -> &Snapshot {
         &self.0[version as usize - 1]
     }
 
@@ -39,20 +39,20 @@
 
 /// Options of a replica's values.
 #[derive(Debug, Clone, Copy)]
-pub struct Manner {
+pub struct ValueOptions {
     /// Omits the row count and the bounds of the remainder.
-    pub terse: bool,
+    pub omit_bounds: bool,
     /// Omits the total.
-    pub no_total: bool,
+    pub omit_total: bool,
     /// Maximum number of rows in a value.
-    pub room: usize,
+    pub max_rows: usize,
     /// Maximum size of a value, in bytes; if the first row exceeds it, the value reports that row as too large.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
-impl Default for Manner {
+impl Default for ValueOptions {
     fn default() -> Self {
-        Self { terse: false, no_total: false, room: usize::MAX, bytes: 200_000 }
+        Self { omit_bounds: false, omit_total: false, max_rows: usize::MAX, max_bytes: 200_000 }
     }
 }
 
@@ -107,10 +107,12 @@
 }
 
 /// Counts the leading rows that fit into a value.
-fn count_fitting(rows: &[EncodedRow], limit: usize, manner: Manner) -> usize {
+fn count_fitting(rows: &[EncodedRow], limit: usize, options: ValueOptions) -> usize {
     let mut count = 0;
     let mut bytes = 300;
-    while count < rows.len().min(limit).min(manner.room) && bytes + rows[count].2.len() < manner.bytes {
+    while count < rows.len().min(limit).min(options.max_rows)
+        && bytes + rows[count].2.len() < options.max_bytes
+    {
         bytes += rows[count].2.len() + 1;
         count += 1;
     }
@@ -118,12 +120,12 @@
 }
 
 /// The header's description of the omitted rows; `None` if there are none.
-fn remainder(omitted: &[EncodedRow], manner: Manner) -> Option<Json> {
+fn remainder(omitted: &[EncodedRow], options: ValueOptions) -> Option<Json> {
     let measures: Vec<i64> = omitted.iter().map(|row| row.1).collect();
     if measures.is_empty() {
         return None;
     }
-    Some(match manner.terse {
+    Some(match options.omit_bounds {
         true => json!({}),
         false => {
             json!({"rows": measures.len(), "most": measures.iter().max(), "least": measures.iter().min()})
@@ -133,7 +135,7 @@
 
 /// A replica's value for a request text. Rows whose keys are equal up to a `#` form one group. `None` if the request is
 /// malformed or has another format version.
-pub fn answer(rows: &Snapshot, version: u64, text: &str, manner: Manner) -> Option<String> {
+pub fn replica_value(rows: &Snapshot, version: u64, text: &str, options: ValueOptions) -> Option<String> {
     let query: Json = serde_json::from_str(text).ok()?;
     if query["v"] != 1 {
         return None;
@@ -160,11 +162,11 @@
     } else {
         encoded.retain(|row| admits(&row.0));
     }
-    if !aggregates && !manner.no_total && query["after"].is_null() && query["from"].is_null() {
+    if !aggregates && !options.omit_total && query["after"].is_null() && query["from"].is_null() {
         let measures: Vec<i64> = encoded.iter().map(|row| row.1).collect();
         head["total"] = total(&measures);
     }
-    let count = count_fitting(&encoded, limit, manner);
+    let count = count_fitting(&encoded, limit, options);
     if count == 0 && !encoded.is_empty() {
         head["too_large"] = json!({"key": encoded[0].0, "bytes": encoded[0].2.len()});
         if let Some(head) = head.as_object_mut() {
@@ -172,7 +174,7 @@
         }
         return Some(head.to_string());
     }
-    if let Some(remainder) = remainder(&encoded[count..], manner) {
+    if let Some(remainder) = remainder(&encoded[count..], options) {
         head["rest"] = remainder;
     }
     head["rows"] = json!(count);
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -10,7 +10,7 @@
 #[path = "stand_in.rs"]
 mod stand_in;
 
-use merge_node::{answer, Manner, Row, Snapshot};
+use merge_node::{replica_value, Row, Snapshot, ValueOptions};
 use stand_in::{feature_store_reply, DataNode, Discovery, FeatureServer, Member, NodeReply, Part};
 
 const FEATURES_PER_RANGE: usize = 7;
@@ -28,7 +28,7 @@
 
 /// Answers with a value that can be merged. The data version is always 1, because the toy data never changes.
 fn mergeable_reply(part: &Part) -> NodeReply {
-    match answer(&plaza_rows(part.shard), 1, &part.text, Manner::default()) {
+    match replica_value(&plaza_rows(part.shard), 1, &part.text, ValueOptions::default()) {
         Some(value) => NodeReply::Answer(200, 0, value),
         None => NodeReply::Answer(500, 0, String::new()),
     }
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -21,7 +21,7 @@
 use harness::stand_in::{get, post_bytes, read_answer, send_request, Answer, DataNode, Discovery, NodeReply};
 use harness::{member, wait_until, wait_until_healthy, TestCluster};
 use serde_json::{json, Value as Json};
-use stand_in::{answer, History, Manner, Row};
+use stand_in::{replica_value, History, Row, ValueOptions};
 
 const EDGE: &str = r#"
 [desk]
@@ -86,8 +86,11 @@
     let (history, mode) = (&state.data[part.shard as usize], state.modes[&cell]);
     let behind = if let Mode::Stale(n) = mode { n } else { 0 };
     let version = history.latest().saturating_sub(behind).max(1);
-    let manner = Manner { bytes: if mode == Mode::RowTooLarge { 301 } else { 200_000 }, ..Manner::default() };
-    let Some(value) = answer(history.at(version), version, &part.text, manner) else {
+    let options = ValueOptions {
+        max_bytes: if mode == Mode::RowTooLarge { 301 } else { 200_000 },
+        ..ValueOptions::default()
+    };
+    let Some(value) = replica_value(history.snapshot(version), version, &part.text, options) else {
         return NodeReply::Answer(500, 0, String::new());
     };
     match mode {
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use curlewdeck::startup::Coordinator;
-use desk_stand_in::{History, Manner};
+use desk_stand_in::{History, ValueOptions};
 use harness::stalling_data_node::StallingDataNode;
 use harness::stand_in::{
     feature_store_reply, post_bytes, read_answer, send_request, Answer, Discovery, FeatureServer, Member,
@@ -598,7 +598,7 @@
 fn desk_value(part: &Part) -> NodeReply {
     let mut history = History::default();
     history.change(|_| {});
-    let value = desk_stand_in::answer(history.at(1), 1, &part.text, Manner::default());
+    let value = desk_stand_in::replica_value(history.snapshot(1), 1, &part.text, ValueOptions::default());
     NodeReply::Answer(200, 0, value.expect("a text in the form of the desk"))
 }
 
