--- a/crates/merge/examples/merge_check/checker.rs
+++ b/crates/merge/examples/merge_check/checker.rs
@@ -9,12 +9,12 @@
 
 /// The properties of a query that the checker needs.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct CheckedQuery {
     pub op: &'static str,
     pub descending: bool,
     pub grouped: bool,
     pub limit: usize,
-    pub floor: f64,
+    pub min_coverage: f64,
 }
 
 /// The outcome of a check; the error describes what is wrong with the answer.
@@ -75,10 +75,10 @@
 }
 
 /// Key, range and measure of all rows or groups, best first.
-fn rank_rows(asked: &Asked, answer_data: &AnswerData) -> Vec<(String, Option<u32>, i128)> {
+fn rank_rows(query: &CheckedQuery, answer_data: &AnswerData) -> Vec<(String, Option<u32>, i128)> {
     let all = || answer_data.included.iter().chain(&answer_data.bounded);
     let mut rows: Vec<(String, Option<u32>, i128)> = Vec::new();
-    if asked.grouped {
+    if query.grouped {
         let mut sums: BTreeMap<String, i128> = BTreeMap::new();
         for (_, rows) in all() {
             rows.iter().for_each(|(k, r)| *sums.entry(group_key(k)).or_default() += i128::from(r.measure));
@@ -89,13 +89,13 @@
             rows.extend(snapshot.iter().map(|(k, r)| (k.clone(), Some(*range), r.measure.into())));
         }
     }
-    let rank = |measure: i128| if asked.descending { -measure } else { measure };
+    let rank = |measure: i128| if query.descending { -measure } else { measure };
     rows.sort_by(|a, b| (rank(a.2), &a.0, a.1).cmp(&(rank(b.2), &b.0, b.1)));
     rows
 }
 
 /// Checks one answer against the data.
-pub fn check(asked: &Asked, answer: &Json, data: &[History]) -> CheckResult {
+pub fn check(query: &CheckedQuery, answer: &Json, data: &[History]) -> CheckResult {
     let answer_data = answer_data(answer, data)?;
     let missing = data.len() - answer_data.included.len();
     let coverage_millionths = (answer_data.included.len() * 1_000_000 / data.len()) as i128;
@@ -106,27 +106,27 @@
     );
     let whole = answer["whole"] == true;
     ensure!(!whole || missing == 0, "marked as whole with {missing} missing ranges");
-    let meets_minimum = answer_data.included.len() as f64 + 1e-9 >= asked.floor * data.len() as f64;
-    ensure!(meets_minimum, "coverage is below the minimum of {}", asked.floor);
+    let meets_minimum = answer_data.included.len() as f64 + 1e-9 >= query.min_coverage * data.len() as f64;
+    ensure!(meets_minimum, "coverage is below the minimum of {}", query.min_coverage);
     let rows = answer["rows"].as_array().ok_or("no rows")?;
-    ensure!(rows.len() <= asked.limit, "more rows than the limit");
-    match asked.op {
-        "rank" => check_rank(asked, answer, &answer_data, rows, whole),
+    ensure!(rows.len() <= query.limit, "more rows than the limit");
+    match query.op {
+        "rank" => check_rank(query, answer, &answer_data, rows, whole),
         "list" => check_list(&answer_data, rows),
-        // Checked together with the earlier pages: see `Walk`.
-        _ if asked.grouped => Ok(()),
-        _ => check_figure(asked, answer, &answer_data, whole),
+        // Checked together with the earlier pages: see `PageChecker`.
+        _ if query.grouped => Ok(()),
+        _ => check_figure(query, answer, &answer_data, whole),
     }
 }
 
 fn check_rank(
-    asked: &Asked,
+    query: &CheckedQuery,
     answer: &Json,
     answer_data: &AnswerData,
     rows: &[Json],
     whole: bool,
 ) -> CheckResult {
-    let exact = rank_rows(asked, answer_data);
+    let exact = rank_rows(query, answer_data);
     let certain = answer["certain"].as_u64().ok_or("no certain")? as usize;
     ensure!(certain <= rows.len(), "more certain rows than rows");
     ensure!(
@@ -164,7 +164,7 @@
     }
     if whole {
         ensure!(certain == rows.len(), "marked as whole with uncertain rows");
-        ensure!(rows.len() == exact.len().min(asked.limit), "marked as whole with too few rows");
+        ensure!(rows.len() == exact.len().min(query.limit), "marked as whole with too few rows");
     }
     Ok(())
 }
@@ -219,10 +219,10 @@
     snapshots.flat_map(|s| s.values().map(|r| r.measure.into())).collect()
 }
 
-fn check_figure(asked: &Asked, answer: &Json, answer_data: &AnswerData, whole: bool) -> CheckResult {
+fn check_figure(query: &CheckedQuery, answer: &Json, answer_data: &AnswerData, whole: bool) -> CheckResult {
     let actual = &answer["figure"];
     let included = measures(answer_data.included.values());
-    ensure!(matches_figure(asked.op, &included, &actual["value"]), "wrong {} in {actual}", asked.op);
+    ensure!(matches_figure(query.op, &included, &actual["value"]), "wrong {} in {actual}", query.op);
     ensure!(parse_units(&actual["sum"]) == Some(included.iter().sum()), "wrong sum in {actual}");
     ensure!(actual["exact"] != true || whole, "marked as exact but not as whole");
     if let Some(within) = actual.get("within") {
@@ -230,7 +230,7 @@
         let all = measures(answer_data.included.values().chain(answer_data.bounded.values()));
         let (low, high) = (parse_units(&within["low"]), parse_units(&within["high"]));
         let (low, high) = (low.ok_or("no low")?, high.ok_or("no high")?);
-        let inside = match (asked.op, aggregate(&all)) {
+        let inside = match (query.op, aggregate(&all)) {
             ("mean", (rows, sum, ..)) => low * rows <= sum && sum <= high * rows,
             (op, _) => exact_figure(op, &all).is_some_and(|f| low <= f && f <= high),
         };
@@ -242,13 +242,13 @@
 /// Checks the consecutive pages of a listing. Tracks how far the pages have advanced in each range; each page must
 /// consist of the next rows, without repeating or skipping any.
 #[derive(Default)]
-pub struct Walk {
+pub struct PageChecker {
     /// By range: the last key and range of the pages that included the range, and its last seen version.
     progress: BTreeMap<u32, ((String, u32), u64)>,
 }
 
-impl Walk {
-    pub fn page(&mut self, asked: &Asked, answer: &Json, data: &[History]) -> CheckResult {
+impl PageChecker {
+    pub fn check_page(&mut self, query: &CheckedQuery, answer: &Json, data: &[History]) -> CheckResult {
         let answer_data = answer_data(answer, data)?;
         for entry in answer["ranges"].as_array().ok_or("no ranges")? {
             let (range, version) =
@@ -260,7 +260,7 @@
         let mut expected_rows: BTreeMap<(String, u32), Vec<i128>> = BTreeMap::new();
         for (&range, snapshot) in &answer_data.included {
             for (key, row) in *snapshot {
-                let position = if asked.grouped { (group_key(key), u32::MAX) } else { (key.clone(), range) };
+                let position = if query.grouped { (group_key(key), u32::MAX) } else { (key.clone(), range) };
                 if self.progress.get(&range).is_none_or(|(reached, _)| position > *reached) {
                     expected_rows.entry(position).or_default().push(row.measure.into());
                 }
@@ -273,11 +273,11 @@
             let key = row["key"].as_str().ok_or("no key")?;
             let (position, measures) = remaining.next().ok_or_else(|| format!("unexpected row {key}"))?;
             ensure!(position.0 == key, "row {key} instead of {}", position.0);
-            if asked.grouped {
+            if query.grouped {
                 ensure!(
-                    matches_figure(asked.op, measures, &row["value"]),
+                    matches_figure(query.op, measures, &row["value"]),
                     "wrong {} of {key} in {row}",
-                    asked.op
+                    query.op
                 );
                 let missing = answer_data.included.len() < data.len();
                 let late = self.progress.values().any(|(reached, _)| *position <= *reached);
--- a/crates/merge/examples/merge_check/run.rs
+++ b/crates/merge/examples/merge_check/run.rs
@@ -11,7 +11,7 @@
 use fastrand::Rng;
 use serde_json::Value as Json;
 
-use super::checker::{self, Asked, Walk};
+use super::checker::{self, CheckedQuery, PageChecker};
 use super::stand_in::{replica_value, History, Row, ValueOptions};
 
 /// An error injected into the answers, to show that the checker detects it.
@@ -173,18 +173,25 @@
         };
         let name = ["rank", "sum", "count", "min", "max", "mean", "list"]
             [ops.iter().position(|o| *o == op).unwrap_or(0)];
-        let asked = Asked { op: name, descending: order == Order::Desc, grouped, limit, floor: min_coverage };
+        let checked_query =
+            CheckedQuery { op: name, descending: order == Order::Desc, grouped, limit, min_coverage };
         if !query.is_paged() {
             let mut merger = QueryMerger::new(query, self.data.len() as u32);
-            return self.run_attempts(&mut merger, &asked).map(drop);
+            return self.run_attempts(&mut merger, &checked_query).map(drop);
         }
-        self.check_pages(&query, &asked, keys, measures)
+        self.check_pages(&query, &checked_query, keys, measures)
     }
 
     /// Reads all pages of a listing while the data changes.
-    fn check_pages(&mut self, query: &Query, asked: &Asked, keys: i64, measures: i64) -> Result<(), String> {
+    fn check_pages(
+        &mut self,
+        query: &Query,
+        checked_query: &CheckedQuery,
+        keys: i64,
+        measures: i64,
+    ) -> Result<(), String> {
         let cursors = Keys::fresh([self.rng.u8(..); 32]);
-        let mut walk = Walk::default();
+        let mut page_checker = PageChecker::default();
         let ranges = self.data.len();
         let mut merger = QueryMerger::new(query.clone(), ranges as u32);
         for page in 0..4000 {
@@ -194,8 +201,10 @@
             } else {
                 self.change(keys, measures);
             }
-            let Some((answer, next)) = self.run_attempts(&mut merger, asked)? else { continue };
-            walk.page(asked, &answer, &self.data).map_err(|error| format!("page {page}: {error}"))?;
+            let Some((answer, next)) = self.run_attempts(&mut merger, checked_query)? else { continue };
+            page_checker
+                .check_page(checked_query, &answer, &self.data)
+                .map_err(|error| format!("page {page}: {error}"))?;
             let Some(progress) = next else { return Ok(()) };
             let cursor = Cursor { query: query.digest(), until: 1000, ranges: progress };
             let text = cursors.seal(&cursor);
@@ -213,7 +222,7 @@
     fn run_attempts(
         &mut self,
         merger: &mut QueryMerger,
-        asked: &Asked,
+        checked_query: &CheckedQuery,
     ) -> Result<Option<AnswerPage>, String> {
         let mut values: Vec<(u32, Arc<str>)> = Vec::new();
         for range in 0..self.data.len() as u32 {
@@ -229,17 +238,17 @@
                 break;
             }
         }
-        match merger.finish(&values, asked.floor, &mut self.cache, self.now) {
+        match merger.finish(&values, checked_query.min_coverage, &mut self.cache, self.now) {
             Ok(MergeResult { answer, next }) => {
                 let mut json: Json = serde_json::from_str(&answer.text()).map_err(|e| e.to_string())?;
                 if let Some(sabotage) = self.sabotage {
                     sabotage.apply(&mut json);
                 }
-                checker::check(asked, &json, &self.data)?;
+                checker::check(checked_query, &json, &self.data)?;
                 Ok(Some((json, next)))
             }
             Err(MergeError::BelowMinimumCoverage(coverage))
-                if coverage.meets_minimum(asked.floor) && !coverage.versions.is_empty() =>
+                if coverage.meets_minimum(checked_query.min_coverage) && !coverage.versions.is_empty() =>
             {
                 Err("query failed although the coverage meets the minimum".into())
             }
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use checker::{Asked, Walk};
+use checker::{CheckedQuery, PageChecker};
 use curlewdeck::startup::Coordinator;
 use harness::stand_in::{get, post_bytes, read_answer, send_request, Answer, DataNode, Discovery, NodeReply};
 use harness::{member, wait_until, wait_until_healthy, TestCluster};
@@ -215,8 +215,8 @@
     (answer.status, text("field"), text("detail"))
 }
 
-fn request(op: &'static str, grouped: bool, limit: usize, floor: f64) -> Asked {
-    Asked { op, descending: true, grouped, limit, floor }
+fn request(op: &'static str, grouped: bool, limit: usize, min_coverage: f64) -> CheckedQuery {
+    CheckedQuery { op, descending: true, grouped, limit, min_coverage }
 }
 
 #[test]
@@ -232,7 +232,9 @@
             assert_eq!((&json["whole"], &json["coverage"]), (&true.into(), &"1.000000".into()), "{op}");
             checker::check(&request(op, grouped, 500, 0.5), &json, &fleet.data()).unwrap();
             if grouped && op != "rank" {
-                Walk::default().page(&request(op, true, 500, 0.5), &json, &fleet.data()).unwrap();
+                PageChecker::default()
+                    .check_page(&request(op, true, 500, 0.5), &json, &fleet.data())
+                    .unwrap();
             }
             count += 1;
         }
@@ -352,7 +354,7 @@
 #[test]
 fn pages_neither_repeat_nor_skip_rows_while_nodes_fail() {
     let fleet = Fleet::start(25);
-    let (mut walk, mut cursor, mut pages) = (Walk::default(), Json::Null, 0);
+    let (mut page_checker, mut cursor, mut pages) = (PageChecker::default(), Json::Null, 0);
     let request = request("list", false, 7, 0.5);
     loop {
         // One node at a time is faulty, so that each range keeps a healthy holder.
@@ -373,14 +375,14 @@
             .query_until("passages", &body, |json| json["missing"].as_array().is_some_and(Vec::is_empty));
         let data = fleet.data();
         checker::check(&request, &json, &data).unwrap();
-        walk.page(&request, &json, &data).unwrap_or_else(|why| panic!("page {pages}: {why}"));
+        page_checker.check_page(&request, &json, &data).unwrap_or_else(|why| panic!("page {pages}: {why}"));
         pages += 1;
         match json.get("next") {
             Some(next) => cursor = next.clone(),
             None => break,
         }
     }
-    assert!(pages > 10, "the walk had {pages} pages");
+    assert!(pages > 10, "the listing had {pages} pages");
     fleet.assert_each_query_counted_once();
 }
 
@@ -390,14 +392,14 @@
 fn rows_of_a_missing_range_are_returned_on_later_pages() {
     let fleet = Fleet::start(4);
     let request = request("list", false, 6, 0.5);
-    let mut walk = Walk::default();
+    let mut page_checker = PageChecker::default();
     fleet.set_mode(1, Mode::Failing);
     fleet.set_mode(2, Mode::Failing);
     let one_missing = |json: &Json| json["missing"].as_array().is_some_and(|m| m.len() == 1);
     let body = json!({"op": "list", "limit": 6, "timeoutMs": 1500});
     let first = fleet.query_until("passages", &body, one_missing);
     assert_eq!((&first["missing"][0]["range"], &first["whole"]), (&1.into(), &false.into()));
-    walk.page(&request, &first, &fleet.data()).unwrap();
+    page_checker.check_page(&request, &first, &fleet.data()).unwrap();
     // The class of this set requires every range.
     let strict = fleet.send_query("accounts", &json!({"op": "list", "limit": 6, "timeoutMs": 300}));
     assert!([503, 504].contains(&strict.status), "{}", strict.body);
@@ -407,7 +409,7 @@
     while let Some(next) = page.get("next").cloned() {
         let body = json!({"op": "list", "limit": 6, "cursor": next});
         page = fleet.query_until("passages", &body, |json| json["whole"] == true);
-        walk.page(&request, &page, &fleet.data()).unwrap();
+        page_checker.check_page(&request, &page, &fleet.data()).unwrap();
     }
     fleet.assert_each_query_counted_once();
 }
