--- a/crates/merge/examples/merge_check/run.rs
+++ b/crates/merge/examples/merge_check/run.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, RangeProgress};
+use curlewdeck_merge::cursor::{Cursor, CursorError, CursorKeys, RangeProgress};
 use curlewdeck_merge::error::MergeError;
 use curlewdeck_merge::merger::{MergeResult, QueryMerger};
 use curlewdeck_merge::query::{Op, Order, Query};
@@ -190,7 +190,7 @@
         keys: i64,
         measures: i64,
     ) -> Result<(), String> {
-        let cursors = Keys::fresh([self.rng.u8(..); 32]);
+        let cursors = CursorKeys::from_secret([self.rng.u8(..); 32]);
         let mut page_checker = PageChecker::default();
         let ranges = self.data.len();
         let mut merger = QueryMerger::new(query.clone(), ranges as u32);
@@ -206,13 +206,13 @@
                 .check_page(checked_query, &answer, &self.data)
                 .map_err(|error| format!("page {page}: {error}"))?;
             let Some(progress) = next else { return Ok(()) };
-            let cursor = Cursor { query: query.digest(), until: 1000, ranges: progress };
-            let text = cursors.seal(&cursor);
-            let opened = cursors.open(&text, &query.digest(), ranges, 1).map_err(|e| e.to_string())?;
-            if cursors.open(&text, &query.digest(), ranges, 1000) != Err(BadCursor::Expired) {
-                return Err("an expired cursor was opened".into());
+            let cursor = Cursor { query: query.digest(), expires_at: 1000, ranges: progress };
+            let text = cursors.sign(&cursor);
+            let verified = cursors.verify(&text, &query.digest(), ranges, 1).map_err(|e| e.to_string())?;
+            if cursors.verify(&text, &query.digest(), ranges, 1000) != Err(CursorError::Expired) {
+                return Err("an expired cursor was accepted".into());
             }
-            merger = QueryMerger::resume(query.clone(), opened);
+            merger = QueryMerger::resume(query.clone(), verified);
         }
         Err("a listing does not end".into())
     }
--- a/crates/merge/src/cursor.rs
+++ b/crates/merge/src/cursor.rs
@@ -29,7 +29,7 @@
 
 impl Position {
     /// Whether a row with this key is at or after the position.
-    pub fn admits(&self, key: &str) -> bool {
+    pub fn includes(&self, key: &str) -> bool {
         match self {
             Self::Start => true,
             Self::From(from) => key >= from.as_ref(),
@@ -47,7 +47,7 @@
 
     /// The later of two positions, so that a range never moves backwards.
     #[must_use]
-    pub fn furthest(&self, other: &Self) -> Self {
+    pub fn later_of(&self, other: &Self) -> Self {
         if other.sort_key() > self.sort_key() {
             other.clone()
         } else {
@@ -71,7 +71,7 @@
     /// Digest of the query, [`crate::query::Query::digest`].
     pub query: [u8; 16],
     /// Expiry time, in seconds of Unix time.
-    pub until: u64,
+    pub expires_at: u64,
     /// Progress of each range, indexed by range.
     pub ranges: Vec<RangeProgress>,
 }
@@ -88,7 +88,7 @@
 struct Record {
     record_version: u8,
     query: [u8; 16],
-    until: u64,
+    expires_at: u64,
     keys: Vec<Arc<str>>,
     /// Encoded position and version of each range. A position is 0 for `Start`, 1 + 2n for `From(keys[n])` and 2 + 2n
     /// for `After(keys[n])`. A version is the last seen version plus 1, or 0 for none.
@@ -97,8 +97,8 @@
 
 impl Record {
     /// Decodes the progress of one range.
-    fn progress(&self, &(position, version): &(u64, u64)) -> Result<RangeProgress, BadCursor> {
-        let key = |n: u64| self.keys.get((n / 2) as usize).cloned().ok_or(BadCursor::Malformed);
+    fn progress(&self, &(position, version): &(u64, u64)) -> Result<RangeProgress, CursorError> {
+        let key = |n: u64| self.keys.get((n / 2) as usize).cloned().ok_or(CursorError::Malformed);
         let position = match position {
             0 => Position::Start,
             n if n % 2 == 1 => Position::From(key(n - 1)?),
@@ -110,7 +110,7 @@
 
 /// Why a cursor is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BadCursor {
+pub enum CursorError {
     /// The text does not have the format of a cursor.
     Malformed,
     /// The signing key is unknown: it was removed from the key file, or the service restarted without a key file.
@@ -127,7 +127,7 @@
     OtherRanges,
 }
 
-impl fmt::Display for BadCursor {
+impl fmt::Display for CursorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Malformed => "it is malformed",
@@ -141,7 +141,7 @@
     }
 }
 
-impl std::error::Error for BadCursor {}
+impl std::error::Error for CursorError {}
 
 /// An HMAC key for cursors.
 #[derive(Clone, PartialEq, Eq)]
@@ -166,10 +166,10 @@
 
 /// HMAC keys of cursors: the first one signs, all are accepted.
 #[derive(Clone)]
-pub struct Keys(Vec<Key>);
+pub struct CursorKeys(Vec<Key>);
 
 /// Prints only the number of keys, so that secrets do not reach logs.
-impl fmt::Debug for Keys {
+impl fmt::Debug for CursorKeys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Keys({} of them)", self.0.len())
     }
@@ -177,9 +177,9 @@
 
 const MIN_KEY_BYTES: usize = 16;
 
-impl Keys {
+impl CursorKeys {
     /// Uses a single newly generated secret: cursors become invalid when the process ends.
-    pub fn fresh(secret: [u8; 32]) -> Self {
+    pub fn from_secret(secret: [u8; 32]) -> Self {
         Self(vec![Key::new(secret.to_vec())])
     }
 
@@ -188,7 +188,7 @@
     ///
     /// # Errors
     /// Returns the line number and the reason, never the key.
-    pub fn read(text: &str) -> Result<Self, String> {
+    pub fn parse(text: &str) -> Result<Self, String> {
         let mut keys: Vec<Key> = Vec::new();
         for (n, line) in (1..).zip(text.lines()) {
             let line = line.split('#').next().unwrap_or("").trim();
@@ -213,7 +213,7 @@
     }
 
     /// Encodes and signs a cursor.
-    pub fn seal(&self, cursor: &Cursor) -> String {
+    pub fn sign(&self, cursor: &Cursor) -> String {
         let mut keys: Vec<Arc<str>> = Vec::new();
         let mut encode_key = |key: &Arc<str>| {
             // There are few distinct keys: all ranges included in a page have the key of its last row.
@@ -230,8 +230,13 @@
         };
         let version = |v: Option<Version>| v.map_or(0, |v| v.saturating_add(1));
         let ranges = cursor.ranges.iter().map(|r| (position(&r.position), version(r.version))).collect();
-        let record =
-            Record { record_version: RECORD_VERSION, query: cursor.query, until: cursor.until, keys, ranges };
+        let record = Record {
+            record_version: RECORD_VERSION,
+            query: cursor.query,
+            expires_at: cursor.expires_at,
+            keys,
+            ranges,
+        };
         let mut bytes = self.0[0].name.to_vec();
         // Serializing the record cannot fail.
         bytes.extend(postcard::to_stdvec(&record).unwrap_or_default());
@@ -246,39 +251,48 @@
     ///
     /// # Errors
     /// Returns the reason for rejecting the cursor. The record is parsed only after its MAC has been verified.
-    pub fn open(&self, text: &str, query: &[u8; 16], ranges: usize, now: u64) -> Result<Cursor, BadCursor> {
+    pub fn verify(
+        &self,
+        text: &str,
+        query: &[u8; 16],
+        ranges: usize,
+        now: u64,
+    ) -> Result<Cursor, CursorError> {
         let record = self.authenticated_record(text)?;
         if record.query != *query {
-            return Err(BadCursor::OtherQuery);
+            return Err(CursorError::OtherQuery);
         }
-        if record.until <= now {
-            return Err(BadCursor::Expired);
+        if record.expires_at <= now {
+            return Err(CursorError::Expired);
         }
         if record.ranges.len() != ranges {
-            return Err(BadCursor::OtherRanges);
+            return Err(CursorError::OtherRanges);
         }
         let ranges = record.ranges.iter().map(|range| record.progress(range)).collect::<Result<_, _>>()?;
-        Ok(Cursor { query: record.query, until: record.until, ranges })
+        Ok(Cursor { query: record.query, expires_at: record.expires_at, ranges })
     }
 
     /// Decodes a cursor's text. The record is parsed only after its MAC has been verified.
-    fn authenticated_record(&self, text: &str) -> Result<Record, BadCursor> {
+    fn authenticated_record(&self, text: &str) -> Result<Record, CursorError> {
         if text.len() > MAX_CURSOR_BYTES {
-            return Err(BadCursor::Malformed);
+            return Err(CursorError::Malformed);
         }
-        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| BadCursor::Malformed)?;
-        let signed_bytes =
-            bytes.len().checked_sub(MAC_BYTES).filter(|&n| n > KEY_NAME_BYTES).ok_or(BadCursor::Malformed)?;
+        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| CursorError::Malformed)?;
+        let signed_bytes = bytes
+            .len()
+            .checked_sub(MAC_BYTES)
+            .filter(|&n| n > KEY_NAME_BYTES)
+            .ok_or(CursorError::Malformed)?;
         let (signed, tag) = bytes.split_at(signed_bytes);
         let (name, record) = signed.split_at(KEY_NAME_BYTES);
-        let key = self.0.iter().find(|k| k.name == name).ok_or(BadCursor::UnknownKey)?;
-        let mac = key.mac().ok_or(BadCursor::UnknownKey)?;
+        let key = self.0.iter().find(|k| k.name == name).ok_or(CursorError::UnknownKey)?;
+        let mac = key.mac().ok_or(CursorError::UnknownKey)?;
         // `verify_truncated_left` compares in constant time.
-        mac.chain_update(signed).verify_truncated_left(tag).map_err(|_| BadCursor::Forged)?;
+        mac.chain_update(signed).verify_truncated_left(tag).map_err(|_| CursorError::Forged)?;
         if record.first() != Some(&RECORD_VERSION) {
-            return Err(BadCursor::OtherVersion(record.first().copied().unwrap_or(0)));
+            return Err(CursorError::OtherVersion(record.first().copied().unwrap_or(0)));
         }
-        postcard::from_bytes(record).map_err(|_| BadCursor::Malformed)
+        postcard::from_bytes(record).map_err(|_| CursorError::Malformed)
     }
 }
 
--- a/crates/merge/src/merger/answer_builder.rs
+++ b/crates/merge/src/merger/answer_builder.rs
@@ -114,7 +114,7 @@
         let page = page::groups(values, self.query.limit)?;
         self.page(page, |query, group: &page::GroupRow| {
             // A range has passed this key on an earlier page: this row adds only ranges that were missing then.
-            let late = self.progress.iter().any(|range| !range.position.admits(&group.key));
+            let late = self.progress.iter().any(|range| !range.position.includes(&group.key));
             let exact = self.coverage.is_complete() && !late;
             let figure = figure_of(query, &group.aggregate, None, exact);
             let (rows, sum) = (Some(figure.rows), Some(figure.sum));
@@ -140,7 +140,7 @@
         let next = |(range, progress): (Range, &RangeProgress)| {
             let seen = self.coverage.versions.get(&range).copied();
             let position = match last {
-                Some(last) if seen.is_some() => progress.position.furthest(&page::next_position(last, range)),
+                Some(last) if seen.is_some() => progress.position.later_of(&page::next_position(last, range)),
                 _ => progress.position.clone(),
             };
             RangeProgress { position, version: progress.version.max(seen) }
--- a/crates/merge/src/merger/tests.rs
+++ b/crates/merge/src/merger/tests.rs
@@ -94,7 +94,7 @@
     let (_, merged) = merge(&mut merger, &[(0, value(0, 1, "", &[r#"["m",1]"#]))], 0.5, &mut cache());
     let next = merged.next.unwrap();
     assert_eq!((&next[0].position, &next[1].position), (&Position::After("m".into()), &Position::Start));
-    let cursor = Cursor { query: merger.query().digest(), until: 1, ranges: next };
+    let cursor = Cursor { query: merger.query().digest(), expires_at: 1, ranges: next };
     let mut merger = QueryMerger::resume(query(Op::List, false), cursor);
     let late = value(1, 1, r#","rest":{}"#, &[r#"["a",1]"#]);
     let (json, merged) = merge(&mut merger, &[(0, value(0, 1, "", &[])), (1, late)], 0.5, &mut cache());
@@ -110,7 +110,7 @@
 #[test]
 fn value_older_than_the_cursor_is_rejected() {
     let progress = vec![RangeProgress { position: Position::After("a".into()), version: Some(9) }; 2];
-    let cursor = Cursor { query: [0; 16], until: 1, ranges: progress };
+    let cursor = Cursor { query: [0; 16], expires_at: 1, ranges: progress };
     let mut merger = QueryMerger::resume(query(Op::List, false), cursor);
     assert!(merger.request_text(0).contains(r#""after":"a","at_least":9"#), "{}", merger.request_text(0));
     assert_eq!(merger.accept_value(1, &value(1, 8, "", &[])), Err(InvalidValue::StaleVersion(8, 9)));
@@ -125,7 +125,7 @@
     let mut merger = QueryMerger::new(query(Op::Sum, true), 2);
     let (json, merged) = merge(&mut merger, &[(0, value(0, 1, "", &[&group(5)]))], 0.5, &mut cache());
     assert_eq!((&json["rows"][0]["value"], &json["rows"][0]["exact"]), (&"5".into(), &false.into()));
-    let cursor = Cursor { query: [0; 16], until: 1, ranges: merged.next.unwrap() };
+    let cursor = Cursor { query: [0; 16], expires_at: 1, ranges: merged.next.unwrap() };
     let mut merger = QueryMerger::resume(query(Op::Sum, true), cursor);
     let values = [(0, value(0, 1, "", &[])), (1, value(1, 1, "", &[&group(7)]))];
     let (json, merged) = merge(&mut merger, &values, 0.5, &mut cache());
--- a/crates/merge/src/value/check.rs
+++ b/crates/merge/src/value/check.rs
@@ -156,7 +156,7 @@
             return Err(malformed("a key is longer than 256 bytes"));
         }
         let begins_page = self.last.is_none() && self.query.op != Op::Rank;
-        if begins_page && !self.expected.position.admits(row.key()) {
+        if begins_page && !self.expected.position.includes(row.key()) {
             return Err(inconsistent("rows that were passed already"));
         }
         if self.last.as_ref().is_some_and(|last| !is_in_order(last, &row, self.query)) {
--- a/src/config/aggregation.rs
+++ b/src/config/aggregation.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use curlewdeck_merge::cursor::Keys;
+use curlewdeck_merge::cursor::CursorKeys;
 use curlewdeck_merge::units::MAX_SCALE;
 use serde::Deserialize;
 
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// The file is unreadable, accessible to others, or has no valid keys. The error contains its path.
-    pub fn keys(&self) -> Result<Keys, SecretError> {
+    pub fn keys(&self) -> Result<CursorKeys, SecretError> {
         read_cursor_keys(self.cursor_keys.as_deref())
     }
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -128,7 +128,7 @@
     /// Pages by id are enabled, but no query parameter is configured by which feature servers continue after an id.
     #[error("ogc: by_id needs nodes.after_parameter, by which servers continue after an id")]
     NoAfterParameter,
-    /// The keys that seal cursors.
+    /// The keys that sign cursors.
     #[error(transparent)]
     CursorKeys(#[from] SecretError),
 }
@@ -156,7 +156,7 @@
     /// The data nodes are feature servers, which return no values to merge.
     #[error("desk: aggregation needs data nodes that use frames")]
     FeatureServers,
-    /// The keys that seal cursors.
+    /// The keys that sign cursors.
     #[error(transparent)]
     CursorKeys(#[from] SecretError),
 }
--- a/src/config/secrets.rs
+++ b/src/config/secrets.rs
@@ -3,7 +3,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-use curlewdeck_merge::cursor::Keys;
+use curlewdeck_merge::cursor::CursorKeys;
 
 use super::SecretError;
 
@@ -42,14 +42,14 @@
 ///
 /// # Errors
 /// The file is unreadable, accessible to others, or has no valid keys. The error contains its path, but no key.
-pub fn read_cursor_keys(path: Option<&Path>) -> Result<Keys, SecretError> {
+pub fn read_cursor_keys(path: Option<&Path>) -> Result<CursorKeys, SecretError> {
     let Some(path) = path else { return generate_cursor_keys() };
-    Keys::read(&read_secret(path)?)
+    CursorKeys::parse(&read_secret(path)?)
         .map_err(|reason| SecretError::InvalidKeys { path: path.to_path_buf(), reason: reason.to_string() })
 }
 
-fn generate_cursor_keys() -> Result<Keys, SecretError> {
+fn generate_cursor_keys() -> Result<CursorKeys, SecretError> {
     let mut secret = [0; GENERATED_KEY_BYTES];
     getrandom::fill(&mut secret).map_err(SecretError::NoRandomNumbers)?;
-    Ok(Keys::fresh(secret))
+    Ok(CursorKeys::from_secret(secret))
 }
--- a/src/frontend/aggregation/mod.rs
+++ b/src/frontend/aggregation/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-use curlewdeck_merge::cursor::Keys;
+use curlewdeck_merge::cursor::CursorKeys;
 use serde_json::{json, Value as Json};
 
 use crate::api::ClassId;
@@ -42,8 +42,8 @@
     core: CoreHandle,
     limits: Arc<Limits>,
     range_cache: SharedRangeCache,
-    /// The keys that seal and open cursors.
-    cursor_keys: Keys,
+    /// The keys that sign and verify cursors.
+    cursor_keys: CursorKeys,
     cursor_lifetime_s: u64,
     sets: Vec<(SetConfig, ClassId)>,
     /// The number in the name of the next query.
--- a/src/frontend/aggregation/query.rs
+++ b/src/frontend/aggregation/query.rs
@@ -88,7 +88,7 @@
         if !query.is_paged() {
             return Err(invalid_field("cursor", "only listings and grouped figures have pages"));
         }
-        let cursor = self.cursor_keys.open(text, &query.digest(), ranges as usize, unix_now());
+        let cursor = self.cursor_keys.verify(text, &query.digest(), ranges as usize, unix_now());
         let cursor = cursor.map_err(|error| invalid_field("cursor", &error.to_string()))?;
         Ok(QueryMerger::resume(query, cursor))
     }
--- a/src/frontend/aggregation/response.rs
+++ b/src/frontend/aggregation/response.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use curlewdeck_merge::answer::Answer as MergedAnswer;
-use curlewdeck_merge::cursor::{Cursor, Keys};
+use curlewdeck_merge::cursor::{Cursor, CursorKeys};
 use curlewdeck_merge::error::MergeError;
 use curlewdeck_merge::merger::QueryMerger;
 use curlewdeck_merge::range_cache::RangeCache;
@@ -22,7 +22,7 @@
     /// The minimum coverage of an answer, as a share of 1. An answer below it is an error.
     pub(super) min_coverage: f64,
     pub(super) range_cache: SharedRangeCache,
-    pub(super) cursor_keys: Keys,
+    pub(super) cursor_keys: CursorKeys,
     pub(super) cursor_lifetime_s: u64,
     pub(super) core: CoreHandle,
     /// The size of each chunk of a long answer, in bytes.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Merges the values of the data nodes. Adds a sealed cursor if another page follows.
+    /// Merges the values of the data nodes. Adds a signed cursor if another page follows.
     fn merge(&self, values: &[(u32, Arc<str>)]) -> Result<MergedAnswer, MergeError> {
         let merger = lock(&self.merger);
         let mut cached = self.range_cache.ranges();
@@ -64,8 +64,8 @@
         self.publish_cache_counts(&cached);
         let mut merged = merged?;
         merged.answer.head.next = merged.next.map(|ranges| {
-            let until = unix_now().saturating_add(self.cursor_lifetime_s);
-            self.cursor_keys.seal(&Cursor { query: merger.query().digest(), until, ranges })
+            let expires_at = unix_now().saturating_add(self.cursor_lifetime_s);
+            self.cursor_keys.sign(&Cursor { query: merger.query().digest(), expires_at, ranges })
         });
         Ok(merged.answer)
     }
--- a/src/frontend/features/filter.rs
+++ b/src/frontend/features/filter.rs
@@ -19,7 +19,7 @@
 pub(super) enum PageStart {
     /// At an offset in one range, followed by the ranges after it.
     Offset(Cursor),
-    /// After an id in each range; with the sealed cursor of the request, if it has one.
+    /// After an id in each range; with the signed cursor of the request, if it has one.
     Ids(Vec<RangeProgress>, Option<String>),
 }
 
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// The digest of the filter and its collection. Sealed cursors are bound to it.
+    /// The digest of the filter and its collection. Signed cursors are bound to it.
     pub(super) fn digest(&self, collection: &str) -> [u8; 16] {
         let named = |name: &str, value: &Option<String>| value.clone().map(|value| (name.to_string(), value));
         let filters = [named("bbox", &self.bbox), named("datetime", &self.datetime)];
--- a/src/frontend/features/items.rs
+++ b/src/frontend/features/items.rs
@@ -7,7 +7,7 @@
 use super::filter::{ItemsFilter, PageStart};
 use super::pages::{by_id, by_offset, RangeFeatures};
 use super::query::{QueryParts, Requester};
-use super::{read_features, CursorSealer, FeaturesFrontend, GEOJSON, JSON};
+use super::{read_features, CursorSigner, FeaturesFrontend, GEOJSON, JSON};
 use crate::api::ShardId;
 use crate::engine::{QueryOutcome, RejectReason};
 use crate::frontend::http_server::{Answer, Reply, Served};
@@ -25,9 +25,9 @@
     ) -> Served {
         let id = &self.collections[collection].0.id;
         let digest = filter.digest(id);
-        let sealer = self.cursor_keys.clone().map(|cursor_keys| CursorSealer { cursor_keys, digest });
+        let signer = self.cursor_config.clone().map(|cursor_config| CursorSigner { cursor_config, digest });
         let path = format!("/collections/{id}/items");
-        let page = ItemsPage { base, path, filter, ranges: self.ranges, sealer };
+        let page = ItemsPage { base, path, filter, ranges: self.ranges, signer };
         let parts = page.query_parts();
         let queue_full_retry_after = self.core.queue_full_retry_after();
         let requester = Requester::of(&answer);
@@ -50,8 +50,8 @@
     pub(super) filter: ItemsFilter,
     /// The number of tag ranges.
     pub(super) ranges: u32,
-    /// Seals the cursor of the next page. `None` if pages continue at offsets.
-    pub(super) sealer: Option<CursorSealer>,
+    /// Signs the cursor of the next page. `None` if pages continue at offsets.
+    pub(super) signer: Option<CursorSigner>,
 }
 
 /// The features of a page, its cursor and the cursor of the next page. `page_cursor` is `None` for the first page.
@@ -129,7 +129,7 @@
             PageStart::Ids(progress, page_cursor) => {
                 let (features, next) = by_id(values, progress, self.filter.limit)
                     .map_err(|invalid| problem(502, &invalid.to_string()))?;
-                let next_cursor = next.zip(self.sealer.as_ref()).map(|(ranges, sealer)| sealer.seal(ranges));
+                let next_cursor = next.zip(self.signer.as_ref()).map(|(ranges, signer)| signer.sign(ranges));
                 Ok(PageContents { features, page_cursor: page_cursor.clone(), next_cursor })
             }
         }
--- a/src/frontend/features/mod.rs
+++ b/src/frontend/features/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-use curlewdeck_merge::cursor::{Cursor as MergeCursor, Keys, RangeProgress};
+use curlewdeck_merge::cursor::{Cursor as MergeCursor, CursorKeys, RangeProgress};
 use serde_json::{json, Value as Json};
 
 use crate::api::{ClassId, ShardId};
@@ -47,30 +47,30 @@
     collections: Vec<(CollectionConfig, ClassId)>,
     /// The number of tag ranges.
     ranges: u32,
-    /// Seals the cursors of pages in the order of ids. `None` if pages continue at offsets.
-    cursor_keys: Option<CursorKeys>,
+    /// Signs the cursors of pages in the order of ids. `None` if pages continue at offsets.
+    cursor_config: Option<CursorConfig>,
     /// The number in the name of the next query.
     next_query: AtomicU64,
 }
 
-/// The keys that seal the cursors of pages in the order of ids, and the lifetime of the cursors.
+/// The keys that sign the cursors of pages in the order of ids, and the lifetime of the cursors.
 #[derive(Clone)]
-struct CursorKeys {
-    keys: Arc<Keys>,
+struct CursorConfig {
+    keys: Arc<CursorKeys>,
     lifetime_s: u64,
 }
 
-/// Seals the cursors of one query.
-struct CursorSealer {
-    cursor_keys: CursorKeys,
+/// Signs the cursors of one query.
+struct CursorSigner {
+    cursor_config: CursorConfig,
     /// The digest of the query that the cursor is bound to.
     digest: [u8; 16],
 }
 
-impl CursorSealer {
-    fn seal(&self, ranges: Vec<RangeProgress>) -> String {
-        let until = unix_now().saturating_add(self.cursor_keys.lifetime_s);
-        self.cursor_keys.keys.seal(&MergeCursor { query: self.digest, until, ranges })
+impl CursorSigner {
+    fn sign(&self, ranges: Vec<RangeProgress>) -> String {
+        let expires_at = unix_now().saturating_add(self.cursor_config.lifetime_s);
+        self.cursor_config.keys.sign(&MergeCursor { query: self.digest, expires_at, ranges })
     }
 }
 
@@ -89,7 +89,7 @@
         let collections = config.check(&deployment)?;
         Ok(Self {
             ranges: deployment.shards,
-            cursor_keys: cursor_keys(config)?,
+            cursor_config: cursor_config(config)?,
             base: config.base.as_ref().map(|base| base.trim_end_matches('/').to_string()),
             collections,
             next_query: AtomicU64::new(seed & NAME_SEED_MASK),
@@ -105,12 +105,12 @@
     }
 }
 
-fn cursor_keys(config: &FeaturesConfig) -> Result<Option<CursorKeys>, FeaturesConfigError> {
+fn cursor_config(config: &FeaturesConfig) -> Result<Option<CursorConfig>, FeaturesConfigError> {
     if !config.by_id {
         return Ok(None);
     }
     let keys = Arc::new(read_cursor_keys(config.cursor_keys.as_deref())?);
-    Ok(Some(CursorKeys { keys, lifetime_s: config.cursor_lifetime_s }))
+    Ok(Some(CursorConfig { keys, lifetime_s: config.cursor_lifetime_s }))
 }
 
 impl Frontend for FeaturesFrontend {
--- a/src/frontend/features/pages.rs
+++ b/src/frontend/features/pages.rs
@@ -61,7 +61,7 @@
     for feature in &features {
         let id = id(feature)
             .ok_or(InvalidFeatures("a feature has no id that is a string of at most 256 bytes"))?;
-        if !position.admits(&id) {
+        if !position.includes(&id) {
             return Err(InvalidFeatures("a feature precedes the requested position"));
         }
         if last.as_deref().is_some_and(|last| last >= &*id) {
@@ -122,7 +122,7 @@
     let has_answered = |range: usize| ranges.iter().any(|r| r.0 .0 as usize == range);
     let next_progress = |(range, progress): (usize, &RangeProgress)| match &page.last {
         Some((id, _)) if has_answered(range) => RangeProgress {
-            position: progress.position.furthest(&Position::After(id.clone())),
+            position: progress.position.later_of(&Position::After(id.clone())),
             ..progress.clone()
         },
         _ => progress.clone(),
--- a/src/frontend/features/pages/tests.rs
+++ b/src/frontend/features/pages/tests.rs
@@ -97,7 +97,7 @@
             let served: Vec<RangeFeatures> = (0..data.len())
                 .filter(|&r| r != missing)
                 .map(|r| {
-                    let ids = data[r].iter().filter(|id| progress[r].position.admits(id)).take(limit);
+                    let ids = data[r].iter().filter(|id| progress[r].position.includes(id)).take(limit);
                     (ShardId(r as u32), ids.map(|i| feature(i)).collect())
                 })
                 .collect();
--- a/src/frontend/features/resource.rs
+++ b/src/frontend/features/resource.rs
@@ -85,21 +85,21 @@
 
     /// The start of the first page.
     fn first_page(&self) -> PageStart {
-        match &self.cursor_keys {
+        match &self.cursor_config {
             Some(_) => PageStart::Ids(vec![RangeProgress::default(); self.ranges as usize], None),
             None => PageStart::Offset(Cursor::START),
         }
     }
 
-    /// The start of the page at a cursor. A sealed cursor is valid only for its collection and filter.
+    /// The start of the page at a cursor. A signed cursor is valid only for its collection and filter.
     fn page_start(&self, collection: usize, filter: &ItemsFilter, text: String) -> Result<PageStart, Reply> {
-        let Some(cursor_keys) = &self.cursor_keys else {
+        let Some(cursor_config) = &self.cursor_config else {
             let cursor = Cursor::parse(&text).filter(|cursor| cursor.range.0 < self.ranges);
             let cursor = cursor.ok_or_else(|| problem(400, "cursor: follow the next link"))?;
             return Ok(PageStart::Offset(cursor));
         };
         let digest = filter.digest(&self.collections[collection].0.id);
-        match cursor_keys.keys.open(&text, &digest, self.ranges as usize, unix_now()) {
+        match cursor_config.keys.verify(&text, &digest, self.ranges as usize, unix_now()) {
             Ok(cursor) => Ok(PageStart::Ids(cursor.ranges, Some(text))),
             Err(error) => Err(problem(400, &format!("cursor: {error}"))),
         }
--- a/src/frontend/features/tests.rs
+++ b/src/frontend/features/tests.rs
@@ -34,7 +34,7 @@
         path: "/collections/a/items".to_string(),
         filter,
         ranges: 2,
-        sealer: None,
+        signer: None,
     };
     let reply = page.reply(Ok(QueryOutcome::Answered { complete: true, coverage: 1.0, rows }));
     let body: Json = serde_json::from_slice(&reply.body).unwrap();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -12,7 +12,7 @@
 use curlewdeck::replication::disk::{DiskError, LogStorage, StoredLog};
 use curlewdeck::snapshot_store::{SnapshotContents, SnapshotStore, StateConfig, STATE_RECORD};
 use curlewdeck_accounting::saved::{SavedClass, SavedLedger};
-use curlewdeck_merge::cursor::{BadCursor, Cursor, Keys, Position, RangeProgress};
+use curlewdeck_merge::cursor::{Cursor, CursorError, CursorKeys, Position, RangeProgress};
 use curlewdeck_merge::query::{Op, Order, Query};
 use curlewdeck_replication::{disk_format, Command, Member, RaftLog, ReplicationLimits};
 use curlewdeck_snapshot::record;
@@ -243,8 +243,8 @@
     std::fs::read_to_string(fixture("cursors").join(name)).unwrap().trim().to_string()
 }
 
-fn keys() -> Keys {
-    Keys::read(&read_cursor_fixture("keys")).unwrap()
+fn keys() -> CursorKeys {
+    CursorKeys::parse(&read_cursor_fixture("keys")).unwrap()
 }
 
 /// The query of the aggregation frontend whose first page returned the cursor.
@@ -281,12 +281,12 @@
     let from = progress(Position::From("plaza-04#1".into()), Some(1));
     let aggregation = Cursor {
         query: aggregation_query().digest(),
-        until: EXPIRES_AT_S,
+        expires_at: EXPIRES_AT_S,
         ranges: [vec![after; 2], vec![from; 4]].concat(),
     };
     let features = Cursor {
         query: features_query().digest(),
-        until: EXPIRES_AT_S,
+        expires_at: EXPIRES_AT_S,
         ranges: vec![progress(Position::After("f0-4".into()), None); 6],
     };
     [("aggregation", aggregation), ("features", features)]
@@ -296,11 +296,11 @@
 fn cursors_of_an_earlier_version_are_accepted() {
     for (name, cursor) in cursors() {
         let (text, ranges) = (read_cursor_fixture(name), cursor.ranges.len());
-        assert_eq!(keys().open(&text, &cursor.query, ranges, NOW_S), Ok(cursor.clone()), "{name}");
-        assert_eq!(keys().seal(&cursor), text, "{name}: the encoding has changed");
+        assert_eq!(keys().verify(&text, &cursor.query, ranges, NOW_S), Ok(cursor.clone()), "{name}");
+        assert_eq!(keys().sign(&cursor), text, "{name}: the encoding has changed");
         assert_eq!(
-            keys().open(&text, &cursor.query, ranges, cursor.until),
-            Err(BadCursor::Expired),
+            keys().verify(&text, &cursor.query, ranges, cursor.expires_at),
+            Err(CursorError::Expired),
             "{name}"
         );
     }
@@ -315,9 +315,9 @@
                 let mut changed = bytes.clone();
                 changed[at] ^= 1 << bit;
                 let changed = URL_SAFE_NO_PAD.encode(changed);
-                let opened = keys().open(&changed, &cursor.query, cursor.ranges.len(), NOW_S);
+                let opened = keys().verify(&changed, &cursor.query, cursor.ranges.len(), NOW_S);
                 // The first four bytes identify the key.
-                let expected = if at < 4 { BadCursor::UnknownKey } else { BadCursor::Forged };
+                let expected = if at < 4 { CursorError::UnknownKey } else { CursorError::Forged };
                 assert_eq!(opened, Err(expected), "{name}: bit {bit} of byte {at}");
             }
         }
