--- a/crates/merge/src/answer.rs
+++ b/crates/merge/src/answer.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// The part before the rows.
-    pub head: AnswerHeader,
+    pub header: AnswerHeader,
     /// Rows, each serialized as JSON.
     pub rows: Vec<String>,
 }
@@ -135,7 +135,7 @@
     /// Serializes the answer as JSON in pieces of about `bytes` bytes each.
     pub fn pieces(&self, bytes: usize) -> impl Iterator<Item = String> + '_ {
         // Serializing text and numbers cannot fail.
-        let mut first = serde_json::to_string(&self.head).unwrap_or_else(|_| "{}".into());
+        let mut first = serde_json::to_string(&self.header).unwrap_or_else(|_| "{}".into());
         first.pop();
         first.push_str(",\"rows\":[");
         let mut rows = self.rows.iter().enumerate().peekable();
--- a/crates/merge/src/merger/answer_builder.rs
+++ b/crates/merge/src/merger/answer_builder.rs
@@ -71,7 +71,7 @@
         let within = aggregate::interval(known, &cached.totals())?;
         let figure = Some(figure_of(self.query, known, within.as_ref(), self.coverage.is_complete()));
         let head = AnswerHeader { figure, ..self.header(&cached.versions()) };
-        Ok(MergeResult { answer: Answer { head, rows: Vec::new() }, next: None })
+        Ok(MergeResult { answer: Answer { header: head, rows: Vec::new() }, next: None })
     }
 
     /// Builds a ranking of rows or groups by the measure.
@@ -88,7 +88,7 @@
         };
         let head = self.ranking_header(&ranking, self.header(&cached.versions()));
         let rows = ranking.rows.iter().map(|row| to_json(&ranked_row(query, row))).collect();
-        Ok(MergeResult { answer: Answer { head, rows }, next: None })
+        Ok(MergeResult { answer: Answer { header: head, rows }, next: None })
     }
 
     fn ranking_header(&self, ranking: &Ranking<'_>, header: AnswerHeader) -> AnswerHeader {
@@ -132,7 +132,7 @@
         let next = more.then(|| self.next_progress(page.last.as_ref()));
         let head = AnswerHeader { more: Some(more), ..self.header(&BTreeMap::new()) };
         let rows = page.rows.iter().map(|r| to_json(&row(self.query, r))).collect();
-        Ok(MergeResult { answer: Answer { head, rows }, next })
+        Ok(MergeResult { answer: Answer { header: head, rows }, next })
     }
 
     /// The progress of each range after a page that ends at `last`.
--- a/src/frontend/aggregation/response.rs
+++ b/src/frontend/aggregation/response.rs
@@ -63,7 +63,7 @@
         let merged = merger.finish(values, self.min_coverage, &mut cached, self.core.clock.now());
         self.publish_cache_counts(&cached);
         let mut merged = merged?;
-        merged.answer.head.next = merged.next.map(|ranges| {
+        merged.answer.header.next = merged.next.map(|ranges| {
             let expires_at = unix_now().saturating_add(self.cursor_lifetime_s);
             self.cursor_keys.sign(&Cursor { query: merger.query().digest(), expires_at, ranges })
         });
