--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -35,7 +35,7 @@
         let mut group = Self { folder, members: Vec::new(), proxies };
         for id in 1..=size {
             let config = group.config(id);
-            startup::found(&config, id).unwrap();
+            startup::create_founder_folder(&config, id).unwrap();
             let member = startup::start(&config).unwrap();
             group.proxies[&id].forward_to(member.listen);
             group.members.push(member);
--- a/src/mib/replication_group.rs
+++ b/src/mib/replication_group.rs
@@ -80,7 +80,7 @@
         Value::Counter64(status.snapshot),
         gauge(status.log),
         gauge(status.keys),
-        gauge(status.waiting),
+        gauge(status.pending_requests),
     ];
     instances.scalars(GROUP_ARC, values);
 }
--- a/src/replication/startup.rs
+++ b/src/replication/startup.rs
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// The configuration or the folder cannot be used. A folder that holds a log is not modified.
-pub fn found(config: &GroupConfig, id: u64) -> Result<(), GroupStartError> {
+pub fn create_founder_folder(config: &GroupConfig, id: u64) -> Result<(), GroupStartError> {
     config.check()?;
     let voters: Vec<u64> = config.members()?.into_keys().collect();
     let in_folder = |e| GroupStartError::FoundingDisk { folder: config.folder.clone(), source: Box::new(e) };
--- a/src/replication/startup/tests.rs
+++ b/src/replication/startup/tests.rs
@@ -45,7 +45,7 @@
 fn temporarily_unreadable_folder_is_not_quarantined() {
     let home = Home::new("fails");
     let config = home.config();
-    found(&config, 1).unwrap();
+    create_founder_folder(&config, 1).unwrap();
     let (disk, member) = open_member(&config, &ReplicationLimits::default()).unwrap();
     assert_eq!(member.id(), 1);
     let second = open_member(&config, &ReplicationLimits::default());
@@ -69,7 +69,7 @@
 fn opening_the_folder_is_retried_at_the_start() {
     let home = Home::new("again");
     let config = home.config();
-    found(&config, 1).unwrap();
+    create_founder_folder(&config, 1).unwrap();
     let (disk, _) = open_member(&config, &ReplicationLimits::default()).unwrap();
     let released = std::thread::spawn(move || {
         std::thread::sleep(OPEN_RETRY_INTERVAL);
@@ -84,7 +84,7 @@
 fn folder_with_a_truncated_log_is_quarantined() {
     let home = Home::new("truncated");
     let config = home.config();
-    found(&config, 1).unwrap();
+    create_founder_folder(&config, 1).unwrap();
     let whole = std::fs::read(log_file(&config)).unwrap();
     std::fs::write(log_file(&config), &whole[..whole.len() / 2]).unwrap();
     let (_, member) = open_member(&config, &ReplicationLimits::default()).unwrap();
--- a/src/replication/status.rs
+++ b/src/replication/status.rs
@@ -56,7 +56,7 @@
     /// The number of keys in the replicated map.
     pub keys: u64,
     /// The number of pending requests at this member.
-    pub waiting: u64,
+    pub pending_requests: u64,
 }
 
 impl MemberStatus {
@@ -79,16 +79,16 @@
             snapshot: log.snapshot_index(),
             log: log.entries_after_snapshot().len() as u64,
             keys: map.len() as u64,
-            waiting: member.pending_requests() as u64,
+            pending_requests: member.pending_requests() as u64,
         }
     }
 
     /// Formats the status as text, with one `NAME=VALUE` per line.
     pub fn text(&self) -> String {
         let voters: Vec<String> = self.voters.iter().map(u64::to_string).collect();
-        let Self { id, term, leader, applied, snapshot, log, keys, waiting, .. } = self;
+        let Self { id, term, leader, applied, snapshot, log, keys, pending_requests, .. } = self;
         format!(
-            "id={id}\nrole={}\nterm={term}\nleader={leader}\nvoters={}\napplied={applied}\nsnapshot={snapshot}\nlog={log}\nkeys={keys}\nwaiting={waiting}\n",
+            "id={id}\nrole={}\nterm={term}\nleader={leader}\nvoters={}\napplied={applied}\nsnapshot={snapshot}\nlog={log}\nkeys={keys}\nwaiting={pending_requests}\n",
             self.role.word(),
             voters.join(",")
         )
--- a/src/replication/tool.rs
+++ b/src/replication/tool.rs
@@ -81,7 +81,7 @@
             Self::Call { method, url, body } => (method, url, body),
             Self::Found { id, edge } => {
                 let group = load_edge(edge)?.group.ok_or("the edge's file has no section [group]")?;
-                startup::found(&group, id).map_err(|error| error.to_string())?;
+                startup::create_founder_folder(&group, id).map_err(|error| error.to_string())?;
                 println!("member {id} can be started");
                 return Ok(());
             }
