--- a/crates/merge/src/merger/answer_builder.rs
+++ b/crates/merge/src/merger/answer_builder.rs
@@ -70,8 +70,8 @@
     ) -> Result<MergeResult, MergeError> {
         let within = aggregate::interval(known, &cached.totals())?;
         let figure = Some(figure_of(self.query, known, within.as_ref(), self.coverage.is_complete()));
-        let head = AnswerHeader { figure, ..self.header(&cached.versions()) };
-        Ok(MergeResult { answer: Answer { header: head, rows: Vec::new() }, next: None })
+        let header = AnswerHeader { figure, ..self.header(&cached.versions()) };
+        Ok(MergeResult { answer: Answer { header, rows: Vec::new() }, next: None })
     }
 
     /// Builds a ranking of rows or groups by the measure.
@@ -86,9 +86,9 @@
             true => rank::merge_groups(values, &missing, query.order, query.limit)?,
             false => rank::merge(values, &missing, query.order, query.limit)?,
         };
-        let head = self.ranking_header(&ranking, self.header(&cached.versions()));
+        let header = self.ranking_header(&ranking, self.header(&cached.versions()));
         let rows = ranking.rows.iter().map(|row| to_json(&ranked_row(query, row))).collect();
-        Ok(MergeResult { answer: Answer { header: head, rows }, next: None })
+        Ok(MergeResult { answer: Answer { header, rows }, next: None })
     }
 
     fn ranking_header(&self, ranking: &Ranking<'_>, header: AnswerHeader) -> AnswerHeader {
@@ -130,9 +130,9 @@
         // A missing range keeps its position, and its rows are returned on a later page.
         let more = page.more || !self.coverage.missing.is_empty();
         let next = more.then(|| self.next_progress(page.last.as_ref()));
-        let head = AnswerHeader { more: Some(more), ..self.header(&BTreeMap::new()) };
+        let header = AnswerHeader { more: Some(more), ..self.header(&BTreeMap::new()) };
         let rows = page.rows.iter().map(|r| to_json(&row(self.query, r))).collect();
-        Ok(MergeResult { answer: Answer { header: head, rows }, next })
+        Ok(MergeResult { answer: Answer { header, rows }, next })
     }
 
     /// The progress of each range after a page that ends at `last`.
