--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -52,7 +52,7 @@
 }
 
 fn agent() -> Agent {
-    let mut agent = Agent::new(Bounds { bindings: 64, bytes: 4096 }, vec![1; 12], 1, mib::known());
+    let mut agent = Agent::new(Bounds { bindings: 64, bytes: 4096 }, vec![1; 12], 1, mib::object_oids());
     agent.admit_community("public".into(), View::default());
     agent
 }
--- a/src/mib.rs
+++ b/src/mib.rs
@@ -98,7 +98,7 @@
 }
 
 /// Returns the OIDs of all served objects, without instance suffixes.
-pub fn known() -> Vec<Oid> {
+pub fn object_oids() -> Vec<Oid> {
     let system = (1..=SYSTEM_OBJECTS).map(|arc| [&SYSTEM[..], &[arc]].concat());
     system.chain(module().objects().into_iter().map(|o| o.0)).collect()
 }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// The configuration is invalid. The error message describes the fault and contains no secrets.
-pub fn agent(
+pub fn build_agent(
     config: &SnmpConfig,
     limits: &Limits,
     restored: Option<(Vec<u8>, u32)>,
@@ -58,7 +58,7 @@
         None => (config.engine_id()?, boots_from_clock()),
     };
     let access = config.access()?;
-    let mut agent = Agent::new(bounds, engine, boots, mib::known());
+    let mut agent = Agent::new(bounds, engine, boots, mib::object_oids());
     if let Some((community, view)) = access.community {
         agent.admit_community(community, view);
     }
@@ -146,7 +146,7 @@
     restored: Option<(Vec<u8>, u32)>,
 ) -> Result<SocketAddr, SnmpStartError> {
     let listen_error = |source| SnmpStartError::Listen { address: config.listen, source };
-    let agent = agent(config, &limits, restored)?;
+    let agent = build_agent(config, &limits, restored)?;
     let socket = UdpSocket::bind(config.listen).map_err(listen_error)?;
     let local = socket.local_addr().map_err(listen_error)?;
     let walkers = Walkers::new(walkers::Bounds {
