--- a/src/config/edge.rs
+++ b/src/config/edge.rs
@@ -26,8 +26,8 @@
 
 /// The contents of the edge file.
 #[derive(Debug, Clone, Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Edge {
+#[serde(deny_unknown_fields, rename = "Edge", expecting = "struct Edge")]
+pub struct EdgeConfig {
     /// The section `[nodes]`: the protocol of the data nodes.
     #[serde(default)]
     pub nodes: Nodes,
@@ -75,7 +75,7 @@
     "tag_range".to_string()
 }
 
-impl Edge {
+impl EdgeConfig {
     /// Reads and parses the file.
     ///
     /// # Errors
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -16,7 +16,7 @@
 mod snmp;
 
 pub use aggregation::{DeskConfig as AggregationConfig, MeasureConfig, SetConfig};
-pub use edge::{Edge, NodeProtocol, Nodes as NodesConfig};
+pub use edge::{EdgeConfig, NodeProtocol, Nodes as NodesConfig};
 pub use error::{
     AggregationConfigError, ConfigError, EdgeError, FeaturesConfigError, SecretError, SetConfigError,
     SnmpConfigError,
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::thread;
 
-use curlewdeck::config::{Config, ConfigError, Edge, EdgeError};
+use curlewdeck::config::{Config, ConfigError, EdgeConfig, EdgeError};
 use curlewdeck::limits::Limits;
 use curlewdeck::query::{self, Command};
 use curlewdeck::reload::Reloader;
@@ -150,7 +150,7 @@
 }
 
 /// Validates both files and prints a summary.
-fn check(config: &Config, edge: &Edge) -> Result<(), CommandError> {
+fn check(config: &Config, edge: &EdgeConfig) -> Result<(), CommandError> {
     edge.check(&config.deployment)?;
     Limits::within(config.platform_bounds(0))?;
     let state = |on| if on { "on" } else { "off" };
@@ -184,16 +184,16 @@
     Config::load(file).map_err(|source| ServeError::Config { file: file.to_path_buf(), source })
 }
 
-fn load_edge(file: Option<PathBuf>) -> Result<Edge, EdgeError> {
+fn load_edge(file: Option<PathBuf>) -> Result<EdgeConfig, EdgeError> {
     match file {
-        Some(file) => Edge::load(&file),
-        None if Path::new(DEFAULT_EDGE_FILE).exists() => Edge::load(Path::new(DEFAULT_EDGE_FILE)),
-        None => Ok(Edge::default()),
+        Some(file) => EdgeConfig::load(&file),
+        None if Path::new(DEFAULT_EDGE_FILE).exists() => EdgeConfig::load(Path::new(DEFAULT_EDGE_FILE)),
+        None => Ok(EdgeConfig::default()),
     }
 }
 
 /// Serves until SIGTERM.
-fn serve(file: &Path, config: Config, edge: Edge) -> Result<(), CommandError> {
+fn serve(file: &Path, config: Config, edge: EdgeConfig) -> Result<(), CommandError> {
     start_logging();
     // Installs the handlers first, so that no early signal terminates the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).map_err(ServeError::Signals)?;
--- a/src/replication/tool.rs
+++ b/src/replication/tool.rs
@@ -7,7 +7,7 @@
 use pico_args::Arguments;
 
 use super::startup;
-use crate::config::Edge;
+use crate::config::EdgeConfig;
 
 /// The part of the help text for `curlewdeck group`.
 pub const HELP: &str = "\
@@ -76,7 +76,10 @@
     ///
     /// # Errors
     /// The command was rejected or failed; the text is one line for the operator.
-    pub fn run(self, load_edge: impl FnOnce(Option<PathBuf>) -> Result<Edge, String>) -> Result<(), String> {
+    pub fn run(
+        self,
+        load_edge: impl FnOnce(Option<PathBuf>) -> Result<EdgeConfig, String>,
+    ) -> Result<(), String> {
         let (method, url, body) = match self {
             Self::Call { method, url, body } => (method, url, body),
             Self::Found { id, edge } => {
--- a/src/startup/coordinator.rs
+++ b/src/startup/coordinator.rs
@@ -11,7 +11,7 @@
 use super::report::ledger_report;
 use super::CLOSING_CHECK_INTERVAL;
 use crate::alerts::ShutdownSignal;
-use crate::config::{Config, ConfigError, Edge};
+use crate::config::{Config, ConfigError, EdgeConfig};
 use crate::frontend::http_server::Service;
 use crate::limits::Limits;
 use crate::net::coordinator::CoreHandle;
@@ -56,7 +56,7 @@
     pub(super) stopping: Option<ShutdownSignal>,
     /// The configuration that was applied last.
     pub(super) applied_config: Mutex<Config>,
-    pub(super) edge: Edge,
+    pub(super) edge: EdgeConfig,
     /// The number of other processes that may serve from the same socket.
     pub(super) other_processes: u32,
 }
--- a/src/startup/frontends.rs
+++ b/src/startup/frontends.rs
@@ -10,7 +10,7 @@
 use super::subsystems::{ProcessContext, Subsystems};
 use super::StartError;
 use crate::alerts::{self, ShutdownSignal};
-use crate::config::{AggregationConfig, Config, Edge, FeaturesConfig, SnmpConfig};
+use crate::config::{AggregationConfig, Config, EdgeConfig, FeaturesConfig, SnmpConfig};
 use crate::control::{self, Operations};
 use crate::frontend::aggregation::{AggregationFrontend, SharedRangeCache};
 use crate::frontend::features::FeaturesFrontend;
@@ -41,7 +41,7 @@
 
 /// Checks that the process can listen at the addresses of all frontends and of the group's clients, and closes the
 /// sockets again. Another process may still take an address before its frontend starts.
-pub(super) fn check_addresses(config: &Config, edge: &Edge) -> Result<(), StartError> {
+pub(super) fn check_addresses(config: &Config, edge: &EdgeConfig) -> Result<(), StartError> {
     let clients = config.listen_fd.is_none().then_some(config.listen);
     let features = edge.features.as_ref().map(|features| features.listen);
     let aggregation = edge.aggregation.as_ref().map(|aggregation| aggregation.listen);
@@ -85,7 +85,7 @@
     pub(super) fn start_all(
         &self,
         config: &Config,
-        edge: &Edge,
+        edge: &EdgeConfig,
         subsystems: &mut Subsystems,
         inherited: Option<InheritedListener>,
     ) -> Result<StartedFrontends, StartError> {
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -18,7 +18,7 @@
 pub use coordinator::{ConfigChange, Coordinator};
 pub use error::StartError;
 
-use crate::config::{Config, Edge};
+use crate::config::{Config, EdgeConfig};
 use crate::limits::Limits;
 use frontends::{Frontends, StartedFrontends};
 use subsystems::{ProcessContext, Subsystems};
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// The first step that failed.
-pub fn start(mut config: Config, edge: Edge) -> Result<Coordinator, StartError> {
+pub fn start(mut config: Config, edge: EdgeConfig) -> Result<Coordinator, StartError> {
     edge.check(&config.deployment)?;
     let applied_config = config.clone();
     let inherited = take_inherited_listener(&config)?;
--- a/src/startup/subsystems.rs
+++ b/src/startup/subsystems.rs
@@ -8,7 +8,7 @@
 use may::sync::mpsc::Sender;
 
 use super::StartError;
-use crate::config::{Config, Edge, NodeProtocol, NodesConfig, SnmpConfig};
+use crate::config::{Config, EdgeConfig, NodeProtocol, NodesConfig, SnmpConfig};
 use crate::counters::Counters;
 use crate::engine::Engine;
 use crate::frontend::aggregation::SharedRangeCache;
@@ -62,7 +62,7 @@
     pub(super) fn start(
         process: &ProcessContext,
         config: &mut Config,
-        edge: &Edge,
+        edge: &EdgeConfig,
     ) -> Result<Self, StartError> {
         let engine = process.engine(config.seed)?;
         let (core_mailbox, core_inbox) = messages::mailbox();
@@ -206,7 +206,11 @@
 }
 
 /// The replica of the coordinator's state in the group, if the edge file enables it.
-fn snapshot_replica(edge: &Edge, name: &str, group: Option<&Group>) -> Option<Box<dyn SnapshotReplica>> {
+fn snapshot_replica(
+    edge: &EdgeConfig,
+    name: &str,
+    group: Option<&Group>,
+) -> Option<Box<dyn SnapshotReplica>> {
     let is_replicated = edge.state.as_ref().is_some_and(|state| state.replicated);
     group.filter(|_| is_replicated).map(|group| group.snapshot_replica(name))
 }
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -344,7 +344,7 @@
     write_keys(new);
     assert_eq!(problem(&Fleet::with_edge(9, &edge).send_query("passages", &list(Some(&next)))).1, "cursor");
     std::fs::set_permissions(&file, PermissionsExt::from_mode(0o644)).unwrap();
-    let config = curlewdeck::config::Edge::read(&edge).unwrap().aggregation.unwrap();
+    let config = curlewdeck::config::EdgeConfig::read(&edge).unwrap().aggregation.unwrap();
     assert!(config.keys().unwrap_err().to_string().contains("chmod 600"));
     std::fs::remove_dir_all(&directory).unwrap();
 }
@@ -592,12 +592,12 @@
         ("scale = 2 }, {", "scale = 19 }, {", "at most 18"),
         ("\"accounts\"", "\"a b\"", "is not a valid path segment"),
     ] {
-        let edge = curlewdeck::config::Edge::read(&EDGE.replacen(from, to, 1)).unwrap();
+        let edge = curlewdeck::config::EdgeConfig::read(&EDGE.replacen(from, to, 1)).unwrap();
         let fault = edge.aggregation.unwrap().check(&info).unwrap_err().to_string();
         assert!(fault.contains(why), "{to}: {fault}");
     }
     // Feature servers return features, which the desk frontend cannot merge.
     let edge = format!("[nodes]\nprotocol = \"features\"\n{EDGE}");
-    let fault = curlewdeck::config::Edge::read(&edge).unwrap().check(&info).unwrap_err().to_string();
+    let fault = curlewdeck::config::EdgeConfig::read(&edge).unwrap().check(&info).unwrap_err().to_string();
     assert!(fault.contains("needs data nodes that use frames"), "{fault}");
 }
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -302,16 +302,16 @@
 
 #[test]
 fn invalid_edge_settings_are_rejected() {
-    use curlewdeck::config::Edge;
-    assert!(Edge::read("[ogc]\nlisten = 5\ncollections = []").is_err());
-    assert!(Edge::read("[gco]").is_err());
-    assert!(Edge::read(include_str!("../deploy/edge.toml")).unwrap().features.is_none());
+    use curlewdeck::config::EdgeConfig;
+    assert!(EdgeConfig::read("[ogc]\nlisten = 5\ncollections = []").is_err());
+    assert!(EdgeConfig::read("[gco]").is_err());
+    assert!(EdgeConfig::read(include_str!("../deploy/edge.toml")).unwrap().features.is_none());
     let config = curlewdeck::config::Config::read(
         &TestCluster::default().config("127.0.0.1:1".parse().unwrap()),
         |_| None,
     );
     let edge = EDGE.replace("plaza-ranking", "monthly-settle");
-    let started = curlewdeck::startup::start(config.unwrap(), Edge::read(&edge).unwrap());
+    let started = curlewdeck::startup::start(config.unwrap(), EdgeConfig::read(&edge).unwrap());
     assert!(started.err().unwrap().to_string().contains("second step"));
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 
 use curlewdeck::api::EndpointState;
-use curlewdeck::config::{Config, Edge};
+use curlewdeck::config::{Config, EdgeConfig};
 use curlewdeck::startup::{self, Coordinator};
 use serde_json::{json, Value};
 
@@ -131,7 +131,7 @@
     config["known"] = endpoint_list(41, true, node.addr);
     let config = Config::read(&indented(&config), |_| None).unwrap();
     assert_eq!(config.platform_bounds(0).nodes, NODES as usize);
-    let coordinator = startup::start(config, Edge::default()).unwrap();
+    let coordinator = startup::start(config, EdgeConfig::default()).unwrap();
     wait_until_all_nodes_are_active(&coordinator);
     assert!(node.received_parts().is_empty());
     let (mut watch, target) = discovery.accept_call();
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -23,7 +23,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use curlewdeck::config::{Config, Edge};
+use curlewdeck::config::{Config, EdgeConfig};
 use curlewdeck::limits::Limits;
 use curlewdeck::startup::{self, Coordinator};
 use stand_in::{send_request, Answer, DataNode, Discovery, Member, NodeReply, Part};
@@ -88,7 +88,7 @@
     static WORKERS: Once = Once::new();
     WORKERS.call_once(|| startup::set_up_workers(&Limits::default()));
     let config = Config::read(config, |_| None).unwrap();
-    startup::start(config, Edge::read(edge).unwrap()).unwrap()
+    startup::start(config, EdgeConfig::read(edge).unwrap()).unwrap()
 }
 
 /// Parses the `address` field of a log line.
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -164,7 +164,7 @@
 fn an_invalid_snmp_section_is_rejected_with_its_cause() {
     let error_of = |lines: &str| {
         let edge = format!("[snmp]\nlisten = \"127.0.0.1:0\"\n{lines}\n");
-        let config = curlewdeck::config::Edge::read(&edge).unwrap().snmp.unwrap();
+        let config = curlewdeck::config::EdgeConfig::read(&edge).unwrap().snmp.unwrap();
         let agent = curlewdeck::snmp::build_agent(&config, &curlewdeck::limits::Limits::default(), None);
         agent.err().map(|error| error.to_string()).unwrap_or_default()
     };
