--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -65,7 +65,7 @@
 #[divan::bench]
 fn get_next(bencher: divan::Bencher) {
     let tree = Tree::new(mib::objects(&Counters::default(), &ledger_snapshot(), 0, None));
-    let request = session().write(&next_in_node_table(), 0).expect("encode the request");
+    let request = session().encode_request(&next_in_node_table(), 0).expect("encode the request");
     bencher.with_inputs(agent).bench_refs(|agent| match agent.read(&request, 0) {
         Incoming::Request(received) => agent.answer(&received, &tree, 0),
         _ => None,
@@ -75,7 +75,7 @@
 #[divan::bench]
 fn get_next_rebuilding_objects(bencher: divan::Bencher) {
     let (counters, ledger) = (Counters::default(), ledger_snapshot());
-    let request = session().write(&next_in_node_table(), 0).expect("encode the request");
+    let request = session().encode_request(&next_in_node_table(), 0).expect("encode the request");
     bencher.bench(|| {
         let objects = mib::objects(&counters, &ledger, 0, None);
         let message: Message<Pdus> = rasn::ber::decode(&request).expect("decode the request");
@@ -98,11 +98,11 @@
         let tree = Tree::new(mib::objects(&counters, &ledger, 0, None));
         let (mut walk, mut object_count) = (Walk::new(vec![1, 3], 50), 0);
         while let Some(next) = walk.next_request() {
-            session.begin();
-            let request = session.write(&next, 0).expect("encode the request");
+            session.begin_request();
+            let request = session.encode_request(&next, 0).expect("encode the request");
             let Incoming::Request(received) = agent.read(&request, 0) else { break };
             let answer = agent.answer(&received, &tree, 0).expect("answer the request");
-            let Ok(Reply::Bindings(bindings)) = session.read(&answer, 0) else { break };
+            let Ok(Reply::Bindings(bindings)) = session.decode_reply(&answer, 0) else { break };
             object_count += walk.handle_answer(bindings).expect("bindings that continue the walk").len();
         }
         object_count
--- a/crates/snmp/src/manager.rs
+++ b/crates/snmp/src/manager.rs
@@ -65,7 +65,7 @@
     /// The request must be encoded and sent again, since the agent reported its engine id or its time.
     Retry,
     /// The datagram answers another request.
-    NotOurs,
+    OtherRequest,
 }
 
 /// Why a request failed.
@@ -80,7 +80,7 @@
     /// The reply is not authenticated by the agent's key: it was modified or forged.
     WrongDigest,
     /// An object does not follow the previous one, so that a walk might not end.
-    Backwards(Oid),
+    OutOfOrder(Oid),
 }
 
 impl fmt::Display for ManagerError {
@@ -99,7 +99,7 @@
                 _ => return write!(f, "the agent sent a report of {}", dotted(oid)),
             }),
             Self::WrongDigest => f.write_str("the digest of the reply is wrong"),
-            Self::Backwards(oid) => write!(f, "the agent returned {} out of order", dotted(oid)),
+            Self::OutOfOrder(oid) => write!(f, "the agent returned {} out of order", dotted(oid)),
         }
     }
 }
@@ -144,14 +144,14 @@
     }
 
     /// Begins a new request; replies to earlier ones are ignored.
-    pub fn begin(&mut self) {
+    pub fn begin_request(&mut self) {
         self.request_id = self.request_id.wrapping_add(1) & i32::MAX;
         self.reports_handled = 0;
     }
 
     /// Encodes the request; `now` is the local time in seconds. If the engine of a version 3 agent is not known yet,
     /// encodes a discovery request instead. Returns `None` if encoding fails.
-    pub fn write(&mut self, request: &Request, now: u32) -> Option<Vec<u8>> {
+    pub fn encode_request(&mut self, request: &Request, now: u32) -> Option<Vec<u8>> {
         let data = pdus(request, self.request_id);
         match &self.security {
             Security::Community(community) => {
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// Returns why the request failed.
-    pub fn read(&mut self, bytes: &[u8], now: u32) -> Result<Reply, ManagerError> {
+    pub fn decode_reply(&mut self, bytes: &[u8], now: u32) -> Result<Reply, ManagerError> {
         match self.security.clone() {
             Security::Community(_) => {
                 let message: v2c::Message<Pdus> =
@@ -226,7 +226,7 @@
         let usm: v3::USMSecurityParameters =
             message.decode_security_parameters(rasn::Codec::Ber).map_err(|_| ManagerError::Malformed)?;
         if message.global_data.message_id != Integer::from(self.request_id) {
-            return Ok(Reply::NotOurs);
+            return Ok(Reply::OtherRequest);
         }
         let number = |n: &Integer| u32::try_from(n.clone()).map_err(|_| ManagerError::Malformed);
         let (boots, time) =
@@ -261,7 +261,7 @@
         let Pdus::Response(response) = data else { return Err(ManagerError::Malformed) };
         let response = &response.0;
         if response.request_id != self.request_id {
-            return Ok(Reply::NotOurs);
+            return Ok(Reply::OtherRequest);
         }
         if response.error_status != 0 {
             return Err(ManagerError::Status(response.error_status, response.error_index));
@@ -365,7 +365,7 @@
                 break;
             };
             if oid <= self.position {
-                return Err(ManagerError::Backwards(oid));
+                return Err(ManagerError::OutOfOrder(oid));
             }
             if !oid.starts_with(&self.root) {
                 self.done = true;
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -41,19 +41,19 @@
     request: &Request,
     times: (u32, u32),
 ) -> Result<Vec<(Oid, BindingValue)>, ManagerError> {
-    session.begin();
+    session.begin_request();
     for _ in 0..4 {
-        let bytes = session.write(request, times.1).unwrap();
+        let bytes = session.encode_request(request, times.1).unwrap();
         let answer = match agent.read(&bytes, times.0) {
             Incoming::Drop => return Err(ManagerError::Malformed),
             Incoming::Reply(bytes) => bytes,
             Incoming::Request(accepted) => agent.answer(&accepted, tree, times.0).unwrap(),
         };
         assert!(answer.len() <= BOUNDS.bytes, "{} bytes", answer.len());
-        match session.read(&answer, times.1)? {
+        match session.decode_reply(&answer, times.1)? {
             Reply::Bindings(bindings) => return Ok(bindings),
             Reply::Retry => {}
-            Reply::NotOurs => panic!("the reply is to another request"),
+            Reply::OtherRequest => panic!("the reply is to another request"),
         }
     }
     panic!("too many retries");
@@ -204,7 +204,7 @@
     let mut session = Session::new(Security::User(user("ro", "longenough", None)), 1, 7);
     let what = Request::Get(vec![vec![1, 3, 7]]);
     exchange(&mut agent, &tree, &mut session, &what, (1000, 5)).unwrap();
-    let captured = session.write(&what, 5).unwrap();
+    let captured = session.encode_request(&what, 5).unwrap();
     assert!(matches!(agent.read(&captured, 1150), Incoming::Request(_)));
     assert!(matches!(agent.read(&captured, 1151), Incoming::Reply(_)));
     assert_eq!(stat(&agent, 2), Value::Counter32(1));
@@ -220,7 +220,7 @@
     exchange(&mut agent, &tree, &mut session, &what, (5, 5)).unwrap();
     let mut other = Agent::new(BOUNDS, vec![1; 12], 1, Vec::new());
     other.admit_user(user("noc", "maplesyrup", Some("buckwheat")), 1);
-    let bytes = session.write(&what, 5).unwrap();
+    let bytes = session.encode_request(&what, 5).unwrap();
     assert!(matches!(other.read(&bytes, 5), Incoming::Reply(_)), "the message is for another engine");
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
@@ -235,7 +235,7 @@
         let mut changed = answer.clone();
         changed[at] ^= 1;
         assert!(
-            !matches!(session.clone().read(&changed, 5), Ok(Reply::Bindings(_))),
+            !matches!(session.clone().decode_reply(&changed, 5), Ok(Reply::Bindings(_))),
             "byte {at} was modified"
         );
     }
@@ -261,7 +261,7 @@
     let repeated = vec![(vec![1, 3, 5], BindingValue::Value(Value::Gauge(1)))];
     assert_eq!(
         walk.handle_answer(repeated),
-        Err(ManagerError::Backwards(vec![1, 3, 5])),
+        Err(ManagerError::OutOfOrder(vec![1, 3, 5])),
         "an agent that repeats an object"
     );
 }
@@ -287,7 +287,7 @@
         let (tree, mut agent) = (tree(5), agent());
         let mut session = sessions().remove(which);
         let _ = exchange(&mut agent, &tree, &mut session, &Request::Get(vec![vec![1, 3, 7]]), (5, 5));
-        let mut bytes = session.write(&Request::Bulk(vec![vec![1, 3]], 5), 5).unwrap();
+        let mut bytes = session.encode_request(&Request::Bulk(vec![vec![1, 3]], 5), 5).unwrap();
         for (at, byte) in changes {
             let at = at % bytes.len();
             bytes[at] = byte;
@@ -297,7 +297,7 @@
             if let Incoming::Request(request) = agent.read(&bytes, 5) {
                 let _ = agent.answer(&request, &tree, 5);
             }
-            let _ = session.read(&bytes, 5);
+            let _ = session.decode_reply(&bytes, 5);
         }
     }
 }
--- a/src/snmp_tool/requester.rs
+++ b/src/snmp_tool/requester.rs
@@ -37,7 +37,7 @@
 
     /// Sends a request up to `max_attempts` times; attempts that only discover the engine are not counted.
     pub(super) fn request(&mut self, request: &Request) -> Result<Bindings, SnmpToolError> {
-        self.session.begin();
+        self.session.begin_request();
         let mut attempts_left = self.max_attempts;
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while attempts_left > 0 {
@@ -51,7 +51,7 @@
     }
 
     fn attempt(&mut self, request: &Request, buffer: &mut [u8]) -> Result<AttemptOutcome, SnmpToolError> {
-        let bytes = self.session.write(request, self.now_s()).ok_or(SnmpToolError::Unencodable)?;
+        let bytes = self.session.encode_request(request, self.now_s()).ok_or(SnmpToolError::Unencodable)?;
         self.socket.send(&bytes)?;
         let sent_at = Instant::now();
         while let Some(wait) = self.timeout.checked_sub(sent_at.elapsed()).filter(|w| !w.is_zero()) {
@@ -62,9 +62,9 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(e) => return Err(e.into()),
             };
-            match self.session.read(&buffer[..size], self.now_s())? {
+            match self.session.decode_reply(&buffer[..size], self.now_s())? {
                 Reply::Bindings(bindings) => return Ok(AttemptOutcome::Answered(bindings)),
-                Reply::NotOurs => {}
+                Reply::OtherRequest => {}
                 Reply::Retry => return Ok(AttemptOutcome::EngineDiscovered),
             }
         }
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -55,13 +55,13 @@
 ) -> Result<Reply, ManagerError> {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    session.begin();
+    session.begin_request();
     loop {
-        socket.send_to(&session.write(request, 0).unwrap(), addr).unwrap();
+        socket.send_to(&session.encode_request(request, 0).unwrap(), addr).unwrap();
         let mut buf = [0; 65_536];
         let (size, _) = socket.recv_from(&mut buf).unwrap();
-        match session.read(&buf[..size], 0)? {
-            Reply::Retry | Reply::NotOurs => {}
+        match session.decode_reply(&buf[..size], 0)? {
+            Reply::Retry | Reply::OtherRequest => {}
             bindings => return Ok(bindings),
         }
     }
