--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -65,7 +65,7 @@
 
 /// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Send {
+pub struct OutgoingMessage {
     /// Address of the [`Target`].
     pub to: String,
     /// The encoded message.
@@ -131,7 +131,7 @@
 
     /// Handles an event and returns the messages to send. `up_time` is the time since the agent's start, in hundredths
     /// of a second.
-    pub fn notice(&mut self, now: Nanos, up_time: u32, notice: &Notice) -> Vec<Send> {
+    pub fn notify(&mut self, now: Nanos, up_time: u32, notice: &Notice) -> Vec<OutgoingMessage> {
         if !self.admit(now, notice) {
             self.counts.rate_limited += 1;
             return Vec::new();
@@ -148,7 +148,7 @@
             if target.inform {
                 self.await_acknowledgement(now, &target.to, &bytes);
             }
-            messages.push(Send { to: target.to, bytes });
+            messages.push(OutgoingMessage { to: target.to, bytes });
         }
         messages
     }
@@ -210,7 +210,7 @@
     }
 
     /// Retries or abandons informs that were not acknowledged in time; returns the messages to send.
-    pub fn tick(&mut self, now: Nanos) -> Vec<Send> {
+    pub fn tick(&mut self, now: Nanos) -> Vec<OutgoingMessage> {
         let (bounds, counts) = (self.bounds, &mut self.counts);
         let mut messages = Vec::new();
         self.pending.retain_mut(|inform| {
@@ -225,7 +225,7 @@
             let delay = bounds.retry_delay.saturating_mul(1 << inform.attempts.min(MAX_DOUBLINGS));
             inform.due = now.saturating_add(delay);
             inform.attempts += 1;
-            messages.push(Send { to: inform.to.clone(), bytes: inform.bytes.clone() });
+            messages.push(OutgoingMessage { to: inform.to.clone(), bytes: inform.bytes.clone() });
             true
         });
         messages
@@ -247,7 +247,7 @@
 pub type Received = (Oid, Vec<(Oid, Value)>, Option<Vec<u8>>);
 
 /// Decodes a notification; returns `None` for any other message.
-pub fn receive(bytes: &[u8]) -> Option<Received> {
+pub fn decode_notification(bytes: &[u8]) -> Option<Received> {
     let message: v2c::Message<Pdus> = rasn::ber::decode(bytes).ok()?;
     let (pdu, inform) = match message.data {
         Pdus::Trap(trap) => (trap.0, false),
--- a/crates/snmp/src/notify/tests.rs
+++ b/crates/snmp/src/notify/tests.rs
@@ -25,8 +25,8 @@
 
 #[test]
 fn received_notification_equals_the_one_sent() {
-    let sent = notifier(false).notice(0, 5, &notice("x"));
-    let (name, objects, answer) = receive(&sent[0].bytes).unwrap();
+    let sent = notifier(false).notify(0, 5, &notice("x"));
+    let (name, objects, answer) = decode_notification(&sent[0].bytes).unwrap();
     assert_eq!((name, answer), (vec![1, 3, 9], None));
     assert_eq!(objects, [(UP_TIME.to_vec(), Value::Ticks(5)), (vec![1, 3, 5], Value::Gauge(7))]);
 }
@@ -36,7 +36,7 @@
 #[test]
 fn notices_are_rate_limited() {
     let mut n = notifier(false);
-    let notified = |n: &mut Notifier, at, subject: &str| n.notice(at, 0, &notice(subject)).len();
+    let notified = |n: &mut Notifier, at, subject: &str| n.notify(at, 0, &notice(subject)).len();
     assert_eq!(
         (notified(&mut n, 0, "x"), notified(&mut n, 59 * S, "x"), notified(&mut n, 60 * S, "x")),
         (1, 0, 1)
@@ -50,16 +50,16 @@
 #[test]
 fn inform_is_retried_until_it_is_acknowledged_or_abandoned() {
     let mut n = notifier(true);
-    let sent = n.notice(0, 0, &notice("x"));
+    let sent = n.notify(0, 0, &notice("x"));
     assert!(n.tick(S - 1).is_empty());
     assert_eq!(n.tick(S).len(), 1);
     assert!(n.tick(3 * S - 1).is_empty(), "the second delay is twice the first");
-    let answer = receive(&sent[0].bytes).unwrap().2.unwrap();
+    let answer = decode_notification(&sent[0].bytes).unwrap().2.unwrap();
     n.acknowledge("b", &answer);
     assert_eq!(n.counts().acknowledged, 0, "the acknowledgement is from another address");
     n.acknowledge("a", &answer);
     assert_eq!((n.counts().acknowledged, n.due()), (1, None));
-    n.notice(S, 0, &notice("y"));
+    n.notify(S, 0, &notice("y"));
     let again: usize = (2..100).map(|t| n.tick(t * S).len()).sum();
     assert_eq!((again, n.counts().unacknowledged, n.due()), (2, 1, None));
 }
@@ -75,10 +75,10 @@
         for (kind, pick, span) in steps {
             now += span * S;
             match kind {
-                0 | 1 => out.extend(n.notice(now, 0, &notice(&pick.to_string()))),
+                0 | 1 => out.extend(n.notify(now, 0, &notice(&pick.to_string()))),
                 2 => drop(n.tick(now)),
                 _ => {
-                    let answer = out.get(pick as usize).and_then(|s: &Send| receive(&s.bytes)?.2);
+                    let answer = out.get(pick as usize).and_then(|s: &OutgoingMessage| decode_notification(&s.bytes)?.2);
                     n.acknowledge("a", answer.as_deref().unwrap_or(&noise));
                 }
             }
@@ -86,6 +86,6 @@
             prop_assert!(n.pending.len() <= 4 && n.notified.len() <= 5 && n.tokens <= 3);
             prop_assert_eq!(c.sent, c.acknowledged + c.unacknowledged + n.pending.len() as u64);
         }
-        let _ = receive(&noise);
+        let _ = decode_notification(&noise);
     }
 }
--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use curlewdeck_snmp::notify::{Bounds, Notice, Notifier, Send, Target};
+use curlewdeck_snmp::notify::{Bounds, Notice, Notifier, OutgoingMessage, Target};
 
 use crate::api::Nanos;
 use crate::config::{NotifyConfig, SnmpConfig};
@@ -162,13 +162,13 @@
         for notice in notices {
             let name = self.detector.notification_name(notice);
             log::info!(notification = name, subject = notice.subject.as_str(); "notification raised");
-            let datagrams = self.notifier.notice(now, mib::ticks(self.started_at, now), notice);
+            let datagrams = self.notifier.notify(now, mib::ticks(self.started_at, now), notice);
             self.send(datagrams);
         }
     }
 
-    fn send(&self, datagrams: Vec<Send>) {
-        for Send { to, bytes } in datagrams {
+    fn send(&self, datagrams: Vec<OutgoingMessage>) {
+        for OutgoingMessage { to, bytes } in datagrams {
             if let Err(e) = self.socket.send_to(&bytes, &to) {
                 log::debug!(to = to.as_str(), error:% = e; "notification not sent");
             }
--- a/src/snmp_tool/listen.rs
+++ b/src/snmp_tool/listen.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, UdpSocket};
 
 use curlewdeck_snmp::dotted;
-use curlewdeck_snmp::notify::receive;
+use curlewdeck_snmp::notify::decode_notification;
 use curlewdeck_snmp::registry::Module;
 use curlewdeck_snmp::tree::Value;
 use curlewdeck_snmp::Oid;
@@ -33,7 +33,7 @@
     let mut received = 0;
     while received < count {
         let (size, from) = socket.recv_from(&mut buffer)?;
-        let Some((oid, objects, acknowledgement)) = receive(&buffer[..size]) else { continue };
+        let Some((oid, objects, acknowledgement)) = decode_notification(&buffer[..size]) else { continue };
         if let Some(acknowledgement) = acknowledgement {
             socket.send_to(&acknowledgement, from)?;
         }
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -205,7 +205,7 @@
     // Receives an inform, acknowledges it if asked to, and returns its name and its first own object.
     let mut receive = |acknowledge: bool| {
         let (size, from) = listener.recv_from(&mut buf).unwrap();
-        let (oid, objects, answer) = curlewdeck_snmp::notify::receive(&buf[..size]).unwrap();
+        let (oid, objects, answer) = curlewdeck_snmp::notify::decode_notification(&buf[..size]).unwrap();
         if acknowledge {
             listener.send_to(&answer.unwrap(), from).unwrap();
         }
