--- a/benches/snmp.rs
+++ b/benches/snmp.rs
@@ -53,7 +53,7 @@
 
 fn agent() -> Agent {
     let mut agent = Agent::new(Bounds { bindings: 64, bytes: 4096 }, vec![1; 12], 1, mib::object_oids());
-    agent.admit_community("public".into(), View::default());
+    agent.set_community("public".into(), View::default());
     agent
 }
 
--- a/crates/snmp/src/agent.rs
+++ b/crates/snmp/src/agent.rs
@@ -103,13 +103,13 @@
     }
 
     /// Allows a community of version 2c to read the objects in a view.
-    pub fn admit_community(&mut self, community: String, view: View) {
+    pub fn set_community(&mut self, community: String, view: View) {
         self.community = Some((community, view));
     }
 
     /// Allows a user of version 3 to read the objects in its view. Salts for encryption follow `salt`; no earlier process
     /// may have used them with the same keys.
-    pub fn admit_user(&mut self, user: User, salt: u64) {
+    pub fn add_user(&mut self, user: User, salt: u64) {
         let keys = Keys::new(&user, &self.engine);
         self.users.push((user, keys));
         self.salt = salt;
--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// Returns the line number and the error, without any secret.
-    pub fn read_all(text: &str) -> Result<Vec<Self>, String> {
+    pub fn parse_file(text: &str) -> Result<Vec<Self>, String> {
         let mut users: Vec<Self> = Vec::new();
         for (n, line) in (1..).zip(text.lines()) {
             let line = line.trim();
--- a/crates/snmp/src/usm/tests.rs
+++ b/crates/snmp/src/usm/tests.rs
@@ -49,7 +49,7 @@
 
 #[test]
 fn user_file_errors_name_the_line_and_no_secret() {
-    let users = User::read_all(
+    let users = User::parse_file(
         "# comment\nnoc auth pass:maplesyrup priv pass:maplesyrup2\nro auth pass:longenough\n",
     );
     let users = users.unwrap();
@@ -62,7 +62,7 @@
         ("a pass:longenough", "NAME auth"),
         ("a auth pass:longenough\na auth pass:longenough", "line 2: the user 'a'"),
     ] {
-        let fault = User::read_all(text).unwrap_err();
+        let fault = User::parse_file(text).unwrap_err();
         assert!(fault.contains(why) && !fault.contains("secret1234"), "{fault}");
     }
 }
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -25,11 +25,11 @@
 
 fn agent() -> Agent {
     let mut agent = Agent::new(BOUNDS, ENGINE.to_vec(), 1, vec![vec![1, 3, 6, 1, 1]]);
-    agent.admit_community("public".into(), View::default());
-    agent.admit_user(user("noc", "maplesyrup", Some("buckwheat")), 1);
-    agent.admit_user(user("ro", "longenough", None), 1);
+    agent.set_community("public".into(), View::default());
+    agent.add_user(user("noc", "maplesyrup", Some("buckwheat")), 1);
+    agent.add_user(user("ro", "longenough", None), 1);
     let view = View { exclude: vec![vec![1, 3, 6, 1, 2]], ..View::default() };
-    agent.admit_user(User { view, ..user("some", "longenough", None) }, 1);
+    agent.add_user(User { view, ..user("some", "longenough", None) }, 1);
     agent
 }
 
@@ -140,7 +140,7 @@
         privacy: Some(pass("buckwheat")),
         view: View::default(),
     };
-    agent.admit_user(user.clone(), 1);
+    agent.add_user(user.clone(), 1);
     let mut session = Session::new(Security::User(user), 1, 7);
     let got =
         exchange(&mut agent, &tree(3), &mut session, &Request::Get(vec![vec![1, 3, 7]]), (5, 5)).unwrap();
@@ -219,7 +219,7 @@
     let what = Request::Get(vec![vec![1, 3, 7]]);
     exchange(&mut agent, &tree, &mut session, &what, (5, 5)).unwrap();
     let mut other = Agent::new(BOUNDS, vec![1; 12], 1, Vec::new());
-    other.admit_user(user("noc", "maplesyrup", Some("buckwheat")), 1);
+    other.add_user(user("noc", "maplesyrup", Some("buckwheat")), 1);
     let bytes = session.encode_request(&what, 5).unwrap();
     assert!(matches!(other.read(&bytes, 5), Incoming::Reply(_)), "the message is for another engine");
     for at in 0..bytes.len() {
--- a/src/config/snmp.rs
+++ b/src/config/snmp.rs
@@ -140,9 +140,8 @@
     }
 
     fn read_users(&self, path: &Path) -> Result<Vec<SnmpUser>, SnmpConfigError> {
-        let users = User::read_all(&read_secret(path)?).map_err(|reason| SnmpConfigError::InvalidUsers {
-            path: path.to_path_buf(),
-            reason: reason.to_string(),
+        let users = User::parse_file(&read_secret(path)?).map_err(|reason| {
+            SnmpConfigError::InvalidUsers { path: path.to_path_buf(), reason: reason.to_string() }
         })?;
         users.into_iter().map(|user| self.with_view_and_salt(user)).collect()
     }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -60,10 +60,10 @@
     let access = config.access()?;
     let mut agent = Agent::new(bounds, engine, boots, mib::object_oids());
     if let Some((community, view)) = access.community {
-        agent.admit_community(community, view);
+        agent.set_community(community, view);
     }
     for admitted in access.users {
-        agent.admit_user(admitted.user, admitted.salt);
+        agent.add_user(admitted.user, admitted.salt);
     }
     Ok(agent)
 }
--- a/src/snmp_tool.rs
+++ b/src/snmp_tool.rs
@@ -93,7 +93,7 @@
 
 fn read_user(file: String, name: String) -> Result<User, SnmpToolError> {
     let text = read_secret(&PathBuf::from(&file))?;
-    match User::read_all(&text) {
+    match User::parse_file(&text) {
         Ok(users) => {
             users.into_iter().find(|user| user.name == name).ok_or(SnmpToolError::UnknownUser { file, name })
         }
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -106,7 +106,7 @@
         coordinator.ledger_snapshot().is_some_and(|ledger| ledger.attempts.in_flight() == 0)
     });
     let agent = coordinator.snmp.unwrap();
-    let mut noc = Session::new(Security::User(User::read_all(&users).unwrap().remove(0)), 1, 7);
+    let mut noc = Session::new(Security::User(User::parse_file(&users).unwrap().remove(0)), 1, 7);
     let walked = walk(agent, &mut noc);
     let (ledger, counters) = (coordinator.ledger_snapshot().unwrap(), &coordinator.core.counters);
     let expected = curlewdeck::mib::objects(counters, &ledger, 0, None);
@@ -153,7 +153,7 @@
     let public = walk(agent, &mut Session::new(Security::Community("public".into()), 1, 7));
     assert!(public.len() > 30 && public.iter().all(|o| !o.0.starts_with(&[1, 3, 6, 1, 4, 1, 32473, 1, 3])));
     let unknown_users = users.replace("noc", "eve");
-    let mut eve = Session::new(Security::User(User::read_all(&unknown_users).unwrap().remove(0)), 1, 7);
+    let mut eve = Session::new(Security::User(User::parse_file(&unknown_users).unwrap().remove(0)), 1, 7);
     let error = exchange(agent, &mut eve, &Request::Get(vec![vec![1, 3]])).unwrap_err();
     assert!(error.to_string().contains("does not know this user"), "{error}");
     std::fs::remove_dir_all(&folder).unwrap();
@@ -219,7 +219,7 @@
     set_member_state(&coordinator, &discovery, "b", "removed");
     assert_eq!(receive(true).0, "cdNodeLost");
     let wrong_users = users.replace("1b", "1c");
-    let mut eve = Session::new(Security::User(User::read_all(&wrong_users).unwrap().remove(0)), 1, 7);
+    let mut eve = Session::new(Security::User(User::parse_file(&wrong_users).unwrap().remove(0)), 1, 7);
     let agent = coordinator.snmp.unwrap();
     assert!(exchange(agent, &mut eve, &Request::Get(vec![vec![1, 3]]))
         .unwrap_err()
