--- a/crates/snmp/src/registry.rs
+++ b/crates/snmp/src/registry.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether a value has this syntax.
-    pub fn fits(self, value: &Value) -> bool {
+    pub fn matches(self, value: &Value) -> bool {
         match (self, value) {
             (Self::Counter64, Value::Counter64(_))
             | (Self::Counter32, Value::Counter32(_))
@@ -176,12 +176,12 @@
     }
 
     /// The object identifier of a readable object, without instance.
-    pub fn name_of(&self, name: &str) -> Option<Oid> {
+    pub fn oid_of(&self, name: &str) -> Option<Oid> {
         self.objects().into_iter().find(|o| o.1.name == name).map(|o| o.0)
     }
 
     /// The descriptor of the object that an object identifier belongs to, and the instance part of the identifier.
-    pub fn object_of<'a>(&self, name: &'a [u32]) -> Option<(String, &'a [u32])> {
+    pub fn object_by_oid<'a>(&self, name: &'a [u32]) -> Option<(String, &'a [u32])> {
         let found = self.objects().into_iter().rfind(|o| name.starts_with(&o.0));
         found.map(|(oid, object)| (object.name.clone(), &name[oid.len()..]))
     }
--- a/src/alerts/detector.rs
+++ b/src/alerts/detector.rs
@@ -96,7 +96,7 @@
     /// Builds the notification of this name. Objects are given as name, instance and value.
     pub(super) fn notice(&self, name: &str, subject: &str, objects: &[(&str, u32, Value)]) -> Notice {
         let object = |(name, instance, value): &(&str, u32, Value)| {
-            let oid = self.module.name_of(name).unwrap_or_default();
+            let oid = self.module.oid_of(name).unwrap_or_default();
             ([&oid[..], &[*instance]].concat(), value.clone())
         };
         let oid = self.module.notification(name).unwrap_or_default();
--- a/src/alerts/detector/tests.rs
+++ b/src/alerts/detector/tests.rs
@@ -92,7 +92,7 @@
     for notice in detector.detect(&observation) {
         let defined = detector.module.notification_of(&notice.oid).unwrap();
         let contained: Vec<String> =
-            notice.objects.iter().map(|o| detector.module.object_of(&o.0).unwrap().0).collect();
+            notice.objects.iter().map(|o| detector.module.object_by_oid(&o.0).unwrap().0).collect();
         assert_eq!(contained, defined.objects, "{}", defined.name);
     }
 }
--- a/src/mib/tests.rs
+++ b/src/mib/tests.rs
@@ -39,10 +39,10 @@
     for (oid, object) in module.objects() {
         let mut values = served.iter().filter(|o| o.0.starts_with(&oid)).peekable();
         assert!(values.peek().is_some(), "{} is not served", object.name);
-        assert!(values.all(|o| object.syntax.fits(&o.1)), "{} has a value of another syntax", object.name);
+        assert!(values.all(|o| object.syntax.matches(&o.1)), "{} has a value of another syntax", object.name);
     }
     for (oid, _) in served.iter().filter(|o| o.0.starts_with(&ROOT)) {
-        assert!(module.object_of(oid).is_some(), "{oid:?} is not in the registry");
+        assert!(module.object_by_oid(oid).is_some(), "{oid:?} is not in the registry");
     }
 }
 
@@ -51,7 +51,7 @@
 fn published_numbers_and_labels_do_not_change() {
     let module = module();
     for (name, n) in [("cdClientsAccepted", 1), ("cdQueriesTaken", 4), ("cdListChanges", 26)] {
-        assert_eq!(module.name_of(name), Some([&ROOT[..], &[1, n]].concat()));
+        assert_eq!(module.oid_of(name), Some([&ROOT[..], &[1, n]].concat()));
     }
     fn labels(values: &[(&'static str, i32)]) -> Vec<&'static str> {
         values.iter().map(|v| v.0).collect()
--- a/src/snmp_tool.rs
+++ b/src/snmp_tool.rs
@@ -155,7 +155,7 @@
     /// Gets the value of one instance. A name without an instance suffix refers to a scalar, instance 0.
     fn get(&self, requester: &mut Requester) -> Result<Vec<(Oid, Value)>, SnmpToolError> {
         let lacks_instance =
-            self.module.object_of(&self.name).is_some_and(|(_, instance)| instance.is_empty());
+            self.module.object_by_oid(&self.name).is_some_and(|(_, instance)| instance.is_empty());
         let instance: &[u32] = if lacks_instance { &[0] } else { &[] };
         let name = [&self.name[..], instance].concat();
         let value = |(oid, got): (Oid, BindingValue)| match got {
@@ -193,7 +193,7 @@
     let table = module.tables.iter().find(|t| t.name == object || format!("{}Table", t.name) == object);
     let base = match table {
         Some(t) => [&module.root[..], &[module.tables_arc, t.arc, 1]].concat(),
-        None => module.name_of(object)?,
+        None => module.oid_of(object)?,
     };
     let instance: Option<Oid> = match instance {
         "" => Some(Vec::new()),
--- a/src/snmp_tool/display.rs
+++ b/src/snmp_tool/display.rs
@@ -14,7 +14,7 @@
 
 /// Formats an OID as its MIB name and instance suffix, or as a dotted OID if the MIB does not define it.
 pub(super) fn object_name(module: &Module, oid: &[u32]) -> String {
-    match module.object_of(oid) {
+    match module.object_by_oid(oid) {
         Some((name, [])) => name,
         Some((name, instance)) => format!("{name}.{}", dotted(instance)),
         None => dotted(oid),
@@ -47,7 +47,7 @@
 pub(super) fn tables_text(module: &Module, objects: &[(Oid, Value)]) -> String {
     let mut tables: BTreeMap<Oid, Rows> = BTreeMap::new();
     for (oid, value) in objects {
-        let Some((_, index)) = module.object_of(oid) else { continue };
+        let Some((_, index)) = module.object_by_oid(oid) else { continue };
         let column = &oid[..oid.len() - index.len()];
         let Some((&arc, entry)) = column.split_last() else { continue };
         let row = tables.entry(entry.to_vec()).or_default().entry(index.to_vec()).or_default();
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -113,7 +113,7 @@
     // These objects change during the walk: times, counters of SNMP requests, and health checks.
     let module = curlewdeck::mib::module();
     let changes_during_walk = |oid: &[u32]| {
-        let name = module.object_of(oid).map_or(String::new(), |o| o.0);
+        let name = module.object_by_oid(oid).map_or(String::new(), |o| o.0);
         name.contains("Since")
             || name.contains("Discontinuity")
             || name.starts_with("cdSnmp")
