--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -347,7 +347,7 @@
     for (name, value, why) in [
         ("LB_CONTROL", "nowhere", "is not an address"),
         ("LB_CONTROL", taken.as_str(), "second address"),
-        ("LB_LISTEN_FD", "three", "no number"),
+        ("LB_LISTEN_FD", "three", "not a descriptor number"),
         ("LB_LISTEN_FD", "3000", "'3000'"),
     ] {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_curlewdeck"));
