--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -175,20 +175,20 @@
         head: &http::Head,
         mut received: Vec<u8>,
     ) -> Result<(), CallError> {
-        let (mut chunks, mut parser) = (ChunkDecoder::default(), WatchParser::default());
+        let (mut decoder, mut parser) = (ChunkDecoder::default(), WatchParser::default());
         let max_bytes = self.limits.max_update_bytes;
         loop {
             if head.is_chunked() {
-                chunks.decode(&received, parser.buffer(), max_bytes).map_err(|e| truncated(e.reason))?;
+                decoder.decode(&received, parser.buffer(), max_bytes).map_err(|e| truncated(e.reason))?;
             } else {
                 parser.buffer().extend_from_slice(&received);
             }
             received.clear();
             self.send_events(&mut parser)?;
-            if chunks.is_done() {
+            if decoder.is_done() {
                 return Ok(());
             }
-            let within_line = parser.is_within_object() || chunks.has_partial_chunk();
+            let within_line = parser.is_within_object() || decoder.has_partial_chunk();
             match connection.read(&mut received) {
                 Ok(true) => {}
                 Ok(false) if within_line => return Err(truncated(CONNECTION_CLOSED)),
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -139,9 +139,9 @@
                 body.extend_from_slice(&bytes[..used]);
                 Ok((used, body.len() == *length))
             }
-            Self::Chunked(chunks) => {
-                let used = chunks.decode(bytes, body, limits.max_body_bytes)?;
-                Ok((used, chunks.is_done()))
+            Self::Chunked(decoder) => {
+                let used = decoder.decode(bytes, body, limits.max_body_bytes)?;
+                Ok((used, decoder.is_done()))
             }
         }
     }
--- a/src/net/http/response_head.rs
+++ b/src/net/http/response_head.rs
@@ -54,9 +54,9 @@
             Framing::Length(length) if length > max_bytes => Err(BODY_TOO_LARGE),
             Framing::Length(length) => Ok(bytes.get(..length).map(|body| (body.to_vec(), length))),
             Framing::Chunked => {
-                let (mut chunks, mut body) = (ChunkDecoder::default(), Vec::new());
-                let used = chunks.decode(bytes, &mut body, max_bytes)?;
-                Ok(chunks.is_done().then_some((body, used)))
+                let (mut decoder, mut body) = (ChunkDecoder::default(), Vec::new());
+                let used = decoder.decode(bytes, &mut body, max_bytes)?;
+                Ok(decoder.is_done().then_some((body, used)))
             }
         }
     }
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -110,13 +110,13 @@
     #[test]
     fn chunks_do_not_depend_on_how_the_input_is_split(cuts in proptest::collection::vec(1..9usize, 0..40)) {
         let mut rest = &b"3\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\n\r\n"[..];
-        let (mut chunks, mut out) = (ChunkDecoder::default(), Vec::new());
+        let (mut decoder, mut out) = (ChunkDecoder::default(), Vec::new());
         for cut in cuts.into_iter().chain([64]) {
             let piece = &rest[..cut.min(rest.len())];
-            prop_assert_eq!(chunks.decode(piece, &mut out, 64), Ok(piece.len()));
+            prop_assert_eq!(decoder.decode(piece, &mut out, 64), Ok(piece.len()));
             rest = &rest[piece.len()..];
         }
-        prop_assert!(chunks.is_done());
+        prop_assert!(decoder.is_done());
         prop_assert_eq!(out, b"abc0123456789abcdef".to_vec());
     }
 }
