--- a/crates/core/src/policy/connection_health.rs
+++ b/crates/core/src/policy/connection_health.rs
@@ -17,7 +17,7 @@
 /// Weight of the latest outcome in the failure ratios of connections in use and of connects.
 const OUTCOME_WEIGHT: f64 = 1.0 / 6.0;
 /// One in this many attempts is still sent over a suspect connection, to detect recovery.
-const SUSPECT_PROBE_INTERVAL: u32 = 16;
+const SUSPECT_TRIAL_INTERVAL: u32 = 16;
 /// Above this ratio of failed connects, the failures are not attributed to individual servers.
 const CONNECT_FAILURE_THRESHOLD: f64 = 0.4;
 
@@ -76,7 +76,7 @@
             return other.connection_idle;
         }
         let idle = self.now.saturating_sub(server.connection_used_at?);
-        if self.may_be_dropped(idle) && self.rng.u32(0..SUSPECT_PROBE_INTERVAL) > 0 {
+        if self.may_be_dropped(idle) && self.rng.u32(0..SUSPECT_TRIAL_INTERVAL) > 0 {
             self.actions.push(Action::CloseIdleConnections { server: id });
             return None;
         }
--- a/crates/core/src/policy/outlier_detection.rs
+++ b/crates/core/src/policy/outlier_detection.rs
@@ -59,8 +59,8 @@
         let score = server.outlier_score.get(self.now).max(class_score);
         let is_busy = planned > 0 || !server.in_flight.is_empty();
         let is_suspect = score >= DEPRIORITIZE_THRESHOLD;
-        let has_probe_in_flight = is_busy && (is_suspect || server.is_unreachable);
-        if score >= EJECTION_THRESHOLD || self.is_zone_degraded(server.zone) || has_probe_in_flight {
+        let has_trial_attempt = is_busy && (is_suspect || server.is_unreachable);
+        if score >= EJECTION_THRESHOLD || self.is_zone_degraded(server.zone) || has_trial_attempt {
             HealthTier::Ejected
         } else if is_suspect {
             HealthTier::Deprioritized
--- a/crates/lifecycle/src/reload.rs
+++ b/crates/lifecycle/src/reload.rs
@@ -16,7 +16,7 @@
     /// How long after the signal reads are retried.
     pub window: Time,
     /// The pause before the first retry. Each further pause is twice as long as the previous one.
-    pub first_pause: Time,
+    pub initial_delay: Time,
     /// The upper limit of the pause between retries.
     pub longest_pause: Time,
     /// How long a newer signal waits for the read in progress before that read is abandoned.
@@ -29,7 +29,7 @@
     /// The pause after `retries` retries.
     fn pause(&self, retries: u32) -> Time {
         let factor = 1_u64.checked_shl(retries).unwrap_or(Time::MAX);
-        self.first_pause.saturating_mul(factor).min(self.longest_pause)
+        self.initial_delay.saturating_mul(factor).min(self.longest_pause)
     }
 }
 
--- a/crates/lifecycle/src/reload/tests.rs
+++ b/crates/lifecycle/src/reload/tests.rs
@@ -3,7 +3,7 @@
 
 const POLICY: RetryPolicy = RetryPolicy {
     window: 4000,
-    first_pause: 50,
+    initial_delay: 50,
     longest_pause: 800,
     read_timeout: 1500,
     max_abandoned_reads: 2,
--- a/crates/merge/src/cursor.rs
+++ b/crates/merge/src/cursor.rs
@@ -86,6 +86,7 @@
 /// The encoded state of a cursor. Each distinct row key is stored once.
 #[derive(Serialize, Deserialize)]
 struct Record {
+    #[serde(rename = "form")]
     record_version: u8,
     query: [u8; 16],
     expires_at: u64,
--- a/crates/merge/src/query.rs
+++ b/crates/merge/src/query.rs
@@ -84,7 +84,7 @@
 #[derive(Serialize)]
 struct RequestText<'a> {
     #[serde(flatten)]
-    common: CommonFields<'a>,
+    shape: CommonFields<'a>,
     limit: usize,
     range: Range,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -135,7 +135,7 @@
             Position::From(key) => (None, Some(key.as_ref())),
         };
         let text =
-            RequestText { common: self.common_fields(), limit: self.limit, range, after, from, at_least };
+            RequestText { shape: self.common_fields(), limit: self.limit, range, after, from, at_least };
         serde_json::to_string(&text).unwrap_or_default()
     }
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -59,7 +59,7 @@
         let (events, inbox) = sync_channel(EVENT_QUEUE_LENGTH);
         let policy = RetryPolicy {
             window: nanos(RETRY_WINDOW),
-            first_pause: nanos(FIRST_BACKOFF),
+            initial_delay: nanos(FIRST_BACKOFF),
             longest_pause: nanos(MAX_BACKOFF),
             read_timeout: nanos(READ_TIMEOUT),
             max_abandoned_reads: MAX_ABANDONED_READS,
--- a/src/snmp_tool.rs
+++ b/src/snmp_tool.rs
@@ -147,8 +147,8 @@
         let socket = UdpSocket::bind("0.0.0.0:0").and_then(|s| s.connect(&self.address).map(|()| s));
         let socket =
             socket.map_err(|source| SnmpToolError::Socket { address: self.address.clone(), source })?;
-        let first_request_id = fastrand::i32(1..i32::MAX / 2);
-        let session = Session::new(self.security.clone(), first_request_id, fastrand::u64(..));
+        let last_request_id = fastrand::i32(1..i32::MAX / 2);
+        let session = Session::new(self.security.clone(), last_request_id, fastrand::u64(..));
         Ok(Requester::new(session, socket, self.timeout, self.max_attempts))
     }
 
