--- a/crates/accounting/src/process_stats.rs
+++ b/crates/accounting/src/process_stats.rs
@@ -1,4 +1,4 @@
-//! Process statistics that operators fetch from the control address, one value per line.
+//! Process statistics that operators fetch from the second address, one value per line.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/accounting/tests/process_stats.rs
+++ b/crates/accounting/tests/process_stats.rs
@@ -1,4 +1,4 @@
-//! Process statistics that operators fetch from the control address.
+//! Process statistics that operators fetch from the second address.
 
 mod common;
 
--- a/crates/core/tests/policy_invariants.rs
+++ b/crates/core/tests/policy_invariants.rs
@@ -1,4 +1,4 @@
-//! Property tests with a fixed seed: check the rules of the policy against arbitrary valid event streams.
+//! Property tests with a fixed seed: check the six rules of the policy against arbitrary valid event streams.
 
 mod common;
 
--- a/crates/replication/src/member/error.rs
+++ b/crates/replication/src/member/error.rs
@@ -37,6 +37,6 @@
     #[error("raft rejected the message: {0}")]
     Raft(#[source] raft::Error),
     /// raft-rs panicked on this message, or the member was already stopped.
-    #[error("this member has stopped")]
+    #[error("raft panicked on the message, or this member had already stopped")]
     Stopped,
 }
--- a/src/frontend/features/documents.rs
+++ b/src/frontend/features/documents.rs
@@ -1,4 +1,4 @@
-//! The documents of the API without features: landing page, API definition and collections.
+//! The documents of the API other than features: landing page, API definition and collections.
 
 use serde_json::{json, Map, Value as Json};
 
--- a/src/frontend/http_server/reader.rs
+++ b/src/frontend/http_server/reader.rs
@@ -51,8 +51,9 @@
     is_read_ahead_full: bool,
     /// Whether the last read succeeded.
     has_just_read: bool,
-    /// When the reader began to wait for the request it is reading: for the first request, when the connection opened.
-    /// `None` while no request is being read.
+    /// When the request being read began: for the first one, when the connection opened; for further ones, with the
+    /// first byte, or, if that was already buffered, when the previous request was answered. `None` while no request is
+    /// being read.
     request_began: Option<Instant>,
 }
 
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -29,8 +29,8 @@
     pub frame_read_timeout: Duration,
     /// Cancelled and answered parts that a connection remembers, to recognize late and duplicate answers.
     pub remembered_parts: usize,
-    /// Minimum time without data, while parts are in flight, after which nothing new is sent on a connection: a machine
-    /// that has failed, or a connection that was lost, may give no other sign.
+    /// Minimum time without a complete frame, while parts are in flight, after which nothing new is sent on a
+    /// connection: a machine that has failed, or a connection that was lost, may give no other sign.
     pub connection_silence: Duration,
     /// The shortest latency objective divided by this replaces `connection_silence` if it is longer.
     pub connection_silence_divisor: u32,
@@ -46,15 +46,15 @@
     pub max_headers: usize,
     /// Messages in the core's mailbox above which new queries are rejected.
     pub core_backlog: usize,
-    /// Maximum number of calls that may be queued at one data node's actor.
+    /// Maximum number of parts that may be queued at one data node's actor; for feature servers, of running fetches.
     pub queued_parts_per_node: usize,
     /// Idle time after which a client connection that has been answered is closed.
     pub client_idle_timeout: Duration,
     /// Idle time after which such a connection may be closed to make room for a new one.
     pub client_evictable_idle: Duration,
     /// Time after which a connection without a complete request may be closed to make room for a new one, since the
-    /// data that a client sends at once has arrived by then. If there is none, this applies to connections that have
-    /// been idle for less than `client_evictable_idle`.
+    /// data that a client sends at once has arrived by then. If there is no such connection, an answered one may be
+    /// closed that has been idle for at least this long, but for less than `client_evictable_idle`.
     pub client_evictable_silence: Duration,
     /// Time for which a new connection waits for another one to be closed before it is rejected.
     pub client_slot_timeout: Duration,
@@ -326,7 +326,7 @@
         (answered.saturating_sub(self.term_completion).max(self.term_accept_min), answered)
     }
 
-    /// The time without data after which a connection with parts in flight is not used for new ones.
+    /// The time without a complete frame after which a connection with parts in flight is not used for new ones.
     pub fn connection_silence_for(&self, shortest_latency_objective: Duration) -> Duration {
         self.connection_silence.max(shortest_latency_objective / self.connection_silence_divisor)
     }
@@ -335,7 +335,7 @@
     /// do not need.
     ///
     /// # Errors
-    /// The descriptors or the memory are too little for the minimum number of clients.
+    /// Fewer than `MIN_SOCKETS` descriptors for this process, or too little memory for `MIN_CLIENTS` clients.
     pub fn within(bounds: PlatformBounds) -> Result<Self, LimitsError> {
         let processes = bounds.other_processes + 1;
         let sockets = bounds.sockets / processes;
--- a/src/mib/scalars.rs
+++ b/src/mib/scalars.rs
@@ -63,7 +63,7 @@
 /// Adds the values of [`general`], in the same order.
 pub(super) fn general_values(instances: &mut Instances, ledger: &LedgerSnapshot) {
     let values = [
-        // Counters and sysUpTime both start at zero with the process.
+        // Counters begin with the process, as sysUpTime does: at zero, or at the totals of a restored ledger.
         Value::Ticks(0),
         gauge(ledger.sum(ClassRow::open)),
         gauge(ledger.attempts.in_flight()),
--- a/src/net/connection_pool/pool.rs
+++ b/src/net/connection_pool/pool.rs
@@ -21,7 +21,8 @@
     pub queued_parts: usize,
     /// Maximum number of ended attempts that a connection records.
     pub closed_attempts: usize,
-    /// Time without input, with attempts in flight, after which a connection gets no new work, in nanoseconds.
+    /// Time without a complete frame, with attempts in flight, after which a connection gets no new work, in
+    /// nanoseconds.
     pub silence_timeout: Nanos,
     /// Delay before another connection is opened when no socket was available, in nanoseconds.
     pub no_socket_backoff: Nanos,
--- a/src/snapshot_store.rs
+++ b/src/snapshot_store.rs
@@ -27,7 +27,8 @@
 use replica::TrackedReplica;
 pub use replica::{ReplicaError, ReplicaValue, SnapshotReplica};
 
-/// Long enough for an operator to add a member that has restarted with an empty folder to its group.
+/// How long a start waits for the replica: long enough for an operator to add a member that has restarted with an empty
+/// folder to its group.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The section `[state]` of the edge's file.
