--- a/tests/acceptance_terms.rs
+++ b/tests/acceptance_terms.rs
@@ -1,6 +1,6 @@
-//! The stricter acceptance terms (docs/design/stricter-terms.md), each forced on real sockets: no attempt begins for a
-//! disconnected client, data nodes get the client's remaining time, and every request that was read gets a final
-//! answer.
+//! The stricter acceptance terms (docs/design/stricter-terms.md), each forced on real sockets: no attempt begins later
+//! than a short grace after its client's disconnect, data nodes get at most the client's remaining time (plus
+//! `DEADLINE_SLACK`), and every request that was read gets a final answer.
 
 mod harness;
 
@@ -144,7 +144,7 @@
         &c.queries_rejected,
         &c.queries_failed,
     ];
-    wait_until("the query's end", || ended.iter().any(|end| count(end) > 0));
+    wait_until("the query to end", || ended.iter().any(|end| count(end) > 0));
 }
 
 /// Starts a coordinator with a stored endpoint list that discovery has not confirmed; returns it with its open call.
@@ -198,7 +198,7 @@
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
     let (coordinator, mut call) = start_with_unconfirmed_list(&nodes);
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0, 1]);
-    wait_until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
+    wait_until("the query to be accepted", || count(&coordinator.core.counters.queries_accepted) == 1);
     let disconnected = sent.disconnect();
     wait_for_query_end(&coordinator);
     confirm_list(&mut call, &nodes);
@@ -395,7 +395,7 @@
     let nodes = [("a", 0, a.addr), ("b", 1, b.addr)];
     let (coordinator, mut call) = start_with_unconfirmed_list(&nodes);
     let sent = SentQuery::new(coordinator.listen, "tag-lookup", &[0, 1]);
-    wait_until("the query", || count(&coordinator.core.counters.queries_accepted) == 1);
+    wait_until("the query to be accepted", || count(&coordinator.core.counters.queries_accepted) == 1);
     thread::sleep(Duration::from_millis(600));
     confirm_list(&mut call, &nodes);
     assert_eq!(sent.answer().unwrap().status, 200);
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -463,7 +463,7 @@
     });
 }
 
-/// A long answer uses chunked encoding; an HTTP/1.0 client gets it without.
+/// A long answer uses chunked encoding; an HTTP/1.0 client gets it with a `Content-Length` instead.
 #[test]
 fn long_answers_are_streamed() {
     let fleet = Fleet::start(200);
--- a/tests/drain_faults.rs
+++ b/tests/drain_faults.rs
@@ -32,7 +32,8 @@
     Delayed(Duration),
 }
 
-/// Starts a coordinator with an old list, in which a node that drains now and one that is removed are up.
+/// Starts a coordinator with an old list, in which a node that has drained and one that has been removed since then are
+/// up.
 fn restarted(first: FirstCalls, delivery: Delivery) -> TrialResult {
     let nodes = ["drains", "removed", "stays-1", "stays-2"];
     let mut trial = Trial::new(&format!("restart {first:?}"), delivery, &nodes);
@@ -146,8 +147,8 @@
     assert_all_pass(kinds.collect(), |(stage, delay)| slow_discovery(stage, delay, delivery));
 }
 
-/// Catches a coordinator that abandons every call before a slow discovery service has answered, and so never gets a
-/// list.
+/// Catches a coordinator that abandons every call before a slow discovery service has answered, and so never learns of
+/// the drain.
 #[test]
 fn drain_is_applied_in_time_with_slow_on_request_discovery() {
     assert_slow_discovery_passes(Delivery::OnRequest);
--- a/tests/drain_moves.rs
+++ b/tests/drain_moves.rs
@@ -191,7 +191,8 @@
     Refuses,
     /// Watches are reset, and calls are answered 503.
     Unavailable,
-    /// Watches end in order, and calls are answered 503, as they also are when many coordinators call after a change.
+    /// Watches end in order, and calls are answered 503. The coordinator cannot tell this from many coordinators
+    /// calling after a change, so it need not keep serving.
     EndsAndUnavailable,
 }
 
--- a/tests/drain_paths.rs
+++ b/tests/drain_paths.rs
@@ -1,5 +1,5 @@
 //! Tests every path of a part to a data node while the list changes: the node drains, is removed or moves to another
-//! address. The paths are first sends, retries, hedges, the second step, frames that wait for a connection or for room
+//! address. The paths are first sends, retries, hedges, the second phase, frames that wait for a connection or for room
 //! in a socket, pages of features, a second process on an inherited listener, and the desk. Each race is forced on real
 //! sockets.
 
@@ -38,7 +38,8 @@
 /// Shard whose parts are held.
 const HELD_SHARD: u32 = 3;
 
-/// One cell with every shard, without hedges and with a connect timeout of one minute.
+/// One partition group with every shard, with a latency objective so long that no slow part is retried or hedged, and
+/// with a connect timeout of one minute.
 fn long_timeouts(discovery: SocketAddr) -> String {
     config(&TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }, discovery)
 }
@@ -426,30 +427,30 @@
     release.store(true, Ordering::SeqCst);
 }
 
-/// A data node drains between the two steps of a query. The parts of the second step must go to the remaining node,
-/// whichever node answered the first step.
+/// A data node drains between the two phases of a query. The parts of the second phase must go to the remaining
+/// node, whichever node answered the first phase.
 #[test]
-fn second_step_skips_a_draining_node() {
+fn second_phase_skips_a_draining_node() {
     let (release, slow) = gated_reply();
     let (drains, stays) =
         (StallingDataNode::start_serving(slow.clone()), StallingDataNode::start_serving(slow));
     let fixture = Fixture::long_timeouts(vec![up("drains", drains.addr), up("stays", stays.addr)]);
     let parts = || drains.arrivals().len() + stays.arrivals().len();
     let mut held = Vec::new();
-    wait_until("a first step at each", || {
+    wait_until("a part of the first phase at each data node", || {
         if !drains.arrivals().is_empty() && !stays.arrivals().is_empty() {
             return true;
         }
         let before = parts();
         held.push(spawn_query(fixture.addr(), "monthly-settle", &[0, 1, 2, 3]));
-        wait_until("the parts of the first step", || parts() > before);
+        wait_until("the parts of the first phase", || parts() > before);
         false
     });
     let updated_at = fixture.change(&[in_state("draining", "drains", drains.addr)]);
     // Nothing is answered before the release, so no queries can fill the grace.
     wait_until("the end of the grace", || updated_at.elapsed() > DRAIN_GRACE);
     release.store(true, Ordering::SeqCst);
-    held.into_iter().for_each(|held| drop(expect_answer(held, "a query in two steps")));
+    held.into_iter().for_each(|held| drop(expect_answer(held, "a query in two phases")));
     assert_eq!(drains.parts_begun_after(updated_at + DRAIN_GRACE), []);
     assert!(stays.arrivals().iter().any(|a| a.id.ends_with(".fetch")));
 }
@@ -494,7 +495,7 @@
     for update in CLOSING_UPDATES {
         assert!(
             (0..MAX_TRIES).any(|_| updates_while_a_frame_waits(update)),
-            "{update:?}: no try hit the wait"
+            "{update:?}: in none of {MAX_TRIES} tries did the update arrive while a frame was waiting"
         );
     }
 }
--- a/tests/drain_soak.rs
+++ b/tests/drain_soak.rs
@@ -135,7 +135,8 @@
         self.service.faults(|f| f.all_calls = None);
     }
 
-    /// Takes discovery offline for a while, with changes during the outage and after it.
+    /// Takes discovery offline for a while, with a change during the outage and, in some runs, another right at its
+    /// end.
     fn interrupt_discovery(&mut self) {
         self.service.take_offline();
         self.pause(200..4000);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -73,7 +73,7 @@
         assert_eq!((ledger.nodes_unlisted, ledger.nodes_evicted), (0, 0));
         ledger.nodes.iter().filter(|n| n.state == EndpointState::Active).count()
     };
-    wait_until("all data nodes", || active_nodes() == NODES as usize);
+    wait_until("all data nodes to be active", || active_nodes() == NODES as usize);
 }
 
 fn discovery_call_errors(coordinator: &Coordinator) -> u64 {
--- a/tests/fleet_behavior.rs
+++ b/tests/fleet_behavior.rs
@@ -31,7 +31,8 @@
 /// The shard whose parts get no answer until they are released.
 const HELD_SHARD: u32 = 3;
 
-/// Configures one cell that holds all shards, and a latency target so long that no part is retried or hedged.
+/// Configures one partition group that holds all shards, and a latency objective so long that no slow part is retried
+/// or hedged.
 fn config_without_hedges(discovery: SocketAddr) -> String {
     let config = TestCluster { partition_groups: 1, replicas: 1, ..TestCluster::default() }.config(discovery);
     config.replace(r#""aim_ns":1000000000"#, r#""aim_ns":60000000000"#)
@@ -238,7 +239,8 @@
 
 // ---- A watch that falls silent. ----
 
-/// A change that discovery announces must be in effect this long after the watch fell silent.
+/// Limit, counted from the moment when the watch fell silent, for a change to take effect: the change counts as
+/// notified then.
 const EFFECT_DEADLINE: Duration = Duration::from_secs(6);
 /// Longer than half of the 10 s within which the default settings require a call of discovery, and longer than the 4 s
 /// that other cases set.
@@ -333,7 +335,7 @@
         if stopped {
             // Connections from now on wait to be accepted.
             program.signal("STOP");
-            wait_until("the stop", || program.state() == 'T');
+            wait_until("the process to stop", || program.state() == 'T');
         }
         let sent = parts();
         let request = query_bytes("tag-lookup", &[0], "60000m");
--- a/tests/harness/drain_check.rs
+++ b/tests/harness/drain_check.rs
@@ -227,7 +227,8 @@
         closing.iter().filter_map(|change| self.notified_of_change(change)).min_by_key(|n| n.0)
     }
 
-    /// Does the same for a node that is up at discovery since `since`: the last written update may still close it.
+    /// Does the same for a node that has been up at discovery since `since`: the last written update may still close
+    /// it.
     fn closed_by_writes(&self, uid: &str, since: Option<Instant>, now: Instant) -> Option<Notified> {
         let mut closed = None;
         for write in self.writes().filter(|w| w.at <= now && since.is_none_or(|since| w.at >= since)) {
--- a/tests/harness/drain_trial.rs
+++ b/tests/harness/drain_trial.rs
@@ -236,7 +236,8 @@
             let parts = parts.iter().filter(recent).count();
             if answers < MIN_FINAL_ANSWERS || parts == 0 {
                 self.failures.push(format!(
-                    "coordinator {number} served {answers} with {parts} parts in the last {FINAL_SPAN:?}"
+                    "coordinator {number}: {answers} complete answers (at least {MIN_FINAL_ANSWERS}) and \
+                     {parts} parts (at least 1) in the last {FINAL_SPAN:?}"
                 ));
             }
         }
--- a/tests/membership_lines.rs
+++ b/tests/membership_lines.rs
@@ -28,7 +28,7 @@
 const CONCURRENT: usize = 8;
 /// Time that a data node takes for a part.
 const WORK: Duration = Duration::from_millis(2);
-/// Interval at which a watch checks for updates; without one it sends a heartbeat.
+/// Interval at which a watch checks for updates; if there is no update, it sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of heartbeats after which a watch ends.
 const MAX_HEARTBEATS: usize = 600;
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -46,8 +46,8 @@
     stream
 }
 
-/// Stuck control connections and a flood of queries do not block control requests; malformed control requests get a
-/// matching status.
+/// Stuck control connections and a flood of queries do not block control requests. Requests with an unknown path, a
+/// wrong method or a malformed head get 404, 405 and 400.
 #[test]
 fn control_requests_are_answered_despite_stuck_clients_and_load() {
     let (_a, _b, discovery) = start_two_data_nodes(|_| NodeReply::Silence, |_| NodeReply::Silence);
@@ -75,7 +75,7 @@
     assert_eq!(stuck[0].read(&mut [0]).unwrap_or(0), 0);
     program.control_request("POST", "/ops/drain/stop");
     drop((stuck, flood));
-    wait_until("the flood's end", || program.statistic("in_flight") == Some(0));
+    wait_until("the flood to end", || program.statistic("in_flight") == Some(0));
 }
 
 /// The statistics match the counts of the clients and the data nodes.
@@ -114,7 +114,7 @@
     wait_until("the drain of a data node", || program.statistic("data_nodes_excluded") >= Some(1));
     assert_eq!(program.statistic("data_nodes_known"), Some(2));
     discovery.set_state("a", "removed");
-    wait_until("its removal", || program.statistic("data_nodes_known") == Some(1));
+    wait_until("the removal of the data node", || program.statistic("data_nodes_known") == Some(1));
 }
 
 /// During a drain the health check fails at once, open queries are answered, and connections that are idle or have only
@@ -182,7 +182,9 @@
         c["settings"]["limits"]["max_attempts"] = json!(1);
         c["settings"]["classes"][0]["name"] = json!("bridge-toll");
     }));
-    wait_until("the new class", || query(program.addr, "bridge-toll", &[9]).unwrap().status == 400);
+    wait_until("the new class to be in effect", || {
+        query(program.addr, "bridge-toll", &[9]).unwrap().status == 400
+    });
     assert_eq!(query(program.addr, "monthly-settle", &[0]).unwrap().status, 404);
     let before = a.received_parts().len() + b.received_parts().len();
     release.store(true, Ordering::SeqCst);
@@ -191,12 +193,16 @@
     let attempts = |id: &str| {
         a.received_parts().iter().chain(&b.received_parts()).filter(|p| p.id.ends_with(id)).count()
     };
-    assert_eq!(attempts(".3"), 4, "attempt limit of the old settings; parts before the release: {before}");
+    assert_eq!(
+        attempts(".3"),
+        4,
+        "expected as many attempts as the old settings allow; {before} parts before the release"
+    );
     assert_eq!(query(program.addr, "bridge-toll", &[0, 1]).unwrap().status, 200);
     assert_ne!(query(program.addr, "bridge-toll", &[3]).unwrap().status, 200);
     assert_eq!(attempts(".3"), 5);
     // The statistics of both classes remain.
-    wait_until("the statistics", || program.statistic("served.bridge-toll") == Some(1));
+    wait_until("the statistics of the new class", || program.statistic("served.bridge-toll") == Some(1));
     assert_eq!(program.statistic("served.monthly-settle"), Some(1));
 }
 
@@ -239,13 +245,15 @@
         (Some(0), 0)
     );
     program.reload(&valid);
-    wait_until("the valid file", || program.statistic("reloads_ok") == Some(1) && other.list_requests() == 1);
+    wait_until("the valid file to be applied", || {
+        program.statistic("reloads_ok") == Some(1) && other.list_requests() == 1
+    });
     // After several reloads in quick succession the last file is in effect.
     let last = Discovery::start("127.0.0.1:0", Vec::new());
     for n in 0..10 {
         program.reload(&config(if n == 9 { &last } else { &other }, |_| ()));
     }
-    wait_until("the last file", || last.list_requests() == 1);
+    wait_until("the last file to be applied", || last.list_requests() == 1);
     program.signal("TERM");
     let log = program.wait_for_exit();
     let rejections: Vec<&str> = log.lines().filter(|l| l.contains("configuration rejected")).collect();
@@ -278,7 +286,7 @@
     assert_eq!(query(program.addr, "monthly-settle", &[0, 1]).unwrap().status, 200);
     assert_eq!((program.statistic("reloads_ok"), program.statistic("reloads_failed")), (Some(0), Some(0)));
     drop(slow_writer);
-    wait_until("both files", || {
+    wait_until("both files to be processed", || {
         (program.statistic("reloads_ok"), program.statistic("reloads_failed")) == (Some(1), Some(1))
     });
     wait_until("the removal of the class", || {
@@ -334,7 +342,8 @@
     assert!(a.received_parts().len() + b.received_parts().len() >= 2 * served as usize);
 }
 
-/// An address or descriptor that the program cannot listen on ends the start with one line that names the cause.
+/// An address or descriptor that the program cannot listen on ends the start with one line that names the variable or
+/// the address at fault.
 #[test]
 fn unusable_listening_address_ends_the_start() {
     let (_a, _b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
@@ -383,7 +392,7 @@
     let program = Program::start(&cluster.config(discovery.addr));
     let shards: Vec<u32> = (0..nodes).collect();
     let open = connect_and_send(program.addr, &query_bytes("plaza-ranking", &shards, "60000m"));
-    wait_until("the use of all sockets", || node.received_parts().len() == limits.node_sockets);
+    wait_until("all sockets to be in use", || node.received_parts().len() == limits.node_sockets);
     // The remaining parts were dispatched together with these and are retried until the end.
     program.signal("TERM");
     release.store(true, Ordering::SeqCst);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -559,7 +559,7 @@
     assert!(run(&["version", "--loud"]).contains("--loud"));
 }
 
-/// The example configurations stay valid.
+/// New users start from the example configurations, so these must stay valid.
 #[test]
 fn example_configurations_are_valid() {
     let check = |edge: &str| {
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -160,7 +160,7 @@
         .map(|n| {
             let mut stream = connect(addr);
             stream.write_all(&query_bytes("tag-lookup", &[0], "60000m")).unwrap();
-            wait_until("the open query", || accepted() == n);
+            wait_until("the query to be accepted", || accepted() == n);
             stream
         })
         .collect();
@@ -247,7 +247,7 @@
     loop {
         let (parts_before, accepted_before) = (parts(), accepted());
         open.push(send_query());
-        wait_until("the query", || accepted() > accepted_before);
+        wait_until("the query to be accepted", || accepted() > accepted_before);
         let start = Instant::now();
         while parts() == parts_before && start.elapsed() < Duration::from_millis(100) {
             thread::sleep(Duration::from_millis(1));
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -118,7 +118,7 @@
         moving.program.replace_config(&complete);
         match turn {
             0 => moving.assert_follows_new_discovery(signalled),
-            _ => wait_until("the complete file", || moving.reloads().0 == 2),
+            _ => wait_until("the complete file to be applied", || moving.reloads().0 == 2),
         }
     }
     assert_eq!(moving.reloads(), (2, 2));
@@ -227,7 +227,7 @@
     moving.program.reload("{");
     moving.wait_for_rejections(1);
     moving.program.replace_config(&config_with_discovery(&moving.new));
-    wait_until("the file", || moving.reloads() == (1, 1));
+    wait_until("the file to be processed", || moving.reloads() == (1, 1));
     // The same text through a pipe, whose open returns when the read of this SIGHUP has begun.
     let mut same = moving.reload_pipe();
     same.write_all(config_with_discovery(&moving.new).as_bytes()).unwrap();
@@ -236,7 +236,7 @@
     moving.wait_for_rejections(2);
     assert_eq!(moving.reloads(), (1, 2));
     moving.program.reload(&config_with_discovery(&moving.new));
-    wait_until("the next signal's file", || moving.reloads() == (2, 2));
+    wait_until("the next signal's file to be processed", || moving.reloads() == (2, 2));
     assert_eq!((moving.new.watch_requests(), moving.new.list_requests()), (1, 1));
 }
 
@@ -259,7 +259,7 @@
     wait_until("the return to the old discovery", || moving.old.watch_requests() == watches + 1);
     let (applied, _) = moving.reloads();
     moving.program.reload(&old);
-    wait_until("the same file", || moving.reloads().0 > applied);
+    wait_until("the same file to be applied again", || moving.reloads().0 > applied);
     assert_eq!(moving.old.watch_requests(), watches + 1, "reconnected although the address is unchanged");
     moving.old.set_state("b", "draining");
     wait_until("the drain at the old discovery", || {
@@ -282,7 +282,7 @@
         if !hangs {
             moving.program.replace_config(&config_with_discovery(&moving.new));
             let new = moving.new.clone();
-            moving.program.wait_until("the new discovery", || new.watch_requests() == 1);
+            moving.program.wait_until("a watch at the new discovery", || new.watch_requests() == 1);
         }
         let log = moving.program.wait_for_exit();
         assert!(log.contains(" ends; counters:"), "{log}");
--- a/tests/replicated_state.rs
+++ b/tests/replicated_state.rs
@@ -80,7 +80,9 @@
             let value = fields.lines().next()?.split(' ').find_map(|f| f.strip_prefix(name))?;
             value.strip_prefix('=')?.parse().ok()
         };
-        wait_until("the member", || field("members_address").is_some() && field("clients_address").is_some());
+        wait_until("the member to start", || {
+            field("members_address").is_some() && field("clients_address").is_some()
+        });
         let (listen, control) = (field("members_address").unwrap(), field("clients_address").unwrap());
         Self { child, log, started: Instant::now(), listen, control }
     }
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -34,7 +34,7 @@
     read_answer(&mut BufReader::new(stream))
 }
 
-/// The first line of a log that consists of this message and its fields.
+/// The first log line that consists of this message and its fields.
 fn log_line(log: &str, message: &str) -> Option<String> {
     let line = log.lines().find(|line| line.contains(&format!(" group] {message} ")))?;
     Some(line.to_string())
@@ -66,7 +66,7 @@
             lines.lines().map_while(Result::ok).for_each(|l| *lock(&log_in_thread) += &(l + "\n"))
         });
         let started = || log_line(&lock(&log), "member started");
-        wait_until("the member", || started().is_some());
+        wait_until("the member to start", || started().is_some());
         let started = started().unwrap();
         let id = log_field(&started, "member").parse().unwrap();
         let listen = log_field(&started, "members_address").parse().unwrap();
@@ -193,7 +193,9 @@
 
     /// Repeats a call at member `by` until it succeeds; it may fail while a leader is being elected.
     fn call_until_ok(&self, method: &str, path: &str, body: &str, by: usize) {
-        wait_until(path, || call(self.member(by).control, method, path, body).is_ok_and(|a| a.status == 200));
+        wait_until(&format!("{method} {path} to succeed"), || {
+            call(self.member(by).control, method, path, body).is_ok_and(|a| a.status == 200)
+        });
     }
 
     /// Replaces the former member `old` with the new member of process `n`, which was restarted with an empty folder.
@@ -285,7 +287,7 @@
     /// Waits until `more` further writes are committed.
     fn wait_for_commits(&self, more: u64) {
         let before = self.committed();
-        wait_until("commits", || self.committed() >= before + more);
+        wait_until("further commits", || self.committed() >= before + more);
     }
 
     /// Stops the clients, reads each committed key again at one member, and checks the complete history for
@@ -347,7 +349,7 @@
     clients.wait_for_commits(60);
     let lost = group.leader();
     let old = group.member(lost).id;
-    wait_until("the count of the first start", || {
+    wait_until("the first start to be counted", || {
         lock(&group.member(lost).log).contains("] state loaded start=1 directory=")
     });
     group.kill(lost, true);
@@ -357,7 +359,7 @@
     clients.wait_for_commits(30);
     clients.check_history(group.member(lost).control);
     // The count of its starts continues from the replicated copy.
-    wait_until("the state of the new member", || {
+    wait_until("the new member to load its state", || {
         lock(&group.member(lost).log).contains("] state loaded start=2 directory=")
     });
     assert_eq!(group.member(lost).status()["voters"].split(',').count(), 3);
@@ -374,8 +376,9 @@
 }
 
 /// Network partitions, a one-way failure, a paused process, delays and reordering keep all committed writes. The
-/// minority of a partition rejects reads instead of serving stale data or blocking, a leader whose messages are lost is
-/// replaced, and a member paused for longer than an election timeout does not depose the leader.
+/// minority of a partition rejects reads instead of serving stale data or blocking, a leader that still receives but
+/// whose own messages are lost is replaced, and a member paused for longer than an election timeout does not depose the
+/// leader.
 #[test]
 fn partitions_pauses_and_delays_keep_all_committed_writes() {
     let group = Group::start("cuts", 5);
--- a/tests/request_ledger.rs
+++ b/tests/request_ledger.rs
@@ -50,7 +50,7 @@
         }
     }
     // Some attempts are still open when their query ends.
-    wait_until("all attempts have ended", || ledger(&coordinator).attempts.in_flight() == 0);
+    wait_until("all attempts to end", || ledger(&coordinator).attempts.in_flight() == 0);
     let snapshot = ledger(&coordinator);
     for (class, name) in CLASSES.iter().enumerate() {
         let row: &ClassRow = &snapshot.classes[class];
@@ -132,7 +132,9 @@
         };
         // Drain the pipe, so that the process does not block on writing its log.
         std::thread::spawn(move || lines.for_each(drop));
-        wait_until("health", || harness::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200));
+        wait_until("a passing health check", || {
+            harness::stand_in::get(addr, "/_health").is_ok_and(|a| a.status == 200)
+        });
         (child, addr)
     };
     let total = || total_ended(&read_stored_state(&folder));
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn unknown_field_values_and_peer_messages_have_no_effect() {
+fn absent_and_unknown_field_values_and_peer_messages_have_no_effect() {
     let expected = utf8(&run_adapter(&served_query()).stdout);
-    // Keys and repeat marks, an unknown zone, unexpected messages from a peer, and a load report with unknown values.
+    // An absent repeat mark, an unknown zone, unexpected messages from a peer, and a load report with unknown values.
     let input =
         served_query().replace("m 0 - a k 1 IN 10.0.0.1:1", "m 0 - nowhere k - IN 10.0.0.1:1").replacen(
             "inbound 3 10 -1 - 1",
--- a/tests/snmp.rs
+++ b/tests/snmp.rs
@@ -78,8 +78,8 @@
     objects
 }
 
-/// Walks the MIB with SNMPv3 and with a community: for each class, outcome and data node the values equal those of the
-/// request ledger, which `request_ledger.rs` compares with the counts of the stand-ins.
+/// Walks the MIB with SNMPv3: for each class, outcome and data node the values equal those of the request ledger, which
+/// `request_ledger.rs` compares with the counts of the stand-ins. A walk with the community omits the excluded tables.
 #[test]
 fn a_walk_returns_the_values_of_the_ledger() {
     use std::os::unix::fs::PermissionsExt;
@@ -102,7 +102,7 @@
     for class in ["tag-lookup", "plaza-ranking", "plaza-ranking"] {
         query(coordinator.listen, class, &[0, 3]).unwrap();
     }
-    harness::wait_until("all attempts have ended", || {
+    harness::wait_until("all attempts to end", || {
         coordinator.ledger_snapshot().is_some_and(|ledger| ledger.attempts.in_flight() == 0)
     });
     let agent = coordinator.snmp.unwrap();
--- a/tests/stalled_process.rs
+++ b/tests/stalled_process.rs
@@ -59,7 +59,7 @@
 
     fn stop(&self) {
         self.program.signal("STOP");
-        wait_until("the stop", || self.program.state() == 'T');
+        wait_until("the process to stop", || self.program.state() == 'T');
     }
 
     /// Announces a state of the data node that the test drains.
@@ -85,7 +85,7 @@
         self.program.signal("CONT");
     }
 
-    /// Asserts that a query is answered, by the data node that is not drained.
+    /// Asserts that a query is answered with status 200.
     fn assert_answers(&self) {
         let answer = send_request(self.program.addr, &query_bytes("tag-lookup", &[0, 1], "20000m")).unwrap();
         assert_eq!(answer.status, 200);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -53,7 +53,8 @@
 }
 
 /// While no descriptor is available for a connection to a data node, each request gets its final answer within its
-/// deadline. Once descriptors are available again, the shortage is not held against the data nodes.
+/// deadline. Once descriptors are available again, queries succeed within 1 s: the data nodes are not avoided because
+/// of the shortage.
 #[test]
 fn requests_without_descriptors_get_final_answers_in_time() {
     let (a, b, discovery) = start_two_data_nodes(successful_reply, successful_reply);
